--- a/src/bench/java/wingroad/bench/FairQueues.java
+++ b/src/bench/java/wingroad/bench/FairQueues.java
@@ -18,10 +18,14 @@
 import wingroad.bench.Fleet.Tenant;
 import wingroad.door.DoorBench;
 
-/** The measurement of the fair queues: the door off and on side by side, over sockets; then the door alone. */
+/**
+ * The measurement of the fair queues: the door off and on side by side, over sockets; then the door
+ * alone.
+ */
 public final class FairQueues {
     /** -DreadsOnly=true: no writes at all, another load for trying things out. */
     private static final boolean READS_ONLY = Boolean.getBoolean("readsOnly");
+
     private static final int LIGHT = 8;
     private static final long WORK_MS = 50;
     private static final int PLACES = 4;
@@ -47,12 +51,22 @@
         Path dir = Files.createTempDirectory("fair-queues");
         String names = "door {\n tenant-from startup application_name\n names-per-address 16\n";
         try (Fleet off = new Fleet(dir, "off", null, PLACES, WORK_MS);
-             Fleet on = new Fleet(dir, "on", names + "}\n", PLACES, WORK_MS);
-             Fleet weighted = new Fleet(dir, "weighted", names
-                 + " tenant w1 weight=1\n tenant w2 weight=2\n tenant w7 weight=7\n}\n", PLACES, WORK_MS)) {
+                Fleet on = new Fleet(dir, "on", names + "}\n", PLACES, WORK_MS);
+                Fleet weighted =
+                        new Fleet(
+                                dir,
+                                "weighted",
+                                names
+                                        + " tenant w1 weight=1\n tenant w2 weight=2\n tenant w7 weight=7\n}\n",
+                                PLACES,
+                                WORK_MS)) {
             List<Tenant> lightOff = light(off);
             List<Tenant> lightOn = light(on);
-            List<Tenant> shares = List.of(new Tenant("w1", 40, 0), new Tenant("w2", 50, 0), new Tenant("w7", 110, 0));
+            List<Tenant> shares =
+                    List.of(
+                            new Tenant("w1", 40, 0),
+                            new Tenant("w2", 50, 0),
+                            new Tenant("w7", 110, 0));
             Thread.sleep(1000);
             long alone = System.nanoTime();
             Thread.sleep(ALONE_MS);
@@ -129,10 +143,21 @@
     }
 
     private static double mean(List<Tenant> tenants, long from, long to) {
-        return of(tenants, from, to).stream().filter(Answer::committed).mapToLong(Answer::took).average().orElse(1e12);
+        return of(tenants, from, to).stream()
+                .filter(Answer::committed)
+                .mapToLong(Answer::took)
+                .average()
+                .orElse(1e12);
     }
 
-    private void side(String prefix, List<Tenant> light, List<Tenant> heavy, long alone, long crowd, long from, long to) {
+    private void side(
+            String prefix,
+            List<Tenant> light,
+            List<Tenant> heavy,
+            long alone,
+            long crowd,
+            long from,
+            long to) {
         List<Answer> asked = of(light, from, to);
         long committed = asked.stream().filter(Answer::committed).count();
         List<Answer> heavys = of(heavy, from, to);
@@ -142,12 +167,21 @@
         double p99Alone = p99(of(light, alone, crowd));
         put(prefix + "light_p99_alone_ms", p99Alone, true);
         put(prefix + "light_p99_ms", p99(asked), true);
-        put(prefix + "light_write_p99_ms", p99(asked.stream().filter(Answer::write).toList()), true);
-        put(prefix + "light_write_p99_alone_ms", p99(of(light, alone, crowd).stream().filter(Answer::write).toList()), true);
+        put(
+                prefix + "light_write_p99_ms",
+                p99(asked.stream().filter(Answer::write).toList()),
+                true);
+        put(
+                prefix + "light_write_p99_alone_ms",
+                p99(of(light, alone, crowd).stream().filter(Answer::write).toList()),
+                true);
         put(prefix + "light_p99_over_alone", p99(asked) / p99Alone, true);
         put(prefix + "heavy_share", heavyCommitted / (double) (heavyCommitted + committed), true);
         put(prefix + "total_per_s", (heavyCommitted + committed) / s, true);
-        put(prefix + "declines_with_advice", heavys.stream().filter(a -> a.advice() >= 0).count(), true);
+        put(
+                prefix + "declines_with_advice",
+                heavys.stream().filter(a -> a.advice() >= 0).count(),
+                true);
         put(prefix + "declines", heavys.stream().filter(a -> !a.committed()).count(), true);
     }
 
@@ -158,7 +192,9 @@
         double sum = 0;
         double squares = 0;
         for (int i = 0; i < due.length; i++) {
-            double share = of(List.of(shares.get(i)), from, to).stream().filter(Answer::committed).count() / all;
+            double share =
+                    of(List.of(shares.get(i)), from, to).stream().filter(Answer::committed).count()
+                            / all;
             put("share_" + shares.get(i).name, share, true);
             worst = Math.max(worst, Math.abs(share - due[i]));
             sum += share / due[i];
@@ -180,19 +216,29 @@
     }
 
     /**
-     * Seconds until from then on, in each half second, 85% of what can be is committed and light ones take at most 2.5 times
-     * what they took before: with half the places the next one comes free half as often.
+     * Seconds until from then on, in each half second, 85% of what can be is committed and light
+     * ones take at most 2.5 times what they took before: with half the places the next one comes
+     * free half as often.
      */
-    private static double follows(List<Tenant> light, List<Tenant> heavy, long from, long to, double perSecond, double calm) {
+    private static double follows(
+            List<Tenant> light,
+            List<Tenant> heavy,
+            long from,
+            long to,
+            double perSecond,
+            double calm) {
         long step = 250_000_000;
         long window = 2 * step;
         double followed = 99;
         for (long at = to - window; at >= from; at -= step) {
-            long committed = of(heavy, at, at + window).stream().filter(Answer::committed).count()
-                + of(light, at, at + window).stream().filter(Answer::committed).count();
-            if (committed < 0.85 * perSecond * window / 1e9 || mean(light, at, at + window) > 2.5 * calm) {
-                System.err.printf("not followed at %.2f s: %d committed, light mean %.1f ms%n", (at - from) / 1e9, committed,
-                    mean(light, at, at + window) / 1e6);
+            long committed =
+                    of(heavy, at, at + window).stream().filter(Answer::committed).count()
+                            + of(light, at, at + window).stream().filter(Answer::committed).count();
+            if (committed < 0.85 * perSecond * window / 1e9
+                    || mean(light, at, at + window) > 2.5 * calm) {
+                System.err.printf(
+                        "not followed at %.2f s: %d committed, light mean %.1f ms%n",
+                        (at - from) / 1e9, committed, mean(light, at, at + window) / 1e6);
                 break;
             }
             followed = (at - from) / 1e9;
@@ -201,18 +247,33 @@
     }
 
     private void alone() throws RunnerException {
-        for (RunResult r : new Runner(new OptionsBuilder().include(DoorBench.class.getName()).warmupIterations(1)
-            .warmupTime(TimeValue.milliseconds(700)).measurementIterations(2).measurementTime(TimeValue.milliseconds(400))
-            .forks(1).jvmArgs("-Xms1g", "-Xmx1g", "-XX:+UseSerialGC").verbosity(
-                org.openjdk.jmh.runner.options.VerboseMode.SILENT).shouldFailOnError(true).build()).run()) {
+        for (RunResult r :
+                new Runner(
+                                new OptionsBuilder()
+                                        .include(DoorBench.class.getName())
+                                        .warmupIterations(1)
+                                        .warmupTime(TimeValue.milliseconds(700))
+                                        .measurementIterations(2)
+                                        .measurementTime(TimeValue.milliseconds(400))
+                                        .forks(1)
+                                        .jvmArgs("-Xms1g", "-Xmx1g", "-XX:+UseSerialGC")
+                                        .verbosity(
+                                                org.openjdk.jmh.runner.options.VerboseMode.SILENT)
+                                        .shouldFailOnError(true)
+                                        .build())
+                        .run()) {
             String name = r.getParams().getBenchmark().replaceAll(".*\\.", "");
             String tenants = r.getParams().getParam("tenants");
-            String size = switch (tenants) {
-                case "10000" -> "10k";
-                case "1000000" -> "1m";
-                default -> tenants;
-            };
-            put((name.equals("door") ? "ns_per_txn_" : name + "_ns_per_txn_") + size, r.getPrimaryResult().getScore(), true);
+            String size =
+                    switch (tenants) {
+                        case "10000" -> "10k";
+                        case "1000000" -> "1m";
+                        default -> tenants;
+                    };
+            put(
+                    (name.equals("door") ? "ns_per_txn_" : name + "_ns_per_txn_") + size,
+                    r.getPrimaryResult().getScore(),
+                    true);
         }
         floor("ns_per_txn_10k", number("ns_per_txn_10k") <= 2 * number("ns_per_txn_10"));
     }
@@ -245,8 +306,19 @@
 
     private String json() {
         StringBuilder s = new StringBuilder("{");
-        figures.forEach((name, v) -> s.append(s.length() > 1 ? "," : "").append('"').append(name).append("\":").append(
-            v instanceof Double d ? String.format(Locale.ROOT, Math.abs(d) < 10 ? "%.4f" : "%.1f", d) : v));
+        figures.forEach(
+                (name, v) ->
+                        s.append(s.length() > 1 ? "," : "")
+                                .append('"')
+                                .append(name)
+                                .append("\":")
+                                .append(
+                                        v instanceof Double d
+                                                ? String.format(
+                                                        Locale.ROOT,
+                                                        Math.abs(d) < 10 ? "%.4f" : "%.1f",
+                                                        d)
+                                                : v));
         return s.append('}').toString();
     }
 }
--- a/src/bench/java/wingroad/bench/Fleet.java
+++ b/src/bench/java/wingroad/bench/Fleet.java
@@ -17,7 +17,10 @@
 import wingroad.Fixtures.StandInDiscovery;
 import wingroad.Fixtures.StandInMember;
 
-/** A driver as it is packaged, three stand-in members of so many places each, and tenants that ask over sockets. */
+/**
+ * A driver as it is packaged, three stand-in members of so many places each, and tenants that ask
+ * over sockets.
+ */
 final class Fleet implements AutoCloseable {
     /** How many txns a member works on at once; may change under way. */
     static final class Places {
@@ -51,9 +54,12 @@
         }
     }
 
-    /** One answer: when it came, what it took, whether the txn was committed, and the advice it came with, or -1. */
-    record Answer(long at, long took, boolean committed, long advice, boolean returned, boolean write) {
-    }
+    /**
+     * One answer: when it came, what it took, whether the txn was committed, and the advice it came
+     * with, or -1.
+     */
+    record Answer(
+            long at, long took, boolean committed, long advice, boolean returned, boolean write) {}
 
     /** One tenant's connections, all alike. */
     static final class Tenant {
@@ -62,6 +68,7 @@
         final long thinkMs;
         final List<Answer> answers = new ArrayList<>();
         volatile boolean asks = true;
+
         /** One of so many of its txns is a write; 0: none. */
         int writesOneIn;
 
@@ -97,20 +104,35 @@
             Places p = new Places(placesEach);
             places[i] = p;
             boolean primary = i == 0;
-            StandInMember m = new StandInMember(primary, (sql, s) -> {
-                p.work(workMs);
-                s.row("v", primary);
-            });
+            StandInMember m =
+                    new StandInMember(
+                            primary,
+                            (sql, s) -> {
+                                p.work(workMs);
+                                s.row("v", primary);
+                            });
             members.add(m);
             known.append(i > 0 ? "," : "").append(Fixtures.entry("s-" + i, m.port(), "ready"));
         }
-        Path config = Files.writeString(dir.resolve(name + ".json"), "{\"name\":\"" + name
-            + "\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:" + discovery.port()
-            + "\",\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"cores\":1.0,\"memory_mb\":192,\"sockets\":1024},"
-            + "\"known\":{\"rev\":0,\"all\":true,\"targets\":[" + known + "]},\"settings\":" + Fixtures.SETTINGS + "}");
+        Path config =
+                Files.writeString(
+                        dir.resolve(name + ".json"),
+                        "{\"name\":\""
+                                + name
+                                + "\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:"
+                                + discovery.port()
+                                + "\",\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"cores\":1.0,\"memory_mb\":192,\"sockets\":1024},"
+                                + "\"known\":{\"rev\":0,\"all\":true,\"targets\":["
+                                + known
+                                + "]},\"settings\":"
+                                + Fixtures.SETTINGS
+                                + "}");
         List<String> run = new ArrayList<>(List.of("/bin/sh", "deploy/serve.sh"));
         if (operator != null) {
-            run.addAll(List.of("--operator", Files.writeString(dir.resolve(name + ".kdl"), operator).toString()));
+            run.addAll(
+                    List.of(
+                            "--operator",
+                            Files.writeString(dir.resolve(name + ".kdl"), operator).toString()));
         }
         ProcessBuilder p = new ProcessBuilder(run).redirectErrorStream(true);
         p.environment().put("LB_CONFIG", config.toString());
@@ -123,7 +145,10 @@
                 throw new IOException("the driver has ended: " + log);
             }
             log.add(line);
-            at = line.contains(" serves ") ? Integer.parseInt(line.replaceAll(".*:([0-9]+),.*", "$1")) : -1;
+            at =
+                    line.contains(" serves ")
+                            ? Integer.parseInt(line.replaceAll(".*:([0-9]+),.*", "$1"))
+                            : -1;
         }
         port = at;
         Thread rest = new Thread(() -> out.lines().forEach(this::heard));
@@ -151,10 +176,17 @@
             while (t.asks) {
                 try (Socket s = new Socket(InetAddress.getLoopbackAddress(), port)) {
                     s.setTcpNoDelay(true);
-                    byte[] who = ("user\0svc\0database\0main\0application_name\0" + t.name + "\0\0")
-                        .getBytes(StandardCharsets.UTF_8);
-                    s.getOutputStream().write(Fixtures.joined(ByteBuffer.allocate(8).putInt(8 + who.length).putInt(3 << 16)
-                        .array(), who));
+                    byte[] who =
+                            ("user\0svc\0database\0main\0application_name\0" + t.name + "\0\0")
+                                    .getBytes(StandardCharsets.UTF_8);
+                    s.getOutputStream()
+                            .write(
+                                    Fixtures.joined(
+                                            ByteBuffer.allocate(8)
+                                                    .putInt(8 + who.length)
+                                                    .putInt(3 << 16)
+                                                    .array(),
+                                            who));
                     talk(t, s, random);
                 } catch (IOException closed) {
                     // let go for being idle, or the driver has ended: a new connection is tried
@@ -166,15 +198,21 @@
         }
     }
 
-    private static void talk(Tenant t, Socket s, ThreadLocalRandom random) throws IOException, InterruptedException {
-        DataInputStream in = new DataInputStream(new java.io.BufferedInputStream(s.getInputStream()));
+    private static void talk(Tenant t, Socket s, ThreadLocalRandom random)
+            throws IOException, InterruptedException {
+        DataInputStream in =
+                new DataInputStream(new java.io.BufferedInputStream(s.getInputStream()));
         String first = answer(in);
         boolean returned = false;
-        for (boolean open = first != null; open && t.asks;) {
+        for (boolean open = first != null; open && t.asks; ) {
             boolean write = t.writesOneIn > 0 && random.nextInt(t.writesOneIn) == 0;
             String id = "b" + IDS.incrementAndGet();
             long at = System.nanoTime();
-            s.getOutputStream().write(Fixtures.message('Q', Fixtures.text(write ? Fixtures.write(id) : Fixtures.read(id))));
+            s.getOutputStream()
+                    .write(
+                            Fixtures.message(
+                                    'Q',
+                                    Fixtures.text(write ? Fixtures.write(id) : Fixtures.read(id))));
             String end = answer(in);
             if (end == null) {
                 return;
@@ -184,11 +222,17 @@
             long advice = end.startsWith("53300 ") ? Long.parseLong(end.substring(6)) : -1;
             t.heard(new Answer(now, now - at, committed, advice, returned, write));
             returned = !committed && advice >= 0;
-            Thread.sleep(committed ? t.thinkMs : returned ? advice + random.nextLong(advice / 5 + 1) : AGAIN_MS);
+            Thread.sleep(
+                    committed
+                            ? t.thinkMs
+                            : returned ? advice + random.nextLong(advice / 5 + 1) : AGAIN_MS);
         }
     }
 
-    /** "row", or an error's code and the number in its field D, up to the next ready; null at the end. */
+    /**
+     * "row", or an error's code and the number in its field D, up to the next ready; null at the
+     * end.
+     */
     private static String answer(DataInputStream in) throws IOException {
         String end = "";
         for (int type = in.read(); type >= 0; type = in.read()) {
@@ -200,8 +244,11 @@
                 end = "row";
             } else if (type == 'E') {
                 String text = new String(body, StandardCharsets.UTF_8);
-                end = text.replaceAll("(?s).*\0C([^\0]*)\0.*", "$1")
-                    + (text.contains("\0D") ? " " + text.replaceAll("(?s).*\0D([0-9]+)\0.*", "$1") : "");
+                end =
+                        text.replaceAll("(?s).*\0C([^\0]*)\0.*", "$1")
+                                + (text.contains("\0D")
+                                        ? " " + text.replaceAll("(?s).*\0D([0-9]+)\0.*", "$1")
+                                        : "");
             }
         }
         return null;
--- a/src/bench/java/wingroad/door/DoorBench.java
+++ b/src/bench/java/wingroad/door/DoorBench.java
@@ -18,7 +18,10 @@
 import wingroad.state.Submission.End;
 import wingroad.state.Wheel;
 
-/** What one txn costs at the door, from its arrival to its end, with some always waiting; and the same with plain collections. */
+/**
+ * What one txn costs at the door, from its arrival to its end, with some always waiting; and the
+ * same with plain collections.
+ */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.NANOSECONDS)
@@ -58,13 +61,21 @@
         terms.put("txn-type.0.expiry", LEFT);
         terms.put("may-advise-come-back", true);
         terms.put("longest-come-back", Duration.ofMillis(500));
-        return new FairQueues(terms, FairQueueSettings.USUAL, 3, line -> { });
+        return new FairQueues(terms, FairQueueSettings.USUAL, 3, line -> {});
     }
 
     private void arrive() {
         now += STEP;
         next = next + 1 == tenants ? 0 : next + 1;
-        door.arrived(Duration.ofNanos(now), "t", 0, 1, LEFT, new Caller(names[next], Map.of()), null, false);
+        door.arrived(
+                Duration.ofNanos(now),
+                "t",
+                0,
+                1,
+                LEFT,
+                new Caller(names[next], Map.of()),
+                null,
+                false);
         pull();
     }
 
@@ -98,7 +109,10 @@
         return plain.leave();
     }
 
-    /** What one would write first: a map with a queue for each tenant that ever came, and a heap of those that wait. */
+    /**
+     * What one would write first: a map with a queue for each tenant that ever came, and a heap of
+     * those that wait.
+     */
     private static final class Plain {
         private static final class Queue {
             final ArrayDeque<String> waiting = new ArrayDeque<>(2);
@@ -106,7 +120,8 @@
         }
 
         private final Map<String, Queue> queues = new HashMap<>();
-        private final PriorityQueue<Queue> order = new PriorityQueue<>((a, b) -> Double.compare(a.tag, b.tag));
+        private final PriorityQueue<Queue> order =
+                new PriorityQueue<>((a, b) -> Double.compare(a.tag, b.tag));
         private double virtualTime;
 
         void arrive(String name) {
@@ -138,7 +153,10 @@
         return r.totalMemory() - r.freeMemory();
     }
 
-    /** Heap that a door holds after so many tenants came with one txn each, and ten thousand more at once. */
+    /**
+     * Heap that a door holds after so many tenants came with one txn each, and ten thousand more at
+     * once.
+     */
     public static double stateBytes(int tenants, int doors) {
         long before = used();
         FairQueues[] all = new FairQueues[doors];
--- a/src/bench/java/wingroad/fleet/OwnerBench.java
+++ b/src/bench/java/wingroad/fleet/OwnerBench.java
@@ -27,17 +27,23 @@
 import wingroad.rig.Rig;
 
 /**
- * Twenty and more real processes with faults: the same load and faults without a fleet and with one, where half of the chores go
- * to a member without a fence (the baseline of a lease by time alone). The last line is one JSON object.
+ * Twenty and more real processes with faults: the same load and faults without a fleet and with
+ * one, where half of the chores go to a member without a fence (the baseline of a lease by time
+ * alone). The last line is one JSON object.
  */
 public final class OwnerBench {
     private static final int LEASE_MS = 3000;
     private static final int DUTIES = 20;
     private static final int HANDOVER_MS = 300;
-    private static final java.util.regex.Pattern CHORE = java.util.regex.Pattern.compile(
-        "id=chore-([^,]*)-([0-9]+)-[0-9]+,");
-    /** In each of these spans the voters are left alone for the last part, and owners are stopped as planned in it. */
+    private static final java.util.regex.Pattern CHORE =
+            java.util.regex.Pattern.compile("id=chore-([^,]*)-([0-9]+)-[0-9]+,");
+
+    /**
+     * In each of these spans the voters are left alone for the last part, and owners are stopped as
+     * planned in it.
+     */
     private static final long SPAN_MS = 12_000;
+
     private static final long ALONE_MS = 5_000;
     private static final long STOPS_MS = 1_500;
 
@@ -77,7 +83,10 @@
         long seed = args.length > 1 ? Long.parseLong(args[1]) : 1;
         int count = args.length > 2 ? Integer.parseInt(args[2]) : 20;
         System.out.println("seed " + seed + ", " + count + " drivers, " + seconds + " s each");
-        Map<String, Object> off = args.length > 3 ? Map.of("served", 1.0) : new OwnerBench(count, seconds, seed, false).run();
+        Map<String, Object> off =
+                args.length > 3
+                        ? Map.of("served", 1.0)
+                        : new OwnerBench(count, seconds, seed, false).run();
         System.out.println("off " + off);
         Map<String, Object> on = new OwnerBench(count, seconds, seed, true).run();
         List<Long> alone = new ArrayList<>();
@@ -94,19 +103,34 @@
         on.put("served_off", off.get("served"));
         on.put("served_ratio_during_faults", ratio);
         StringBuilder json = new StringBuilder("{");
-        on.forEach((k, v) -> json.append(json.length() > 1 ? "," : "").append('"').append(k).append("\":").append(v));
+        on.forEach(
+                (k, v) ->
+                        json.append(json.length() > 1 ? "," : "")
+                                .append('"')
+                                .append(k)
+                                .append("\":")
+                                .append(v));
         System.out.println(json.append('}'));
         System.exit(0);
     }
 
-    /** Forty changes of the list, 0.6 s apart, at drivers without faults; how often discovery was asked meanwhile. */
+    /**
+     * Forty changes of the list, 0.6 s apart, at drivers without faults; how often discovery was
+     * asked meanwhile.
+     */
     private static long lists(int count, boolean handedOn, List<Long> toldAfter) throws Exception {
-        String rules = "    lease-ms " + LEASE_MS + "\n    drift 0.01\n" + (handedOn ? "    list check=60\n" : "");
-        try (Rig rig = new Rig(Files.createTempDirectory("lists"), count, 5, rules, Fixtures.SETTINGS)) {
+        String rules =
+                "    lease-ms "
+                        + LEASE_MS
+                        + "\n    drift 0.01\n"
+                        + (handedOn ? "    list check=60\n" : "");
+        try (Rig rig =
+                new Rig(Files.createTempDirectory("lists"), count, 5, rules, Fixtures.SETTINGS)) {
             FencedMember primary = rig.member("m1", 7, true, true);
             FencedMember replica = rig.member("m2", 7, false, true);
             rig.startAll();
-            rig.discovery.tell(rig.entry("d1", primary, "ready") + "," + rig.entry("d1", replica, "ready"));
+            rig.discovery.tell(
+                    rig.entry("d1", primary, "ready") + "," + rig.entry("d1", replica, "ready"));
             int follow = 0;
             for (Rig.Driver d : rig.drivers.values()) {
                 d.await("list 1 ");
@@ -114,13 +138,19 @@
             }
             while (handedOn && follow < count - 1) {
                 TimeUnit.MILLISECONDS.sleep(100);
-                follow = (int) rig.drivers.values().stream().filter(d -> d.when("goes by the owner") > 0).count();
+                follow =
+                        (int)
+                                rig.drivers.values().stream()
+                                        .filter(d -> d.when("goes by the owner") > 0)
+                                        .count();
             }
             int asked = rig.discovery.asked.size();
             for (int rev = 2; rev < 42; rev++) {
                 long at = System.currentTimeMillis();
-                rig.discovery.tell(rig.entry("d1", primary, "ready") + "," + rig.entry("d1", replica,
-                    rev % 2 == 0 ? "draining" : "ready"));
+                rig.discovery.tell(
+                        rig.entry("d1", primary, "ready")
+                                + ","
+                                + rig.entry("d1", replica, rev % 2 == 0 ? "draining" : "ready"));
                 TimeUnit.MILLISECONDS.sleep(600);
                 for (Rig.Driver d : rig.drivers.values()) {
                     long told = d.when("list " + rev + " ");
@@ -144,8 +174,13 @@
         StringBuilder rules = new StringBuilder("    lease-ms " + LEASE_MS + "\n    drift 0.01\n");
         for (int i = 0; i < DUTIES; i++) {
             String name = (i % 2 == 0 ? "c" : "n") + i;
-            rules.append("    chore \"").append(name).append("\" every=1 group=").append(i % 2 == 0 ? 7 : 8)
-                .append(" statement=\"SELECT fenced_").append(name).append("({epoch})\"\n");
+            rules.append("    chore \"")
+                    .append(name)
+                    .append("\" every=1 group=")
+                    .append(i % 2 == 0 ? 7 : 8)
+                    .append(" statement=\"SELECT fenced_")
+                    .append(name)
+                    .append("({epoch})\"\n");
         }
         rig = new Rig(dir, count, 5, withFleet ? rules.toString() : null, Fixtures.SETTINGS);
         fenced = rig.member("m1", 7, true, true);
@@ -153,7 +188,11 @@
         for (String a : rig.voters()) {
             for (String b : rig.voters()) {
                 Map<Object, ByteBuffer> open = new HashMap<>();
-                rig.relays.between(a, b).tap((l, way, bytes, c) -> way == Relays.Way.FORTH && watchVotes(open, c, bytes, b));
+                rig.relays
+                        .between(a, b)
+                        .tap(
+                                (l, way, bytes, c) ->
+                                        way == Relays.Way.FORTH && watchVotes(open, c, bytes, b));
             }
         }
         long begun = System.nanoTime();
@@ -194,7 +233,8 @@
             t.join();
         }
         result.put("faults", counts.values().stream().mapToInt(AtomicInteger::get).sum());
-        for (String kind : List.of("pauses", "cuts", "kills", "stops", "lost states", "slow links")) {
+        for (String kind :
+                List.of("pauses", "cuts", "kills", "stops", "lost states", "slow links")) {
             result.put(kind.replace(' ', '_'), counted(kind));
         }
         result.put("client_txns", sent.get());
@@ -202,10 +242,18 @@
         result.put("served", sent.get() == 0 ? 0.0 : (double) committed.get() / sent.get());
         if (withFleet) {
             result.put("effects_held", held.get());
-            result.put("overlaps", fenced.ledger().stream().filter(e -> e.late() && e.accepted()).count());
-            result.put("late_effects_refused", fenced.ledger().stream().filter(e -> e.late() && !e.accepted()).count());
-            result.put("late_effects_accepted", fenced.ledger().stream().filter(e -> e.late() && e.accepted()).count());
-            result.put("naive_late_effects_accepted", naive.ledger().stream().filter(FencedMember.Entry::late).count());
+            result.put(
+                    "overlaps",
+                    fenced.ledger().stream().filter(e -> e.late() && e.accepted()).count());
+            result.put(
+                    "late_effects_refused",
+                    fenced.ledger().stream().filter(e -> e.late() && !e.accepted()).count());
+            result.put(
+                    "late_effects_accepted",
+                    fenced.ledger().stream().filter(e -> e.late() && e.accepted()).count());
+            result.put(
+                    "naive_late_effects_accepted",
+                    naive.ledger().stream().filter(FencedMember.Entry::late).count());
             result.put("chore_turns", fenced.entries() + naive.entries());
             result.put("chore_turns_run_twice", fenced.twice() + naive.twice());
             result.put("duties_without_owner_at_end", without);
@@ -229,7 +277,8 @@
                 return -1;
             }
             List<Long> sorted = of.stream().sorted().toList();
-            return sorted.get((int) Math.min(sorted.size() - 1, Math.ceil(part * sorted.size()) - 1));
+            return sorted.get(
+                    (int) Math.min(sorted.size() - 1, Math.ceil(part * sorted.size()) - 1));
         }
     }
 
@@ -255,7 +304,8 @@
                     c.startup().heard();
                 }
                 String id = d.name + "-" + gen + "-" + n++;
-                List<String> heard = c.ask(n % 5 == 0 ? Fixtures.write(id) : Fixtures.read(id)).heard();
+                List<String> heard =
+                        c.ask(n % 5 == 0 ? Fixtures.write(id) : Fixtures.read(id)).heard();
                 if (generation.get(d.name).get() == gen) {
                     sent.incrementAndGet();
                     if (heard.contains("row value")) {
@@ -267,7 +317,10 @@
                 }
             } catch (IOException e) {
                 // Only what was broken off while its process was left alone counts as lost.
-                if (c != null && made == generation.get(d.name).get() && !away.contains(d.name + " process") && !over) {
+                if (c != null
+                        && made == generation.get(d.name).get()
+                        && !away.contains(d.name + " process")
+                        && !over) {
                     sent.incrementAndGet();
                     lost.incrementAndGet();
                     System.out.println("lost at " + d.name + ": " + e);
@@ -295,11 +348,13 @@
             return false;
         }
         return away.stream().noneMatch(a -> a.startsWith(d.name + " "))
-            && (!rig.voters().contains(d.name) || votersAway() < 2);
+                && (!rig.voters().contains(d.name) || votersAway() < 2);
     }
 
     private long votersAway() {
-        return rig.voters().stream().filter(v -> away.stream().anyMatch(a -> a.startsWith(v + " "))).count();
+        return rig.voters().stream()
+                .filter(v -> away.stream().anyMatch(a -> a.startsWith(v + " ")))
+                .count();
     }
 
     private interface Step {
@@ -307,13 +362,16 @@
     }
 
     private void in(long ms, Step what) {
-        later.schedule(() -> {
-            try {
-                what.run();
-            } catch (Exception e) {
-                System.out.println("rig: " + e);
-            }
-        }, ms, TimeUnit.MILLISECONDS);
+        later.schedule(
+                () -> {
+                    try {
+                        what.run();
+                    } catch (Exception e) {
+                        System.out.println("rig: " + e);
+                    }
+                },
+                ms,
+                TimeUnit.MILLISECONDS);
     }
 
     private void processAway(Rig.Driver d) {
@@ -350,7 +408,10 @@
 
     /** Those that own something and are left alone now. */
     private List<Rig.Driver> owners() {
-        return duties().values().stream().map(o -> rig.driver(MessageCodec.text(o, "owner"))).filter(o -> o != null && free(o)).toList();
+        return duties().values().stream()
+                .map(o -> rig.driver(MessageCodec.text(o, "owner")))
+                .filter(o -> o != null && free(o))
+                .toList();
     }
 
     private void fault(Rig.Driver d, int kind, int length) throws Exception {
@@ -358,7 +419,8 @@
             count("pauses");
             if (withFleet) {
                 List<Rig.Driver> owners = owners();
-                pauseInEffect(owners.isEmpty() ? d : owners.get(random.nextInt(owners.size())), length);
+                pauseInEffect(
+                        owners.isEmpty() ? d : owners.get(random.nextInt(owners.size())), length);
             } else {
                 pause(d, length);
             }
@@ -370,7 +432,8 @@
             processAway(d);
             owned(d, takeovers);
             d.kill();
-            boolean lose = rig.voters().contains(d.name) && votersAway() == 1 && random.nextInt(3) == 0;
+            boolean lose =
+                    rig.voters().contains(d.name) && votersAway() == 1 && random.nextInt(3) == 0;
             if (lose) {
                 count("lost states");
                 d.loseState();
@@ -393,18 +456,26 @@
             processAway(d);
             owned(d, handovers);
             d.terminate();
-            in(0, () -> {
-                d.awaitEnd();
-                again(d);
-            });
+            in(
+                    0,
+                    () -> {
+                        d.awaitEnd();
+                        again(d);
+                    });
         } else {
             count("slow links");
             away.add(d.name + " links");
-            rig.relays.all().stream().filter(l -> l.from.equals(d.name)).forEach(l -> rig.relays.slow(l, 30));
-            in(length, () -> {
-                rig.relays.all().stream().filter(l -> l.from.equals(d.name)).forEach(l -> rig.relays.slow(l, 0));
-                away.remove(d.name + " links");
-            });
+            rig.relays.all().stream()
+                    .filter(l -> l.from.equals(d.name))
+                    .forEach(l -> rig.relays.slow(l, 30));
+            in(
+                    length,
+                    () -> {
+                        rig.relays.all().stream()
+                                .filter(l -> l.from.equals(d.name))
+                                .forEach(l -> rig.relays.slow(l, 0));
+                        away.remove(d.name + " links");
+                    });
         }
     }
 
@@ -417,47 +488,66 @@
     private void pause(Rig.Driver d, long ms) throws IOException {
         processAway(d);
         d.pause();
-        in(ms, () -> {
-            d.goOn();
-            in(300, () -> processBack(d));
-        });
+        in(
+                ms,
+                () -> {
+                    d.goOn();
+                    in(300, () -> processBack(d));
+                });
     }
 
     /**
-     * Holds the owner's next statement on its way and stops the owner; both are let go once a successor's effect has come, or
-     * after some leases.
+     * Holds the owner's next statement on its way and stops the owner; both are let go once a
+     * successor's effect has come, or after some leases.
      */
     private void pauseInEffect(Rig.Driver d, long ms) {
         away.add(d.name + " links");
         AtomicInteger once = new AtomicInteger();
         FencedMember member = random.nextInt(4) > 0 ? fenced : naive;
-        rig.relays.between(d.name, member.uid).tap((link, way, bytes, connection) -> {
-            java.util.regex.Matcher m = way == Relays.Way.FORTH && once.get() == 0 ? CHORE.matcher(
-                java.nio.charset.StandardCharsets.ISO_8859_1.decode(bytes)) : null;
-            if (m == null || !m.find()) {
-                return false;
-            }
-            once.set(1);
-            held.incrementAndGet();
-            processAway(d);
-            in(0, d::pause);
-            String chore = m.group(1);
-            long epoch = Long.parseLong(m.group(2));
-            in(ms, () -> letGo(d, member, connection, chore, epoch, 60));
-            return true;
-        });
-        in(ms, () -> {
-            // One that owns nothing sends nothing: then it is stopped as it is.
-            if (once.compareAndSet(0, 2)) {
-                pause(d, ms);
-            }
-            away.remove(d.name + " links");
-        });
+        rig.relays
+                .between(d.name, member.uid)
+                .tap(
+                        (link, way, bytes, connection) -> {
+                            java.util.regex.Matcher m =
+                                    way == Relays.Way.FORTH && once.get() == 0
+                                            ? CHORE.matcher(
+                                                    java.nio.charset.StandardCharsets.ISO_8859_1
+                                                            .decode(bytes))
+                                            : null;
+                            if (m == null || !m.find()) {
+                                return false;
+                            }
+                            once.set(1);
+                            held.incrementAndGet();
+                            processAway(d);
+                            in(0, d::pause);
+                            String chore = m.group(1);
+                            long epoch = Long.parseLong(m.group(2));
+                            in(ms, () -> letGo(d, member, connection, chore, epoch, 60));
+                            return true;
+                        });
+        in(
+                ms,
+                () -> {
+                    // One that owns nothing sends nothing: then it is stopped as it is.
+                    if (once.compareAndSet(0, 2)) {
+                        pause(d, ms);
+                    }
+                    away.remove(d.name + " links");
+                });
     }
 
-    private void letGo(Rig.Driver d, FencedMember member, Object connection, String chore, long epoch, int tries)
+    private void letGo(
+            Rig.Driver d,
+            FencedMember member,
+            Object connection,
+            String chore,
+            long epoch,
+            int tries)
             throws IOException {
-        boolean acted = member.ledger().stream().anyMatch(e -> e.chore().equals(chore) && e.epoch() > epoch);
+        boolean acted =
+                member.ledger().stream()
+                        .anyMatch(e -> e.chore().equals(chore) && e.epoch() > epoch);
         if (!acted && tries > 0) {
             in(200, () -> letGo(d, member, connection, chore, epoch, tries - 1));
             return;
@@ -482,7 +572,12 @@
                 }
                 try (FleetClient c = new FleetClient(rules(), v)) {
                     Map<String, Object> s = c.status();
-                    best = best == null || MessageCodec.number(s, "revision") > MessageCodec.number(best, "revision") ? s : best;
+                    best =
+                            best == null
+                                            || MessageCodec.number(s, "revision")
+                                                    > MessageCodec.number(best, "revision")
+                                    ? s
+                                    : best;
                 } catch (IOException | RuntimeException e) {
                     // the next one knows
                 }
@@ -490,7 +585,9 @@
                     break;
                 }
             }
-            if (best != null && MessageCodec.number(best, "revision") >= MessageCodec.number(status, "revision")) {
+            if (best != null
+                    && MessageCodec.number(best, "revision")
+                            >= MessageCodec.number(status, "revision")) {
                 status = best;
             }
             try {
@@ -504,10 +601,11 @@
     private Map<String, Map<String, Object>> duties() {
         Map<String, Map<String, Object>> all = new TreeMap<>();
         if (status.get("duties") instanceof List<?> l) {
-            l.forEach(o -> {
-                Map<String, Object> d = Json.object(o, "a duty");
-                all.put(MessageCodec.text(d, "name"), d);
-            });
+            l.forEach(
+                    o -> {
+                        Map<String, Object> d = Json.object(o, "a duty");
+                        all.put(MessageCodec.text(d, "name"), d);
+                    });
         }
         return all;
     }
@@ -515,48 +613,70 @@
     /** Measures how long it takes from now until this driver's duties are another session's. */
     private void owned(Rig.Driver d, List<Long> times) {
         long now = System.currentTimeMillis();
-        duties().forEach((name, duty) -> {
-            if (MessageCodec.text(duty, "owner").equals(d.name)) {
-                measure(name, MessageCodec.number(duty, "epoch"), now, times);
-            }
-        });
+        duties().forEach(
+                        (name, duty) -> {
+                            if (MessageCodec.text(duty, "owner").equals(d.name)) {
+                                measure(name, MessageCodec.number(duty, "epoch"), now, times);
+                            }
+                        });
     }
 
     private void measure(String name, long epoch, long from, List<Long> times) {
-        in(50, () -> {
-            Map<String, Object> duty = duties().get(name);
-            if (duty != null && MessageCodec.number(duty, "epoch") > epoch) {
-                // By the history: the first grant behind the old one, even where it has moved on since.
-                for (Object line : (List<?>) duty.get("history")) {
-                    String[] w = line.toString().split(" ");
-                    if (line.toString().contains(" has it, epoch ") && Long.parseLong(w[w.length - 1]) > epoch) {
-                        // Given away before the fault: not this fault's.
-                        if (Long.parseLong(w[0]) >= from) {
-                            synchronized (times) {
-                                times.add(Long.parseLong(w[0]) - from);
-                            }
-                            if (Long.parseLong(w[0]) - from > (times == handovers ? HANDOVER_MS : 1.5 * LEASE_MS)) {
-                                List<?> h = (List<?>) duty.get("history");
-                                System.out.println((times == handovers ? "slow hand-over of " : "slow takeover of ") + name + ": " + (Long.parseLong(w[0]) - from) + " ms from "
-                                    + from + "; " + h.subList(Math.max(0, h.size() - 4), h.size()) + changes(from));
+        in(
+                50,
+                () -> {
+                    Map<String, Object> duty = duties().get(name);
+                    if (duty != null && MessageCodec.number(duty, "epoch") > epoch) {
+                        // By the history: the first grant behind the old one, even where it has
+                        // moved on since.
+                        for (Object line : (List<?>) duty.get("history")) {
+                            String[] w = line.toString().split(" ");
+                            if (line.toString().contains(" has it, epoch ")
+                                    && Long.parseLong(w[w.length - 1]) > epoch) {
+                                // Given away before the fault: not this fault's.
+                                if (Long.parseLong(w[0]) >= from) {
+                                    synchronized (times) {
+                                        times.add(Long.parseLong(w[0]) - from);
+                                    }
+                                    if (Long.parseLong(w[0]) - from
+                                            > (times == handovers ? HANDOVER_MS : 1.5 * LEASE_MS)) {
+                                        List<?> h = (List<?>) duty.get("history");
+                                        System.out.println(
+                                                (times == handovers
+                                                                ? "slow hand-over of "
+                                                                : "slow takeover of ")
+                                                        + name
+                                                        + ": "
+                                                        + (Long.parseLong(w[0]) - from)
+                                                        + " ms from "
+                                                        + from
+                                                        + "; "
+                                                        + h.subList(
+                                                                Math.max(0, h.size() - 4), h.size())
+                                                        + changes(from));
+                                    }
+                                }
+                                return;
                             }
                         }
-                        return;
+                    } else if (!over) {
+                        measure(name, epoch, from, times);
                     }
-                }
-            } else if (!over) {
-                measure(name, epoch, from, times);
-            }
-        });
+                });
     }
 
     /** What voters said of their council since then. */
     private List<String> changes(long from) {
         List<String> all = new ArrayList<>();
         for (String v : rig.voters()) {
-            rig.driver(v).log().stream().filter(l -> l.contains("fleet:") && !l.contains("turn")).filter(l ->
-                java.time.Instant.parse(l.substring(0, l.indexOf(' '))).toEpochMilli() > from - 4000)
-                .forEach(l -> all.add("\n    " + v + " " + l));
+            rig.driver(v).log().stream()
+                    .filter(l -> l.contains("fleet:") && !l.contains("turn"))
+                    .filter(
+                            l ->
+                                    java.time.Instant.parse(l.substring(0, l.indexOf(' ')))
+                                                    .toEpochMilli()
+                                            > from - 4000)
+                    .forEach(l -> all.add("\n    " + v + " " + l));
         }
         return all;
     }
@@ -565,16 +685,25 @@
         int without = DUTIES;
         for (int i = 0; i < 150 && without > 0; i++) {
             TimeUnit.MILLISECONDS.sleep(200);
-            without = DUTIES - (int) duties().values().stream().filter(d -> rig.drivers.containsKey(MessageCodec.text(d, "owner")))
-                .count();
+            without =
+                    DUTIES
+                            - (int)
+                                    duties().values().stream()
+                                            .filter(
+                                                    d ->
+                                                            rig.drivers.containsKey(
+                                                                    MessageCodec.text(d, "owner")))
+                                            .count();
         }
         return without;
     }
 
     /** Messages between voters that grant a vote: no voter may grant two in one term. */
-    private boolean watchVotes(Map<Object, ByteBuffer> open, Object connection, ByteBuffer bytes, String to) {
+    private boolean watchVotes(
+            Map<Object, ByteBuffer> open, Object connection, ByteBuffer bytes, String to) {
         ByteBuffer old = open.get(connection);
-        ByteBuffer all = ByteBuffer.allocate((old == null ? 0 : old.remaining()) + bytes.remaining());
+        ByteBuffer all =
+                ByteBuffer.allocate((old == null ? 0 : old.remaining()) + bytes.remaining());
         if (old != null) {
             all.put(old);
         }
@@ -588,11 +717,21 @@
                 String kind = MessageCodec.text(r, "k");
                 boolean votes = kind.equals("voted") && Boolean.TRUE.equals(r.get("yes"));
                 if (votes || kind.equals("vote")) {
-                    String whom = votes ? to : MessageCodec.Endpoint.of(MessageCodec.text(r, "s")).name();
+                    String whom =
+                            votes ? to : MessageCodec.Endpoint.of(MessageCodec.text(r, "s")).name();
                     synchronized (this.votes) {
-                        String before = this.votes.putIfAbsent(MessageCodec.text(r, "s") + " " + r.get("t"), whom);
+                        String before =
+                                this.votes.putIfAbsent(
+                                        MessageCodec.text(r, "s") + " " + r.get("t"), whom);
                         if (before != null && !before.equals(whom)) {
-                            votesTwice.add(MessageCodec.text(r, "s") + " votes in term " + r.get("t") + " for " + before + " and " + whom);
+                            votesTwice.add(
+                                    MessageCodec.text(r, "s")
+                                            + " votes in term "
+                                            + r.get("t")
+                                            + " for "
+                                            + before
+                                            + " and "
+                                            + whom);
                         }
                     }
                 }
--- a/src/bench/java/wingroad/fleet/OwnerSim.java
+++ b/src/bench/java/wingroad/fleet/OwnerSim.java
@@ -5,10 +5,11 @@
 import java.util.List;
 import wingroad.fleet.SimFleet.Wrong;
 
-/** Short histories of fleets in virtual time by the thousand; one seed with its lines for a look. */
+/**
+ * Short histories of fleets in virtual time by the thousand; one seed with its lines for a look.
+ */
 public final class OwnerSim {
-    private OwnerSim() {
-    }
+    private OwnerSim() {}
 
     /** {@code SEED} shows one; {@code FROM COUNT} plays many on all cores and prints what broke. */
     public static void main(String[] args) {
@@ -26,13 +27,23 @@
             return;
         }
         if (args[0].equals("wrong")) {
-            for (Wrong w : List.of(Wrong.NONE, Wrong.NO_FENCE, Wrong.LEASE_FROM_ANSWER, Wrong.VOTE_FORGOTTEN)) {
+            for (Wrong w :
+                    List.of(
+                            Wrong.NONE,
+                            Wrong.NO_FENCE,
+                            Wrong.LEASE_FROM_ANSWER,
+                            Wrong.VOTE_FORGOTTEN)) {
                 long seed = 0;
                 SimFleet f = play(seed, w);
                 while (f.broken.isEmpty() && seed < Long.parseLong(args[1])) {
                     f = play(++seed, w);
                 }
-                System.out.println(w + " seed " + seed + ": " + f.broken.stream().findFirst().orElse("nothing"));
+                System.out.println(
+                        w
+                                + " seed "
+                                + seed
+                                + ": "
+                                + f.broken.stream().findFirst().orElse("nothing"));
             }
             return;
         }
@@ -40,18 +51,32 @@
         List<String> broken = new ArrayList<>();
         long[] sums = new long[3];
         long begun = System.nanoTime();
-        java.util.stream.LongStream.range(from, from + Long.parseLong(args[1])).parallel().forEach(seed -> {
-            SimFleet f = play(seed, Wrong.NONE);
-            synchronized (broken) {
-                f.broken.forEach(b -> broken.add("seed " + seed + ": " + b));
-                sums[0] += f.faults;
-                sums[1] += f.lateRefused;
-                sums[2] += f.receiver.accepted;
-            }
-        });
+        java.util.stream.LongStream.range(from, from + Long.parseLong(args[1]))
+                .parallel()
+                .forEach(
+                        seed -> {
+                            SimFleet f = play(seed, Wrong.NONE);
+                            synchronized (broken) {
+                                f.broken.forEach(b -> broken.add("seed " + seed + ": " + b));
+                                sums[0] += f.faults;
+                                sums[1] += f.lateRefused;
+                                sums[2] += f.receiver.accepted;
+                            }
+                        });
         broken.stream().limit(40).forEach(System.out::println);
-        System.out.println("histories " + args[1] + ", broken " + broken.size() + ", faults " + sums[0] + ", late refused "
-            + sums[1] + ", accepted " + sums[2] + ", s " + (System.nanoTime() - begun) / 1_000_000_000);
+        System.out.println(
+                "histories "
+                        + args[1]
+                        + ", broken "
+                        + broken.size()
+                        + ", faults "
+                        + sums[0]
+                        + ", late refused "
+                        + sums[1]
+                        + ", accepted "
+                        + sums[2]
+                        + ", s "
+                        + (System.nanoTime() - begun) / 1_000_000_000);
     }
 
     /** Many drivers without faults, then a tenth of them killed at once. */
@@ -64,22 +89,41 @@
         f.play(30_000);
         double perDriver = (f.bytes - bytes) / 30.0 / drivers;
         double share = (cpu() - cpu) / 30e9;
-        List<SimFleet.Proc> dead = f.procs.values().stream().skip(5).filter(p -> p.name.hashCode() % 10 == 0)
-            .limit(drivers / 10).toList();
+        List<SimFleet.Proc> dead =
+                f.procs.values().stream()
+                        .skip(5)
+                        .filter(p -> p.name.hashCode() % 10 == 0)
+                        .limit(drivers / 10)
+                        .toList();
         dead.forEach(SimFleet.Proc::kill);
         long from = f.now;
-        while (f.now - from < 60_000_000_000L && f.owners().values().stream().anyMatch(o -> o.isEmpty()
-            || dead.stream().anyMatch(d -> o.startsWith(d.name + "/")))) {
+        while (f.now - from < 60_000_000_000L
+                && f.owners().values().stream()
+                        .anyMatch(
+                                o ->
+                                        o.isEmpty()
+                                                || dead.stream()
+                                                        .anyMatch(
+                                                                d -> o.startsWith(d.name + "/")))) {
             f.play(20);
         }
-        return String.format("drivers %d, duties %d, dead %d: bytes_per_driver_s %.0f, cpu of all in one process %.3f of a core, "
-            + "takeover_all_ms %d (lease %d), broken %d", drivers, duties, dead.size(), perDriver, share,
-            (f.now - from) / 1_000_000, SimFleet.LEASE.toMillis(), f.broken.size());
+        return String.format(
+                "drivers %d, duties %d, dead %d: bytes_per_driver_s %.0f, cpu of all in one process %.3f of a core, "
+                        + "takeover_all_ms %d (lease %d), broken %d",
+                drivers,
+                duties,
+                dead.size(),
+                perDriver,
+                share,
+                (f.now - from) / 1_000_000,
+                SimFleet.LEASE.toMillis(),
+                f.broken.size());
     }
 
     private static long cpu() {
-        return ((com.sun.management.OperatingSystemMXBean) java.lang.management.ManagementFactory.getOperatingSystemMXBean())
-            .getProcessCpuTime();
+        return ((com.sun.management.OperatingSystemMXBean)
+                        java.lang.management.ManagementFactory.getOperatingSystemMXBean())
+                .getProcessCpuTime();
     }
 
     static SimFleet play(long seed, Wrong wrong) {
--- a/src/bench/java/wingroad/work/WorkBench.java
+++ b/src/bench/java/wingroad/work/WorkBench.java
@@ -31,8 +31,9 @@
 import wingroad.rig.Rig;
 
 /**
- * Nine machines of three zones with eighteen members, eight drivers as real processes: no work at all, the plan, the plan with faults,
- * and two baselines (marks in discovery at a fixed pace; each driver by itself). The last line is one JSON object.
+ * Nine machines of three zones with eighteen members, eight drivers as real processes: no work at
+ * all, the plan, the plan with faults, and two baselines (marks in discovery at a fixed pace; each
+ * driver by itself). The last line is one JSON object.
  */
 public final class WorkBench {
     private static final int LEASE_MS = 3000;
@@ -42,10 +43,15 @@
     private static final long WORK_MS = 2500;
     private static final long COLD_MS = 3000;
     private static final long PACE_MS = 1500;
-    private static final FencedMember.Bears BEARS = new FencedMember.Bears(250, COLD_MS, 0.26, 2.5, 1500);
-    private static final String SETTINGS = Fixtures.SETTINGS.replace("\"cold\":16000", "\"cold\":" + COLD_MS)
-        .replace("\"azs\":[\"a\"]", "\"azs\":[\"a\",\"b\",\"c\"]").replace("\"balancers\":1", "\"balancers\":" + DRIVERS);
-    private static final Pattern MOVE = Pattern.compile("the primary of group ([0-9]+) is here: to be moved to ([^ ]+).*");
+    private static final FencedMember.Bears BEARS =
+            new FencedMember.Bears(250, COLD_MS, 0.26, 2.5, 1500);
+    private static final String SETTINGS =
+            Fixtures.SETTINGS
+                    .replace("\"cold\":16000", "\"cold\":" + COLD_MS)
+                    .replace("\"azs\":[\"a\"]", "\"azs\":[\"a\",\"b\",\"c\"]")
+                    .replace("\"balancers\":1", "\"balancers\":" + DRIVERS);
+    private static final Pattern MOVE =
+            Pattern.compile("the primary of group ([0-9]+) is here: to be moved to ([^ ]+).*");
 
     private final Random random;
     private final Rig rig;
@@ -64,19 +70,37 @@
 
     private WorkBench(long seed, boolean planned) throws Exception {
         random = new Random(seed);
-        StringBuilder rules = new StringBuilder("    lease-ms " + LEASE_MS + "\n    drift 0.01\n    work {\n        at-once 3\n"
-            + "        watch 1\n        harm 0.05\n        lag-ms 400\n");
+        StringBuilder rules =
+                new StringBuilder(
+                        "    lease-ms "
+                                + LEASE_MS
+                                + "\n    drift 0.01\n    work {\n        at-once 3\n"
+                                + "        watch 1\n        harm 0.05\n        lag-ms 400\n");
         for (int m = 0; m < MACHINES; m++) {
-            rules.append("        machine \"M").append(m).append("\" zone=\"").append(zone(m)).append("\" {");
+            rules.append("        machine \"M")
+                    .append(m)
+                    .append("\" zone=\"")
+                    .append(zone(m))
+                    .append("\" {");
             for (int g = 0; g < GROUPS; g++) {
                 if (on(g, m % 3) == m) {
-                    rules.append(" member \"").append(uid(g, m % 3)).append("\" group=").append(g + 7).append(';');
+                    rules.append(" member \"")
+                            .append(uid(g, m % 3))
+                            .append("\" group=")
+                            .append(g + 7)
+                            .append(';');
                 }
             }
             rules.append(m < 3 ? " driver \"d" + (m * 2 + 2) + "\";" : "").append(" }\n");
         }
         rules.append("    }\n");
-        rig = new Rig(Files.createTempDirectory("work"), DRIVERS, 5, planned ? rules.toString() : null, SETTINGS);
+        rig =
+                new Rig(
+                        Files.createTempDirectory("work"),
+                        DRIVERS,
+                        5,
+                        planned ? rules.toString() : null,
+                        SETTINGS);
         for (int m = 0; m < MACHINES; m++) {
             machines.put("M" + m, new ArrayList<>());
         }
@@ -124,7 +148,10 @@
         return group / 2 * 3 + zone;
     }
 
-    /** {@code [SECONDS [SEED]]}: how long it goes with faults at the least; without work as long, at most half a minute. */
+    /**
+     * {@code [SECONDS [SEED]]}: how long it goes with faults at the least; without work as long, at
+     * most half a minute.
+     */
     public static void main(String[] args) {
         try {
             play(args);
@@ -157,8 +184,16 @@
         all.put("served_ratio_marks_at_a_pace", marks / none);
         all.put("served_ratio_each_by_itself", alone / none);
         StringBuilder json = new StringBuilder("{");
-        all.forEach((k, v) -> json.append(json.length() > 1 ? "," : "").append('"').append(k).append("\":")
-            .append(v instanceof Double d ? String.format(Locale.ROOT, "%.5f", d) : v));
+        all.forEach(
+                (k, v) ->
+                        json.append(json.length() > 1 ? "," : "")
+                                .append('"')
+                                .append(k)
+                                .append("\":")
+                                .append(
+                                        v instanceof Double d
+                                                ? String.format(Locale.ROOT, "%.5f", d)
+                                                : v));
         System.out.println(json.append('}'));
     }
 
@@ -207,7 +242,8 @@
                 asked++;
                 String id = "ask-" + r + "-" + m;
                 // Two operators ask for the same at once, at two drivers.
-                List<String> answers = List.of(0, 1).parallelStream().map(i -> ask(i, m, id)).toList();
+                List<String> answers =
+                        List.of(0, 1).parallelStream().map(i -> ask(i, m, id)).toList();
                 if (!answers.get(0).equals(answers.get(1))) {
                     twoWays.incrementAndGet();
                     System.out.println("answered two ways: " + m + " " + answers);
@@ -243,13 +279,23 @@
             // What the limits allow: a zone after the other; grace, work and cold time each.
             f.put("plan_time_over_bound", took / (3.0 * (1000 + WORK_MS + COLD_MS)));
         }
-        f.put("cold_budget_peak", machines.values().stream().flatMap(List::stream).mapToDouble(FencedMember::coldPeak).max().orElse(0));
+        f.put(
+                "cold_budget_peak",
+                machines.values().stream()
+                        .flatMap(List::stream)
+                        .mapToDouble(FencedMember::coldPeak)
+                        .max()
+                        .orElse(0));
         f.put("txns", load.sent.get());
         f.put("lost", load.lost.get());
         f.put("refused", load.refused.get());
         f.put("served", close());
-        f.put("rule_breaks", load.lost.get() + (long) f.get("txns_at_machines_told_out") + (long) f.get(
-            "out_told_before_all_stopped") + ((double) f.get("cold_budget_peak") > 1 ? 1 : 0));
+        f.put(
+                "rule_breaks",
+                load.lost.get()
+                        + (long) f.get("txns_at_machines_told_out")
+                        + (long) f.get("out_told_before_all_stopped")
+                        + ((double) f.get("cold_budget_peak") > 1 ? 1 : 0));
         return f;
     }
 
@@ -259,14 +305,18 @@
 
     private final Map<String, Long> workedOn = new HashMap<>();
 
-    /** People at the machines: work on what is out, move primaries where the plan wants that; true once nothing is left. */
+    /**
+     * People at the machines: work on what is out, move primaries where the plan wants that; true
+     * once nothing is left.
+     */
     private boolean served() throws Exception {
         for (Object o : entries()) {
             Map<?, ?> e = (Map<?, ?>) o;
             String m = (String) e.get("machine");
             String key = m + " " + e.get("out-since");
             Matcher move = MOVE.matcher(String.valueOf(e.get("waits")));
-            if (e.get("stage").equals("out") && workedOn.putIfAbsent(key, System.currentTimeMillis()) == null) {
+            if (e.get("stage").equals("out")
+                    && workedOn.putIfAbsent(key, System.currentTimeMillis()) == null) {
                 for (FencedMember member : machines.get(m)) {
                     rig.reachable(member, false);
                 }
@@ -275,7 +325,9 @@
                 int group = Integer.parseInt(move.group(1));
                 FencedMember next = rig.members.get(move.group(2));
                 if (next != null && !next.primary()) {
-                    rig.members.values().stream().filter(x -> x.group == group).forEach(x -> x.primary(false));
+                    rig.members.values().stream()
+                            .filter(x -> x.group == group)
+                            .forEach(x -> x.primary(false));
                     next.primary(true);
                 }
             }
@@ -310,16 +362,20 @@
             String m = w[1];
             if (w[2].startsWith("draining")) {
                 draining.put(m, at);
-            } else if (w[2].startsWith("asked: put back") || w[2].startsWith("asked: held") || w[2].startsWith("asked: all held")) {
+            } else if (w[2].startsWith("asked: put back")
+                    || w[2].startsWith("asked: held")
+                    || w[2].startsWith("asked: all held")) {
                 if (draining.containsKey(m)) {
-                    gone.computeIfAbsent(m, k -> new ArrayList<>()).add(new long[] {draining.remove(m), at});
+                    gone.computeIfAbsent(m, k -> new ArrayList<>())
+                            .add(new long[] {draining.remove(m), at});
                 }
             } else if (w[2].startsWith("out")) {
                 out.computeIfAbsent(m, k -> new ArrayList<>()).add(new long[] {at, Long.MAX_VALUE});
             } else if (w[2].startsWith("returning")) {
                 out.get(m).get(out.get(m).size() - 1)[1] = at;
             } else if (w[2].startsWith("in:") && draining.containsKey(m)) {
-                gone.computeIfAbsent(m, k -> new ArrayList<>()).add(new long[] {draining.remove(m), at});
+                gone.computeIfAbsent(m, k -> new ArrayList<>())
+                        .add(new long[] {draining.remove(m), at});
             }
         }
         long told = 0;
@@ -330,9 +386,18 @@
                     for (long[] span : o.getValue()) {
                         if (t.at() > span[0] && t.at() < span[1]) {
                             told++;
-                            System.out.println("at " + member.uid + " on " + o.getKey() + ": " + t.id() + ", out since " + (t.at() - span[0])
-                                + " ms");
-                        } else if (t.at() <= span[0] && (t.end().get() == 0 || t.end().get() > span[0] + 1)) {
+                            System.out.println(
+                                    "at "
+                                            + member.uid
+                                            + " on "
+                                            + o.getKey()
+                                            + ": "
+                                            + t.id()
+                                            + ", out since "
+                                            + (t.at() - span[0])
+                                            + " ms");
+                        } else if (t.at() <= span[0]
+                                && (t.end().get() == 0 || t.end().get() > span[0] + 1)) {
                             before++;
                         }
                     }
@@ -440,13 +505,16 @@
     }
 
     private void in(long ms, Step what) {
-        later.schedule(() -> {
-            try {
-                what.run();
-            } catch (Exception e) {
-                System.out.println("rig: " + e);
-            }
-        }, ms, TimeUnit.MILLISECONDS);
+        later.schedule(
+                () -> {
+                    try {
+                        what.run();
+                    } catch (Exception e) {
+                        System.out.println("rig: " + e);
+                    }
+                },
+                ms,
+                TimeUnit.MILLISECONDS);
     }
 
     private long votersAway() {
@@ -459,7 +527,9 @@
                 TimeUnit.MILLISECONDS.sleep(350 + random.nextInt(350));
                 boolean conducts = random.nextInt(3) > 0 && !conductor.isEmpty();
                 String name = conducts ? conductor : "d" + (random.nextInt(DRIVERS) + 1);
-                if (away.contains(name) || away.size() > 3 || rig.voters().contains(name) && votersAway() > 0) {
+                if (away.contains(name)
+                        || away.size() > 3
+                        || rig.voters().contains(name) && votersAway() > 0) {
                     continue;
                 }
                 fault(rig.driver(name), random.nextInt(11));
@@ -486,10 +556,12 @@
         if (kind < 2) {
             count("pauses");
             d.pause();
-            in(LEASE_MS * (1 + random.nextInt(2)), () -> {
-                d.goOn();
-                in(500, () -> back(d.name));
-            });
+            in(
+                    LEASE_MS * (1 + random.nextInt(2)),
+                    () -> {
+                        d.goOn();
+                        in(500, () -> back(d.name));
+                    });
         } else if (kind < 4) {
             count("kills");
             d.kill();
@@ -497,10 +569,12 @@
         } else if (kind < 6) {
             count("stops");
             d.terminate();
-            in(0, () -> {
-                d.awaitEnd();
-                again(d);
-            });
+            in(
+                    0,
+                    () -> {
+                        d.awaitEnd();
+                        again(d);
+                    });
         } else if (kind < 8) {
             count("cuts");
             boolean both = random.nextBoolean();
@@ -510,10 +584,12 @@
             } else {
                 rig.cutOneWay(d.name, sends, true);
             }
-            in(1000 + random.nextInt(2 * LEASE_MS), () -> {
-                rig.cutFromCouncil(d.name, false);
-                in(500, () -> back(d.name));
-            });
+            in(
+                    1000 + random.nextInt(2 * LEASE_MS),
+                    () -> {
+                        rig.cutFromCouncil(d.name, false);
+                        in(500, () -> back(d.name));
+                    });
         } else {
             holdOrder(d);
         }
@@ -525,40 +601,58 @@
         back(d.name);
     }
 
-    /** Holds the conductor's next order on its way, and starts it anew: the order comes under an epoch that is over. */
+    /**
+     * Holds the conductor's next order on its way, and starts it anew: the order comes under an
+     * epoch that is over.
+     */
     private void holdOrder(Rig.Driver d) throws Exception {
         AtomicInteger once = new AtomicInteger();
         for (String v : rig.voters()) {
-            rig.relays.between(d.name, v).tap((link, way, bytes, connection) -> {
-                boolean order = way == Relays.Way.FORTH && once.get() == 0 && StandardCharsets.ISO_8859_1.decode(bytes.duplicate())
-                    .toString().contains("WORK_STEP");
-                if (!order || !once.compareAndSet(0, 1)) {
-                    return false;
-                }
-                in(0, () -> {
-                    count("held orders");
-                    synchronized (heldOrders) {
-                        heldOrders.add(connection);
+            rig.relays
+                    .between(d.name, v)
+                    .tap(
+                            (link, way, bytes, connection) -> {
+                                boolean order =
+                                        way == Relays.Way.FORTH
+                                                && once.get() == 0
+                                                && StandardCharsets.ISO_8859_1
+                                                        .decode(bytes.duplicate())
+                                                        .toString()
+                                                        .contains("WORK_STEP");
+                                if (!order || !once.compareAndSet(0, 1)) {
+                                    return false;
+                                }
+                                in(
+                                        0,
+                                        () -> {
+                                            count("held orders");
+                                            synchronized (heldOrders) {
+                                                heldOrders.add(connection);
+                                            }
+                                            d.kill();
+                                            d.start();
+                                            in(1500, () -> rig.relays.letGo(connection));
+                                            d.await("work: the plan is known");
+                                            back(d.name);
+                                        });
+                                return true;
+                            });
+        }
+        in(
+                2500,
+                () -> {
+                    if (once.compareAndSet(0, 2)) {
+                        back(d.name);
                     }
-                    d.kill();
-                    d.start();
-                    in(1500, () -> rig.relays.letGo(connection));
-                    d.await("work: the plan is known");
-                    back(d.name);
                 });
-                return true;
-            });
-        }
-        in(2500, () -> {
-            if (once.compareAndSet(0, 2)) {
-                back(d.name);
-            }
-        });
     }
 
     // ---- baselines ----
 
-    /** One machine after the other by marks in discovery, at a fixed pace; {@code alone}: each driver hears them in its own time. */
+    /**
+     * One machine after the other by marks in discovery, at a fixed pace; {@code alone}: each
+     * driver hears them in its own time.
+     */
     private double marks(boolean alone) throws Exception {
         Map<String, Fixtures.StandInDiscovery> own = new TreeMap<>();
         if (alone) {
@@ -573,10 +667,14 @@
             tell(own, m.getValue(), "draining");
             for (FencedMember member : m.getValue()) {
                 if (member.primary()) {
-                    rig.members.values().stream().filter(x -> x.group == member.group && x != member).findFirst().ifPresent(x -> {
-                        member.primary(false);
-                        x.primary(true);
-                    });
+                    rig.members.values().stream()
+                            .filter(x -> x.group == member.group && x != member)
+                            .findFirst()
+                            .ifPresent(
+                                    x -> {
+                                        member.primary(false);
+                                        x.primary(true);
+                                    });
                 }
             }
             TimeUnit.MILLISECONDS.sleep(PACE_MS);
@@ -594,10 +692,13 @@
         return close();
     }
 
-    private void tell(Map<String, Fixtures.StandInDiscovery> own, List<FencedMember> of, String state) throws IOException {
+    private void tell(
+            Map<String, Fixtures.StandInDiscovery> own, List<FencedMember> of, String state)
+            throws IOException {
         StringBuilder list = new StringBuilder();
         for (FencedMember m : rig.members.values()) {
-            list.append(list.length() == 0 ? "" : ",").append(rig.entry("d1", m, of.contains(m) ? state : "ready"));
+            list.append(list.length() == 0 ? "" : ",")
+                    .append(rig.entry("d1", m, of.contains(m) ? state : "ready"));
         }
         rig.discovery.tell(list.toString());
         own.values().forEach(d -> in(random.nextInt(4000), () -> d.tell(list.toString())));
--- a/src/main/java/wingroad/Main.java
+++ b/src/main/java/wingroad/Main.java
@@ -7,8 +7,7 @@
 
 /** The program's subcommands. */
 public final class Main {
-    private Main() {
-    }
+    private Main() {}
 
     public static void main(String[] args) throws IOException {
         if (args.length == 1 && args[0].equals("simhost")) {
@@ -24,7 +23,8 @@
         if (args.length == 1 && args[0].equals("rehearse")) {
             System.exit(Driver.rehearse(System.getenv(), System.err));
         }
-        // All else is the command line's. The three above stay clear of it: they cost no class of it, nor its start.
+        // All else is the command line's. The three above stay clear of it: they cost no class of
+        // it, nor its start.
         int status = Wingroad.run(args);
         if (status != 0) {
             System.exit(status);
--- a/src/main/java/wingroad/cli/FleetCommand.java
+++ b/src/main/java/wingroad/cli/FleetCommand.java
@@ -22,18 +22,27 @@
 import wingroad.operator.OperatorFile;
 
 /** What operators ask of a fleet that runs, through any voter that answers. */
-@Command(name = "fleet", mixinStandardHelpOptions = true,
-    description = "Asks a running fleet: who is there, who owns which duty; hands duties over. See docs/operators/fleet.md.",
-    subcommands = {FleetCommand.Status.class, FleetCommand.Watch.class, FleetCommand.History.class,
-        FleetCommand.HandOver.class, FleetCommand.Voters.class})
+@Command(
+        name = "fleet",
+        mixinStandardHelpOptions = true,
+        description =
+                "Asks a running fleet: who is there, who owns which duty; hands duties over. See docs/operators/fleet.md.",
+        subcommands = {
+            FleetCommand.Status.class,
+            FleetCommand.Watch.class,
+            FleetCommand.History.class,
+            FleetCommand.HandOver.class,
+            FleetCommand.Voters.class
+        })
 final class FleetCommand implements Callable<Integer> {
     private static final int UNUSABLE = 2;
+
     /** Nobody could say. */
     private static final int NO_ANSWER = 3;
+
     private static final int REFUSED = 1;
 
-    @CommandLine.Spec
-    CommandLine.Model.CommandSpec spec;
+    @CommandLine.Spec CommandLine.Model.CommandSpec spec;
 
     @Override
     public Integer call() {
@@ -43,8 +52,11 @@
 
     /** One that speaks to the fleet of an operator's file. */
     abstract static class Asks implements Callable<Integer> {
-        @Option(names = "--operator", paramLabel = "FILE", required = true,
-            description = "An operator's file of the fleet; its voters are asked.")
+        @Option(
+                names = "--operator",
+                paramLabel = "FILE",
+                required = true,
+                description = "An operator's file of the fleet; its voters are asked.")
         Path operator;
 
         @Option(names = "--json", description = "Prints JSON.")
@@ -82,7 +94,10 @@
                 try (FleetClient c = new FleetClient(rules, voter)) {
                     return what.of(c);
                 } catch (IOException e) {
-                    failures.add(voter + ": " + (e.getMessage() == null ? e.toString() : e.getMessage()));
+                    failures.add(
+                            voter
+                                    + ": "
+                                    + (e.getMessage() == null ? e.toString() : e.getMessage()));
                 }
             }
             throw new IOException(String.join("; ", failures));
@@ -95,9 +110,15 @@
             for (String voter : rules.voters().keySet()) {
                 try (FleetClient c = new FleetClient(rules, voter)) {
                     Map<String, Object> s = c.status();
-                    best = best == null || number(s, "revision") > number(best, "revision") ? s : best;
+                    best =
+                            best == null || number(s, "revision") > number(best, "revision")
+                                    ? s
+                                    : best;
                 } catch (IOException e) {
-                    failures.add(voter + ": " + (e.getMessage() == null ? e.toString() : e.getMessage()));
+                    failures.add(
+                            voter
+                                    + ": "
+                                    + (e.getMessage() == null ? e.toString() : e.getMessage()));
                 }
             }
             if (best == null) {
@@ -108,8 +129,11 @@
         }
     }
 
-    @Command(name = "status", mixinStandardHelpOptions = true,
-        description = "Who is there, who votes and leads, who owns which duty. Exit status 3: no voter answers.")
+    @Command(
+            name = "status",
+            mixinStandardHelpOptions = true,
+            description =
+                    "Who is there, who votes and leads, who owns which duty. Exit status 3: no voter answers.")
     static final class Status extends Asks {
         @Override
         int ask(FleetRules rules) throws IOException {
@@ -119,9 +143,16 @@
         }
     }
 
-    @Command(name = "watch", mixinStandardHelpOptions = true, description = "The status again and again, until interrupted.")
+    @Command(
+            name = "watch",
+            mixinStandardHelpOptions = true,
+            description = "The status again and again, until interrupted.")
     static final class Watch extends Asks {
-        @Option(names = "--every", paramLabel = "S", defaultValue = "2", description = "Seconds between; ${DEFAULT-VALUE}.")
+        @Option(
+                names = "--every",
+                paramLabel = "S",
+                defaultValue = "2",
+                description = "Seconds between; ${DEFAULT-VALUE}.")
         double every;
 
         @Option(names = "--times", paramLabel = "N", description = "Ends after so many.")
@@ -132,9 +163,17 @@
             for (int n = 1; times == 0 || n <= times; n++) {
                 try {
                     Map<String, Object> s = newest(rules);
-                    System.out.print(json ? text(s) + "\n" : Instant.now().truncatedTo(ChronoUnit.SECONDS) + "\n" + page(s));
+                    System.out.print(
+                            json
+                                    ? text(s) + "\n"
+                                    : Instant.now().truncatedTo(ChronoUnit.SECONDS)
+                                            + "\n"
+                                            + page(s));
                 } catch (IOException e) {
-                    System.out.println(Instant.now().truncatedTo(ChronoUnit.SECONDS) + " no voter answers: " + e.getMessage());
+                    System.out.println(
+                            Instant.now().truncatedTo(ChronoUnit.SECONDS)
+                                    + " no voter answers: "
+                                    + e.getMessage());
                 }
                 if (n != times) {
                     try {
@@ -148,9 +187,14 @@
         }
     }
 
-    @Command(name = "history", mixinStandardHelpOptions = true, description = "What is remembered of a duty, the newest last.")
+    @Command(
+            name = "history",
+            mixinStandardHelpOptions = true,
+            description = "What is remembered of a duty, the newest last.")
     static final class History extends Asks {
-        @Parameters(paramLabel = "DUTY", description = "As status prints it, such as \"chore purge\".")
+        @Parameters(
+                paramLabel = "DUTY",
+                description = "As status prints it, such as \"chore purge\".")
         String duty;
 
         @Override
@@ -160,9 +204,17 @@
                     for (Object line : (List<?>) d.get("history")) {
                         String s = (String) line;
                         int space = s.indexOf(' ');
-                        System.out.println(json ? text(Map.of("at", Long.parseLong(s.substring(0, space)), "what",
-                            s.substring(space + 1))) : time(Long.parseLong(s.substring(0, space))) + " "
-                            + s.substring(space + 1));
+                        System.out.println(
+                                json
+                                        ? text(
+                                                Map.of(
+                                                        "at",
+                                                        Long.parseLong(s.substring(0, space)),
+                                                        "what",
+                                                        s.substring(space + 1)))
+                                        : time(Long.parseLong(s.substring(0, space)))
+                                                + " "
+                                                + s.substring(space + 1));
                     }
                     return 0;
                 }
@@ -172,13 +224,22 @@
         }
     }
 
-    @Command(name = "hand-over", mixinStandardHelpOptions = true,
-        description = "Has a duty go to another driver; answered once that is settled. Exit status 1: refused.")
+    @Command(
+            name = "hand-over",
+            mixinStandardHelpOptions = true,
+            description =
+                    "Has a duty go to another driver; answered once that is settled. Exit status 1: refused.")
     static final class HandOver extends Asks {
-        @Parameters(paramLabel = "DUTY", description = "As status prints it, such as \"chore purge\".")
+        @Parameters(
+                paramLabel = "DUTY",
+                description = "As status prints it, such as \"chore purge\".")
         String duty;
 
-        @Option(names = "--to", paramLabel = "DRIVER", defaultValue = "", description = "To this one; else to any other.")
+        @Option(
+                names = "--to",
+                paramLabel = "DRIVER",
+                defaultValue = "",
+                description = "To this one; else to any other.")
         String to;
 
         @Override
@@ -186,18 +247,26 @@
             // Under one name with every voter: however often it is asked, it is done once.
             String name = UUID.randomUUID().toString();
             String refusal = first(rules, c -> c.handOver(duty, to, name));
-            System.out.println(json ? text(Map.of("settled", refusal.isEmpty(), "why", refusal))
-                : refusal.isEmpty() ? "settled: the owner is asked to give it up" : "refused: " + refusal);
+            System.out.println(
+                    json
+                            ? text(Map.of("settled", refusal.isEmpty(), "why", refusal))
+                            : refusal.isEmpty()
+                                    ? "settled: the owner is asked to give it up"
+                                    : "refused: " + refusal);
             return refusal.isEmpty() ? 0 : REFUSED;
         }
     }
 
-    @Command(name = "voters", mixinStandardHelpOptions = true,
-        description = "Changes who votes, one at a time; 'status' shows when it is settled. Exit status 1: refused.")
+    @Command(
+            name = "voters",
+            mixinStandardHelpOptions = true,
+            description =
+                    "Changes who votes, one at a time; 'status' shows when it is settled. Exit status 1: refused.")
     static final class Voters extends Asks {
         /** What to do with one. */
         enum Change {
-            add, remove
+            add,
+            remove
         }
 
         @Parameters(index = "0", paramLabel = "add|remove", description = "What to do.")
@@ -206,8 +275,12 @@
         @Parameters(index = "1", paramLabel = "DRIVER", description = "Its name in the fleet.")
         String name;
 
-        @Parameters(index = "2", paramLabel = "ADDRESS", arity = "0..1", defaultValue = "",
-            description = "Where it listens; only with add.")
+        @Parameters(
+                index = "2",
+                paramLabel = "ADDRESS",
+                arity = "0..1",
+                defaultValue = "",
+                description = "Where it listens; only with add.")
         String address;
 
         @Override
@@ -218,9 +291,13 @@
             }
             String ask = UUID.randomUUID().toString();
             String refusal = first(rules, c -> c.voter(name, address, ask));
-            System.out.println(json ? text(Map.of("settled", refusal.isEmpty(), "why", refusal))
-                : refusal.isEmpty() ? "settled: the leader " + (change == Change.add ? "lets it in" : "takes it out")
-                : "refused: " + refusal);
+            System.out.println(
+                    json
+                            ? text(Map.of("settled", refusal.isEmpty(), "why", refusal))
+                            : refusal.isEmpty()
+                                    ? "settled: the leader "
+                                            + (change == Change.add ? "lets it in" : "takes it out")
+                                    : "refused: " + refusal);
             return refusal.isEmpty() ? 0 : REFUSED;
         }
     }
@@ -237,29 +314,54 @@
     }
 
     static String time(long unixMs) {
-        return unixMs <= 0 ? "-" : Instant.ofEpochMilli(unixMs).truncatedTo(ChronoUnit.MILLIS).toString();
+        return unixMs <= 0
+                ? "-"
+                : Instant.ofEpochMilli(unixMs).truncatedTo(ChronoUnit.MILLIS).toString();
     }
 
     private static String page(Map<String, Object> s) {
         StringBuilder p = new StringBuilder();
         String leader = String.valueOf(s.get("leader"));
-        p.append("fleet ").append(s.get("fleet")).append(", council ").append(s.get("council")).append(", by ")
-            .append(s.get("voter")).append(" (").append(s.get("phase")).append(")\n");
-        p.append("voters ").append(s.get("voters")).append(", leader ").append(leader.isEmpty() ? "none" : leader)
-            .append(", term ").append(s.get("term")).append('\n');
+        p.append("fleet ")
+                .append(s.get("fleet"))
+                .append(", council ")
+                .append(s.get("council"))
+                .append(", by ")
+                .append(s.get("voter"))
+                .append(" (")
+                .append(s.get("phase"))
+                .append(")\n");
+        p.append("voters ")
+                .append(s.get("voters"))
+                .append(", leader ")
+                .append(leader.isEmpty() ? "none" : leader)
+                .append(", term ")
+                .append(s.get("term"))
+                .append('\n');
         if (s.get("silent") instanceof List<?> silent && !silent.isEmpty()) {
             p.append("silent: ").append(silent).append('\n');
         }
         for (Map<String, Object> d : maps(s.get("sessions"))) {
-            p.append(String.format("  driver %-16s since %s, last heard %d ms ago%n", d.get("name"), time(number(d, "since")),
-                number(d, "quiet-ms")));
+            p.append(
+                    String.format(
+                            "  driver %-16s since %s, last heard %d ms ago%n",
+                            d.get("name"), time(number(d, "since")), number(d, "quiet-ms")));
         }
         for (Map<String, Object> d : maps(s.get("duties"))) {
             String owner = String.valueOf(d.get("owner"));
             String wanted = String.valueOf(d.get("wanted"));
-            p.append(String.format("  duty %-24s %-16s epoch %d, turn %d %s%s%n", d.get("name"), owner.isEmpty()
-                ? "(nobody)" : owner, number(d, "epoch"), number(d, "turn"), d.get("outcome"),
-                wanted.isEmpty() ? "" : ", asked back for " + (wanted.equals("*") ? "any other" : wanted)));
+            p.append(
+                    String.format(
+                            "  duty %-24s %-16s epoch %d, turn %d %s%s%n",
+                            d.get("name"),
+                            owner.isEmpty() ? "(nobody)" : owner,
+                            number(d, "epoch"),
+                            number(d, "turn"),
+                            d.get("outcome"),
+                            wanted.isEmpty()
+                                    ? ""
+                                    : ", asked back for "
+                                            + (wanted.equals("*") ? "any other" : wanted)));
         }
         return p.toString();
     }
--- a/src/main/java/wingroad/cli/Wingroad.java
+++ b/src/main/java/wingroad/cli/Wingroad.java
@@ -13,10 +13,20 @@
 import wingroad.simhost.SimHost;
 
 /** The command line. What the benches start does not come by here: see Main. */
-@Command(name = "wingroad", versionProvider = Wingroad.Version.class, mixinStandardHelpOptions = true,
-    description = "Stands before groups of database members and decides where every txn goes.",
-    subcommands = {Wingroad.Serve.class, Wingroad.Check.class, Wingroad.CheckConfig.class, Wingroad.Sim.class, Wingroad.Rehearse.class,
-        FleetCommand.class, WorkCommand.class})
+@Command(
+        name = "wingroad",
+        versionProvider = Wingroad.Version.class,
+        mixinStandardHelpOptions = true,
+        description = "Stands before groups of database members and decides where every txn goes.",
+        subcommands = {
+            Wingroad.Serve.class,
+            Wingroad.Check.class,
+            Wingroad.CheckConfig.class,
+            Wingroad.Sim.class,
+            Wingroad.Rehearse.class,
+            FleetCommand.class,
+            WorkCommand.class
+        })
 public final class Wingroad implements Callable<Integer> {
     private static final int UNUSABLE = 2;
 
@@ -29,12 +39,13 @@
         }
     }
 
-    @CommandLine.Spec
-    CommandLine.Model.CommandSpec spec;
+    @CommandLine.Spec CommandLine.Model.CommandSpec spec;
 
     /** Returns the exit status; what serves goes on behind it. */
     public static int run(String... args) {
-        return new CommandLine(new Wingroad()).setCaseInsensitiveEnumValuesAllowed(true).execute(args);
+        return new CommandLine(new Wingroad())
+                .setCaseInsensitiveEnumValuesAllowed(true)
+                .execute(args);
     }
 
     @Override
@@ -43,11 +54,16 @@
         return UNUSABLE;
     }
 
-    @Command(name = "serve", mixinStandardHelpOptions = true,
-        description = "Serves clients by the configuration that the variable LB_CONFIG names.")
+    @Command(
+            name = "serve",
+            mixinStandardHelpOptions = true,
+            description = "Serves clients by the configuration that the variable LB_CONFIG names.")
     static final class Serve implements Callable<Integer> {
-        @Option(names = "--operator", paramLabel = "FILE",
-            description = "The operator's own file, in KDL; read again on SIGHUP. See docs/operators/fair-queues.md.")
+        @Option(
+                names = "--operator",
+                paramLabel = "FILE",
+                description =
+                        "The operator's own file, in KDL; read again on SIGHUP. See docs/operators/fair-queues.md.")
         Path operator;
 
         @Override
@@ -64,13 +80,18 @@
         }
     }
 
-    @Command(name = "check", mixinStandardHelpOptions = true,
-        description = "Reads an operator's file and prints all that is wrong with it. Exit status 0: it can be used; 2: it can't.")
+    @Command(
+            name = "check",
+            mixinStandardHelpOptions = true,
+            description =
+                    "Reads an operator's file and prints all that is wrong with it. Exit status 0: it can be used; 2: it can't.")
     static final class Check implements Callable<Integer> {
         @Parameters(paramLabel = "FILE", description = "The file.")
         Path file;
 
-        @Option(names = "--print", description = "Prints all settings in force, those left out of the file as well.")
+        @Option(
+                names = "--print",
+                description = "Prints all settings in force, those left out of the file as well.")
         boolean print;
 
         @Override
@@ -85,8 +106,11 @@
         }
     }
 
-    @Command(name = "check-config", mixinStandardHelpOptions = true,
-        description = "Reads a configuration as a start would and prints its shape. Exit status 0: it can be used; 2: it can't.")
+    @Command(
+            name = "check-config",
+            mixinStandardHelpOptions = true,
+            description =
+                    "Reads a configuration as a start would and prints its shape. Exit status 0: it can be used; 2: it can't.")
     static final class CheckConfig implements Callable<Integer> {
         @Parameters(paramLabel = "FILE", description = "The configuration.")
         Path file;
@@ -97,8 +121,11 @@
         }
     }
 
-    @Command(name = "simhost", mixinStandardHelpOptions = true,
-        description = "Serves the simulator's wire on standard input and output until the input ends.")
+    @Command(
+            name = "simhost",
+            mixinStandardHelpOptions = true,
+            description =
+                    "Serves the simulator's wire on standard input and output until the input ends.")
     static final class Sim implements Callable<Integer> {
         @Override
         public Integer call() throws IOException {
@@ -106,8 +133,11 @@
         }
     }
 
-    @Command(name = "rehearse", mixinStandardHelpOptions = true,
-        description = "Plays the rehearsal that each start begins with, for an archive of the classes that serving takes.")
+    @Command(
+            name = "rehearse",
+            mixinStandardHelpOptions = true,
+            description =
+                    "Plays the rehearsal that each start begins with, for an archive of the classes that serving takes.")
     static final class Rehearse implements Callable<Integer> {
         @Override
         public Integer call() {
--- a/src/main/java/wingroad/cli/WorkCommand.java
+++ b/src/main/java/wingroad/cli/WorkCommand.java
@@ -13,21 +13,31 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import wingroad.fleet.FleetClient;
 import wingroad.fleet.FleetRules;
 
 /** What operators ask of a fleet about work on machines, through any voter that answers. */
-@Command(name = "work", mixinStandardHelpOptions = true,
-    description = "Takes machines out for work and brings them back, in an order that the drivers settle. See docs/operators/work.md.",
-    subcommands = {WorkCommand.Want.class, WorkCommand.Plan.class, WorkCommand.Show.class, WorkCommand.Done.class,
-        WorkCommand.Back.class, WorkCommand.Cancel.class, WorkCommand.Hold.class, WorkCommand.Go.class, WorkCommand.Gone.class})
+@Command(
+        name = "work",
+        mixinStandardHelpOptions = true,
+        description =
+                "Takes machines out for work and brings them back, in an order that the drivers settle. See docs/operators/work.md.",
+        subcommands = {
+            WorkCommand.Want.class,
+            WorkCommand.Plan.class,
+            WorkCommand.Show.class,
+            WorkCommand.Done.class,
+            WorkCommand.Back.class,
+            WorkCommand.Cancel.class,
+            WorkCommand.Hold.class,
+            WorkCommand.Go.class,
+            WorkCommand.Gone.class
+        })
 final class WorkCommand implements Callable<Integer> {
     private static final int UNUSABLE = 2;
     private static final int REFUSED = 1;
     private static final String ALL = "*";
 
-    @CommandLine.Spec
-    CommandLine.Model.CommandSpec spec;
+    @CommandLine.Spec CommandLine.Model.CommandSpec spec;
 
     @Override
     public Integer call() {
@@ -37,10 +47,16 @@
 
     /** One that changes something: asked under one id until it is settled. */
     abstract static class Changes extends FleetCommand.Asks {
-        @Option(names = "--id", description = "The id of the request: the same again is done once; a new one else.")
+        @Option(
+                names = "--id",
+                description = "The id of the request: the same again is done once; a new one else.")
         String id;
 
-        @Option(names = "--within", paramLabel = "S", defaultValue = "10", description = "Tries for so many seconds; ${DEFAULT-VALUE}.")
+        @Option(
+                names = "--within",
+                paramLabel = "S",
+                defaultValue = "10",
+                description = "Tries for so many seconds; ${DEFAULT-VALUE}.")
         double within;
 
         /** Asks for one machine until that is settled; empty, or why it is refused. */
@@ -66,31 +82,58 @@
             for (Map.Entry<String, String> a : answers.entrySet()) {
                 boolean ok = a.getValue().isEmpty();
                 refused |= !ok;
-                System.out.println(json ? FleetCommand.text(new java.util.TreeMap<>(Map.of("machine", a.getKey(), "settled", ok,
-                    "why", a.getValue())))
-                    : a.getKey() + ": " + (ok ? "settled" : "refused: " + a.getValue()));
+                System.out.println(
+                        json
+                                ? FleetCommand.text(
+                                        new java.util.TreeMap<>(
+                                                Map.of(
+                                                        "machine",
+                                                        a.getKey(),
+                                                        "settled",
+                                                        ok,
+                                                        "why",
+                                                        a.getValue())))
+                                : a.getKey()
+                                        + ": "
+                                        + (ok ? "settled" : "refused: " + a.getValue()));
             }
             return refused ? REFUSED : 0;
         }
     }
 
-    @Command(name = "ask", mixinStandardHelpOptions = true,
-        description = "Wants machines out. Answered once that is settled; exit status 1: one can never be had, with the reason.")
+    @Command(
+            name = "ask",
+            mixinStandardHelpOptions = true,
+            description =
+                    "Wants machines out. Answered once that is settled; exit status 1: one can never be had, with the reason.")
     static final class Want extends Changes {
-        @Parameters(paramLabel = "MACHINE", arity = "1..*", description = "As the operator's file names them.")
+        @Parameters(
+                paramLabel = "MACHINE",
+                arity = "1..*",
+                description = "As the operator's file names them.")
         List<String> machines;
 
-        @Option(names = "--for", paramLabel = "SPAN", defaultValue = "0s",
-            description = "How long work takes, such as 20m; who is out for longer is told.")
+        @Option(
+                names = "--for",
+                paramLabel = "SPAN",
+                defaultValue = "0s",
+                description = "How long work takes, such as 20m; who is out for longer is told.")
         String span;
 
         @Option(names = "--why", defaultValue = "", description = "For people.")
         String why;
 
-        @Option(names = "--before", paramLabel = "TIME", description = "It has to be out before, such as 2026-12-06T06:00:00Z.")
+        @Option(
+                names = "--before",
+                paramLabel = "TIME",
+                description = "It has to be out before, such as 2026-12-06T06:00:00Z.")
         String before;
 
-        @Option(names = "--after", paramLabel = "MACHINE", arity = "1", description = "Not while this one is asked for.")
+        @Option(
+                names = "--after",
+                paramLabel = "MACHINE",
+                arity = "1",
+                description = "Not while this one is asked for.")
         List<String> after = List.of();
 
         @Override
@@ -101,13 +144,17 @@
                 forMs = Duration.parse("PT" + span.toUpperCase(java.util.Locale.ROOT)).toMillis();
                 beforeMs = before == null ? 0 : Instant.parse(before).toEpochMilli();
             } catch (DateTimeParseException e) {
-                System.err.println("wingroad: '" + e.getParsedString() + "' is no span, such as 20m, or no time");
+                System.err.println(
+                        "wingroad: '"
+                                + e.getParsedString()
+                                + "' is no span, such as 20m, or no time");
                 return UNUSABLE;
             }
             Map<String, String> answers = new LinkedHashMap<>();
             for (String m : machines) {
                 String ask = idFor(m);
-                answers.put(m, settle(rules, m, c -> c.workAsk(m, why, forMs, beforeMs, after, ask)));
+                answers.put(
+                        m, settle(rules, m, c -> c.workAsk(m, why, forMs, beforeMs, after, ask)));
             }
             return told(answers);
         }
@@ -115,7 +162,10 @@
 
     /** A word on one machine, or several. */
     abstract static class Word extends Changes {
-        @Parameters(paramLabel = "MACHINE", arity = "1..*", description = "As the operator's file names them.")
+        @Parameters(
+                paramLabel = "MACHINE",
+                arity = "1..*",
+                description = "As the operator's file names them.")
         List<String> machines;
 
         abstract String word();
@@ -131,7 +181,10 @@
         }
     }
 
-    @Command(name = "done", mixinStandardHelpOptions = true, description = "Work on it is done and it runs again: it is brought back.")
+    @Command(
+            name = "done",
+            mixinStandardHelpOptions = true,
+            description = "Work on it is done and it runs again: it is brought back.")
     static final class Done extends Word {
         @Override
         String word() {
@@ -139,7 +192,10 @@
         }
     }
 
-    @Command(name = "back", mixinStandardHelpOptions = true, description = "It is to be back, however far it has come.")
+    @Command(
+            name = "back",
+            mixinStandardHelpOptions = true,
+            description = "It is to be back, however far it has come.")
     static final class Back extends Word {
         @Override
         String word() {
@@ -147,7 +203,10 @@
         }
     }
 
-    @Command(name = "cancel", mixinStandardHelpOptions = true, description = "It is no more asked for; not once it is out.")
+    @Command(
+            name = "cancel",
+            mixinStandardHelpOptions = true,
+            description = "It is no more asked for; not once it is out.")
     static final class Cancel extends Word {
         @Override
         String word() {
@@ -155,8 +214,11 @@
         }
     }
 
-    @Command(name = "gone", mixinStandardHelpOptions = true,
-        description = "Drivers without a session have ended for certain: nobody waits for them any more.")
+    @Command(
+            name = "gone",
+            mixinStandardHelpOptions = true,
+            description =
+                    "Drivers without a session have ended for certain: nobody waits for them any more.")
     static final class Gone extends Word {
         @Override
         String word() {
@@ -166,7 +228,10 @@
 
     /** A word on machines, or on all. */
     abstract static class WordOrAll extends Changes {
-        @Parameters(paramLabel = "MACHINE", arity = "0..*", description = "As the operator's file names them.")
+        @Parameters(
+                paramLabel = "MACHINE",
+                arity = "0..*",
+                description = "As the operator's file names them.")
         List<String> machines = List.of();
 
         @Option(names = "--all", description = "All, those not yet asked for as well.")
@@ -189,8 +254,11 @@
         }
     }
 
-    @Command(name = "hold", mixinStandardHelpOptions = true,
-        description = "Nothing more is begun, and what drains is put back at once; what is out stays out.")
+    @Command(
+            name = "hold",
+            mixinStandardHelpOptions = true,
+            description =
+                    "Nothing more is begun, and what drains is put back at once; what is out stays out.")
     static final class Hold extends WordOrAll {
         @Override
         String word() {
@@ -206,7 +274,10 @@
         }
     }
 
-    @Command(name = "plan", mixinStandardHelpOptions = true, description = "All that is asked for, how far it is, what it waits for.")
+    @Command(
+            name = "plan",
+            mixinStandardHelpOptions = true,
+            description = "All that is asked for, how far it is, what it waits for.")
     static final class Plan extends FleetCommand.Asks {
         @Override
         int ask(FleetRules rules) throws IOException {
@@ -215,11 +286,23 @@
                 System.out.println(FleetCommand.text(work));
                 return 0;
             }
-            System.out.println(FleetCommand.maps(work.get("machines")).size() + " machines, "
-                + FleetCommand.maps(work.get("entries")).size() + " asked for" + (Boolean.TRUE.equals(work.get("held"))
-                ? ", all held" : ""));
-            FleetCommand.maps(work.get("entries")).forEach(e -> System.out.printf("  %-16s %-10s %s%s%n", e.get("machine"),
-                e.get("stage"), e.get("why"), String.valueOf(e.get("waits")).isEmpty() ? "" : "; waits: " + e.get("waits")));
+            System.out.println(
+                    FleetCommand.maps(work.get("machines")).size()
+                            + " machines, "
+                            + FleetCommand.maps(work.get("entries")).size()
+                            + " asked for"
+                            + (Boolean.TRUE.equals(work.get("held")) ? ", all held" : ""));
+            FleetCommand.maps(work.get("entries"))
+                    .forEach(
+                            e ->
+                                    System.out.printf(
+                                            "  %-16s %-10s %s%s%n",
+                                            e.get("machine"),
+                                            e.get("stage"),
+                                            e.get("why"),
+                                            String.valueOf(e.get("waits")).isEmpty()
+                                                    ? ""
+                                                    : "; waits: " + e.get("waits")));
             if (work.get("astray") instanceof List<?> l && !l.isEmpty()) {
                 System.out.println("  without a session, not known to have stopped: " + l);
             }
@@ -234,7 +317,10 @@
         throw new IOException("this fleet has no work node in its files");
     }
 
-    @Command(name = "show", mixinStandardHelpOptions = true, description = "One machine: what it holds, how far it is, what was.")
+    @Command(
+            name = "show",
+            mixinStandardHelpOptions = true,
+            description = "One machine: what it holds, how far it is, what was.")
     static final class Show extends FleetCommand.Asks {
         @Parameters(paramLabel = "MACHINE", description = "As the operator's file names it.")
         String machine;
@@ -242,24 +328,56 @@
         @Override
         int ask(FleetRules rules) throws IOException {
             Map<String, Object> work = work(newest(rules));
-            Map<String, Object> of = FleetCommand.maps(work.get("machines")).stream().filter(m -> machine.equals(m.get("name")))
-                .findFirst().orElse(null);
+            Map<String, Object> of =
+                    FleetCommand.maps(work.get("machines")).stream()
+                            .filter(m -> machine.equals(m.get("name")))
+                            .findFirst()
+                            .orElse(null);
             if (of == null) {
                 System.err.println("wingroad: there is no machine '" + machine + "'");
                 return REFUSED;
             }
-            Map<String, Object> entry = FleetCommand.maps(work.get("entries")).stream().filter(e -> machine.equals(e.get(
-                "machine"))).findFirst().orElse(Map.of("stage", "in"));
-            List<String> lines = ((List<?>) work.get("history")).stream().map(String::valueOf).filter(l -> l.matches("[0-9]+ (\\*|"
-                + java.util.regex.Pattern.quote(machine) + ") .*")).toList();
+            Map<String, Object> entry =
+                    FleetCommand.maps(work.get("entries")).stream()
+                            .filter(e -> machine.equals(e.get("machine")))
+                            .findFirst()
+                            .orElse(Map.of("stage", "in"));
+            List<String> lines =
+                    ((List<?>) work.get("history"))
+                            .stream()
+                                    .map(String::valueOf)
+                                    .filter(
+                                            l ->
+                                                    l.matches(
+                                                            "[0-9]+ (\\*|"
+                                                                    + java.util.regex.Pattern.quote(
+                                                                            machine)
+                                                                    + ") .*"))
+                                    .toList();
             if (json) {
-                System.out.println(FleetCommand.text(Map.of("machine", of, "entry", entry, "history", lines)));
+                System.out.println(
+                        FleetCommand.text(Map.of("machine", of, "entry", entry, "history", lines)));
                 return 0;
             }
-            System.out.println(machine + ", zone " + of.get("zone") + ", members " + of.get("members") + ", drivers " + of.get("drivers"));
-            System.out.println("  " + entry.get("stage") + (entry.containsKey("waits") ? ", waits: " + entry.get("waits") : ""));
-            lines.forEach(l -> System.out.println("  " + FleetCommand.time(Long.parseLong(l.substring(0, l.indexOf(' '))))
-                + l.substring(l.indexOf(' '))));
+            System.out.println(
+                    machine
+                            + ", zone "
+                            + of.get("zone")
+                            + ", members "
+                            + of.get("members")
+                            + ", drivers "
+                            + of.get("drivers"));
+            System.out.println(
+                    "  "
+                            + entry.get("stage")
+                            + (entry.containsKey("waits") ? ", waits: " + entry.get("waits") : ""));
+            lines.forEach(
+                    l ->
+                            System.out.println(
+                                    "  "
+                                            + FleetCommand.time(
+                                                    Long.parseLong(l.substring(0, l.indexOf(' '))))
+                                            + l.substring(l.indexOf(' '))));
             return 0;
         }
     }
--- a/src/main/java/wingroad/door/Accounts.java
+++ b/src/main/java/wingroad/door/Accounts.java
@@ -3,36 +3,51 @@
 import java.util.Arrays;
 
 /**
- * One account for each tenant and lane that matters now: rows of plain arrays behind an index with open addresses. Exact is kept
- * who has something waiting, in, or booked, or is ahead of the share; all others are as if they had never come.
+ * One account for each tenant and lane that matters now: rows of plain arrays behind an index with
+ * open addresses. Exact is kept who has something waiting, in, or booked, or is ahead of the share;
+ * all others are as if they had never come.
  */
 final class Accounts {
     static final int ROWS = 4096;
     private static final int INDEX = 2 * ROWS;
-    /** How many rows are looked at for one that may be let go, before the least ahead of them gives way. */
+
+    /**
+     * How many rows are looked at for one that may be let go, before the least ahead of them gives
+     * way.
+     */
     private static final int LOOKS = 24;
 
     final long[] keys = new long[ROWS];
     final double[] tags = new double[ROWS];
     final float[] weights = new float[ROWS];
+
     /** The largest part of the lane's window that it may fill. */
     final float[] caps = new float[ROWS];
+
     final short[] lanes = new short[ROWS];
     final int[] waiting = new int[ROWS];
     final int[] in = new int[ROWS];
     final int[] booked = new int[ROWS];
+
     /** Decaying count of what was let in, and when it was brought up to date. */
     final double[] letIn = new double[ROWS];
+
     final long[] letInAt = new long[ROWS];
     final QueuedTxn[] first = new QueuedTxn[ROWS];
     final QueuedTxn[] last = new QueuedTxn[ROWS];
+
     /** Its place in its lane's heap, or -1. */
     final int[] places = new int[ROWS];
-    /** Set aside from the heap though something waits: by its cap, or by what its first one is held for. */
+
+    /**
+     * Set aside from the heap though something waits: by its cap, or by what its first one is held
+     * for.
+     */
     final boolean[] aside = new boolean[ROWS];
 
     /** Row and 1, or 0 for an empty place. */
     private final int[] index = new int[INDEX];
+
     private final int[] free = new int[ROWS];
     private int frees = ROWS;
     private int hand;
@@ -93,11 +108,16 @@
         return waiting[row] == 0 && in[row] == 0 && booked[row] == 0;
     }
 
-    /** Lets go of all that the hand meets and that is no longer ahead, or of the idle one that is the least ahead. */
+    /**
+     * Lets go of all that the hand meets and that is no longer ahead, or of the idle one that is
+     * the least ahead.
+     */
     private boolean makeRoom(Lanes state) {
         int least = -1;
         double leastAhead = 0;
-        for (int looked = 0; looked < ROWS && (looked < LOOKS || least < 0 && frees == 0); looked++) {
+        for (int looked = 0;
+                looked < ROWS && (looked < LOOKS || least < 0 && frees == 0);
+                looked++) {
             int row = hand;
             hand = hand + 1 & ROWS - 1;
             if (idle(row)) {
@@ -141,6 +161,8 @@
     }
 
     int bytes() {
-        return ROWS * (8 + 8 + 4 + 4 + 2 + 4 + 4 + 4 + 8 + 8 + 4 + 4 + 4 + 1) + 4 * INDEX + 4 * ROWS;
+        return ROWS * (8 + 8 + 4 + 4 + 2 + 4 + 4 + 4 + 8 + 8 + 4 + 4 + 4 + 1)
+                + 4 * INDEX
+                + 4 * ROWS;
     }
 }
--- a/src/main/java/wingroad/door/Booking.java
+++ b/src/main/java/wingroad/door/Booking.java
@@ -6,10 +6,13 @@
 final class Booking extends Wheel.Timer {
     final int row;
     final long at;
+
     /** It stands no more. */
     boolean over;
+
     /** In the ring of its account's bookings. */
     Booking before;
+
     Booking behind;
 
     Booking(int row, long at) {
--- a/src/main/java/wingroad/door/FairQueues.java
+++ b/src/main/java/wingroad/door/FairQueues.java
@@ -17,34 +17,61 @@
 import wingroad.state.Wheel;
 
 /**
- * Decides who goes next to the module, who is declined at the door, and when to come back: start-time fair queueing by tenant,
- * charged by work, within a window that each lane finds for itself. The reasons: docs/notes/fair-queues.md. The host tells what
- * happens, then pulls {@link #next} until it is null, and again at {@link #wakeAt}. Which member, whether to submit
- * again and what is declined once it is in stays with the module.
+ * Decides who goes next to the module, who is declined at the door, and when to come back:
+ * start-time fair queueing by tenant, charged by work, within a window that each lane finds for
+ * itself. The reasons: docs/notes/fair-queues.md. The host tells what happens, then pulls {@link
+ * #next} until it is null, and again at {@link #wakeAt}. Which member, whether to submit again and
+ * what is declined once it is in stays with the module.
  */
 public final class FairQueues implements Accounts.Lanes {
-    /** The part of the time that the module would hold a txn which may pass at the door: some is left for the module. */
+    /**
+     * The part of the time that the module would hold a txn which may pass at the door: some is
+     * left for the module.
+     */
     private static final double DOORS_PART = 0.9;
-    /** Waits are foretold only for accounts with so many claims: one who asks for little is never declined by a forecast. */
+
+    /**
+     * Waits are foretold only for accounts with so many claims: one who asks for little is never
+     * declined by a forecast.
+     */
     private static final int FEW = 2;
-    /** A submission out for so many usual answer times no longer fills a place: it may never be answered. */
+
+    /**
+     * A submission out for so many usual answer times no longer fills a place: it may never be
+     * answered.
+     */
     private static final double STUCK = 4;
-    /** A txn that turns out to be so many times the usual work is charged no more: a silent member is no tenant's work. */
+
+    /**
+     * A txn that turns out to be so many times the usual work is charged no more: a silent member
+     * is no tenant's work.
+     */
     private static final double MOST_CHARGED = 4;
+
     private static final double LEAST_CHARGED = 0.05;
     private static final Duration LEAST_ADVICE = Duration.ofMillis(10);
+
     /** Who comes so much before its time is as good as on time: advice is in whole milliseconds. */
     private static final long EARLY = 5_000_000;
+
     /** A booking stands for a quarter of its wait past its time, and so much more. */
     private static final long STANDS_ON = 30_000_000;
+
     private static final int MOST_BOOKINGS = 1024;
+
     /** How many accounts are drawn to find a long queue when all is full. */
     private static final int DRAWS = 8;
+
     private static final Duration MODE_AFTER = Duration.ofMillis(500);
 
     private final TxnType[] types;
-    /** The work of each type as lately measured, and its usual answer time over a long span: the unit of the windows. */
+
+    /**
+     * The work of each type as lately measured, and its usual answer time over a long span: the
+     * unit of the windows.
+     */
     private final Took[] works;
+
     private final Took[] usual;
     private final boolean mayAdvise;
     private final boolean marksRetries;
@@ -68,7 +95,8 @@
     private long letIn;
     private long declined;
 
-    public FairQueues(Map<String, Object> terms, FairQueueSettings rules, long seed, Consumer<String> log) {
+    public FairQueues(
+            Map<String, Object> terms, FairQueueSettings rules, long seed, Consumer<String> log) {
         this.rules = rules;
         this.random = new Random(seed);
         this.log = log;
@@ -76,7 +104,8 @@
         this.names = new Names(rules.namesPerAddress());
         this.mayAdvise = Boolean.TRUE.equals(terms.get("may-advise-come-back"));
         this.marksRetries = Boolean.TRUE.equals(terms.get("clients-mark-retries"));
-        this.longestAdvice = terms.get("longest-come-back") instanceof Duration d ? d : Duration.ZERO;
+        this.longestAdvice =
+                terms.get("longest-come-back") instanceof Duration d ? d : Duration.ZERO;
         this.types = TxnType.all(terms);
         this.works = new Took[types.length];
         this.usual = new Took[types.length];
@@ -89,23 +118,29 @@
 
     // ---- inputs: they only update what is known ----
 
-    /** Other rules from now on. What waits keeps its place; weights count from the next txn that is let in. */
+    /**
+     * Other rules from now on. What waits keeps its place; weights count from the next txn that is
+     * let in.
+     */
     public void rules(Duration now, FairQueueSettings next) {
         rules = next;
         names.each(next.namesPerAddress());
-        // First as if nobody were listed; whose queue is empty learns what it is due when it comes again.
+        // First as if nobody were listed; whose queue is empty learns what it is due when it comes
+        // again.
         for (int row = 0; row < Accounts.ROWS; row++) {
             if (accounts.waiting[row] > 0) {
                 dues(row, next.others());
             }
         }
         for (Lane lane : lanes) {
-            next.tenants().forEach((name, due) -> {
-                int row = accounts.find(key(hasher.hashCharsToLong(name), lane));
-                if (row >= 0) {
-                    dues(row, due);
-                }
-            });
+            next.tenants()
+                    .forEach(
+                            (name, due) -> {
+                                int row = accounts.find(key(hasher.hashCharsToLong(name), lane));
+                                if (row >= 0) {
+                                    dues(row, due);
+                                }
+                            });
             touch(lane);
         }
     }
@@ -132,11 +167,18 @@
     /**
      * A txn has come. Its verdict is pulled.
      *
-     * @param name  the tenant's name as far as the txn or the connection tells one, or null
+     * @param name the tenant's name as far as the txn or the connection tells one, or null
      * @param retry the client is known to have asked before
      */
-    public QueuedTxn arrived(Duration now, String txn, int type, int group, Duration left, Caller caller, String name,
-                         boolean retry) {
+    public QueuedTxn arrived(
+            Duration now,
+            String txn,
+            int type,
+            int group,
+            Duration left,
+            Caller caller,
+            String name,
+            boolean retry) {
         long nanos = now.toNanos();
         Lane lane = lane(group, types[type].toPrimary());
         int row = account(nanos, lane, caller, name);
@@ -144,12 +186,16 @@
         QueuedTxn v = new QueuedTxn(txn, type, lane.number, row, now, caller);
         if (row < 0) {
             v.place = QueuedTxn.Place.OVER;
-            ready.add(new AdmissionDecision(v, false, mayAdvise ? spread(longestAdvice, 0.9) : null));
+            ready.add(
+                    new AdmissionDecision(v, false, mayAdvise ? spread(longestAdvice, 0.9) : null));
             return v;
         }
         long budget = mayWait(types[type], now, left).toNanos();
         int claims = accounts.waiting[row] + accounts.booked[row];
-        if (!told && claims >= FEW && !lane.stands(nanos) && claims / rate(row, lane, nanos) * 1e9 > budget) {
+        if (!told
+                && claims >= FEW
+                && !lane.stands(nanos)
+                && claims / rate(row, lane, nanos) * 1e9 > budget) {
             decline(v, now, budget);
             return v;
         }
@@ -181,7 +227,10 @@
         touch(lane);
     }
 
-    /** Puts an account with something waiting among those that may be next. An idle one hoards no credit. */
+    /**
+     * Puts an account with something waiting among those that may be next. An idle one hoards no
+     * credit.
+     */
     private void stand(int row, Lane lane) {
         accounts.aside[row] = false;
         accounts.tags[row] = Math.max(accounts.tags[row], lane.virtualTime);
@@ -231,7 +280,14 @@
             v.round = lane.window.round();
             lane.window.begins(lane.out);
             lane.movedAt = now.toNanos();
-            wheel.set(v, now.toNanos() + (long) (STUCK * Math.max(usual(v.type, now) * 1e6, lane.window.meanNanos())));
+            wheel.set(
+                    v,
+                    now.toNanos()
+                            + (long)
+                                    (STUCK
+                                            * Math.max(
+                                                    usual(v.type, now) * 1e6,
+                                                    lane.window.meanNanos())));
             touch(lane);
         }
     }
@@ -246,9 +302,14 @@
             double share = ms / Math.max(0.01, usual(v.type, now));
             usual[v.type].add(now, ms);
             works[v.type].add(now, v.work);
-            lane.window.answered(now.toNanos(), v.place == QueuedTxn.Place.OUT ? v.round : -1, share, took.toNanos());
-        }
-        if (v.submissionsOut == 0 && (v.place == QueuedTxn.Place.OUT || v.place == QueuedTxn.Place.STUCK)) {
+            lane.window.answered(
+                    now.toNanos(),
+                    v.place == QueuedTxn.Place.OUT ? v.round : -1,
+                    share,
+                    took.toNanos());
+        }
+        if (v.submissionsOut == 0
+                && (v.place == QueuedTxn.Place.OUT || v.place == QueuedTxn.Place.STUCK)) {
             lane.out -= v.place == QueuedTxn.Place.OUT ? 1 : 0;
             wheel.cancel(v);
             hold(v, lane);
@@ -290,7 +351,8 @@
         int row = v.row;
         accounts.in[row]--;
         // What it has cost is known now: the account is charged the difference.
-        double owed = Math.max(LEAST_CHARGED * v.charged, Math.min(MOST_CHARGED * v.charged, v.work));
+        double owed =
+                Math.max(LEAST_CHARGED * v.charged, Math.min(MOST_CHARGED * v.charged, v.work));
         accounts.tags[row] += (owed - v.charged) / accounts.weights[row];
         if (accounts.places[row] >= 0) {
             accounts.tags[row] = Math.max(accounts.tags[row], lane.virtualTime);
@@ -340,7 +402,8 @@
             unqueue(v);
             decline(v, now, 0);
         } else if (v.place == QueuedTxn.Place.OUT) {
-            // Guards against a silent member that would fill the lane's places with what it never answers.
+            // Guards against a silent member that would fill the lane's places with what it never
+            // answers.
             v.place = QueuedTxn.Place.STUCK;
             lane.out--;
         }
@@ -368,9 +431,21 @@
         boolean full = lane.waiting > 0 && nanos - lane.waitingSince > MODE_AFTER.toNanos();
         if (full != lane.full && (full || lane.waiting == 0)) {
             lane.full = full;
-            log.accept("door " + lane.name + (full ? " is full: " : " is open: ") + "window "
-                + Math.round(lane.window.width()) + ", out " + lane.out + ", held " + lane.heldAll + ", waiting "
-                + lane.waiting + ", let in " + Math.round(lane.rate(nanos)) + " a second");
+            log.accept(
+                    "door "
+                            + lane.name
+                            + (full ? " is full: " : " is open: ")
+                            + "window "
+                            + Math.round(lane.window.width())
+                            + ", out "
+                            + lane.out
+                            + ", held "
+                            + lane.heldAll
+                            + ", waiting "
+                            + lane.waiting
+                            + ", let in "
+                            + Math.round(lane.rate(nanos))
+                            + " a second");
         }
     }
 
@@ -399,8 +474,8 @@
     }
 
     /**
-     * All places to wait are taken: one that waits in a long queue makes room for one of a short queue, the last of it. False
-     * where the newcomer's own is as long as any that was drawn.
+     * All places to wait are taken: one that waits in a long queue makes room for one of a short
+     * queue, the last of it. False where the newcomer's own is as long as any that was drawn.
      */
     private boolean makeRoom(int row, Duration now) {
         int longest = row;
@@ -408,8 +483,12 @@
             TagHeap heap = drawHeap();
             if (heap != null) {
                 int drawn = heap.at(random.nextInt(heap.size()));
-                longest = accounts.waiting[drawn] / accounts.weights[drawn]
-                    > (accounts.waiting[longest] + (longest == row ? 1 : 0)) / accounts.weights[longest] ? drawn : longest;
+                longest =
+                        accounts.waiting[drawn] / accounts.weights[drawn]
+                                        > (accounts.waiting[longest] + (longest == row ? 1 : 0))
+                                                / accounts.weights[longest]
+                                ? drawn
+                                : longest;
             }
         }
         if (longest == row) {
@@ -422,7 +501,10 @@
         return true;
     }
 
-    /** One in which somebody stands, by chance: the first from a lane and type that were drawn; null where there is none. */
+    /**
+     * One in which somebody stands, by chance: the first from a lane and type that were drawn; null
+     * where there is none.
+     */
     private TagHeap drawHeap() {
         int each = types.length;
         int start = random.nextInt(lanes.size() * each);
@@ -438,7 +520,10 @@
 
     // ---- when to come back ----
 
-    /** For a txn that the module declines: when its client should come back, or null where none may be told. */
+    /**
+     * For a txn that the module declines: when its client should come back, or null where none may
+     * be told.
+     */
     public Duration advice(Duration now, QueuedTxn v) {
         return v.place == QueuedTxn.Place.OVER ? null : book(v, now, 0);
     }
@@ -451,13 +536,15 @@
         long nanos = now.toNanos();
         int claims = accounts.waiting[v.row] + accounts.booked[v.row];
         double each = 1e9 / Math.max(1e-3, rate(v.row, lane, nanos));
-        double wait = Math.max(LEAST_ADVICE.toNanos(), Math.max(each, claims * each - budget / 2.0))
-            * (1 + 0.1 * random.nextDouble());
+        double wait =
+                Math.max(LEAST_ADVICE.toNanos(), Math.max(each, claims * each - budget / 2.0))
+                        * (1 + 0.1 * random.nextDouble());
         if (lane.stands(nanos) || wait > longestAdvice.toNanos() || bookings >= MOST_BOOKINGS) {
             return spread(longestAdvice, 0.9);
         }
         Booking b = new Booking(v.row, nanos + (long) wait);
-        // In the order of their times: that is the order in which they are made, but for the spread.
+        // In the order of their times: that is the order in which they are made, but for the
+        // spread.
         if (firstBooking[v.row] == null) {
             firstBooking[v.row] = b;
             b.behind = b;
@@ -504,7 +591,8 @@
             drop(own);
             return own.row == row && now >= own.at - EARLY;
         }
-        // Marked as a retry, or where nobody marks them over a new connection: the first due was meant for one like it.
+        // Marked as a retry, or where nobody marks them over a new connection: the first due was
+        // meant for one like it.
         Booking due = own == null && (marksRetries ? retry : fresh) ? firstBooking[row] : null;
         if (due == null || now < due.at - EARLY) {
             return false;
@@ -542,7 +630,8 @@
             accounts.tags[row] = lane.debts == null ? 0 : lane.debts.tag(key);
             accounts.weights[row] = (float) due.weight();
             accounts.caps[row] = (float) due.cap();
-        } else if (accounts.weights[row] != (float) due.weight() || accounts.caps[row] != (float) due.cap()) {
+        } else if (accounts.weights[row] != (float) due.weight()
+                || accounts.caps[row] != (float) due.cap()) {
             dues(row, due);
         }
         return row;
@@ -554,16 +643,22 @@
     }
 
     private Lane lane(int group, boolean toPrimary) {
-        return lanesByGroup.computeIfAbsent(2L * group + (toPrimary ? 1 : 0), k -> {
-            TagHeap[] heaps = new TagHeap[types.length];
-            for (int i = 0; i < heaps.length; i++) {
-                heaps[i] = new TagHeap(accounts.tags, accounts.places);
-            }
-            Lane lane = new Lane(lanes.size(), "group " + group + (toPrimary ? " primary" : " reads"), types.length,
-                heaps);
-            lanes.add(lane);
-            return lane;
-        });
+        return lanesByGroup.computeIfAbsent(
+                2L * group + (toPrimary ? 1 : 0),
+                k -> {
+                    TagHeap[] heaps = new TagHeap[types.length];
+                    for (int i = 0; i < heaps.length; i++) {
+                        heaps[i] = new TagHeap(accounts.tags, accounts.places);
+                    }
+                    Lane lane =
+                            new Lane(
+                                    lanes.size(),
+                                    "group " + group + (toPrimary ? " primary" : " reads"),
+                                    types.length,
+                                    heaps);
+                    lanes.add(lane);
+                    return lane;
+                });
     }
 
     private void touch(Lane lane) {
@@ -585,7 +680,10 @@
         l.debts.put(key, tag);
     }
 
-    /** How many txns a second the account is let in: as measured, or its fair share where that is more. */
+    /**
+     * How many txns a second the account is let in: as measured, or its fair share where that is
+     * more.
+     */
     private double rate(int row, Lane lane, long now) {
         double weight = accounts.weights[row];
         double all = lane.waitingWeight + (accounts.waiting[row] > 0 ? 0 : weight);
@@ -593,10 +691,13 @@
         return Math.max(own, lane.rate(now) * weight / Math.max(weight, all));
     }
 
-    /** How long it may wait at the door: by the module's own measure it can still be in time then. */
+    /**
+     * How long it may wait at the door: by the module's own measure it can still be in time then.
+     */
     private Duration mayWait(TxnType type, Duration now, Duration left) {
         Duration takes = Spans.millis(usual(type.index(), now));
-        Duration most = (type.lateShare() > 0 ? left : Spans.min(type.slaTime(), left)).minus(takes);
+        Duration most =
+                (type.lateShare() > 0 ? left : Spans.min(type.slaTime(), left)).minus(takes);
         if (type.lateShare() == 0) {
             most = Spans.min(most, type.slaTime().minus(takes).dividedBy(2));
         }
@@ -615,13 +716,29 @@
         if (letIn + declined == 0) {
             return null;
         }
-        StringBuilder s = new StringBuilder("door let in ").append(letIn).append(", declined ").append(declined)
-            .append(", waiting ").append(waiting).append(", booked ").append(bookings).append(", accounts ")
-            .append(accounts.used()).append(", gave way ").append(accounts.gaveWay());
+        StringBuilder s =
+                new StringBuilder("door let in ")
+                        .append(letIn)
+                        .append(", declined ")
+                        .append(declined)
+                        .append(", waiting ")
+                        .append(waiting)
+                        .append(", booked ")
+                        .append(bookings)
+                        .append(", accounts ")
+                        .append(accounts.used())
+                        .append(", gave way ")
+                        .append(accounts.gaveWay());
         for (Lane l : lanes) {
             if (l.full) {
-                s.append("; ").append(l.name).append(" window ").append(Math.round(l.window.width())).append(" out ")
-                    .append(l.out).append(" waiting ").append(l.waiting);
+                s.append("; ")
+                        .append(l.name)
+                        .append(" window ")
+                        .append(Math.round(l.window.width()))
+                        .append(" out ")
+                        .append(l.out)
+                        .append(" waiting ")
+                        .append(l.waiting);
             }
         }
         letIn = 0;
--- a/src/main/java/wingroad/door/Lane.java
+++ b/src/main/java/wingroad/door/Lane.java
@@ -1,17 +1,26 @@
 package wingroad.door;
 
-/** What of one group only its primary serves, or all else of it: a resource of its own, with its own virtual time. */
+/**
+ * What of one group only its primary serves, or all else of it: a resource of its own, with its own
+ * virtual time.
+ */
 final class Lane {
-    /** How many the module may hold of one txn type: it must see some demand at its limits, to learn them. */
+    /**
+     * How many the module may hold of one txn type: it must see some demand at its limits, to learn
+     * them.
+     */
     static final int MOST_HELD = 2;
+
     private static final double RATE_HALF_LIFE = 400e6;
     private static final double LN2 = Math.log(2);
 
     final int number;
     final String name;
     final Window window = new Window();
+
     /** By the txn type that is first in the account's queue, accounts by their tags. */
     final TagHeap[] heaps;
+
     final int[] held;
     double virtualTime;
     double largestTag;
@@ -19,14 +28,19 @@
     int out;
     int heldAll;
     int waiting;
+
     /** The weights of those accounts together that have something waiting. */
     double waitingWeight;
+
     /** Since when something has waited without a stop, or -1. */
     long waitingSince = -1;
+
     long movedAt;
     boolean dirty;
+
     /** Mode: somebody has waited for longer than a moment. */
     boolean full;
+
     private double letIn;
     private long letInAt;
 
@@ -37,13 +51,17 @@
         this.held = new int[types];
     }
 
-    /** The heap whose first account is next, or null: nobody waits, or only for what the module holds too much of. */
+    /**
+     * The heap whose first account is next, or null: nobody waits, or only for what the module
+     * holds too much of.
+     */
     TagHeap next(double[] tags) {
         TagHeap best = null;
         for (int i = 0; i < heaps.length; i++) {
             TagHeap h = heaps[i];
-            if (h.size() > 0 && held[i] < MOST_HELD
-                && (best == null || tags[h.first()] < tags[best.first()])) {
+            if (h.size() > 0
+                    && held[i] < MOST_HELD
+                    && (best == null || tags[h.first()] < tags[best.first()])) {
                 best = h;
             }
         }
@@ -64,7 +82,10 @@
         return out + heldAll < window.limit();
     }
 
-    /** Something waits, the module holds what it was given, and nothing has moved for a while: no rate tells the wait. */
+    /**
+     * Something waits, the module holds what it was given, and nothing has moved for a while: no
+     * rate tells the wait.
+     */
     boolean stands(long now) {
         return heldAll > 0 && waiting > 0 && now - movedAt > 3 * window.meanNanos() + 50e6;
     }
@@ -78,7 +99,10 @@
         movedAt = now;
     }
 
-    /** How many txns a second the lane lets in, or could let in where nobody has waited long enough to tell. */
+    /**
+     * How many txns a second the lane lets in, or could let in where nobody has waited long enough
+     * to tell.
+     */
     double rate(long now) {
         double measured = decayed(letIn, letInAt, now) * LN2 / RATE_HALF_LIFE * 1e9;
         boolean known = waitingSince >= 0 && now - waitingSince > 2 * RATE_HALF_LIFE;
--- a/src/main/java/wingroad/door/Names.java
+++ b/src/main/java/wingroad/door/Names.java
@@ -3,16 +3,19 @@
 import java.util.Arrays;
 
 /**
- * Which of the names that come from one address are told apart: the first few. A name keeps its slot for a while after its
- * last use. Guards against a heavy one that washes itself clean by a change of name: whoever has no slot is counted under the
- * address. Addresses that share a row share its slots, which costs them no more than that.
+ * Which of the names that come from one address are told apart: the first few. A name keeps its
+ * slot for a while after its last use. Guards against a heavy one that washes itself clean by a
+ * change of name: whoever has no slot is counted under the address. Addresses that share a row
+ * share its slots, which costs them no more than that.
  */
 final class Names {
     static final int MOST = 16;
     private static final int ROWS = 512;
     private static final int FREE = Integer.MIN_VALUE;
+
     /** A slot is free again so long after its last use, in ticks of 100 ms. */
     private static final int HELD_TICKS = 100;
+
     private static final long TICK_NANOS = 100_000_000;
 
     private final int[] tags = new int[ROWS * MOST];
--- a/src/main/java/wingroad/door/QueuedTxn.java
+++ b/src/main/java/wingroad/door/QueuedTxn.java
@@ -3,10 +3,19 @@
 import java.time.Duration;
 import wingroad.state.Wheel;
 
-/** One txn at the door: from its arrival to its final answer. Its timer tells when it has waited or been out too long. */
+/**
+ * One txn at the door: from its arrival to its final answer. Its timer tells when it has waited or
+ * been out too long.
+ */
 public final class QueuedTxn extends Wheel.Timer {
     /** Where it is. */
-    enum Place { WAITING, HELD, OUT, STUCK, OVER }
+    enum Place {
+        WAITING,
+        HELD,
+        OUT,
+        STUCK,
+        OVER
+    }
 
     final String txn;
     final int type;
@@ -14,12 +23,19 @@
     final int row;
     final Duration arrivedAt;
     final Caller caller;
-    /** What it was charged when it was let in, and the work that it has been so far, in milliseconds. */
+
+    /**
+     * What it was charged when it was let in, and the work that it has been so far, in
+     * milliseconds.
+     */
     double charged;
+
     double work;
     int submissionsOut;
+
     /** The window's round in which its last submission began. */
     long round;
+
     Place place = Place.WAITING;
     QueuedTxn behind;
     QueuedTxn before;
--- a/src/main/java/wingroad/door/TagHeap.java
+++ b/src/main/java/wingroad/door/TagHeap.java
@@ -2,13 +2,18 @@
 
 import java.util.Arrays;
 
-/** Rows by their tags, the smallest first: a heap of four children, indexed, so that one in the middle can be moved. */
+/**
+ * Rows by their tags, the smallest first: a heap of four children, indexed, so that one in the
+ * middle can be moved.
+ */
 final class TagHeap {
     private static final int CHILDREN = 4;
 
     private final double[] tags;
+
     /** Where each row stands in its heap, or -1; shared by all heaps, a row is in one at most. */
     private final int[] places;
+
     private int[] rows = new int[16];
     private int size;
 
--- a/src/main/java/wingroad/door/TagSketch.java
+++ b/src/main/java/wingroad/door/TagSketch.java
@@ -1,9 +1,9 @@
 package wingroad.door;
 
 /**
- * The finish tags of accounts that had to give way: a count-min of maxima. What it answers is never below the tag that was
- * put in for a key; it is above only for a key that shares its cell with a larger tag in both rows. It needs no ageing: a
- * tag behind the virtual time says nothing.
+ * The finish tags of accounts that had to give way: a count-min of maxima. What it answers is never
+ * below the tag that was put in for a key; it is above only for a key that shares its cell with a
+ * larger tag in both rows. It needs no ageing: a tag behind the virtual time says nothing.
  */
 final class TagSketch {
     private static final int CELLS = 256;
--- a/src/main/java/wingroad/driver/Answer.java
+++ b/src/main/java/wingroad/driver/Answer.java
@@ -19,8 +19,10 @@
 
     final End end;
     final MemberStatus status;
+
     /** The row's messages, where there is one. */
     final byte[] row;
+
     /** The member's report, where the row itself is one. */
     final Report asked;
 
@@ -35,8 +37,11 @@
         end = end(in);
         Double position = Gauges.number(in.parameter("caught_up_to"));
         String gauges = in.parameter("gauges");
-        status = new MemberStatus(role(in.parameter("part")), position == null ? null : clock.past(position),
-            gauges == null ? null : report(gauges, clock));
+        status =
+                new MemberStatus(
+                        role(in.parameter("part")),
+                        position == null ? null : clock.past(position),
+                        gauges == null ? null : report(gauges, clock));
         row = in.served() && !probe ? in.row() : null;
         asked = in.served() && probe && in.value() != null ? report(in.value(), clock) : null;
     }
@@ -54,7 +59,9 @@
     }
 
     private static Role role(String part) {
-        return "master".equals(part) ? Role.PRIMARY : "replica".equals(part) ? Role.REPLICA : Role.UNKNOWN;
+        return "master".equals(part)
+                ? Role.PRIMARY
+                : "replica".equals(part) ? Role.REPLICA : Role.UNKNOWN;
     }
 
     static Report report(String gauges, Clock clock) {
--- a/src/main/java/wingroad/driver/AttemptProgress.java
+++ b/src/main/java/wingroad/driver/AttemptProgress.java
@@ -2,9 +2,15 @@
 
 import wingroad.state.Submission.End;
 
-/** How far an attempt had come when its connection was lost or given up: that tells whether it may have run. */
+/**
+ * How far an attempt had come when its connection was lost or given up: that tells whether it may
+ * have run.
+ */
 enum AttemptProgress {
-    NOT_CONNECTED, PARTLY_WRITTEN, WRITTEN, ANSWERING;
+    NOT_CONNECTED,
+    PARTLY_WRITTEN,
+    WRITTEN,
+    ANSWERING;
 
     /** The end of an attempt whose connection was refused, never came up, or broke. */
     End lost() {
--- a/src/main/java/wingroad/driver/ChoreExecutor.java
+++ b/src/main/java/wingroad/driver/ChoreExecutor.java
@@ -13,12 +13,14 @@
 import wingroad.transport.EventLoop;
 
 /**
- * Where chores become txns: of a type of their own, once-only and worth less than any client's, with the lease's end for
- * an expiry. So a statement is neither sent nor waited for once another driver may own the duty.
+ * Where chores become txns: of a type of their own, once-only and worth less than any client's,
+ * with the lease's end for an expiry. So a statement is neither sent nor waited for once another
+ * driver may own the duty.
  */
 final class ChoreExecutor implements Runner {
     /** What a chore is worth beside the least of the clients' types. */
     private static final double WORTH = 0.01;
+
     /** A statement that can't end before its lease has so little left is not begun. */
     private static final Duration LEAST = Duration.ofMillis(20);
 
@@ -51,8 +53,12 @@
 
     /** The fleet's rules with what the deployment's terms say of work on machines. */
     static FleetRules settled(FleetRules rules, Map<String, Object> terms) {
-        return rules.with(rules.work().in(expiry(TxnType.all(terms)), (Duration) terms.get("cold"),
-            (Duration) terms.get("drain-grace")));
+        return rules.with(
+                rules.work()
+                        .in(
+                                expiry(TxnType.all(terms)),
+                                (Duration) terms.get("cold"),
+                                (Duration) terms.get("drain-grace")));
     }
 
     /** The terms with one more txn type behind the clients' own, whose numbers stay. */
@@ -83,29 +89,34 @@
     }
 
     private void begin(Chore chore, long epoch, long turn, Duration until, Ended ended) {
-        // The clock is read here, behind all waiting; what comes after this is the fence's to catch.
+        // The clock is read here, behind all waiting; what comes after this is the fence's to
+        // catch.
         Duration left = until.minus(Duration.ofNanos(System.nanoTime()));
         left = left.compareTo(expiry) < 0 ? left : expiry;
         if (left.compareTo(LEAST) < 0) {
             tell(ended, "not begun: the lease ends");
             return;
         }
-        String txn = exchange.ownArrived(statement(chore, epoch, turn, left), type, new Exchange.TxnCallback() {
-            @Override
-            public void committed(byte[] row) {
-                tell(ended, "ran");
-            }
+        String txn =
+                exchange.ownArrived(
+                        statement(chore, epoch, turn, left),
+                        type,
+                        new Exchange.TxnCallback() {
+                            @Override
+                            public void committed(byte[] row) {
+                                tell(ended, "ran");
+                            }
 
-            @Override
-            public void declined(Duration comeBack) {
-                tell(ended, "declined, never ran");
-            }
+                            @Override
+                            public void declined(Duration comeBack) {
+                                tell(ended, "declined, never ran");
+                            }
 
-            @Override
-            public void rolledBack() {
-                tell(ended, "refused or broken off: has run or not");
-            }
-        });
+                            @Override
+                            public void rolledBack() {
+                                tell(ended, "refused or broken off: has run or not");
+                            }
+                        });
         if (txn == null) {
             tell(ended, "not taken, never ran");
         }
@@ -119,10 +130,25 @@
         String id = "chore-" + chore.name() + "-" + epoch + "-" + turn;
         String head = "/* id=" + id + ",c=chore,d=";
         String ms = Long.toString(left.toMillis());
-        String text = head + ms + ",cluster=" + chore.group() + " */ "
-            + chore.statement().replace("{epoch}", Long.toString(epoch));
+        String text =
+                head
+                        + ms
+                        + ",cluster="
+                        + chore.group()
+                        + " */ "
+                        + chore.statement().replace("{epoch}", Long.toString(epoch));
         // Positions are of bytes: the head is plain ASCII, since names are.
-        return new Statement(id, "chore", left.toMillis(), chore.group(), null, false, true, id,
-            text.getBytes(StandardCharsets.UTF_8), head.length(), head.length() + ms.length());
+        return new Statement(
+                id,
+                "chore",
+                left.toMillis(),
+                chore.group(),
+                null,
+                false,
+                true,
+                id,
+                text.getBytes(StandardCharsets.UTF_8),
+                head.length(),
+                head.length() + ms.length());
     }
 }
--- a/src/main/java/wingroad/driver/ClientConnection.java
+++ b/src/main/java/wingroad/driver/ClientConnection.java
@@ -9,26 +9,53 @@
 import wingroad.transport.Connection;
 
 /**
- * One client's connection. Its commands are taken one after the other, each when the last is answered. What it may
- * take of the driver is bounded in bytes and in time; {@link #overdue} says when its time is over.
+ * One client's connection. Its commands are taken one after the other, each when the last is
+ * answered. What it may take of the driver is bounded in bytes and in time; {@link #overdue} says
+ * when its time is over.
  */
 final class ClientConnection implements Connection.Owner, Exchange.TxnCallback {
-    /** A client is to be told within 3 s of its connecting; half of that leaves a second for the end, see LINGER. */
+    /**
+     * A client is to be told within 3 s of its connecting; half of that leaves a second for the
+     * end, see LINGER.
+     */
     private static final Duration START_TIME = Duration.ofMillis(1500);
-    /** A command that has begun comes whole at once, or its client is stuck: the largest takes some ms. */
+
+    /**
+     * A command that has begun comes whole at once, or its client is stuck: the largest takes some
+     * ms.
+     */
     private static final Duration COMMAND_TIME = Duration.ofMillis(1500);
-    /** A connection without a request may be closed after 2 s; those that ask once and stay must not add up. */
+
+    /**
+     * A connection without a request may be closed after 2 s; those that ask once and stay must not
+     * add up.
+     */
     private static final Duration IDLE_TIME = Duration.ofMillis(2200);
-    /** A client that reads nothing at all for so long has gone, or never will; one that is slow may take its time. */
+
+    /**
+     * A client that reads nothing at all for so long has gone, or never will; one that is slow may
+     * take its time.
+     */
     private static final Duration WRITE_TIME = Duration.ofSeconds(3);
+
     /** So long a client that was told the end has to read it and to end its own side. */
     private static final Duration LINGER = Duration.ofSeconds(1);
+
     /** What a client that was told the end may still send before it is no longer read. */
     private static final int MOST_THROWN_AWAY = 64 * 1024;
-    /** How many messages that come to nothing it may send between two queries: one batch of a client's library at the most. */
+
+    /**
+     * How many messages that come to nothing it may send between two queries: one batch of a
+     * client's library at the most.
+     */
     private static final int MOST_SKIPPED = 256;
-    /** After each command that could not be served the next one waits, twice as long each time, and then it is over. */
+
+    /**
+     * After each command that could not be served the next one waits, twice as long each time, and
+     * then it is over.
+     */
     private static final Duration FIRST_PAUSE = Duration.ofMillis(10);
+
     private static final int MOST_WRONG = 8;
 
     private final Clients side;
@@ -36,32 +63,50 @@
     private Connection connection;
     private final int number;
     private final Duration connectedAt;
+
     /** Since when it is as it is: answered, leaving. */
     private Duration since;
-    /** Since when it has not taken what it was sent, or sent a part of a command; null where neither is so. */
+
+    /**
+     * Since when it has not taken what it was sent, or sent a part of a command; null where neither
+     * is so.
+     */
     private Duration stuckSince;
+
     private boolean started;
     private boolean asked;
+
     /** Who it is, where that is wanted. */
     private Caller caller;
+
     /** The txn that waits for its final answer, or null. */
     private String txn;
+
     /** The id of its statement. */
     private String id;
+
     /** Its txn is being handed over. */
     private boolean taking;
+
     /** The size of its statement. */
     private int holds;
+
     /** After an extended-query message all is skipped up to its sync. */
     private boolean skipping;
+
     /** How many of its messages came to nothing since its last query. */
     private int skipped;
+
     /** How many of its commands could not be served. */
     private int wrong;
+
     private boolean pausing;
+
     /** Nothing more is taken; what was answered is still written. */
     private boolean leaving;
+
     private int thrownAway;
+
     /** How many bytes had been written when it was last looked at. */
     private long wrote;
 
@@ -79,10 +124,16 @@
 
     /** It has a txn, an answer that is not written yet, or a command that was not looked at yet. */
     boolean busy() {
-        return txn != null || taking || connection.unsent() || connection.unread() && stuckSince == null && !pausing && !leaving;
+        return txn != null
+                || taking
+                || connection.unsent()
+                || connection.unread() && stuckSince == null && !pausing && !leaving;
     }
 
-    /** A part of a command has come, and nothing else is under way: cut off now, its client would not know how far it came. */
+    /**
+     * A part of a command has come, and nothing else is under way: cut off now, its client would
+     * not know how far it came.
+     */
     boolean inCommand() {
         return stuckSince != null && connection.unread() && !leaving;
     }
@@ -120,7 +171,9 @@
             case STARTUP, NEWER_STARTUP -> {
                 started = true;
                 caller = side.caller(connection.from(), m.bytes());
-                send(new ClientOutput().welcome(m.kind() == ClientInput.Kind.NEWER_STARTUP, number));
+                send(
+                        new ClientOutput()
+                                .welcome(m.kind() == ClientInput.Kind.NEWER_STARTUP, number));
             }
             case ENCRYPTION -> send(new ClientOutput().noEncryption());
             case QUERY -> {
@@ -191,15 +244,17 @@
         txn = side.arrived(s, this);
         taking = false;
         if (txn == null) {
-            // Guards the txns under way at the descriptor limit: one that is not let in would wait unseen.
+            // Guards the txns under way at the descriptor limit: one that is not let in would wait
+            // unseen.
             side.count("client declined for descriptors");
             declined(null);
         }
     }
 
     /**
-     * Says what is wrong with a command. Guards against clients that send the same again as soon as they are turned
-     * away: one that goes on so is asked to wait, longer each time, and at last is let go.
+     * Says what is wrong with a command. Guards against clients that send the same again as soon as
+     * they are turned away: one that goes on so is asked to wait, longer each time, and at last is
+     * let go.
      */
     private void wrong(String counted, String code, String text, boolean ready) {
         side.count(counted);
@@ -208,10 +263,12 @@
             return;
         }
         pausing = true;
-        side.after(FIRST_PAUSE.multipliedBy(1L << wrong - 1), () -> {
-            pausing = false;
-            connection.offerAgain();
-        });
+        side.after(
+                FIRST_PAUSE.multipliedBy(1L << wrong - 1),
+                () -> {
+                    pausing = false;
+                    connection.offerAgain();
+                });
         ClientOutput out = new ClientOutput().error(false, code, text, null);
         send(ready ? out.ready() : out);
     }
@@ -241,7 +298,10 @@
     @Override
     public void rolledBack() {
         side.count("ROLLED BACK");
-        answer(new ClientOutput().error(false, ClientOutput.ROLLED_BACK, "rolled back", null).ready());
+        answer(
+                new ClientOutput()
+                        .error(false, ClientOutput.ROLLED_BACK, "rolled back", null)
+                        .ready());
     }
 
     private void answer(ClientOutput out) {
@@ -289,13 +349,18 @@
         connection.finish();
     }
 
-    /** Called now and then: ends what has taken too long. A txn has its own time, which the module keeps. */
+    /**
+     * Called now and then: ends what has taken too long. A txn has its own time, which the module
+     * keeps.
+     */
     void overdue(Duration now) {
         if (wrote != connection.wrote()) {
             wrote = connection.wrote();
             since = now;
         }
-        if (connection.unsent() ? past(since, WRITE_TIME, now) : leaving && past(since, LINGER, now)) {
+        if (connection.unsent()
+                ? past(since, WRITE_TIME, now)
+                : leaving && past(since, LINGER, now)) {
             close();
         } else if (leaving || busy() || pausing) {
             return;
--- a/src/main/java/wingroad/driver/Clients.java
+++ b/src/main/java/wingroad/driver/Clients.java
@@ -23,11 +23,20 @@
 final class Clients {
     /** What a client says at its start that may name its tenant, and how much of a name counts. */
     private static final Set<String> MAY_NAME = Set.of("user", "database", "application_name");
+
     private static final int LONGEST_NAME = 128;
     private static final Duration LOOK_EVERY = Duration.ofMillis(100);
-    /** Clients may hold a third of the descriptors; below a quarter none of them is without a connection. */
+
+    /**
+     * Clients may hold a third of the descriptors; below a quarter none of them is without a
+     * connection.
+     */
     private static final int CLIENTS_SHARE = 4;
-    /** Where there is no room left, one that came without a word right behind has to make it after so long. */
+
+    /**
+     * Where there is no room left, one that came without a word right behind has to make it after
+     * so long.
+     */
     private static final Duration WORD_WITHIN = Duration.ofMillis(50);
 
     private final EventLoop loop;
@@ -39,20 +48,31 @@
     private final boolean sessions;
     private final Duration longestWait;
     private final IntPredicate groupKnown;
+
     /** In the order in which they were last answered, the one longest ago first. */
     private final LinkedHashSet<ClientConnection> connections = new LinkedHashSet<>();
+
     /** The ids of statements until their clients' time is over: none comes twice. */
     private final Map<String, Duration> ids = new HashMap<>();
+
     /** Where tenants' names are looked for, or null: nobody asks for them. */
     private FairQueueSettings houseRules;
+
     private Listener listener;
     private int numbers;
     private boolean closing;
+
     /** All have been told the end, and whoever comes is told at once. */
     private boolean ended;
+
     private boolean idleMayStay;
 
-    Clients(EventLoop loop, Exchange exchange, Counters counters, List<String> types, Map<String, Object> terms,
+    Clients(
+            EventLoop loop,
+            Exchange exchange,
+            Counters counters,
+            List<String> types,
+            Map<String, Object> terms,
             IntPredicate groupKnown) {
         this.loop = loop;
         this.exchange = exchange;
@@ -82,15 +102,22 @@
 
     /** The address is taken, but whoever comes waits until {@link #letIn}. */
     void bind(InetSocketAddress at) throws IOException {
-        listener = new Listener(loop, at, ClientInput.MOST + 1024, this::room, in -> {
-            ClientConnection c = new ClientConnection(this, exchange.now(), ++numbers);
-            connections.add(c);
-            c.begin(in.apply(c));
-            if (ended) {
-                // Accepted in the moment in which all others were told the end.
-                c.leave();
-            }
-        });
+        listener =
+                new Listener(
+                        loop,
+                        at,
+                        ClientInput.MOST + 1024,
+                        this::room,
+                        in -> {
+                            ClientConnection c =
+                                    new ClientConnection(this, exchange.now(), ++numbers);
+                            connections.add(c);
+                            c.begin(in.apply(c));
+                            if (ended) {
+                                // Accepted in the moment in which all others were told the end.
+                                c.leave();
+                            }
+                        });
     }
 
     void letIn() {
@@ -103,25 +130,30 @@
         houseRules = rules;
     }
 
-    /** Who asks over this connection, or null where nobody wants to know. Of what it says only what may be a name is kept. */
+    /**
+     * Who asks over this connection, or null where nobody wants to know. Of what it says only what
+     * may be a name is kept.
+     */
     Caller caller(String address, byte[] startup) {
         if (houseRules == null) {
             return null;
         }
         Map<String, String> said = ClientInput.parameters(startup);
         said.keySet().retainAll(MAY_NAME);
-        said.replaceAll((name, value) -> value.substring(0, Math.min(value.length(), LONGEST_NAME)));
+        said.replaceAll(
+                (name, value) -> value.substring(0, Math.min(value.length(), LONGEST_NAME)));
         return new Caller(address, said);
     }
 
     /** The name that counts for this txn, or null: its address does. */
     private String name(Statement s, Caller caller) {
         for (FairQueueSettings.Source source : houseRules.sources()) {
-            String name = switch (source.place()) {
-                case COMMENT -> s.named(source.name());
-                case STARTUP -> caller.said(source.name());
-                case ADDRESS -> null;
-            };
+            String name =
+                    switch (source.place()) {
+                        case COMMENT -> s.named(source.name());
+                        case STARTUP -> caller.said(source.name());
+                        case ADDRESS -> null;
+                    };
             if (name != null) {
                 return name.substring(0, Math.min(name.length(), LONGEST_NAME));
             }
@@ -151,8 +183,9 @@
     }
 
     /**
-     * An eighth of the descriptors is kept for members. Where only that is left, the client idle for longest goes,
-     * then a member's idle connection; where there is neither, half of it lets clients in only to be declined.
+     * An eighth of the descriptors is kept for members. Where only that is left, the client idle
+     * for longest goes, then a member's idle connection; where there is neither, half of it lets
+     * clients in only to be declined.
      */
     private boolean room() {
         return !crowded() || loop.channelsLeft() > 0;
@@ -169,8 +202,9 @@
     }
 
     /**
-     * Closes a connection that is of no use, or else the one that has been idle for longest; false where there is
-     * none. One that has begun but not asked yet may have its first query on the way.
+     * Closes a connection that is of no use, or else the one that has been idle for longest; false
+     * where there is none. One that has begun but not asked yet may have its first query on the
+     * way.
      */
     boolean closeOneIdle() {
         Duration now = exchange.now();
@@ -181,7 +215,13 @@
                 c.close();
                 return true;
             }
-            idle = (idle == null || idle.inCommand()) && c.asked() && !c.busy() && !(idle != null && c.inCommand()) ? c : idle;
+            idle =
+                    (idle == null || idle.inCommand())
+                                    && c.asked()
+                                    && !c.busy()
+                                    && !(idle != null && c.inCommand())
+                            ? c
+                            : idle;
         }
         if (idle != null) {
             counters.count("idle client closed for room");
@@ -193,9 +233,13 @@
     /** What of a statement this deployment does not know, or null. */
     String whyUnknown(Statement s) {
         int type = types.indexOf(s.type());
-        return type < 0 ? "unknown c" : !groupKnown.test(s.group()) ? "unknown cluster"
-            : s.writes() && !updates[type] ? "a write as a type that reads"
-            : ids.containsKey(s.id()) ? "an id in use" : null;
+        return type < 0
+                ? "unknown c"
+                : !groupKnown.test(s.group())
+                        ? "unknown cluster"
+                        : s.writes() && !updates[type]
+                                ? "a write as a type that reads"
+                                : ids.containsKey(s.id()) ? "an id in use" : null;
     }
 
     /** The txn's name, or null where it is to be declined at once for want of descriptors. */
@@ -207,8 +251,9 @@
         ids.put(s.id(), exchange.now().plus(min(Duration.ofMillis(s.left()), longestWait)));
         long session = sessions && (updates[type] || ownWrites[type]) ? s.session() : -1;
         Caller caller = from.caller();
-        return caller == null || houseRules == null ? exchange.arrived(s, type, session, from)
-            : exchange.arrived(s, type, session, from, caller, name(s, caller));
+        return caller == null || houseRules == null
+                ? exchange.arrived(s, type, session, from)
+                : exchange.arrived(s, type, session, from, caller, name(s, caller));
     }
 
     void lapsed(String txn, String id) {
@@ -227,15 +272,22 @@
     }
 
     /**
-     * Guards the clients against running out of connections: they hold a part of the descriptors at most, and those that
-     * ask once and stay would fill it. Over {@link #CLIENTS_SHARE} the one idle for longest is let go.
+     * Guards the clients against running out of connections: they hold a part of the descriptors at
+     * most, and those that ask once and stay would fill it. Over {@link #CLIENTS_SHARE} the one
+     * idle for longest is let go.
      */
     private void letGoOfTooMany() {
         int asked = 0;
         ClientConnection longest = null;
-        for (ClientConnection c : connections.size() > loop.mostChannels() / CLIENTS_SHARE ? connections : List.<ClientConnection>of()) {
+        for (ClientConnection c :
+                connections.size() > loop.mostChannels() / CLIENTS_SHARE
+                        ? connections
+                        : List.<ClientConnection>of()) {
             asked += c.asked() && !c.leaving() ? 1 : 0;
-            longest = longest == null && c.asked() && !c.leaving() && !c.busy() && !c.inCommand() ? c : longest;
+            longest =
+                    longest == null && c.asked() && !c.leaving() && !c.busy() && !c.inCommand()
+                            ? c
+                            : longest;
         }
         if (longest != null && asked > loop.mostChannels() / CLIENTS_SHARE) {
             counters.count("idle client let go among many");
@@ -266,7 +318,10 @@
         return longestWait;
     }
 
-    /** From now on none is closed for being idle: where the program is about to end, it may find no other. */
+    /**
+     * From now on none is closed for being idle: where the program is about to end, it may find no
+     * other.
+     */
     void idleMayStay() {
         idleMayStay = true;
     }
@@ -291,8 +346,9 @@
     }
 
     /**
-     * Each connection that is still open is told the end; it goes once its client has ended its side as well. Guards against
-     * an exit over bytes that nobody has read: the system would break such a connection, and with it the last answer.
+     * Each connection that is still open is told the end; it goes once its client has ended its
+     * side as well. Guards against an exit over bytes that nobody has read: the system would break
+     * such a connection, and with it the last answer.
      */
     void endAll() {
         closing = true;
--- a/src/main/java/wingroad/driver/Clock.java
+++ b/src/main/java/wingroad/driver/Clock.java
@@ -9,6 +9,7 @@
 final class Clock {
     /** A hundred years: no time that is meant lies further away. */
     private static final double FURTHEST_MS = 100 * 365.0 * 24 * 3600 * 1000;
+
     /** One clock is read by all machines; what is sent may be rounded up. */
     private static final Duration APART = Duration.ofMillis(50);
 
@@ -28,8 +29,8 @@
     }
 
     /**
-     * The span for a time at which something is said to have been, or null where that can't be: a log's position that
-     * lies ahead of now would count as proven for good.
+     * The span for a time at which something is said to have been, or null where that can't be: a
+     * log's position that lies ahead of now would count as proven for good.
      */
     Duration past(double unixMs) {
         Duration at = at(unixMs);
--- a/src/main/java/wingroad/driver/Counters.java
+++ b/src/main/java/wingroad/driver/Counters.java
@@ -21,7 +21,9 @@
             return null;
         }
         StringBuilder all = new StringBuilder();
-        counts.forEach((what, n) -> all.append(all.isEmpty() ? "" : ", ").append(what).append(' ').append(n));
+        counts.forEach(
+                (what, n) ->
+                        all.append(all.isEmpty() ? "" : ", ").append(what).append(' ').append(n));
         counts.clear();
         return all.toString();
     }
--- a/src/main/java/wingroad/driver/Discovery.java
+++ b/src/main/java/wingroad/driver/Discovery.java
@@ -3,7 +3,6 @@
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
-import java.nio.charset.StandardCharsets;
 import java.time.Duration;
 import java.util.function.Consumer;
 import wingroad.protocol.HttpReply;
@@ -12,20 +11,28 @@
 import wingroad.transport.EventLoop;
 
 /**
- * Asks discovery for the member list: a watch that goes on, and the whole list once. Where lists are pushed, an agent of the
- * driver's own machine answers, at no cost, and what it has counts as told whether or not a watch is open: a watch that is
- * lost is opened again by itself, and one that has fallen silent is missed soon. Where the list must be asked for, each call
- * is paid for by all drivers, and the module says when there is to be another.
+ * Asks discovery for the member list: a watch that goes on, and the whole list once. Where lists
+ * are pushed, an agent of the driver's own machine answers, at no cost, and what it has counts as
+ * told whether or not a watch is open: a watch that is lost is opened again by itself, and one that
+ * has fallen silent is missed soon. Where the list must be asked for, each call is paid for by all
+ * drivers, and the module says when there is to be another.
  */
 final class Discovery implements Exchange.Lists {
     /**
-     * How long a watch may wait for news. What a silent one misses counts as told 6 s after it fell silent, or 2 s after its
-     * wait where that is later: with the short wait it is missed after 3 s at most, and the new one has its answer in time.
+     * How long a watch may wait for news. What a silent one misses counts as told 6 s after it fell
+     * silent, or 2 s after its wait where that is later: with the short wait it is missed after 3 s
+     * at most, and the new one has its answer in time.
      */
     private static final Duration WAIT_OF_AGENT = Duration.ofSeconds(2);
+
     private static final Duration WAIT_WHERE_SHARED = Duration.ofSeconds(20);
-    /** How long a connection may take to be up, and how much longer than its wait an answer may take. */
+
+    /**
+     * How long a connection may take to be up, and how much longer than its wait an answer may
+     * take.
+     */
     private static final Duration GRACE = Duration.ofSeconds(1);
+
     /** Half of the time within which a watch must be asked on. */
     private static final Duration PAUSE = Duration.ofMillis(100);
 
@@ -39,17 +46,25 @@
     private long version;
     private Call watch;
     private Call fetch;
+
     /** A watch is to be opened, but not at once; else null. */
     private EventLoop.Timer again;
+
     /** Who waits for the call for the whole list, or null. */
     private Runnable whenFetched;
 
     /**
-     * {@code asked}: the list must be asked for. {@code news} gets each list that comes; {@code failed} hears of each call
-     * that gave none and is not made again from here.
+     * {@code asked}: the list must be asked for. {@code news} gets each list that comes; {@code
+     * failed} hears of each call that gave none and is not made again from here.
      */
-    Discovery(EventLoop loop, InetSocketAddress at, long version, Counters counters, boolean asked, Consumer<MemberList> news,
-              Runnable failed) {
+    Discovery(
+            EventLoop loop,
+            InetSocketAddress at,
+            long version,
+            Counters counters,
+            boolean asked,
+            Consumer<MemberList> news,
+            Runnable failed) {
         this.loop = loop;
         this.at = at;
         this.version = version;
@@ -123,8 +138,9 @@
     }
 
     /**
-     * Asks at another address from now on. A watch goes on there with the version that is held, so that nothing that
-     * changes is missed; a call that is out at the old address is dropped, not counted as failed, and made again.
+     * Asks at another address from now on. A watch goes on there with the version that is held, so
+     * that nothing that changes is missed; a call that is out at the old address is dropped, not
+     * counted as failed, and made again.
      */
     void turnTo(InetSocketAddress next) {
         if (next.equals(at)) {
@@ -150,6 +166,7 @@
         private EventLoop.Timer timer;
         private long askedAt;
         private boolean over;
+
         /** It has given a list on this connection. */
         private boolean proven;
 
@@ -181,7 +198,11 @@
             askedAt = loop.now();
             timer.cancel();
             await(watches ? wait.plus(GRACE) : GRACE);
-            String path = "/discovery/hosts" + (watches ? "?since=" + version + "&timeout_ms=" + wait.toMillis() : "");
+            String path =
+                    "/discovery/hosts"
+                            + (watches
+                                    ? "?since=" + version + "&timeout_ms=" + wait.toMillis()
+                                    : "");
             connection.send(HttpReply.request(at.getHostString() + ":" + at.getPort(), path));
         }
 
@@ -189,7 +210,8 @@
         public void bytes(ByteBuffer in) {
             HttpReply.State s = reply.take(in);
             if (s == HttpReply.State.WHOLE) {
-                // Guards against an answer that comes twice: the second would stand for the answer to the next call.
+                // Guards against an answer that comes twice: the second would stand for the answer
+                // to the next call.
                 answered(reply.closes() || in.hasRemaining());
             } else if (s == HttpReply.State.BROKEN) {
                 lost(reply.why());
@@ -199,8 +221,10 @@
         /** {@code last}: this connection is of no further use. */
         private void answered(boolean last) {
             timer.cancel();
-            MemberList.Parsed p = reply.status() == 200 ? MemberList.parse(reply.body())
-                : new MemberList.Parsed(null, "status " + reply.status());
+            MemberList.Parsed p =
+                    reply.status() == 200
+                            ? MemberList.parse(reply.body())
+                            : new MemberList.Parsed(null, "status " + reply.status());
             MemberList list = p.list();
             if (list == null) {
                 lost(p.why());
@@ -213,7 +237,8 @@
                 return;
             }
             if (list.version() < version && !list.whole()) {
-                // Whoever counts anew from a lower number knows nothing of what is held: only a whole list can follow.
+                // Whoever counts anew from a lower number knows nothing of what is held: only a
+                // whole list can follow.
                 version = 0;
                 lost("changes older than what is held");
                 return;
@@ -227,7 +252,8 @@
                 end();
                 next(news);
             } else {
-                // The next call is out before the news is told: nothing that changes falls between two calls.
+                // The next call is out before the news is told: nothing that changes falls between
+                // two calls.
                 reply = new HttpReply();
                 if (news || !atOnce()) {
                     ask();
@@ -241,7 +267,10 @@
             }
         }
 
-        /** Its answer or end came as soon as it was asked: it does not wait, and would be asked without a pause. */
+        /**
+         * Its answer or end came as soon as it was asked: it does not wait, and would be asked
+         * without a pause.
+         */
         private boolean atOnce() {
             return loop.now() - askedAt < PAUSE.toNanos();
         }
@@ -254,7 +283,10 @@
             }
         }
 
-        /** No answer at all: whoever is there is asked anew at once, since a call that stands costs nothing. */
+        /**
+         * No answer at all: whoever is there is asked anew at once, since a call that stands costs
+         * nothing.
+         */
         private void silent() {
             counters.count("discovery silent");
             end();
@@ -271,7 +303,8 @@
                 counters.count("discovery " + how);
                 end();
                 if (watches && (proven || !asked)) {
-                    // The connection is worn out, not discovery: what it holds counts as told, so ask at once.
+                    // The connection is worn out, not discovery: what it holds counts as told, so
+                    // ask at once.
                     next(false);
                 } else {
                     failed.run();
