--- a/src/main/java/wingroad/driver/Exchange.java
+++ b/src/main/java/wingroad/driver/Exchange.java
@@ -19,8 +19,9 @@
 import wingroad.transport.EventLoop;
 
 /**
- * Where the client side, the member side and discovery meet, with the module between them. It says to the module
- * what happens, pulls its decisions and hands them to whom they concern; it decides nothing.
+ * Where the client side, the member side and discovery meet, with the module between them. It says
+ * to the module what happens, pulls its decisions and hands them to whom they concern; it decides
+ * nothing.
  */
 final class Exchange implements Results {
     /** Who asked for a txn; one of these is its final answer. */
@@ -32,7 +33,9 @@
         void rolledBack();
     }
 
-    /** The member side. It answers each request once, later, by {@link #ended} or {@link #probed}. */
+    /**
+     * The member side. It answers each request once, later, by {@link #ended} or {@link #probed}.
+     */
     interface MemberTransport {
         void dispatch(MemberRequest request);
 
@@ -52,7 +55,10 @@
         void fetch();
     }
 
-    /** Whoever wants to see what happens, and to look at the time before each turn; there is none unless work is planned. */
+    /**
+     * Whoever wants to see what happens, and to look at the time before each turn; there is none
+     * unless work is planned.
+     */
     interface Watcher {
         /** Before the module is asked. */
         void look();
@@ -71,7 +77,8 @@
     }
 
     /** One submission, or a probe where the statement is null, for a member until a time. */
-    record MemberRequest(String txn, int submission, long member, Statement statement, Duration until) {
+    record MemberRequest(
+            String txn, int submission, long member, Statement statement, Duration until) {
         boolean probe() {
             return statement == null;
         }
@@ -83,8 +90,7 @@
     }
 
     /** A member's report; figures not in it are NaN. */
-    record Report(Member.Role role, Duration position, double held, double waiting, double busy) {
-    }
+    record Report(Member.Role role, Duration position, double held, double waiting, double busy) {}
 
     private static final class Open {
         final Statement statement;
@@ -93,12 +99,20 @@
         final TxnCallback callback;
         final Duration expiresAt;
         final Duration arrivedAt;
+
         /** It was handed to the member side at some time: it may be at a member. */
         boolean dispatched;
+
         /** Its way through the door, or null where there is none. */
         QueuedTxn queued;
 
-        Open(Statement statement, int type, long session, TxnCallback callback, Duration arrivedAt, Duration expiresAt) {
+        Open(
+                Statement statement,
+                int type,
+                long session,
+                TxnCallback callback,
+                Duration arrivedAt,
+                Duration expiresAt) {
             this.arrivedAt = arrivedAt;
             this.statement = statement;
             this.type = type;
@@ -114,21 +128,31 @@
     private final Duration probeWait;
     private final Consumer<Throwable> onBug;
     private final Map<String, Open> open = new HashMap<>();
+
     /** Who goes next to the module, or null: each at once. */
     private FairQueues door;
+
     /** Who sees what happens, or null. */
     private Watcher watcher;
+
     private MemberTransport carrier;
     private Lists lists;
+
     /** Closes an idle client's connection, where there is one. */
     private BooleanSupplier room;
+
     private long txns;
     private Duration endBy;
     private boolean pullAsked;
     private Duration wakeAt;
     private EventLoop.Timer wake;
 
-    Exchange(EventLoop loop, Clock clock, Router router, Duration probeWait, Consumer<Throwable> onBug) {
+    Exchange(
+            EventLoop loop,
+            Clock clock,
+            Router router,
+            Duration probeWait,
+            Consumer<Throwable> onBug) {
         this.loop = loop;
         this.clock = clock;
         this.router = router;
@@ -136,7 +160,10 @@
         this.onBug = onBug;
     }
 
-    /** The program ends: whatever is open, and whatever is taken from now on, has its answer by then. */
+    /**
+     * The program ends: whatever is open, and whatever is taken from now on, has its answer by
+     * then.
+     */
     void endBy(Duration at) {
         endBy = at;
         router().endBy(clock.now(), at);
@@ -190,11 +217,19 @@
     }
 
     /** The same, with who asks and under which name, for the door. */
-    String arrived(Statement s, int type, long session, TxnCallback callback, Caller caller, String name) {
+    String arrived(
+            Statement s, int type, long session, TxnCallback callback, Caller caller, String name) {
         return arrived(s, type, session, callback, caller, name, door != null);
     }
 
-    private String arrived(Statement s, int type, long session, TxnCallback callback, Caller caller, String name, boolean byDoor) {
+    private String arrived(
+            Statement s,
+            int type,
+            long session,
+            TxnCallback callback,
+            Caller caller,
+            String name,
+            boolean byDoor) {
         Duration now = clock.now();
         String txn = "t" + txns++;
         Duration left = Duration.ofMillis(s.left());
@@ -220,8 +255,16 @@
 
     private void letIn(Duration now, String txn, Open t, Duration waited) {
         Double after = t.statement.after();
-        router().txnArrived(now, txn, t.type, t.statement.group(), t.expiresAt.minus(now), t.session,
-            after == null ? null : now.minus(clock.at(after)), t.statement.retry(), waited);
+        router().txnArrived(
+                        now,
+                        txn,
+                        t.type,
+                        t.statement.group(),
+                        t.expiresAt.minus(now),
+                        t.session,
+                        after == null ? null : now.minus(clock.at(after)),
+                        t.statement.retry(),
+                        waited);
     }
 
     /** A client needs a connection's place; false where no member's can be spared. */
@@ -229,7 +272,10 @@
         return carrier.giveWay();
     }
 
-    /** The client has left; nobody is told of this txn any more. True where nothing of it can have reached a member. */
+    /**
+     * The client has left; nobody is told of this txn any more. True where nothing of it can have
+     * reached a member.
+     */
     boolean lapsed(String txn) {
         Open t = take(txn);
         if (t != null) {
@@ -241,7 +287,8 @@
     // ---- from the members ----
 
     @Override
-    public void ended(MemberRequest e, Submission.End end, Duration took, MemberStatus status, byte[] row) {
+    public void ended(
+            MemberRequest e, Submission.End end, Duration took, MemberStatus status, byte[] row) {
         Duration now = clock.now();
         report(now, e.member(), status.report());
         if (watcher != null) {
@@ -257,10 +304,19 @@
             txn.callback.committed(row);
         }
         try {
-            router().submissionEnded(now, e.txn(), e.submission(), e.member(), end, took, txn != null, status.role(),
-                status.position());
+            router().submissionEnded(
+                            now,
+                            e.txn(),
+                            e.submission(),
+                            e.member(),
+                            end,
+                            took,
+                            txn != null,
+                            status.role(),
+                            status.position());
         } catch (RuntimeException bug) {
-            // Whatever went wrong, the client gets its answer: nobody else would think of this txn again.
+            // Whatever went wrong, the client gets its answer: nobody else would think of this txn
+            // again.
             onBug.accept(bug);
             Open lost = take(e.txn());
             if (lost != null) {
@@ -304,10 +360,12 @@
     @Override
     public boolean mayStillGo(MemberRequest e) {
         if (watcher != null) {
-            // Guards against a process that was stopped while the connection opened: its list may count for nothing by now.
+            // Guards against a process that was stopped while the connection opened: its list may
+            // count for nothing by now.
             watcher.look();
         }
-        return e.probe() || open.containsKey(e.txn()) && router.mayStillGo(clock.now(), e.txn(), e.member());
+        return e.probe()
+                || open.containsKey(e.txn()) && router.mayStillGo(clock.now(), e.txn(), e.member());
     }
 
     @Override
@@ -321,7 +379,14 @@
                 if (watcher != null) {
                     watcher.told(member, r.role(), r.position());
                 }
-                router().reported(now, member, r.role(), r.position(), r.held(), r.waiting(), r.busy());
+                router().reported(
+                                now,
+                                member,
+                                r.role(),
+                                r.position(),
+                                r.held(),
+                                r.waiting(),
+                                r.busy());
             }
         } catch (RuntimeException bug) {
             // What a member says of itself never costs the answer that it came with.
@@ -332,8 +397,9 @@
     // ---- decisions ----
 
     /**
-     * Something came in: the module is asked once all that has come in by now is told. A turn later than that: a read that
-     * follows at once, and finds that the client has left behind its txn, has its turn before.
+     * Something came in: the module is asked once all that has come in by now is told. A turn later
+     * than that: a read that follows at once, and finds that the client has left behind its txn,
+     * has its turn before.
      */
     private void changed() {
         if (!pullAsked) {
@@ -365,11 +431,14 @@
                 wake.cancel();
             }
             wakeAt = at;
-            wake = loop.after(at.minus(clock.now()), () -> {
-                wakeAt = null;
-                wake = null;
-                changed();
-            });
+            wake =
+                    loop.after(
+                            at.minus(clock.now()),
+                            () -> {
+                                wakeAt = null;
+                                wake = null;
+                                changed();
+                            });
         }
     }
 
@@ -419,8 +488,16 @@
             case SUBMIT -> {
                 Open txn = open.get(d.txn());
                 if (txn == null) {
-                    MemberRequest none = new MemberRequest(d.txn(), d.submission(), d.member(), null, now);
-                    loop.run(() -> ended(none, Submission.End.MOOT, Duration.ZERO, MemberStatus.NOTHING, null));
+                    MemberRequest none =
+                            new MemberRequest(d.txn(), d.submission(), d.member(), null, now);
+                    loop.run(
+                            () ->
+                                    ended(
+                                            none,
+                                            Submission.End.MOOT,
+                                            Duration.ZERO,
+                                            MemberStatus.NOTHING,
+                                            null));
                 } else {
                     if (txn.queued != null) {
                         door.submitted(now, txn.queued);
@@ -428,7 +505,9 @@
                     txn.dispatched = true;
                     Duration last = endBy == null ? txn.expiresAt : min(txn.expiresAt, endBy);
                     Duration until = d.when() == null ? last : min(d.when(), last);
-                    carrier.dispatch(new MemberRequest(d.txn(), d.submission(), d.member(), txn.statement, until));
+                    carrier.dispatch(
+                            new MemberRequest(
+                                    d.txn(), d.submission(), d.member(), txn.statement, until));
                 }
             }
             case DECLINE -> {
@@ -448,7 +527,9 @@
                 }
             }
             case CANCEL -> carrier.callOff(d.txn(), d.submission());
-            case PROBE -> carrier.dispatch(new MemberRequest(null, -1, d.member(), null, now.plus(probeWait)));
+            case PROBE ->
+                    carrier.dispatch(
+                            new MemberRequest(null, -1, d.member(), null, now.plus(probeWait)));
             case RELEASE -> carrier.release(d.member());
             case FOLLOW_LIST -> lists.follow();
             case FETCH_LIST -> lists.fetch();
--- a/src/main/java/wingroad/driver/FleetPart.java
+++ b/src/main/java/wingroad/driver/FleetPart.java
@@ -8,9 +8,13 @@
 import wingroad.terms.Terms;
 import wingroad.transport.EventLoop;
 
-/** The driver's part in a fleet: what carries out its duties, on the loop's thread. A driver without a fleet loads no class of it. */
+/**
+ * The driver's part in a fleet: what carries out its duties, on the loop's thread. A driver without
+ * a fleet loads no class of it.
+ */
 final class FleetPart {
     private final Fleet fleet;
+
     /** Where one driver asks discovery for all, or null. */
     private final ListRelay lists;
 
@@ -22,18 +26,40 @@
     /**
      * Begins once clients are served. On the loop's thread.
      *
-     * @param follows whether discovery's changes are followed; where the list is asked for, each driver asks for itself
+     * @param follows whether discovery's changes are followed; where the list is asked for, each
+     *     driver asks for itself
      */
-    static FleetPart begin(FleetRules rules, EventLoop loop, Clock clock, Exchange exchange, Discovery discovery,
-                           Configuration configuration, boolean follows, Consumer<MemberList> learn, WorkAgent work, Log log) throws IOException {
-        ListRelay lists = rules.listCheck() == null || !follows ? null
-            : new ListRelay(loop, clock, discovery, rules, discovery.holds(), learn, log::line);
-        ChoreExecutor chores = new ChoreExecutor(loop, exchange, Terms.of(configuration.settings()));
-        Fleet fleet = Fleet.begin(rules.named(configuration.name()), log::line, log::fault, chores, (epoch, m) -> {
-            if (lists != null) {
-                lists.message(epoch, m);
-            }
-        }, work);
+    static FleetPart begin(
+            FleetRules rules,
+            EventLoop loop,
+            Clock clock,
+            Exchange exchange,
+            Discovery discovery,
+            Configuration configuration,
+            boolean follows,
+            Consumer<MemberList> learn,
+            WorkAgent work,
+            Log log)
+            throws IOException {
+        ListRelay lists =
+                rules.listCheck() == null || !follows
+                        ? null
+                        : new ListRelay(
+                                loop, clock, discovery, rules, discovery.holds(), learn, log::line);
+        ChoreExecutor chores =
+                new ChoreExecutor(loop, exchange, Terms.of(configuration.settings()));
+        Fleet fleet =
+                Fleet.begin(
+                        rules.named(configuration.name()),
+                        log::line,
+                        log::fault,
+                        chores,
+                        (epoch, m) -> {
+                            if (lists != null) {
+                                lists.message(epoch, m);
+                            }
+                        },
+                        work);
         chores.answerOn(fleet::run);
         if (lists != null) {
             lists.begin(fleet);
--- a/src/main/java/wingroad/driver/ListRelay.java
+++ b/src/main/java/wingroad/driver/ListRelay.java
@@ -14,8 +14,9 @@
 import wingroad.transport.EventLoop;
 
 /**
- * Discovery asked by one driver for all: hands on what the owner finds, takes what is handed on, and follows discovery itself
- * whenever {@link RelayHealth} does not go by the owner. On the loop's thread, but for {@link #message}.
+ * Discovery asked by one driver for all: hands on what the owner finds, takes what is handed on,
+ * and follows discovery itself whenever {@link RelayHealth} does not go by the owner. On the loop's
+ * thread, but for {@link #message}.
  */
 final class ListRelay {
     private final EventLoop loop;
@@ -29,8 +30,14 @@
     private long version;
     private boolean goesBy;
 
-    ListRelay(EventLoop loop, Clock clock, Discovery discovery, FleetRules rules, long known, Consumer<MemberList> learn,
-             Consumer<String> log) {
+    ListRelay(
+            EventLoop loop,
+            Clock clock,
+            Discovery discovery,
+            FleetRules rules,
+            long known,
+            Consumer<MemberList> learn,
+            Consumer<String> log) {
         this.loop = loop;
         this.clock = clock;
         this.discovery = discovery;
@@ -38,8 +45,11 @@
         this.log = log;
         look = rules.lease().beat().dividedBy(2);
         // Three of the owner's words may be lost; as long may it be behind what is known here.
-        relayHealth = new RelayHealth(rules.lease().beat().multipliedBy(3), rules.lease().beat().multipliedBy(3),
-            rules.listCheck());
+        relayHealth =
+                new RelayHealth(
+                        rules.lease().beat().multipliedBy(3),
+                        rules.lease().beat().multipliedBy(3),
+                        rules.listCheck());
         version = known;
         relayHealth.found(known, clock.now());
     }
@@ -62,11 +72,30 @@
         if (fleet != null) {
             List<Object> entries = new ArrayList<>();
             for (Entry e : list.entries()) {
-                entries.add(List.of(e.uid(), e.host(), e.port(), e.zone(), e.kind(), e.group(), e.state(), e.weight(),
-                    e.startedAt(), e.primary()));
+                entries.add(
+                        List.of(
+                                e.uid(),
+                                e.host(),
+                                e.port(),
+                                e.zone(),
+                                e.kind(),
+                                e.group(),
+                                e.state(),
+                                e.weight(),
+                                e.startedAt(),
+                                e.primary()));
             }
-            fleet.publish(FleetRules.LIST, Map.of("since", since, "rev", list.version(), "whole", list.whole(), "news",
-                entries));
+            fleet.publish(
+                    FleetRules.LIST,
+                    Map.of(
+                            "since",
+                            since,
+                            "rev",
+                            list.version(),
+                            "whole",
+                            list.whole(),
+                            "news",
+                            entries));
         }
     }
 
@@ -75,7 +104,10 @@
         boolean by = relayHealth.goesByOwner(now);
         if (by != goesBy) {
             goesBy = by;
-            log.accept(by ? "list: goes by the owner, holds " + version : "list: asks discovery itself, holds " + version);
+            log.accept(
+                    by
+                            ? "list: goes by the owner, holds " + version
+                            : "list: asks discovery itself, holds " + version);
         }
         if (by) {
             discovery.followNoMore();
@@ -88,20 +120,22 @@
         }
         if (fleet != null) {
             // That nothing is new is news as well: only so is a silent owner told from a quiet day.
-            fleet.publish(FleetRules.LIST, Map.of("since", version, "rev", version, "whole", false));
+            fleet.publish(
+                    FleetRules.LIST, Map.of("since", version, "rev", version, "whole", false));
         }
         loop.after(look, this::look);
     }
 
     /** What the owner has handed on, on the fleet's thread. */
     void message(long epoch, Map<String, Object> m) {
-        loop.run(() -> {
-            try {
-                told(epoch, m);
-            } catch (Json.Malformed | ClassCastException | IndexOutOfBoundsException e) {
-                log.accept("list: not taken: " + e.getMessage());
-            }
-        });
+        loop.run(
+                () -> {
+                    try {
+                        told(epoch, m);
+                    } catch (Json.Malformed | ClassCastException | IndexOutOfBoundsException e) {
+                        log.accept("list: not taken: " + e.getMessage());
+                    }
+                });
     }
 
     private void told(long epoch, Map<String, Object> m) {
@@ -111,12 +145,27 @@
         if (m.get("news") instanceof List<?> news) {
             for (Object o : news) {
                 List<?> l = (List<?>) o;
-                entries.add(new Entry((String) l.get(0), (String) l.get(1), ((Number) l.get(2)).intValue(), (String) l.get(3),
-                    (String) l.get(4), ((Number) l.get(5)).intValue(), (String) l.get(6), ((Number) l.get(7)).doubleValue(),
-                    ((Number) l.get(8)).doubleValue(), (Boolean) l.get(9)));
+                entries.add(
+                        new Entry(
+                                (String) l.get(0),
+                                (String) l.get(1),
+                                ((Number) l.get(2)).intValue(),
+                                (String) l.get(3),
+                                (String) l.get(4),
+                                ((Number) l.get(5)).intValue(),
+                                (String) l.get(6),
+                                ((Number) l.get(7)).doubleValue(),
+                                ((Number) l.get(8)).doubleValue(),
+                                (Boolean) l.get(9)));
             }
         }
-        switch (relayHealth.told(epoch, Json.number(m, "since").longValue(), rev, whole, m.containsKey("news"), clock.now())) {
+        switch (relayHealth.told(
+                epoch,
+                Json.number(m, "since").longValue(),
+                rev,
+                whole,
+                m.containsKey("news"),
+                clock.now())) {
             case TAKE -> {
                 version = rev;
                 discovery.holds(rev);
--- a/src/main/java/wingroad/driver/Log.java
+++ b/src/main/java/wingroad/driver/Log.java
@@ -6,7 +6,9 @@
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** One line a report. A thread of its own writes, so that a slow reader holds up nothing but lines. */
+/**
+ * One line a report. A thread of its own writes, so that a slow reader holds up nothing but lines.
+ */
 final class Log {
     private static final int MOST_WAITING = 1000;
 
@@ -33,7 +35,10 @@
         StringBuilder at = new StringBuilder("fault " + bug);
         StackTraceElement[] places = bug.getStackTrace();
         for (int i = 0; i < places.length && i < 6; i++) {
-            at.append(" < ").append(places[i].getFileName()).append(':').append(places[i].getLineNumber());
+            at.append(" < ")
+                    .append(places[i].getFileName())
+                    .append(':')
+                    .append(places[i].getLineNumber());
         }
         line(at.toString());
     }
--- a/src/main/java/wingroad/driver/MemberConnection.java
+++ b/src/main/java/wingroad/driver/MemberConnection.java
@@ -13,7 +13,14 @@
 
 /** One connection to a member. It carries one request at a time; whatever is in doubt closes it. */
 final class MemberConnection implements Connection.Owner {
-    private enum Stage { CONNECTING, STARTING, RESTING, IDLE, SENT, CLOSED }
+    private enum Stage {
+        CONNECTING,
+        STARTING,
+        RESTING,
+        IDLE,
+        SENT,
+        CLOSED
+    }
 
     private final Members side;
     private final Members.MemberPool pool;
@@ -23,17 +30,22 @@
     private Connection connection;
     private Stage stage = Stage.CONNECTING;
     private MemberRequest request;
+
     /** Since when it carries its request, or stands idle. */
     private Duration since;
+
     /** Whether the request's last byte is known to be written. */
     private boolean written;
+
     /** Its request is not wanted any more; that is told in a moment. */
     private boolean calledOff;
+
     private EventLoop.Timer startTimer;
     private EventLoop.Timer requestTimer;
     private EventLoop.Timer idleTimer;
 
-    private MemberConnection(Members side, Members.MemberPool pool, InetSocketAddress to, EventLoop loop) {
+    private MemberConnection(
+            Members side, Members.MemberPool pool, InetSocketAddress to, EventLoop loop) {
         this.side = side;
         this.pool = pool;
         this.to = to;
@@ -41,8 +53,14 @@
     }
 
     /** Opens one for a request, which waits until the member has let it in. */
-    static MemberConnection open(Members side, Members.MemberPool pool, InetSocketAddress to, EventLoop loop, Duration wait,
-                           MemberRequest first) throws IOException {
+    static MemberConnection open(
+            Members side,
+            Members.MemberPool pool,
+            InetSocketAddress to,
+            EventLoop loop,
+            Duration wait,
+            MemberRequest first)
+            throws IOException {
         MemberConnection m = new MemberConnection(side, pool, to, loop);
         m.connection = Connection.open(loop, to, m, MemberInput.MOST + 1024);
         m.startTimer = loop.after(wait, () -> m.giveUp("not up in time", End.UNREACHABLE));
@@ -62,7 +80,10 @@
         request = e;
         calledOff = false;
         since = side.now();
-        requestTimer = loop.after(e.until().minus(since), () -> giveUp("no answer in time", progress().timedOut()));
+        requestTimer =
+                loop.after(
+                        e.until().minus(since),
+                        () -> giveUp("no answer in time", progress().timedOut()));
     }
 
     /** Carries a request over a connection that stands idle, or once it has rested. */
@@ -78,7 +99,10 @@
         return stage == Stage.IDLE;
     }
 
-    /** Nothing came behind its last answer: what comes from now on belongs to what is sent from now on. */
+    /**
+     * Nothing came behind its last answer: what comes from now on belongs to what is sent from now
+     * on.
+     */
     void hasRested() {
         if (stage == Stage.RESTING) {
             stage = Stage.IDLE;
@@ -92,7 +116,10 @@
         stage = Stage.SENT;
         written = false;
         long left = Math.max(1, request.until().minus(side.now()).toMillis());
-        connection.send(request.probe() ? MemberOutput.gauges() : MemberOutput.query(request.statement().withLeft(left)));
+        connection.send(
+                request.probe()
+                        ? MemberOutput.gauges()
+                        : MemberOutput.query(request.statement().withLeft(left)));
     }
 
     @Override
@@ -111,7 +138,9 @@
         while (stage != Stage.CLOSED) {
             if (stage == Stage.IDLE || stage == Stage.RESTING) {
                 if (in.hasRemaining()) {
-                    drop("speaks unasked " + (stage == Stage.IDLE ? "at rest" : "behind an answer"));
+                    drop(
+                            "speaks unasked "
+                                    + (stage == Stage.IDLE ? "at rest" : "behind an answer"));
                 }
                 return;
             }
@@ -146,7 +175,8 @@
         request = null;
         Answer answer = answer(e);
         input.clear();
-        // Whoever answers has read its query, even where the word that it was written is still on its way here:
+        // Whoever answers has read its query, even where the word that it was written is still on
+        // its way here:
         // on one core the answer may well come first.
         if (over) {
             shut();
@@ -196,7 +226,9 @@
         if (stage != Stage.SENT) {
             return AttemptProgress.NOT_CONNECTED;
         }
-        return input.begun() ? AttemptProgress.ANSWERING : written ? AttemptProgress.WRITTEN : AttemptProgress.PARTLY_WRITTEN;
+        return input.begun()
+                ? AttemptProgress.ANSWERING
+                : written ? AttemptProgress.WRITTEN : AttemptProgress.PARTLY_WRITTEN;
     }
 
     @Override
@@ -216,7 +248,11 @@
     /** The stream makes no sense any more: what was asked on it ends as what is proven. */
     private void drop(String how) {
         // Whoever answers has read: a write that seems to be out may be through.
-        lose(progress() == AttemptProgress.NOT_CONNECTED ? AttemptProgress.NOT_CONNECTED : AttemptProgress.ANSWERING, how);
+        lose(
+                progress() == AttemptProgress.NOT_CONNECTED
+                        ? AttemptProgress.NOT_CONNECTED
+                        : AttemptProgress.ANSWERING,
+                how);
     }
 
     private void lose(AttemptProgress progress, String how) {
@@ -230,14 +266,19 @@
             // Nothing of it was sent, and the member is there: no fault of the txn's path.
             side.failed(e, End.MOOT, Duration.ZERO, how);
         } else if (was == Stage.SENT && input.why() != null) {
-            // It speaks, but nonsense: that is an error of its, which may have run, and no broken connection.
+            // It speaks, but nonsense: that is an error of its, which may have run, and no broken
+            // connection.
             side.failed(e, End.ERROR, side.now().minus(since), how);
         } else if (was == Stage.SENT && (input.served() || input.error() != null)) {
             // The answer itself was whole; only the word that the member is ready is missing.
             side.answered(e, answer(e), side.now().minus(since));
         } else if (e != null) {
             boolean turnedAway = was == Stage.STARTING && Answer.TURNED_AWAY.equals(input.error());
-            side.failed(e, turnedAway ? End.FULL : movedAway(was) ? End.MOOT : progress.lost(), side.now().minus(since), how);
+            side.failed(
+                    e,
+                    turnedAway ? End.FULL : movedAway(was) ? End.MOOT : progress.lost(),
+                    side.now().minus(since),
+                    how);
         }
     }
 
@@ -257,7 +298,10 @@
         return (was == Stage.CONNECTING || was == Stage.STARTING) && !pool.isAt(to);
     }
 
-    /** Guards against sending what is given up, should the connection come up before the end is told. */
+    /**
+     * Guards against sending what is given up, should the connection come up before the end is
+     * told.
+     */
     void toBeCalledOff() {
         calledOff = true;
     }
--- a/src/main/java/wingroad/driver/Members.java
+++ b/src/main/java/wingroad/driver/Members.java
@@ -24,9 +24,10 @@
 /** The member side: who the members are, where they are, and the connections to them. */
 final class Members implements Exchange.MemberTransport {
     /**
-     * A connection is used again only after this rest since its last answer. Guards against more than the answer: what
-     * comes behind it, in a packet of its own, would be taken for the answer to what is sent next. A second copy is
-     * on its way at once, so this is some times what a packet takes; waiting for it costs less than a new connection.
+     * A connection is used again only after this rest since its last answer. Guards against more
+     * than the answer: what comes behind it, in a packet of its own, would be taken for the answer
+     * to what is sent next. A second copy is on its way at once, so this is some times what a
+     * packet takes; waiting for it costs less than a new connection.
      */
     private static final Duration REST = Duration.ofMillis(4);
 
@@ -41,8 +42,10 @@
     private final Duration idleTime;
     private final Map<String, MemberPool> byUid = new HashMap<>();
     private final Map<Long, MemberPool> byId = new LinkedHashMap<>();
+
     /** Those that rest: since the last beat, and for longer. */
     private List<MemberConnection> restingNew = new ArrayList<>();
+
     private List<MemberConnection> resting = new ArrayList<>();
     private boolean beating;
     private long numbers;
@@ -52,8 +55,10 @@
         final long id;
         private final String uid;
         private InetSocketAddress address;
+
         /** It is gone, or nobody thinks of it any more. */
         private boolean over;
+
         private final Set<MemberConnection> connections = new LinkedHashSet<>();
         private final ArrayDeque<MemberConnection> idle = new ArrayDeque<>();
 
@@ -78,7 +83,7 @@
 
         /** The newest that has rested, else the one that has rested longest, or null. */
         private MemberConnection takeIdle() {
-            for (Iterator<MemberConnection> i = idle.descendingIterator(); i.hasNext();) {
+            for (Iterator<MemberConnection> i = idle.descendingIterator(); i.hasNext(); ) {
                 MemberConnection connection = i.next();
                 if (connection.rested()) {
                     i.remove();
@@ -95,14 +100,21 @@
         }
     }
 
-    Members(EventLoop loop, Clock clock, Counters counters, Map<String, Object> terms, Results results) {
+    Members(
+            EventLoop loop,
+            Clock clock,
+            Counters counters,
+            Map<String, Object> terms,
+            Results results) {
         this.loop = loop;
         this.clock = clock;
         this.counters = counters;
         this.results = results;
         this.connectTime = (Duration) terms.get("connect-time-out");
-        // Closed from here a connecting time before the member may: no request crosses its closing. Where that is most of
-        // the time that there is, half of it: connections that are never used again cost the members more.
+        // Closed from here a connecting time before the member may: no request crosses its closing.
+        // Where that is most of
+        // the time that there is, half of it: connections that are never used again cost the
+        // members more.
         Duration idle = (Duration) terms.get("idle-time");
         this.idleTime = max(idle.minus(connectTime), idle.dividedBy(2));
     }
@@ -127,7 +139,9 @@
             byUid.put(e.uid(), p);
             byId.put(p.id, p);
         }
-        if (p.address == null || !p.address.getHostString().equals(e.host()) || p.address.getPort() != e.port()) {
+        if (p.address == null
+                || !p.address.getHostString().equals(e.host())
+                || p.address.getPort() != e.port()) {
             p.address = new InetSocketAddress(e.host(), e.port());
             p.closeIdle();
         }
@@ -140,15 +154,17 @@
 
     /** Lets go of those that the module no longer thinks of: members come under new ids all day. */
     void forget(LongPredicate known) {
-        byId.values().removeIf(p -> {
-            boolean over = !known.test(p.id);
-            if (over) {
-                p.over = true;
-                p.closeIdle();
-                byUid.remove(p.uid);
-            }
-            return over;
-        });
+        byId.values()
+                .removeIf(
+                        p -> {
+                            boolean over = !known.test(p.id);
+                            if (over) {
+                                p.over = true;
+                                p.closeIdle();
+                                byUid.remove(p.uid);
+                            }
+                            return over;
+                        });
     }
 
     @Override
@@ -169,7 +185,13 @@
         try {
             p.connections.add(MemberConnection.open(this, p, p.address, loop, connectTime, e));
         } catch (IOException | RuntimeException cause) {
-            loop.run(() -> failed(e, End.UNREACHABLE, Duration.ZERO, "cannot open: " + cause.getMessage()));
+            loop.run(
+                    () ->
+                            failed(
+                                    e,
+                                    End.UNREACHABLE,
+                                    Duration.ZERO,
+                                    "cannot open: " + cause.getMessage()));
         }
     }
 
@@ -181,15 +203,24 @@
 
     /** Whether a txn is at one of these members, or on its way there. */
     boolean busy(Predicate<String> uids) {
-        return byId.values().stream().filter(p -> uids.test(p.uid)).anyMatch(p -> p.connections.stream().anyMatch(l ->
-            l.request() != null && !l.request().probe()));
+        return byId.values().stream()
+                .filter(p -> uids.test(p.uid))
+                .anyMatch(
+                        p ->
+                                p.connections.stream()
+                                        .anyMatch(
+                                                l -> l.request() != null && !l.request().probe()));
     }
 
-    /** Asks a member what it is, beside what the module asks; the answer goes to {@link Results#roleProbed}. */
+    /**
+     * Asks a member what it is, beside what the module asks; the answer goes to {@link
+     * Results#roleProbed}.
+     */
     void ask(String uid) {
         MemberPool p = byUid.get(uid);
         if (p != null) {
-            dispatch(new MemberRequest(null, ROLE_PROBE, p.id, null, clock.now().plus(connectTime)));
+            dispatch(
+                    new MemberRequest(null, ROLE_PROBE, p.id, null, clock.now().plus(connectTime)));
         }
     }
 
@@ -210,7 +241,8 @@
         MemberConnection oldest = null;
         for (MemberPool p : byId.values()) {
             MemberConnection first = p.idle.peekFirst();
-            if (first != null && (oldest == null || first.idleSince().compareTo(oldest.idleSince()) < 0)) {
+            if (first != null
+                    && (oldest == null || first.idleSince().compareTo(oldest.idleSince()) < 0)) {
                 oldest = first;
             }
         }
@@ -227,20 +259,25 @@
             for (MemberConnection connection : p.connections) {
                 MemberRequest e = connection.request();
                 if (e != null && txn.equals(e.txn()) && e.submission() == submission) {
-                    // Its end is an input to the module, which is in the middle of its decisions: told a task later.
+                    // Its end is an input to the module, which is in the middle of its decisions:
+                    // told a task later.
                     connection.toBeCalledOff();
-                    loop.run(() -> {
-                        if (connection.request() == e) {
-                            connection.callOff();
-                        }
-                    });
+                    loop.run(
+                            () -> {
+                                if (connection.request() == e) {
+                                    connection.callOff();
+                                }
+                            });
                     return;
                 }
             }
         }
     }
 
-    /** It rests for one to two beats: counted, not read from a clock, since the whole process may stand still. */
+    /**
+     * It rests for one to two beats: counted, not read from a clock, since the whole process may
+     * stand still.
+     */
     void rests(MemberConnection connection) {
         restingNew.add(connection);
         if (!beating) {
@@ -272,7 +309,11 @@
         if (e.probe() && e.submission() == ROLE_PROBE) {
             results.roleProbed(e.member(), a.asked != null, a.asked);
         } else if (e.probe()) {
-            results.probed(e.member(), a.asked != null, took, a.asked != null ? a.asked : a.status.report());
+            results.probed(
+                    e.member(),
+                    a.asked != null,
+                    took,
+                    a.asked != null ? a.asked : a.status.report());
         } else {
             counters.count(a.end.name());
             results.ended(e, a.end, took, a.status, a.row);
--- a/src/main/java/wingroad/driver/WarmUp.java
+++ b/src/main/java/wingroad/driver/WarmUp.java
@@ -16,15 +16,17 @@
 import wingroad.transport.EventLoop;
 
 /**
- * Plays made-up txns through parsers, exchange and a module of its own before anybody is let in: without it the first
- * clients after a start meet code that is still interpreted, and take several times the CPU of later ones. It knows no
- * sockets, and nothing of it is left.
+ * Plays made-up txns through parsers, exchange and a module of its own before anybody is let in:
+ * without it the first clients after a start meet code that is still interpreted, and take several
+ * times the CPU of later ones. It knows no sockets, and nothing of it is left.
  */
 final class WarmUp {
     /** By then what every txn runs through has been compiled; more of it gained nothing. */
     private static final int TXNS = 2000;
+
     /** Whatever the machine, a start is not held up for longer. */
     private static final Duration MOST = Duration.ofMillis(1000);
+
     private static final int AT_ONCE = 8;
     private static final int MEMBERS = 3;
 
@@ -52,38 +54,47 @@
         this.terms = terms;
         this.then = then;
         this.from = clock.now();
-        exchange = new Exchange(loop, clock, new TxnRouter(terms, 1, line -> { }), Duration.ofMillis(250), this::failed);
-        exchange.meet(new Exchange.MemberTransport() {
-            @Override
-            public void dispatch(Exchange.MemberRequest e) {
-                loop.run(() -> answer(e));
-            }
-
-            @Override
-            public void callOff(String txn, int submission) {
-                // its answer is on the way already
-            }
-
-            @Override
-            public void release(long member) {
-                // no connection is held here
-            }
-
-            @Override
-            public boolean giveWay() {
-                return false;
-            }
-        }, new Exchange.Lists() {
-            @Override
-            public void follow() {
-                // there is no list but the one made up here
-            }
-
-            @Override
-            public void fetch() {
-                // as above
-            }
-        }, () -> false);
+        exchange =
+                new Exchange(
+                        loop,
+                        clock,
+                        new TxnRouter(terms, 1, line -> {}),
+                        Duration.ofMillis(250),
+                        this::failed);
+        exchange.meet(
+                new Exchange.MemberTransport() {
+                    @Override
+                    public void dispatch(Exchange.MemberRequest e) {
+                        loop.run(() -> answer(e));
+                    }
+
+                    @Override
+                    public void callOff(String txn, int submission) {
+                        // its answer is on the way already
+                    }
+
+                    @Override
+                    public void release(long member) {
+                        // no connection is held here
+                    }
+
+                    @Override
+                    public boolean giveWay() {
+                        return false;
+                    }
+                },
+                new Exchange.Lists() {
+                    @Override
+                    public void follow() {
+                        // there is no list but the one made up here
+                    }
+
+                    @Override
+                    public void fetch() {
+                        // as above
+                    }
+                },
+                () -> false);
         ByteArrayOutputStream all = new ByteArrayOutputStream();
         message(all, 'T', "\0\1v\0\0\0\0\0\0\0\0\0\0\21\0\0\0\0\0\0\0\1");
         message(all, 'D', "\0\1\0\0\0\2ab");
@@ -95,7 +106,12 @@
 
     private static void message(ByteArrayOutputStream all, char type, String body) {
         byte[] bytes = body.getBytes(StandardCharsets.ISO_8859_1);
-        all.writeBytes(ByteBuffer.allocate(5 + bytes.length).put((byte) type).putInt(4 + bytes.length).put(bytes).array());
+        all.writeBytes(
+                ByteBuffer.allocate(5 + bytes.length)
+                        .put((byte) type)
+                        .putInt(4 + bytes.length)
+                        .put(bytes)
+                        .array());
     }
 
     private void begin() {
@@ -124,29 +140,39 @@
         }
         int type = begun++ % types.size();
         boolean writes = "update".equals(terms.get("txn-type." + type + ".reads"));
-        String comment = "/* id=rehearsal" + begun + ",c=" + types.get(type) + ",d=3000,cluster=0 */ ";
-        ByteBuffer in = MemberOutput.query((comment + (writes ? "INSERT INTO records (k, v) VALUES ('ab', '\\x00') RETURNING v"
-            : "SELECT v FROM records WHERE k = 'ab'")).getBytes(StandardCharsets.ISO_8859_1));
+        String comment =
+                "/* id=rehearsal" + begun + ",c=" + types.get(type) + ",d=3000,cluster=0 */ ";
+        ByteBuffer in =
+                MemberOutput.query(
+                        (comment
+                                        + (writes
+                                                ? "INSERT INTO records (k, v) VALUES ('ab', '\\x00') RETURNING v"
+                                                : "SELECT v FROM records WHERE k = 'ab'"))
+                                .getBytes(StandardCharsets.ISO_8859_1));
         ClientInput input = new ClientInput();
         input.next(MemberOutput.startup());
         Statement s = Statement.parse(input.next(in).bytes()).statement();
-        exchange.arrived(s, type, -1, new Exchange.TxnCallback() {
-            @Override
-            public void committed(byte[] row) {
-                ClientOutput.row(row);
-                answered();
-            }
-
-            @Override
-            public void declined(Duration comeBack) {
-                answered();
-            }
-
-            @Override
-            public void rolledBack() {
-                answered();
-            }
-        });
+        exchange.arrived(
+                s,
+                type,
+                -1,
+                new Exchange.TxnCallback() {
+                    @Override
+                    public void committed(byte[] row) {
+                        ClientOutput.row(row);
+                        answered();
+                    }
+
+                    @Override
+                    public void declined(Duration comeBack) {
+                        answered();
+                    }
+
+                    @Override
+                    public void rolledBack() {
+                        answered();
+                    }
+                });
     }
 
     private void answered() {
@@ -159,10 +185,19 @@
         in.clear();
         in.take(ByteBuffer.wrap(answer));
         Answer a = new Answer(in, clock, false);
-        Exchange.MemberStatus status = new Exchange.MemberStatus(e.member() == 1 ? wingroad.state.Member.Role.PRIMARY
-            : wingroad.state.Member.Role.REPLICA, clock.now(), a.status.report());
+        Exchange.MemberStatus status =
+                new Exchange.MemberStatus(
+                        e.member() == 1
+                                ? wingroad.state.Member.Role.PRIMARY
+                                : wingroad.state.Member.Role.REPLICA,
+                        clock.now(),
+                        a.status.report());
         if (e.probe()) {
-            exchange.probed(e.member(), true, Duration.ofMillis(1), new Exchange.Report(status.role(), clock.now(), 1, 0, 0));
+            exchange.probed(
+                    e.member(),
+                    true,
+                    Duration.ofMillis(1),
+                    new Exchange.Report(status.role(), clock.now(), 1, 0, 0));
         } else {
             MemberOutput.query(e.statement().withLeft(2000));
             exchange.ended(e, End.COMMITTED, Duration.ofMillis(10), status, a.row);
--- a/src/main/java/wingroad/driver/WorkAgent.java
+++ b/src/main/java/wingroad/driver/WorkAgent.java
@@ -30,8 +30,9 @@
 import wingroad.work.WorkRules;
 
 /**
- * The plan of work at this driver: makes the lists that the module is told from discovery's and the plan's, says of itself what is
- * still at machines that drain, and conducts where that is its duty. On the loop's thread, but for the calls of {@link Worker}.
+ * The plan of work at this driver: makes the lists that the module is told from discovery's and the
+ * plan's, says of itself what is still at machines that drain, and conducts where that is its duty.
+ * On the loop's thread, but for the calls of {@link Worker}.
  */
 final class WorkAgent implements Worker, Exchange.Watcher {
     /** What is seen of members counts for a lease; within it the conductor asks this often. */
@@ -51,8 +52,10 @@
     private final View view;
     private final PlanCopy planCopy = new PlanCopy();
     private final MemberObservations observations;
+
     /** Discovery's list as it is known, and what the module was told last of each member. */
     private final Map<String, Entry> listed = new TreeMap<>();
+
     private final Map<String, Entry> told = new TreeMap<>();
     private final Map<String, Duration> leftSince = new TreeMap<>();
     private final Map<String, Stage> stages = new TreeMap<>();
@@ -69,8 +72,14 @@
     private long harmed;
     private boolean wasCurrent;
 
-    WorkAgent(EventLoop loop, Clock clock, FleetRules fleet, TxnType[] types, Members members, Consumer<MemberList> learn,
-             Consumer<String> log) {
+    WorkAgent(
+            EventLoop loop,
+            Clock clock,
+            FleetRules fleet,
+            TxnType[] types,
+            Members members,
+            Consumer<MemberList> learn,
+            Consumer<String> log) {
         this.loop = loop;
         this.clock = clock;
         this.rules = fleet.work();
@@ -156,7 +165,10 @@
             case GONE -> with(e, "gone", e.startedAt());
             case COLD -> {
                 Duration since = view.returningSince(e.uid());
-                double at = since == null ? e.startedAt() : System.currentTimeMillis() - now.minus(since).toMillis();
+                double at =
+                        since == null
+                                ? e.startedAt()
+                                : System.currentTimeMillis() - now.minus(since).toMillis();
                 // The module's figures are to stay where they are from one list to the next.
                 Entry was = told.get(e.uid());
                 boolean same = was != null && Math.abs(was.startedAt() - at) < 1000;
@@ -166,17 +178,40 @@
     }
 
     private static Entry with(Entry e, String state, double startedAt) {
-        return new Entry(e.uid(), e.host(), e.port(), e.zone(), e.kind(), e.group(), state, e.weight(), startedAt, e.primary());
+        return new Entry(
+                e.uid(),
+                e.host(),
+                e.port(),
+                e.zone(),
+                e.kind(),
+                e.group(),
+                state,
+                e.weight(),
+                startedAt,
+                e.primary());
     }
 
     /** Whether its group has another listed member that no plan concerns. */
     private boolean others(Entry e) {
-        return listed.values().stream().anyMatch(o -> o.group() == e.group() && !o.uid().equals(e.uid()) && !o.draining()
-            && (view.planCopy() == null || view.planCopy().holder(o.uid()) == null
-            || view.planCopy().entry(view.planCopy().holder(o.uid()).name()) == null));
+        return listed.values().stream()
+                .anyMatch(
+                        o ->
+                                o.group() == e.group()
+                                        && !o.uid().equals(e.uid())
+                                        && !o.draining()
+                                        && (view.planCopy() == null
+                                                || view.planCopy().holder(o.uid()) == null
+                                                || view.planCopy()
+                                                                .entry(
+                                                                        view.planCopy()
+                                                                                .holder(o.uid())
+                                                                                .name())
+                                                        == null));
     }
 
-    /** Tells the module what has become of members by the plan or by the end of this driver's view. */
+    /**
+     * Tells the module what has become of members by the plan or by the end of this driver's view.
+     */
     private void relist() {
         Duration now = now();
         List<Entry> changed = new ArrayList<>();
@@ -194,9 +229,18 @@
         boolean current = view.current(now);
         if (current != wasCurrent) {
             wasCurrent = current;
-            log.accept(current ? "work: the plan is known, revision " + view.revision() + ", " + view.planCopy().entries().size()
-                + " machines asked for" : "work: the view of the plan has ended at revision " + view.revision() + ": "
-                + stages.values().stream().filter(Stage::announced).count() + " announced machines are left alone");
+            log.accept(
+                    current
+                            ? "work: the plan is known, revision "
+                                    + view.revision()
+                                    + ", "
+                                    + view.planCopy().entries().size()
+                                    + " machines asked for"
+                            : "work: the view of the plan has ended at revision "
+                                    + view.revision()
+                                    + ": "
+                                    + stages.values().stream().filter(Stage::announced).count()
+                                    + " announced machines are left alone");
         }
         if (current) {
             knows = view.revision();
@@ -226,8 +270,11 @@
         String uid = members.uid(member);
         if (uid != null) {
             boolean primary = role == Member.Role.PRIMARY;
-            observations.said(uid, role == Member.Role.UNKNOWN ? null : primary, primary ? Duration.ZERO : position == null ? null
-                : clock.now().minus(position), now());
+            observations.said(
+                    uid,
+                    role == Member.Role.UNKNOWN ? null : primary,
+                    primary ? Duration.ZERO : position == null ? null : clock.now().minus(position),
+                    now());
         }
     }
 
@@ -260,50 +307,66 @@
 
     @Override
     public void plan(Map<String, Object> news, List<?> sums, List<?> live) {
-        loop.run(() -> {
-            boolean grown = planCopy.news(news);
-            if (sums != null) {
-                planCopy.fleet(sums, live);
-            }
-            if (grown || view.planCopy() == null) {
-                view.told(planCopy, now());
-                tellStages();
-                relist();
-                report();
-            }
-        });
+        loop.run(
+                () -> {
+                    boolean grown = planCopy.news(news);
+                    if (sums != null) {
+                        planCopy.fleet(sums, live);
+                    }
+                    if (grown || view.planCopy() == null) {
+                        view.told(planCopy, now());
+                        tellStages();
+                        relist();
+                        report();
+                    }
+                });
     }
 
     private void tellStages() {
         Map<String, Stage> now = new LinkedHashMap<>();
         planCopy.entries().forEach(e -> now.put(e.machine(), e.stage()));
-        now.forEach((m, s) -> {
-            if (stages.get(m) != s) {
-                log.accept("work: " + m + " " + s.name().toLowerCase(java.util.Locale.ROOT) + ", revision " + planCopy.revision());
-            }
-        });
-        stages.keySet().stream().filter(m -> !now.containsKey(m)).forEach(m -> log.accept("work: " + m
-            + " in, or no more asked for, revision " + planCopy.revision()));
+        now.forEach(
+                (m, s) -> {
+                    if (stages.get(m) != s) {
+                        log.accept(
+                                "work: "
+                                        + m
+                                        + " "
+                                        + s.name().toLowerCase(java.util.Locale.ROOT)
+                                        + ", revision "
+                                        + planCopy.revision());
+                    }
+                });
+        stages.keySet().stream()
+                .filter(m -> !now.containsKey(m))
+                .forEach(
+                        m ->
+                                log.accept(
+                                        "work: "
+                                                + m
+                                                + " in, or no more asked for, revision "
+                                                + planCopy.revision()));
         stages.clear();
         stages.putAll(now);
     }
 
     @Override
     public void lease(Duration ends, boolean over, long conductsUnder) {
-        loop.run(() -> {
-            epoch = over ? 0 : conductsUnder;
-            if (over) {
-                view.ended();
-            } else {
-                view.leased(ends);
-            }
-            if (view.current(now()) != wasCurrent) {
-                relist();
-                report();
-            } else {
-                nextAt = view.next(now());
-            }
-        });
+        loop.run(
+                () -> {
+                    epoch = over ? 0 : conductsUnder;
+                    if (over) {
+                        view.ended();
+                    } else {
+                        view.leased(ends);
+                    }
+                    if (view.current(now()) != wasCurrent) {
+                        relist();
+                        report();
+                    } else {
+                        nextAt = view.next(now());
+                    }
+                });
     }
 
     private void lookAgain() {
@@ -325,7 +388,9 @@
         if (view.current(now)) {
             for (Map.Entry<String, Duration> l : leftSince.entrySet()) {
                 Machine m = planCopy.machines().get(l.getKey());
-                if (m != null && now.minus(l.getValue()).compareTo(rules.grace()) > 0 && !members.busy(m::holds)) {
+                if (m != null
+                        && now.minus(l.getValue()).compareTo(rules.grace()) > 0
+                        && !members.busy(m::holds)) {
                     clear.add(l.getKey());
                 }
             }
@@ -362,13 +427,19 @@
         if (conductor == null || conducts != epoch) {
             conductor = new Conductor(rules, voters);
             conducts = epoch;
-            log.accept("work: conducts under epoch " + epoch + ", " + planCopy.entries().size() + " machines asked for");
+            log.accept(
+                    "work: conducts under epoch "
+                            + epoch
+                            + ", "
+                            + planCopy.entries().size()
+                            + " machines asked for");
         }
         if (!Objects.equals(planCopy.lines(), rules.lines())) {
             fleet.orderMachines(epoch, rules.lines());
             return;
         }
-        List<Conductor.Step> steps = conductor.next(planCopy, observations, System.currentTimeMillis(), now());
+        List<Conductor.Step> steps =
+                conductor.next(planCopy, observations, System.currentTimeMillis(), now());
         askMembers();
         conductor.pages().forEach((m, text) -> log.accept("work: " + m + " " + text));
         if (!steps.isEmpty()) {
@@ -376,7 +447,10 @@
         }
     }
 
-    /** A conductor with few txns of its own sees little: it asks the members of the groups concerned itself. */
+    /**
+     * A conductor with few txns of its own sees little: it asks the members of the groups concerned
+     * itself.
+     */
     private void askMembers() {
         Duration now = now();
         Set<Integer> groups = conductor.groups(planCopy);
@@ -384,8 +458,11 @@
         for (Entry e : listed.values()) {
             Duration at = askedAt.get(e.uid());
             Entry as = told.get(e.uid());
-            if (groups.contains(e.group()) && as != null && !as.gone() && !as.draining()
-                && (at == null || now.minus(at).compareTo(askEvery) >= 0)) {
+            if (groups.contains(e.group())
+                    && as != null
+                    && !as.gone()
+                    && !as.draining()
+                    && (at == null || now.minus(at).compareTo(askEvery) >= 0)) {
                 askedAt.put(e.uid(), now);
                 members.ask(e.uid());
             }
--- a/src/main/java/wingroad/duty/Op.java
+++ b/src/main/java/wingroad/duty/Op.java
@@ -5,17 +5,30 @@
 import java.util.TreeMap;
 
 /**
- * One entry of the agreed log; which fields count follows from its kind, the others are empty. All kinds may be applied
- * twice without harm. {@code by} is the session that asks, {@code ask} a name by which whoever asks knows the result,
- * {@code wall} the proposer's wall clock in Unix milliseconds, for people alone.
+ * One entry of the agreed log; which fields count follows from its kind, the others are empty. All
+ * kinds may be applied twice without harm. {@code by} is the session that asks, {@code ask} a name
+ * by which whoever asks knows the result, {@code wall} the proposer's wall clock in Unix
+ * milliseconds, for people alone.
  */
-public record Op(Kind kind, String by, String duty, long epoch, long number, String to, List<String> duties,
-                 Map<String, Long> beats, String ask, long wall) {
+public record Op(
+        Kind kind,
+        String by,
+        String duty,
+        long epoch,
+        long number,
+        String to,
+        List<String> duties,
+        Map<String, Long> beats,
+        String ask,
+        long wall) {
     /** What is asked to be settled. */
     public enum Kind {
         /** A leader's first entry; settles nothing. */
         TERM,
-        /** A session begins: {@code to} its driver's identity, {@code duties} those that it would do. */
+        /**
+         * A session begins: {@code to} its driver's identity, {@code duties} those that it would
+         * do.
+         */
         OPEN,
         /** Sessions are renewed: for each the number of its beat. */
         BEAT,
@@ -31,23 +44,39 @@
         TURN,
         /** How turn {@code number} ended, in {@code to}. */
         TOLD,
-        /** The driver {@code to} is to vote, at the address in {@code duty}; with none it is to vote no more. */
+        /**
+         * The driver {@code to} is to vote, at the address in {@code duty}; with none it is to vote
+         * no more.
+         */
         VOTER,
-        /** Work: the machines that there are and the limits, in {@code duties}, by the conductor under {@code epoch}. */
+        /**
+         * Work: the machines that there are and the limits, in {@code duties}, by the conductor
+         * under {@code epoch}.
+         */
         WORK_MACHINES,
-        /** Work: the machine {@code duty} is wanted for {@code number} ms, before {@code epoch}, after {@code duties}; why in {@code to}. */
+        /**
+         * Work: the machine {@code duty} is wanted for {@code number} ms, before {@code epoch},
+         * after {@code duties}; why in {@code to}.
+         */
         WORK_ASK,
         /** Work: an operator's word {@code to} on the machine {@code duty}. */
         WORK_WORD,
-        /** Work: the conductor's step to {@code to} for a machine that it knew at {@code number}; why in {@code duties}. */
+        /**
+         * Work: the conductor's step to {@code to} for a machine that it knew at {@code number};
+         * why in {@code duties}.
+         */
         WORK_STEP,
         /** Work: what drivers say of themselves, a line each in {@code duties}. */
         WORK_REPORTS,
-        /** Work: the driver of the identity {@code to}, lost as {@code number}, has stopped by itself, to the level {@code epoch}. */
+        /**
+         * Work: the driver of the identity {@code to}, lost as {@code number}, has stopped by
+         * itself, to the level {@code epoch}.
+         */
         WORK_STOPPED
     }
 
-    private static final Op NOTHING = new Op(Kind.TERM, "", "", 0, 0, "", List.of(), Map.of(), "", 0);
+    private static final Op NOTHING =
+            new Op(Kind.TERM, "", "", 0, 0, "", List.of(), Map.of(), "", 0);
 
     public static Op term() {
         return NOTHING;
@@ -90,19 +119,42 @@
     }
 
     public static Op workMachines(String session, long epoch, List<String> lines) {
-        return new Op(Kind.WORK_MACHINES, session, "", epoch, 0, "", List.copyOf(lines), Map.of(), "", 0);
+        return new Op(
+                Kind.WORK_MACHINES, session, "", epoch, 0, "", List.copyOf(lines), Map.of(), "", 0);
     }
 
-    public static Op workAsk(String machine, String why, long forMs, long before, List<String> after, String ask) {
-        return new Op(Kind.WORK_ASK, "", machine, before, forMs, why, List.copyOf(after), Map.of(), ask, 0);
+    public static Op workAsk(
+            String machine, String why, long forMs, long before, List<String> after, String ask) {
+        return new Op(
+                Kind.WORK_ASK,
+                "",
+                machine,
+                before,
+                forMs,
+                why,
+                List.copyOf(after),
+                Map.of(),
+                ask,
+                0);
     }
 
     public static Op workWord(String word, String machine, String ask) {
         return new Op(Kind.WORK_WORD, "", machine, 0, 0, word, List.of(), Map.of(), ask, 0);
     }
 
-    public static Op workStep(String session, long epoch, String machine, String to, long stageAt, String why) {
-        return new Op(Kind.WORK_STEP, session, machine, epoch, stageAt, to, List.of(why), Map.of(), "", 0);
+    public static Op workStep(
+            String session, long epoch, String machine, String to, long stageAt, String why) {
+        return new Op(
+                Kind.WORK_STEP,
+                session,
+                machine,
+                epoch,
+                stageAt,
+                to,
+                List.of(why),
+                Map.of(),
+                "",
+                0);
     }
 
     public static Op workReports(List<String> lines) {
@@ -110,7 +162,8 @@
     }
 
     public static Op workStopped(String identity, long number, long level) {
-        return new Op(Kind.WORK_STOPPED, "", "", level, number, identity, List.of(), Map.of(), "", 0);
+        return new Op(
+                Kind.WORK_STOPPED, "", "", level, number, identity, List.of(), Map.of(), "", 0);
     }
 
     public Op at(long unixMs) {
--- a/src/main/java/wingroad/duty/Overdue.java
+++ b/src/main/java/wingroad/duty/Overdue.java
@@ -7,13 +7,12 @@
 import java.util.Map;
 
 /**
- * A voter's own clock on the sessions: since when it has known of each one's newest beat. It only ever asks for a session
- * to be ended; that is settled by the log, where a later beat makes it void. So a voter that restarts, or gets a
- * snapshot, may count anew: later is safe.
+ * A voter's own clock on the sessions: since when it has known of each one's newest beat. It only
+ * ever asks for a session to be ended; that is settled by the log, where a later beat makes it
+ * void. So a voter that restarts, or gets a snapshot, may count anew: later is safe.
  */
 public final class Overdue {
-    private record Seen(long beat, Duration at) {
-    }
+    private record Seen(long beat, Duration at) {}
 
     private final Lease lease;
     private final Map<String, Seen> seen = new HashMap<>();
@@ -36,11 +35,12 @@
     /** The sessions whose leases have run out for certain. */
     public List<Op> ends(Duration now) {
         List<Op> ends = new ArrayList<>();
-        seen.forEach((s, at) -> {
-            if (now.minus(at.at).compareTo(lease.waited()) > 0) {
-                ends.add(Op.expire(s, at.beat));
-            }
-        });
+        seen.forEach(
+                (s, at) -> {
+                    if (now.minus(at.at).compareTo(lease.waited()) > 0) {
+                        ends.add(Op.expire(s, at.beat));
+                    }
+                });
         ends.sort((a, b) -> a.by().compareTo(b.by()));
         return ends;
     }
--- a/src/main/java/wingroad/duty/Register.java
+++ b/src/main/java/wingroad/duty/Register.java
@@ -14,8 +14,9 @@
 import wingroad.work.WorkRules;
 
 /**
- * What the council has settled: sessions, duties, their owners and epochs. Fed with the agreed log's entries in order, it
- * comes to the same state in every voter: it reads no clock, draws nothing and iterates in order of names.
+ * What the council has settled: sessions, duties, their owners and epochs. Fed with the agreed
+ * log's entries in order, it comes to the same state in every voter: it reads no clock, draws
+ * nothing and iterates in order of names.
  *
  * <p>Rounds, the number of settled beats, are its only time: coarse, and alike everywhere.
  */
@@ -25,10 +26,15 @@
     private static final int HISTORY = 32;
     private static final int MOST_VOTERS = 64;
     private static final int MOST_ANSWERS = 256;
-    /** A driver that let its leases run out k times waits two to the k rounds, at most two to this. */
+
+    /**
+     * A driver that let its leases run out k times waits two to the k rounds, at most two to this.
+     */
     private static final int LONGEST_WAIT = 10;
+
     private static final int LOOK_AGAIN = 16;
     private static final String LEFT = "left";
+
     /** So many rounds without another loss and it is as if there had been none. */
     private static final long FORGIVEN = 4096;
 
@@ -74,14 +80,19 @@
         long epoch;
         long since;
         long turn;
+
         /** How the last turn ended; empty while it has not been told. */
         String outcome = "";
+
         /** Its owner is to give it up: to the driver named, or with "*" to any other. */
         String wanted = "";
+
         /** The session that had it last. */
         String left = "";
+
         /** Changed by the op of this number. */
         long revision;
+
         final ArrayDeque<String> history = new ArrayDeque<>();
 
         Duty(String name) {
@@ -134,18 +145,26 @@
 
     private final TreeMap<String, Session> sessions = new TreeMap<>();
     private final TreeMap<String, Duty> duties = new TreeMap<>();
-    /** What was changed of the voters that the files name: an address, or empty for one taken out. */
+
+    /**
+     * What was changed of the voters that the files name: an address, or empty for one taken out.
+     */
     private final TreeMap<String, String> voters = new TreeMap<>();
+
     private final TreeMap<String, Losses> losses = new TreeMap<>();
+
     /** The results of the newest asks that have a name, oldest first. */
     private final ArrayDeque<String[]> answers = new ArrayDeque<>();
+
     private final Plan plan;
     private long epochs;
     private long rounds;
     private long revision;
     private long lateOrders;
 
-    /** @param first the council's first epoch is the next one */
+    /**
+     * @param first the council's first epoch is the next one
+     */
     public Register(long first) {
         this(first, new Plan());
     }
@@ -166,7 +185,10 @@
         return sessions.values();
     }
 
-    /** The changes of the voters since the founding: names with their addresses, empty for those taken out. */
+    /**
+     * The changes of the voters since the founding: names with their addresses, empty for those
+     * taken out.
+     */
     public Map<String, String> voters() {
         return voters;
     }
@@ -202,7 +224,10 @@
         return rounds;
     }
 
-    /** Applies one settled entry; empty where it took effect or had done so before, else why it did not. */
+    /**
+     * Applies one settled entry; empty where it took effect or had done so before, else why it did
+     * not.
+     */
     public String apply(Op op) {
         if (!op.ask().isEmpty()) {
             for (String[] a : answers) {
@@ -212,25 +237,43 @@
             }
         }
         revision++;
-        String result = switch (op.kind()) {
-            case TERM -> "";
-            case OPEN -> open(op);
-            case BEAT -> beat(op);
-            case EXPIRE -> expire(op);
-            case LEAVE -> end(op.by(), LEFT, op.wall());
-            case GIVE_UP -> giveUp(op);
-            case HAND_OVER -> handOver(op);
-            case TURN -> turn(op);
-            case TOLD -> told(op);
-            case VOTER -> voter(op);
-            case WORK_MACHINES -> ordered(op, () -> plan.inventory(op.duties()));
-            case WORK_ASK -> plan.ask(op.duty(), op.ask(), op.to(), op.number(), op.epoch(), op.duties(), op.wall());
-            case WORK_WORD -> plan.word(op.to(), op.duty(), op.wall());
-            case WORK_STEP -> ordered(op, () -> plan.step(op.duty(), op.to(), op.number(), op.duties().get(0),
-                idle(op.duty()), op.wall()));
-            case WORK_REPORTS -> plan.reports(op.duties());
-            case WORK_STOPPED -> plan.stopped(op.to(), op.number(), op.epoch());
-        };
+        String result =
+                switch (op.kind()) {
+                    case TERM -> "";
+                    case OPEN -> open(op);
+                    case BEAT -> beat(op);
+                    case EXPIRE -> expire(op);
+                    case LEAVE -> end(op.by(), LEFT, op.wall());
+                    case GIVE_UP -> giveUp(op);
+                    case HAND_OVER -> handOver(op);
+                    case TURN -> turn(op);
+                    case TOLD -> told(op);
+                    case VOTER -> voter(op);
+                    case WORK_MACHINES -> ordered(op, () -> plan.inventory(op.duties()));
+                    case WORK_ASK ->
+                            plan.ask(
+                                    op.duty(),
+                                    op.ask(),
+                                    op.to(),
+                                    op.number(),
+                                    op.epoch(),
+                                    op.duties(),
+                                    op.wall());
+                    case WORK_WORD -> plan.word(op.to(), op.duty(), op.wall());
+                    case WORK_STEP ->
+                            ordered(
+                                    op,
+                                    () ->
+                                            plan.step(
+                                                    op.duty(),
+                                                    op.to(),
+                                                    op.number(),
+                                                    op.duties().get(0),
+                                                    idle(op.duty()),
+                                                    op.wall()));
+                    case WORK_REPORTS -> plan.reports(op.duties());
+                    case WORK_STOPPED -> plan.stopped(op.to(), op.number(), op.epoch());
+                };
         if (!op.ask().isEmpty()) {
             answers.add(new String[] {op.ask(), result});
             if (answers.size() > MOST_ANSWERS) {
@@ -238,7 +281,8 @@
             }
         }
         // Beats are most of all ops, and change who has what only where somebody's wait has ended.
-        if (op.kind() != Op.Kind.BEAT && op.kind() != Op.Kind.WORK_REPORTS || rounds % LOOK_AGAIN == 0) {
+        if (op.kind() != Op.Kind.BEAT && op.kind() != Op.Kind.WORK_REPORTS
+                || rounds % LOOK_AGAIN == 0) {
             give(op.wall());
         }
         return result;
@@ -261,8 +305,15 @@
 
     /** Whether no driver on the machine owns a duty. */
     private boolean idle(String machine) {
-        return !plan.machines().containsKey(machine) || duties.values().stream().noneMatch(d -> !d.owner.isEmpty()
-            && plan.machines().get(machine).drivers().contains(driver(d.owner)));
+        return !plan.machines().containsKey(machine)
+                || duties.values().stream()
+                        .noneMatch(
+                                d ->
+                                        !d.owner.isEmpty()
+                                                && plan.machines()
+                                                        .get(machine)
+                                                        .drivers()
+                                                        .contains(driver(d.owner)));
     }
 
     private String open(Op op) {
@@ -275,7 +326,8 @@
                 if (!s.identity.equals(op.to())) {
                     return "another driver is known by the name '" + name + "'";
                 }
-                // The same state folder, whose lock only one process can have: the former one is dead.
+                // The same state folder, whose lock only one process can have: the former one is
+                // dead.
                 end(s.id, "restarted", op.wall());
             }
         }
@@ -294,12 +346,14 @@
 
     private String beat(Op op) {
         rounds++;
-        op.beats().forEach((id, n) -> {
-            Session s = sessions.get(id);
-            if (s != null) {
-                s.beat = Math.max(s.beat, n);
-            }
-        });
+        op.beats()
+                .forEach(
+                        (id, n) -> {
+                            Session s = sessions.get(id);
+                            if (s != null) {
+                                s.beat = Math.max(s.beat, n);
+                            }
+                        });
         losses.values().removeIf(l -> rounds - l.last > FORGIVEN);
         return "";
     }
@@ -334,8 +388,17 @@
     }
 
     private void free(Duty d, String how, long wall) {
-        note(d, wall, driver(d.owner) + " has it no more, epoch " + d.epoch + ": " + how
-            + (d.turn > 0 && d.outcome.isEmpty() ? "; turn " + d.turn + " has run or not" : ""));
+        note(
+                d,
+                wall,
+                driver(d.owner)
+                        + " has it no more, epoch "
+                        + d.epoch
+                        + ": "
+                        + how
+                        + (d.turn > 0 && d.outcome.isEmpty()
+                                ? "; turn " + d.turn + " has run or not"
+                                : ""));
         if (d.outcome.isEmpty() && d.turn > 0) {
             d.outcome = "unknown";
         }
@@ -370,7 +433,9 @@
 
     private Duty held(Op op) {
         Duty d = duties.get(op.duty());
-        return d != null && d.epoch == op.epoch() && d.owner.equals(op.by()) && !op.by().isEmpty() ? d : null;
+        return d != null && d.epoch == op.epoch() && d.owner.equals(op.by()) && !op.by().isEmpty()
+                ? d
+                : null;
     }
 
     private String handOver(Op op) {
@@ -379,10 +444,18 @@
             return "there is no duty '" + op.duty() + "'";
         }
         boolean any = op.to().isEmpty();
-        boolean there = sessions.values().stream().anyMatch(s -> s.duties.contains(d.name)
-            && (any ? !s.id.equals(d.owner) : s.name().equals(op.to())));
+        boolean there =
+                sessions.values().stream()
+                        .anyMatch(
+                                s ->
+                                        s.duties.contains(d.name)
+                                                && (any
+                                                        ? !s.id.equals(d.owner)
+                                                        : s.name().equals(op.to())));
         if (!there) {
-            return any ? "nobody else would do it" : "'" + op.to() + "' is not there or would not do it";
+            return any
+                    ? "nobody else would do it"
+                    : "'" + op.to() + "' is not there or would not do it";
         }
         if (!any && driver(d.owner).equals(op.to())) {
             return "";
@@ -432,7 +505,10 @@
         for (Duty d : duties.values()) {
             load.computeIfPresent(d.owner, (s, n) -> n + 1);
         }
-        int cap = Shares.cap((int) duties.keySet().stream().filter(wanted::contains).count(), load.size());
+        int cap =
+                Shares.cap(
+                        (int) duties.keySet().stream().filter(wanted::contains).count(),
+                        load.size());
         for (Duty d : duties.values()) {
             if (d.owner.isEmpty()) {
                 Session next = next(d, load, cap);
@@ -451,11 +527,21 @@
         leaveMachines();
     }
 
-    /** Whoever is on a machine that drains is asked for all that it has, where somebody else would do it. */
+    /**
+     * Whoever is on a machine that drains is asked for all that it has, where somebody else would
+     * do it.
+     */
     private void leaveMachines() {
         for (Duty d : duties.values()) {
-            if (!d.owner.isEmpty() && d.wanted.isEmpty() && plan.leaves(driver(d.owner)) && sessions.values().stream()
-                .anyMatch(s -> !s.id.equals(d.owner) && s.duties.contains(d.name) && !plan.leaves(s.name()))) {
+            if (!d.owner.isEmpty()
+                    && d.wanted.isEmpty()
+                    && plan.leaves(driver(d.owner))
+                    && sessions.values().stream()
+                            .anyMatch(
+                                    s ->
+                                            !s.id.equals(d.owner)
+                                                    && s.duties.contains(d.name)
+                                                    && !plan.leaves(s.name()))) {
                 d.wanted = "*";
                 d.revision = revision;
             }
@@ -472,7 +558,8 @@
                 may.add(s);
             }
         }
-        // Each of these only where it leaves somebody: better a driver that loses it again than nobody.
+        // Each of these only where it leaves somebody: better a driver that loses it again than
+        // nobody.
         keep(may, s -> !plan.leaves(s.name()));
         keep(may, s -> !d.wanted.equals("*") || !s.id.equals(d.left));
         keep(may, s -> !waits(s.name()));
@@ -497,12 +584,23 @@
     }
 
     private void spread(String session, int surplus) {
-        List<Duty> own = new ArrayList<>(duties.values().stream().filter(d -> d.owner.equals(session)).toList());
+        List<Duty> own =
+                new ArrayList<>(
+                        duties.values().stream().filter(d -> d.owner.equals(session)).toList());
         int asked = (int) own.stream().filter(d -> !d.wanted.isEmpty()).count();
         String driver = driver(session);
-        own.removeIf(d -> !d.wanted.isEmpty() || sessions.values().stream()
-            .noneMatch(s -> !s.id.equals(session) && s.duties.contains(d.name) && !waits(s.name())));
-        own.sort((a, b) -> Long.compare(Shares.weight(a.name, driver), Shares.weight(b.name, driver)));
+        own.removeIf(
+                d ->
+                        !d.wanted.isEmpty()
+                                || sessions.values().stream()
+                                        .noneMatch(
+                                                s ->
+                                                        !s.id.equals(session)
+                                                                && s.duties.contains(d.name)
+                                                                && !waits(s.name())));
+        own.sort(
+                (a, b) ->
+                        Long.compare(Shares.weight(a.name, driver), Shares.weight(b.name, driver)));
         for (int i = 0; i < Math.min(surplus - asked, own.size()); i++) {
             own.get(i).wanted = "*";
             own.get(i).revision = revision;
@@ -517,10 +615,28 @@
         all.put("epochs", epochs);
         all.put("rounds", rounds);
         all.put("revision", revision);
-        all.put("sessions", sessions.values().stream().map(s -> List.of(s.id, s.identity, List.copyOf(s.duties), s.beat,
-            s.since)).toList());
-        all.put("duties", duties.values().stream().map(d -> List.of(d.name, d.owner, d.epoch, d.since, d.turn, d.outcome,
-            d.wanted, d.left, d.revision, List.copyOf(d.history))).toList());
+        all.put(
+                "sessions",
+                sessions.values().stream()
+                        .map(s -> List.of(s.id, s.identity, List.copyOf(s.duties), s.beat, s.since))
+                        .toList());
+        all.put(
+                "duties",
+                duties.values().stream()
+                        .map(
+                                d ->
+                                        List.of(
+                                                d.name,
+                                                d.owner,
+                                                d.epoch,
+                                                d.since,
+                                                d.turn,
+                                                d.outcome,
+                                                d.wanted,
+                                                d.left,
+                                                d.revision,
+                                                List.copyOf(d.history)))
+                        .toList());
         List<Object> lost = new ArrayList<>();
         losses.forEach((n, l) -> lost.add(List.of(n, (long) l.count, l.until, l.last)));
         all.put("losses", lost);
@@ -543,8 +659,14 @@
         for (List<?> s : lists(all.get("sessions"))) {
             List<String> mine = new ArrayList<>();
             ((List<?>) s.get(2)).forEach(d -> mine.add((String) d));
-            sessions.put((String) s.get(0), new Session((String) s.get(0), (String) s.get(1), mine, number(s.get(3)),
-                number(s.get(4))));
+            sessions.put(
+                    (String) s.get(0),
+                    new Session(
+                            (String) s.get(0),
+                            (String) s.get(1),
+                            mine,
+                            number(s.get(3)),
+                            number(s.get(4))));
         }
         for (List<?> l : lists(all.get("duties"))) {
             Duty d = new Duty((String) l.get(0));
--- a/src/main/java/wingroad/duty/RelayHealth.java
+++ b/src/main/java/wingroad/duty/RelayHealth.java
@@ -3,9 +3,10 @@
 import java.time.Duration;
 
 /**
- * Whether a driver asks discovery itself or goes by what the owner of that duty hands on. It goes by the owner only while that
- * one is heard often, under an epoch that is not below any seen, and is not contradicted by what it finds in a slow call
- * of its own. Asking itself is always safe; it only costs more.
+ * Whether a driver asks discovery itself or goes by what the owner of that duty hands on. It goes
+ * by the owner only while that one is heard often, under an epoch that is not below any seen, and
+ * is not contradicted by what it finds in a slow call of its own. Asking itself is always safe; it
+ * only costs more.
  */
 public final class RelayHealth {
     private final Duration silentAfter;
@@ -15,14 +16,16 @@
     private long heard = -1;
     private Duration heardAt;
     private long held;
+
     /** Since when something newer is held than the owner tells, or null. */
     private Duration aheadSince;
+
     private Duration checkedAt = Duration.ZERO;
 
     /**
      * @param silentAfter an owner that is not heard for so long is not gone by any more
-     * @param staleAfter  so long may it tell of something older than what is held
-     * @param checkEvery  how often discovery is asked all the same
+     * @param staleAfter so long may it tell of something older than what is held
+     * @param checkEvery how often discovery is asked all the same
      */
     public RelayHealth(Duration silentAfter, Duration staleAfter, Duration checkEvery) {
         this.silentAfter = silentAfter;
@@ -40,8 +43,17 @@
         ASK
     }
 
-    /** The owner under this epoch tells that the newest is this revision, with what is new since another one. */
-    public Use told(long underEpoch, long since, long revision, boolean whole, boolean withNews, Duration now) {
+    /**
+     * The owner under this epoch tells that the newest is this revision, with what is new since
+     * another one.
+     */
+    public Use told(
+            long underEpoch,
+            long since,
+            long revision,
+            boolean whole,
+            boolean withNews,
+            Duration now) {
         if (underEpoch < epoch) {
             return Use.NONE;
         }
@@ -77,8 +89,9 @@
 
     /** Whether the owner is gone by. */
     public boolean goesByOwner(Duration now) {
-        return heardAt != null && now.minus(heardAt).compareTo(silentAfter) < 0
-            && (aheadSince == null || now.minus(aheadSince).compareTo(staleAfter) < 0);
+        return heardAt != null
+                && now.minus(heardAt).compareTo(silentAfter) < 0
+                && (aheadSince == null || now.minus(aheadSince).compareTo(staleAfter) < 0);
     }
 
     /** Whether the slow call is due. */
--- a/src/main/java/wingroad/duty/SessionLease.java
+++ b/src/main/java/wingroad/duty/SessionLease.java
@@ -9,19 +9,19 @@
 import java.util.TreeMap;
 
 /**
- * A driver's own side of its session: how long its lease runs, on its own clock from before each beat was sent, and which
- * duties it holds meanwhile. It may act only while {@link #mayAct} says so, asked with a clock read just before.
+ * A driver's own side of its session: how long its lease runs, on its own clock from before each
+ * beat was sent, and which duties it holds meanwhile. It may act only while {@link #mayAct} says
+ * so, asked with a clock read just before.
  */
 public class SessionLease {
     /** Beats that were sent and not yet settled; more than these are not waited for. */
     private static final int MOST_OUT = 64;
 
     /** A duty as it is settled. */
-    public record Held(String duty, String owner, long epoch, long turn, String outcome, String wanted) {
-    }
+    public record Held(
+            String duty, String owner, long epoch, long turn, String outcome, String wanted) {}
 
-    private record Beat(long number, Duration askedAt) {
-    }
+    private record Beat(long number, Duration askedAt) {}
 
     private final Lease lease;
     private final String session;
@@ -71,7 +71,9 @@
         open = true;
     }
 
-    /** The council has ended the session, or it has been left: nothing is done under it any more. */
+    /**
+     * The council has ended the session, or it has been left: nothing is done under it any more.
+     */
     public void ended() {
         over = true;
     }
@@ -97,7 +99,9 @@
         return known.get(duty);
     }
 
-    /** The duties that are this driver's to do, those that it is asked to give up not among them. */
+    /**
+     * The duties that are this driver's to do, those that it is asked to give up not among them.
+     */
     public List<Held> mine(Duration now) {
         List<Held> mine = new ArrayList<>();
         for (Held h : known.values()) {
@@ -110,14 +114,20 @@
 
     /** The duties that are to be given up. */
     public List<Held> askedBack() {
-        return known.values().stream().filter(h -> h.owner.equals(session) && !h.wanted.isEmpty()).toList();
+        return known.values().stream()
+                .filter(h -> h.owner.equals(session) && !h.wanted.isEmpty())
+                .toList();
     }
 
     /** Whether an effect under this epoch may be started at this time. */
     public boolean mayAct(String duty, long epoch, Duration now) {
         Held h = known.get(duty);
-        return h != null && isOpen() && h.owner.equals(session) && h.epoch == epoch && h.wanted.isEmpty()
-            && now.compareTo(until) < 0;
+        return h != null
+                && isOpen()
+                && h.owner.equals(session)
+                && h.epoch == epoch
+                && h.wanted.isEmpty()
+                && now.compareTo(until) < 0;
     }
 
     /** Up to when the lease runs, on the driver's own clock. */
--- a/src/main/java/wingroad/duty/Shares.java
+++ b/src/main/java/wingroad/duty/Shares.java
@@ -6,14 +6,13 @@
 import java.util.Comparator;
 
 /**
- * Who gets a duty: rendezvous hashing, so that a driver's death moves its own duties and no others. The hash has a fixed
- * seed, since all voters must come to the same end.
+ * Who gets a duty: rendezvous hashing, so that a driver's death moves its own duties and no others.
+ * The hash has a fixed seed, since all voters must come to the same end.
  */
 final class Shares {
     private static final Hasher64 HASH = Hashing.komihash5_0(0x77696e67726f6164L);
 
-    private Shares() {
-    }
+    private Shares() {}
 
     /** How much this driver is meant for this duty. */
     static long weight(String duty, String driver) {
@@ -22,8 +21,11 @@
 
     /** The one most meant for the duty, or null where there is none. */
     static String most(String duty, Collection<String> drivers) {
-        return drivers.stream().max(Comparator.<String>comparingLong(d -> weight(duty, d))
-            .thenComparing(Comparator.naturalOrder())).orElse(null);
+        return drivers.stream()
+                .max(
+                        Comparator.<String>comparingLong(d -> weight(duty, d))
+                                .thenComparing(Comparator.naturalOrder()))
+                .orElse(null);
     }
 
     /** How many duties one driver may have at most. */
--- a/src/main/java/wingroad/duty/Turns.java
+++ b/src/main/java/wingroad/duty/Turns.java
@@ -3,9 +3,9 @@
 import java.time.Duration;
 
 /**
- * When the next turn of a duty is due. Clocks are not shared, so each driver counts from when it heard that the last turn
- * was settled; whoever owns the duty then is about a message's way apart from the one before. A turn that is missed is told
- * and not made up for.
+ * When the next turn of a duty is due. Clocks are not shared, so each driver counts from when it
+ * heard that the last turn was settled; whoever owns the duty then is about a message's way apart
+ * from the one before. A turn that is missed is told and not made up for.
  */
 public final class Turns {
     private final Duration every;
--- a/src/main/java/wingroad/fleet/Cbor.java
+++ b/src/main/java/wingroad/fleet/Cbor.java
@@ -12,13 +12,18 @@
 import java.util.Map;
 import wingroad.protocol.Json;
 
-/** Values as CBOR (RFC 8949): maps with names, lists, strings, whole numbers, doubles, booleans and null. */
+/**
+ * Values as CBOR (RFC 8949): maps with names, lists, strings, whole numbers, doubles, booleans and
+ * null.
+ */
 final class Cbor {
-    private static final CBORFactory FACTORY = new CBORFactoryBuilder(new CBORFactory())
-        .streamReadConstraints(StreamReadConstraints.builder().maxNestingDepth(64).build()).build();
+    private static final CBORFactory FACTORY =
+            new CBORFactoryBuilder(new CBORFactory())
+                    .streamReadConstraints(
+                            StreamReadConstraints.builder().maxNestingDepth(64).build())
+                    .build();
 
-    private Cbor() {
-    }
+    private Cbor() {}
 
     static byte[] write(Object value) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
--- a/src/main/java/wingroad/fleet/Chores.java
+++ b/src/main/java/wingroad/fleet/Chores.java
@@ -9,8 +9,8 @@
 import wingroad.fleet.FleetRules.Chore;
 
 /**
- * The chores' turns. A turn is settled in the log before its statement is sent, so that no other turn has its number; the
- * statement goes out once, under the epoch, if the lease still runs then.
+ * The chores' turns. A turn is settled in the log before its statement is sent, so that no other
+ * turn has its number; the statement goes out once, under the epoch, if the lease still runs then.
  */
 final class Chores implements CouncilSession.Doer {
     /** A turn that is due is looked at again no sooner. */
@@ -19,11 +19,14 @@
     private static final class Course {
         final Chore chore;
         final Turns turns;
+
         /** The turn that was asked for, under which epoch. */
         long asked;
+
         long askedEpoch;
         long begun;
         boolean running;
+
         /** A look is under way for when the next turn is due. */
         boolean waits;
 
@@ -54,19 +57,21 @@
     @Override
     public void look() {
         SessionLease sessionLease = councilSession.sessionLease();
-        courses.forEach((duty, c) -> {
-            SessionLease.Held h = sessionLease.known(duty);
-            if (h != null) {
-                look(c, h, sessionLease);
-            }
-        });
+        courses.forEach(
+                (duty, c) -> {
+                    SessionLease.Held h = sessionLease.known(duty);
+                    if (h != null) {
+                        look(c, h, sessionLease);
+                    }
+                });
     }
 
     private void look(Course c, SessionLease.Held h, SessionLease sessionLease) {
         Duration now = host.now();
         long missed = c.turns.heard(h.turn(), now);
         if (missed > 0) {
-            host.log("fleet: " + h.duty() + ": " + missed + " turns missed before turn " + h.turn());
+            host.log(
+                    "fleet: " + h.duty() + ": " + missed + " turns missed before turn " + h.turn());
         }
         String told = "told " + h.duty();
         if (!h.outcome().isEmpty() || !h.owner().equals(sessionLease.session())) {
@@ -84,16 +89,19 @@
         if (!c.waits) {
             // Else the next turn would wait for a beat.
             c.waits = true;
-            host.after(c.turns.left(now).plus(AFTER), () -> {
-                c.waits = false;
-                look();
-            });
+            host.after(
+                    c.turns.left(now).plus(AFTER),
+                    () -> {
+                        c.waits = false;
+                        look();
+                    });
         }
         long due = c.turns.due(now);
         if (due > 0 && !c.running && due != c.asked) {
             c.asked = due;
             c.askedEpoch = h.epoch();
-            councilSession.ask("turn " + h.duty(), Op.turn(sessionLease.session(), h.duty(), h.epoch(), due));
+            councilSession.ask(
+                    "turn " + h.duty(), Op.turn(sessionLease.session(), h.duty(), h.epoch(), due));
         }
     }
 
@@ -102,11 +110,20 @@
         c.running = true;
         long turn = c.asked;
         String session = sessionLease.session();
-        runner.run(c.chore, h.epoch(), turn, sessionLease.until(), outcome -> {
-            c.running = false;
-            host.log("fleet: " + h.duty() + " turn " + turn + " epoch " + h.epoch() + ": " + outcome);
-            councilSession.ask("told " + h.duty(), Op.told(session, h.duty(), h.epoch(), turn, outcome));
-            look();
-        });
+        runner.run(
+                c.chore,
+                h.epoch(),
+                turn,
+                sessionLease.until(),
+                outcome -> {
+                    c.running = false;
+                    host.log(
+                            "fleet: " + h.duty() + " turn " + turn + " epoch " + h.epoch() + ": "
+                                    + outcome);
+                    councilSession.ask(
+                            "told " + h.duty(),
+                            Op.told(session, h.duty(), h.epoch(), turn, outcome));
+                    look();
+                });
     }
 }
--- a/src/main/java/wingroad/fleet/ConsensusNode.java
+++ b/src/main/java/wingroad/fleet/ConsensusNode.java
@@ -42,20 +42,33 @@
 import wingroad.work.LostDrivers;
 
 /**
- * A voter: its part in the agreed log, the state that follows from it, and the drivers that are attached to it. Free of
- * I/O; all calls on one thread.
+ * A voter: its part in the agreed log, the state that follows from it, and the drivers that are
+ * attached to it. Free of I/O; all calls on one thread.
  */
 final class ConsensusNode {
     /**
-     * In the engine's time, which knows whole seconds alone: one of them is the {@link #ENGINE_SECONDS}th part of a lease, so
-     * that a leader is missed after a third of a lease and another one leads well before all leases have run out.
+     * In the engine's time, which knows whole seconds alone: one of them is the {@link
+     * #ENGINE_SECONDS}th part of a lease, so that a leader is missed after a third of a lease and
+     * another one leads well before all leases have run out.
      */
-    private static final RaftConfig ENGINE = RaftConfig.newBuilder().setLeaderElectionTimeoutMillis(1000)
-        .setLeaderHeartbeatPeriodSecs(1).setLeaderHeartbeatTimeoutSecs(4).setCommitCountToTakeSnapshot(2000)
-        .setMaxPendingLogEntryCount(2000).setRaftNodeReportPublishPeriodSecs(36_000).build();
+    private static final RaftConfig ENGINE =
+            RaftConfig.newBuilder()
+                    .setLeaderElectionTimeoutMillis(1000)
+                    .setLeaderHeartbeatPeriodSecs(1)
+                    .setLeaderHeartbeatTimeoutSecs(4)
+                    .setCommitCountToTakeSnapshot(2000)
+                    .setMaxPendingLogEntryCount(2000)
+                    .setRaftNodeReportPublishPeriodSecs(36_000)
+                    .build();
+
     private static final int ENGINE_SECONDS = 12;
-    /** An engine looks for another leader after four of its seconds of silence; by now it does not look. */
+
+    /**
+     * An engine looks for another leader after four of its seconds of silence; by now it does not
+     * look.
+     */
     private static final int ENGINE_LOST = 8;
+
     private static final Duration LOOK = Duration.ofMillis(250);
     private static final Duration PING = Duration.ofMillis(500);
     private static final Duration SILENT = Duration.ofMillis(2500);
@@ -87,31 +100,50 @@
     private final Overdue overdue;
     private RaftNode node;
     private Phase phase;
+
     /** Grows with each start of the engine: what a former one still wants to run is nobody's. */
     private int life;
+
     private final Map<String, Peer> peers = new TreeMap<>();
     private final Set<Guest> guests = new LinkedHashSet<>();
     private final Map<String, Long> beats = new TreeMap<>();
+
     /** The newest that drivers say of themselves, a line by session, not yet handed on. */
     private final Map<String, String> reports = new TreeMap<>();
+
     /** The clock on drivers without a session, or null where there is no work on machines. */
     private final LostDrivers lostDrivers;
+
     private final Set<String> founding = new LinkedHashSet<>();
     private boolean pushAsked;
     private boolean changing;
+
     /** When something came from a leader last, or the engine has known of none. */
     private Duration ledAt = Duration.ZERO;
+
     private boolean stopped;
     private String said = "";
     private String led = "";
 
-    /** @param reader reads the voter's state anew, once the former one is closed */
-    ConsensusNode(Host host, Net net, FleetRules rules, Reader reader, long seed) throws IOException {
+    /**
+     * @param reader reads the voter's state anew, once the former one is closed
+     */
+    ConsensusNode(Host host, Net net, FleetRules rules, Reader reader, long seed)
+            throws IOException {
         this(host, net, rules, reader, seed, Register::new);
     }
 
-    /** @param registers makes the state that follows from the log, from the council's first epoch */
-    ConsensusNode(Host host, Net net, FleetRules rules, Reader reader, long seed, LongFunction<Register> registers) throws IOException {
+    /**
+     * @param registers makes the state that follows from the log, from the council's first epoch
+     */
+    ConsensusNode(
+            Host host,
+            Net net,
+            FleetRules rules,
+            Reader reader,
+            long seed,
+            LongFunction<Register> registers)
+            throws IOException {
         this.registers = registers;
         this.host = host;
         this.net = net;
@@ -120,16 +152,21 @@
         this.store = reader.read();
         this.random = new Random(seed);
         this.overdue = new Overdue(rules.lease());
-        this.lostDrivers = rules.work() == null ? null : new LostDrivers(rules.work(), rules.lease().drift());
+        this.lostDrivers =
+                rules.work() == null ? null : new LostDrivers(rules.work(), rules.lease().drift());
     }
 
     void start() {
         if (store.wasAside() != null) {
-            host.log("fleet: state set aside as " + store.wasAside() + "; this voter is a newcomer");
+            host.log(
+                    "fleet: state set aside as " + store.wasAside() + "; this voter is a newcomer");
         }
         phase = store.group().isEmpty() ? Phase.FRESH : Phase.PROVING;
         knowPeers(store.voters());
-        say(phase == Phase.FRESH ? "belongs to no council yet" : "asks the others whether its state is the newest");
+        say(
+                phase == Phase.FRESH
+                        ? "belongs to no council yet"
+                        : "asks the others whether its state is the newest");
         proceed();
         look();
         tick();
@@ -138,25 +175,33 @@
     /** Whether the council is to have this voter, by the file and what was changed since. */
     private boolean votes(String name) {
         Map<String, String> changes = node == null ? store.voters() : register.voters();
-        return changes.containsKey(name) ? !changes.get(name).isEmpty() : rules.voters().containsKey(name);
+        return changes.containsKey(name)
+                ? !changes.get(name).isEmpty()
+                : rules.voters().containsKey(name);
     }
 
-    /** Peers by the file, with what was changed since; an address of the file counts before one that was told. */
+    /**
+     * Peers by the file, with what was changed since; an address of the file counts before one that
+     * was told.
+     */
     private void knowPeers(Map<String, String> changes) {
         Map<String, String> all = new TreeMap<>(rules.voters());
-        changes.forEach((name, address) -> {
-            if (address.isEmpty()) {
-                all.remove(name);
-            } else {
-                all.putIfAbsent(name, address);
-            }
-        });
+        changes.forEach(
+                (name, address) -> {
+                    if (address.isEmpty()) {
+                        all.remove(name);
+                    } else {
+                        all.putIfAbsent(name, address);
+                    }
+                });
         all.remove(rules.driver());
         all.forEach((name, address) -> peers.computeIfAbsent(name, n -> new Peer(n, address)));
         for (Peer p : List.copyOf(peers.values())) {
             // The engine still speaks to one that is being taken out.
-            boolean member = node != null && node.getCommittedMembers().getMembers().stream()
-                .anyMatch(e -> ((Endpoint) e).name().equals(p.name));
+            boolean member =
+                    node != null
+                            && node.getCommittedMembers().getMembers().stream()
+                                    .anyMatch(e -> ((Endpoint) e).name().equals(p.name));
             if (!all.containsKey(p.name) && !member) {
                 p.shut();
                 peers.remove(p.name);
@@ -231,9 +276,10 @@
     }
 
     /**
-     * A voter that polled for an election and heard its old leader again, in the same term, takes no notice any more when that
-     * leader falls silent: the engine (0.7) thinks that its poll still runs. Where its log is the newest, nobody else can be
-     * elected. So it begins again with its state, as after a restart.
+     * A voter that polled for an election and heard its old leader again, in the same term, takes
+     * no notice any more when that leader falls silent: the engine (0.7) thinks that its poll still
+     * runs. Where its log is the newest, nobody else can be elected. So it begins again with its
+     * state, as after a restart.
      */
     private void missLeader() {
         RaftEndpoint leader = node == null ? null : node.getTerm().getLeaderEndpoint();
@@ -241,7 +287,10 @@
             ledAt = host.now();
         } else if (host.now().minus(ledAt).toNanos() > ENGINE_LOST * engineSecond() * 1e9) {
             ledAt = host.now();
-            say("has not heard " + ((Endpoint) leader).name() + " and its engine misses nobody: begins again with its state");
+            say(
+                    "has not heard "
+                            + ((Endpoint) leader).name()
+                            + " and its engine misses nobody: begins again with its state");
             leaveEngine();
             phase = Phase.BROKEN;
             try {
@@ -257,9 +306,14 @@
         String now = leader == null ? "" : ((Endpoint) leader).name();
         if (!now.equals(led)) {
             led = now;
-            host.log("fleet: " + (now.isEmpty() ? "no leader is known" : now + " leads") + (node == null ? ""
-                : ", term " + node.getTerm().getTerm()) + ", entries " + register.revision() + ", sessions "
-                + register.sessions().size());
+            host.log(
+                    "fleet: "
+                            + (now.isEmpty() ? "no leader is known" : now + " leads")
+                            + (node == null ? "" : ", term " + node.getTerm().getTerm())
+                            + ", entries "
+                            + register.revision()
+                            + ", sessions "
+                            + register.sessions().size());
         }
     }
 
@@ -275,9 +329,14 @@
         }
     }
 
-    /** The state can't be written: nothing is confirmed any more. What is on the disk counts once it can be. */
+    /**
+     * The state can't be written: nothing is confirmed any more. What is on the disk counts once it
+     * can be.
+     */
     private void breaks() {
-        say("can't write its state, and votes no more: " + (store.broken() == null ? "" : store.broken().getMessage()));
+        say(
+                "can't write its state, and votes no more: "
+                        + (store.broken() == null ? "" : store.broken().getMessage()));
         leaveEngine();
         phase = Phase.BROKEN;
     }
@@ -304,13 +363,18 @@
         }
     }
 
-    /** With no state of its own: begins a council with all that are named, unless one of them belongs to one. */
+    /**
+     * With no state of its own: begins a council with all that are named, unless one of them
+     * belongs to one.
+     */
     private void found() throws IOException {
         if (!rules.voters().containsKey(rules.driver())) {
             return;
         }
         for (Peer p : peers.values()) {
-            if (!p.group.isEmpty() && p.group.equals(store.proposed()) && store.founders().contains(self().id())) {
+            if (!p.group.isEmpty()
+                    && p.group.equals(store.proposed())
+                    && store.founders().contains(self().id())) {
                 store.found(p.group, store.founders(), store.epochs());
                 enter();
                 return;
@@ -325,7 +389,10 @@
             Peer p = peers.get(name);
             if (p != null) {
                 if (!p.present() || !p.group.isEmpty()) {
-                    say(p.present() ? "has no state, and waits to be let in" : "waits for " + name + " to found the council");
+                    say(
+                            p.present()
+                                    ? "has no state, and waits to be let in"
+                                    : "waits for " + name + " to found the council");
                     return;
                 }
                 members.add(p.endpoint().id());
@@ -338,12 +405,28 @@
         }
         if (founding.containsAll(members.stream().filter(m -> !m.equals(self().id())).toList())) {
             store.found(store.proposed(), store.founders(), store.epochs());
-            say("founds council " + store.group() + " with " + members.size() + " voters, epochs from " + store.epochs());
+            say(
+                    "founds council "
+                            + store.group()
+                            + " with "
+                            + members.size()
+                            + " voters, epochs from "
+                            + store.epochs());
             enter();
             return;
         }
-        peers.values().forEach(p -> p.send(MessageCodec.message("found", "group", store.proposed(), "members", store.founders(),
-            "epochs", store.epochs())));
+        peers.values()
+                .forEach(
+                        p ->
+                                p.send(
+                                        MessageCodec.message(
+                                                "found",
+                                                "group",
+                                                store.proposed(),
+                                                "members",
+                                                store.founders(),
+                                                "epochs",
+                                                store.epochs())));
     }
 
     /** With state: takes part once enough others say that they know of nothing newer from it. */
@@ -353,8 +436,14 @@
             if (p.present() && p.group.equals(store.group())) {
                 answers++;
                 if (store.olderThan(p.seenOfUs)) {
-                    host.log("fleet: " + p.name + " knows this voter to have confirmed term " + p.seenOfUs.term() + ", entry "
-                        + p.seenOfUs.index() + ": the state here is older than it was");
+                    host.log(
+                            "fleet: "
+                                    + p.name
+                                    + " knows this voter to have confirmed term "
+                                    + p.seenOfUs.term()
+                                    + ", entry "
+                                    + p.seenOfUs.index()
+                                    + ": the state here is older than it was");
                     store.setAside("older than it was");
                     host.log("fleet: state set aside as " + store.wasAside());
                     phase = Phase.FRESH;
@@ -372,31 +461,53 @@
     private void enter() throws IOException {
         int mine = ++life;
         register = registers.apply(store.epochs());
-        RaftNode.RaftNodeBuilder b = RaftNode.newBuilder().setGroupId(store.group()).setConfig(ENGINE).setRandom(random)
-            .setClock(new EngineClock()).setExecutor(new EngineThread(mine)).setTransport(new EngineMail())
-            .setStateMachine(new Settled(mine)).setStore(store).setModelFactory(MessageCodec.MODELS);
+        RaftNode.RaftNodeBuilder b =
+                RaftNode.newBuilder()
+                        .setGroupId(store.group())
+                        .setConfig(ENGINE)
+                        .setRandom(random)
+                        .setClock(new EngineClock())
+                        .setExecutor(new EngineThread(mine))
+                        .setTransport(new EngineMail())
+                        .setStateMachine(new Settled(mine))
+                        .setStore(store)
+                        .setModelFactory(MessageCodec.MODELS);
         RestoredRaftState restored = store.restored();
         if (restored != null) {
             b.setRestoredState(restored);
         } else {
-            b.setLocalEndpoint(self()).setInitialGroupMembers(MessageCodec.endpoints(store.founders()));
+            b.setLocalEndpoint(self())
+                    .setInitialGroupMembers(MessageCodec.endpoints(store.founders()));
         }
         node = b.build();
         phase = Phase.IN;
         node.start();
-        say("takes part in council " + store.group() + (restored == null ? "" : " with its state, term "
-            + restored.getTermPersistentState().getTerm()));
+        say(
+                "takes part in council "
+                        + store.group()
+                        + (restored == null
+                                ? ""
+                                : " with its state, term "
+                                        + restored.getTermPersistentState().getTerm()));
     }
 
-    /** One that is taken out is not sent the entry that says so: another voter's word, of a later entry than its own, does. */
+    /**
+     * One that is taken out is not sent the entry that says so: another voter's word, of a later
+     * entry than its own, does.
+     */
     private void hearsOfMembers(List<String> theirs, long settledAt) {
         RaftGroupMembers own = node.getCommittedMembers();
-        if (settledAt > own.getLogIndex() && own.getMembers().contains(self()) && !theirs.contains(self().id())) {
+        if (settledAt > own.getLogIndex()
+                && own.getMembers().contains(self())
+                && !theirs.contains(self().id())) {
             takenOut();
         }
     }
 
-    /** The council has settled that this one votes no more: should it ever again, it comes as a newcomer. */
+    /**
+     * The council has settled that this one votes no more: should it ever again, it comes as a
+     * newcomer.
+     */
     private void takenOut() {
         say("has been taken out of the council");
         leaveEngine();
@@ -410,11 +521,15 @@
         }
     }
 
-    /** As the leader: a voter that lost its state gets the place of the one it was, one change at a time. */
+    /**
+     * As the leader: a voter that lost its state gets the place of the one it was, one change at a
+     * time.
+     */
     private void admit() {
         RaftGroupMembers members = node.getCommittedMembers();
-        if (changing || node.getStatus() != RaftNodeStatus.ACTIVE
-            || node.getEffectiveMembers().getLogIndex() != members.getLogIndex()) {
+        if (changing
+                || node.getStatus() != RaftNodeStatus.ACTIVE
+                || node.getEffectiveMembers().getLogIndex() != members.getLogIndex()) {
             return;
         }
         for (RaftEndpoint e : members.getMembers()) {
@@ -423,8 +538,14 @@
                 if (!name.equals(rules.driver())) {
                     change(e, MembershipChangeMode.REMOVE_MEMBER, members);
                 } else {
-                    members.getMembers().stream().filter(o -> !o.equals(e) && peers.containsKey(((Endpoint) o).name())
-                        && peers.get(((Endpoint) o).name()).present()).findFirst().ifPresent(node::transferLeadership);
+                    members.getMembers().stream()
+                            .filter(
+                                    o ->
+                                            !o.equals(e)
+                                                    && peers.containsKey(((Endpoint) o).name())
+                                                    && peers.get(((Endpoint) o).name()).present())
+                            .findFirst()
+                            .ifPresent(node::transferLeadership);
                 }
                 return;
             }
@@ -433,15 +554,29 @@
             if (!p.present() || !votes(p.name)) {
                 continue;
             }
-            RaftEndpoint old = members.getMembers().stream().filter(e -> ((Endpoint) e).name().equals(p.name)
-                && !e.equals(p.endpoint())).findFirst().orElse(null);
+            RaftEndpoint old =
+                    members.getMembers().stream()
+                            .filter(
+                                    e ->
+                                            ((Endpoint) e).name().equals(p.name)
+                                                    && !e.equals(p.endpoint()))
+                            .findFirst()
+                            .orElse(null);
             if (old != null && (p.group.isEmpty() || p.group.equals(store.group()))) {
                 change(old, MembershipChangeMode.REMOVE_MEMBER, members);
                 return;
             }
             if (!members.getMembers().contains(p.endpoint())) {
                 if (p.group.isEmpty()) {
-                    p.send(MessageCodec.message("let-in", "group", store.group(), "members", store.founders(), "epochs", store.epochs()));
+                    p.send(
+                            MessageCodec.message(
+                                    "let-in",
+                                    "group",
+                                    store.group(),
+                                    "members",
+                                    store.founders(),
+                                    "epochs",
+                                    store.epochs()));
                 } else if (p.group.equals(store.group())) {
                     change(p.endpoint(), MembershipChangeMode.ADD_OR_PROMOTE_TO_FOLLOWER, members);
                     return;
@@ -452,11 +587,21 @@
 
     private void change(RaftEndpoint who, MembershipChangeMode how, RaftGroupMembers members) {
         changing = true;
-        host.log("fleet: voters: " + (how == MembershipChangeMode.REMOVE_MEMBER ? "takes out " : "lets in ") + who.getId());
-        node.changeMembership(who, how, members.getLogIndex()).whenComplete((done, failure) -> {
-            changing = false;
-            host.log("fleet: voters: " + who.getId() + (failure == null ? " settled" : " not settled: " + failure));
-        });
+        host.log(
+                "fleet: voters: "
+                        + (how == MembershipChangeMode.REMOVE_MEMBER ? "takes out " : "lets in ")
+                        + who.getId());
+        node.changeMembership(who, how, members.getLogIndex())
+                .whenComplete(
+                        (done, failure) -> {
+                            changing = false;
+                            host.log(
+                                    "fleet: voters: "
+                                            + who.getId()
+                                            + (failure == null
+                                                    ? " settled"
+                                                    : " not settled: " + failure));
+                        });
     }
 
     // ---- the log ----
@@ -467,9 +612,11 @@
             return;
         }
         if (leads()) {
-            node.replicate(op).whenComplete((done, failure) -> {
-                // Not settled, or not known to be: whoever asked for it asks again.
-            });
+            node.replicate(op)
+                    .whenComplete(
+                            (done, failure) -> {
+                                // Not settled, or not known to be: whoever asked for it asks again.
+                            });
         } else {
             toLeader(MessageCodec.message("pass", "op", MessageCodec.of(op)));
         }
@@ -500,21 +647,35 @@
                 if (!reports.isEmpty()) {
                     submit(Op.workReports(List.copyOf(reports.values())).at(host.wall()));
                 }
-                overdue.ends(host.now()).stream().limit(MOST_ENDS).forEach(op -> submit(op.at(host.wall())));
+                overdue.ends(host.now()).stream()
+                        .limit(MOST_ENDS)
+                        .forEach(op -> submit(op.at(host.wall())));
                 if (lostDrivers != null) {
-                    lostDrivers.stopped(register.plan(), host.now()).stream().limit(MOST_ENDS).forEach(x ->
-                        submit(Op.workStopped(x.identity(), x.number(), x.level()).at(host.wall())));
+                    lostDrivers.stopped(register.plan(), host.now()).stream()
+                            .limit(MOST_ENDS)
+                            .forEach(
+                                    x ->
+                                            submit(
+                                                    Op.workStopped(
+                                                                    x.identity(),
+                                                                    x.number(),
+                                                                    x.level())
+                                                            .at(host.wall())));
                 }
             } else {
                 if (!reports.isEmpty()) {
-                    toLeader(MessageCodec.message("reports", "lines", List.copyOf(reports.values())));
+                    toLeader(
+                            MessageCodec.message(
+                                    "reports", "lines", List.copyOf(reports.values())));
                 }
                 if (!beats.isEmpty()) {
                     toLeader(MessageCodec.message("beats", "beats", new TreeMap<>(beats)));
                 }
-                // A leader that has started lately counts anew; one that has been here all along knows earlier.
-                overdue.ends(host.now().minus(rules.lease().beat())).stream().limit(MOST_ENDS)
-                    .forEach(op -> submit(op.at(host.wall())));
+                // A leader that has started lately counts anew; one that has been here all along
+                // knows earlier.
+                overdue.ends(host.now().minus(rules.lease().beat())).stream()
+                        .limit(MOST_ENDS)
+                        .forEach(op -> submit(op.at(host.wall())));
             }
         }
         // What did not get through comes again with the drivers' next beats.
@@ -526,12 +687,20 @@
     private void settled(Op op, String result) {
         lookAtSessions();
         if (!result.isEmpty() && op.kind() == Op.Kind.OPEN) {
-            guests.stream().filter(g -> g.session.equals(op.by())).toList()
-                .forEach(g -> g.wire.send(MessageCodec.message("not-opened", "why", result)));
+            guests.stream()
+                    .filter(g -> g.session.equals(op.by()))
+                    .toList()
+                    .forEach(g -> g.wire.send(MessageCodec.message("not-opened", "why", result)));
         }
         if (!op.ask().isEmpty()) {
-            guests.stream().filter(g -> g.asks.remove(op.ask())).toList()
-                .forEach(g -> g.wire.send(MessageCodec.message("answer", "ask", op.ask(), "result", result)));
+            guests.stream()
+                    .filter(g -> g.asks.remove(op.ask()))
+                    .toList()
+                    .forEach(
+                            g ->
+                                    g.wire.send(
+                                            MessageCodec.message(
+                                                    "answer", "ask", op.ask(), "result", result)));
         }
         askPush();
     }
@@ -546,10 +715,11 @@
     private void askPush() {
         if (!pushAsked) {
             pushAsked = true;
-            host.run(() -> {
-                pushAsked = false;
-                guests.forEach(Guest::push);
-            });
+            host.run(
+                    () -> {
+                        pushAsked = false;
+                        guests.forEach(Guest::push);
+                    });
         }
     }
 
@@ -669,14 +839,36 @@
         ConsensusStore.Seen s = store.seen(caller);
         RaftGroupMembers members = node == null ? null : node.getCommittedMembers();
         RaftEndpoint leader = node == null ? null : node.getTerm().getLeaderEndpoint();
-        return MessageCodec.message(kind, "fleet", rules.name(), "name", rules.driver(), "identity", store.identity(), "group",
-            store.group(), "voters", new TreeMap<>(node == null ? store.voters() : register.voters()), "members",
-            members == null ? List.of() : MessageCodec.ids(members.getMembers()), "members-at",
-            members == null ? 0 : members.getLogIndex(), "term", s.term(), "entry-term", s.entryTerm(), "index", s.index(), "lead",
-            leader == null ? "" : ((Endpoint) leader).name());
+        return MessageCodec.message(
+                kind,
+                "fleet",
+                rules.name(),
+                "name",
+                rules.driver(),
+                "identity",
+                store.identity(),
+                "group",
+                store.group(),
+                "voters",
+                new TreeMap<>(node == null ? store.voters() : register.voters()),
+                "members",
+                members == null ? List.of() : MessageCodec.ids(members.getMembers()),
+                "members-at",
+                members == null ? 0 : members.getLogIndex(),
+                "term",
+                s.term(),
+                "entry-term",
+                s.entryTerm(),
+                "index",
+                s.index(),
+                "lead",
+                leader == null ? "" : ((Endpoint) leader).name());
     }
 
-    /** The connection that this voter keeps to another one: what it sends goes there, what it gets comes by the other's. */
+    /**
+     * The connection that this voter keeps to another one: what it sends goes there, what it gets
+     * comes by the other's.
+     */
     private final class Peer implements Net.Owner {
         private final String name;
         private final String address;
@@ -727,8 +919,19 @@
         @Override
         public void up(Wire w) {
             up = true;
-            w.send(MessageCodec.message("hello", "fleet", rules.name(), "name", rules.driver(), "role", "voter", "identity",
-                store.identity(), "group", store.group()));
+            w.send(
+                    MessageCodec.message(
+                            "hello",
+                            "fleet",
+                            rules.name(),
+                            "name",
+                            rules.driver(),
+                            "role",
+                            "voter",
+                            "identity",
+                            store.identity(),
+                            "group",
+                            store.group()));
         }
 
         @Override
@@ -738,11 +941,16 @@
                 case "here" -> {
                     identity = MessageCodec.text(m, "identity");
                     group = MessageCodec.text(m, "group");
-                    seenOfUs = new ConsensusStore.Seen((int) MessageCodec.number(m, "term"), (int) MessageCodec.number(m, "entry-term"),
-                        MessageCodec.number(m, "index"));
+                    seenOfUs =
+                            new ConsensusStore.Seen(
+                                    (int) MessageCodec.number(m, "term"),
+                                    (int) MessageCodec.number(m, "entry-term"),
+                                    MessageCodec.number(m, "index"));
                     refusal = "";
                     if (group.equals(store.group()) && node != null) {
-                        hearsOfMembers(MessageCodec.texts(m.get("members")), MessageCodec.number(m, "members-at"));
+                        hearsOfMembers(
+                                MessageCodec.texts(m.get("members")),
+                                MessageCodec.number(m, "members-at"));
                     }
                     proceed();
                 }
@@ -845,7 +1053,9 @@
             String group = MessageCodec.text(m, "group");
             if (!MessageCodec.text(m, "fleet").equals(rules.name())) {
                 refuse("this is fleet '" + rules.name() + "'");
-            } else if (!group.isEmpty() && !store.group().isEmpty() && !group.equals(store.group())) {
+            } else if (!group.isEmpty()
+                    && !store.group().isEmpty()
+                    && !group.equals(store.group())) {
                 refuse("this is council " + store.group() + " of fleet '" + rules.name() + "'");
             } else {
                 role = MessageCodec.text(m, "role");
@@ -860,9 +1070,11 @@
             switch (kind) {
                 case "ping" -> wire.send(presence("here", endpoint));
                 case "raft" -> {
-                    RaftMessage message = MessageCodec.message(Json.object(m.get("m"), "a message"));
+                    RaftMessage message =
+                            MessageCodec.message(Json.object(m.get("m"), "a message"));
                     saw(message);
-                    if (message instanceof AppendEntriesRequest || message instanceof InstallSnapshotRequest) {
+                    if (message instanceof AppendEntriesRequest
+                            || message instanceof InstallSnapshotRequest) {
                         ledAt = host.now();
                     }
                     if (node != null && store.group().equals(message.getGroupId())) {
@@ -876,20 +1088,28 @@
                     }
                 }
                 case "news" -> spread(m);
-                case "beats" -> MessageCodec.beats(m.get("beats")).forEach((s, n) -> beats.merge(s, n, Math::max));
+                case "beats" ->
+                        MessageCodec.beats(m.get("beats"))
+                                .forEach((s, n) -> beats.merge(s, n, Math::max));
                 case "reports" -> MessageCodec.texts(m.get("lines")).forEach(this::report);
                 case "found" -> {
                     List<String> members = MessageCodec.texts(m.get("members"));
                     if (phase == Phase.FRESH && members.contains(self().id())) {
                         if (!MessageCodec.text(m, "group").equals(store.proposed())) {
-                            store.propose(MessageCodec.text(m, "group"), members, MessageCodec.number(m, "epochs"));
+                            store.propose(
+                                    MessageCodec.text(m, "group"),
+                                    members,
+                                    MessageCodec.number(m, "epochs"));
                         }
                         wire.send(MessageCodec.message("founding", "group", store.proposed()));
                     }
                 }
                 case "let-in" -> {
                     if (phase == Phase.FRESH) {
-                        store.found(MessageCodec.text(m, "group"), MessageCodec.texts(m.get("members")), MessageCodec.number(m, "epochs"));
+                        store.found(
+                                MessageCodec.text(m, "group"),
+                                MessageCodec.texts(m.get("members")),
+                                MessageCodec.number(m, "epochs"));
                         enter();
                     }
                 }
@@ -905,7 +1125,10 @@
 
         /** To all drivers that are attached here, but for the one that it came from. */
         private void spread(Map<String, Object> message) {
-            guests.stream().filter(g -> g != this && !g.session.isEmpty()).toList().forEach(g -> g.wire.send(message));
+            guests.stream()
+                    .filter(g -> g != this && !g.session.isEmpty())
+                    .toList()
+                    .forEach(g -> g.wire.send(message));
         }
 
         /** What a voter sends proves how far its own state has come. */
@@ -914,7 +1137,8 @@
             // A poll before an election names a term that nobody has written down yet.
             boolean poll = message instanceof PreVoteRequest || message instanceof PreVoteResponse;
             if (sender.equals(endpoint) && !poll) {
-                long index = message instanceof AppendEntriesSuccessResponse r ? r.getLastLogIndex() : 0;
+                long index =
+                        message instanceof AppendEntriesSuccessResponse r ? r.getLastLogIndex() : 0;
                 ConsensusStore.Seen old = store.seen(sender);
                 ConsensusStore.Seen now = old.with(message.getTerm(), index);
                 if (now != old) {
@@ -941,8 +1165,11 @@
                     String wrong = op.kind() == Op.Kind.VOTER ? whyNot(op) : "";
                     if (!wrong.isEmpty()) {
                         wire.send(MessageCodec.message("answer", "ask", op.ask(), "result", wrong));
-                    } else if (own || op.kind() == Op.Kind.HAND_OVER || op.kind() == Op.Kind.VOTER
-                        || op.kind() == Op.Kind.WORK_ASK || op.kind() == Op.Kind.WORK_WORD) {
+                    } else if (own
+                            || op.kind() == Op.Kind.HAND_OVER
+                            || op.kind() == Op.Kind.VOTER
+                            || op.kind() == Op.Kind.WORK_ASK
+                            || op.kind() == Op.Kind.WORK_WORD) {
                         if (!op.ask().isEmpty()) {
                             asks.add(op.ask());
                         }
@@ -953,8 +1180,18 @@
                 }
                 case "publish" -> {
                     Register.Duty d = register.duty(MessageCodec.text(m, "duty"));
-                    if (d != null && d.owner().equals(session) && d.epoch() == MessageCodec.number(m, "epoch")) {
-                        Map<String, Object> on = MessageCodec.message("news", "duty", d.name(), "epoch", d.epoch(), "what", m.get("what"));
+                    if (d != null
+                            && d.owner().equals(session)
+                            && d.epoch() == MessageCodec.number(m, "epoch")) {
+                        Map<String, Object> on =
+                                MessageCodec.message(
+                                        "news",
+                                        "duty",
+                                        d.name(),
+                                        "epoch",
+                                        d.epoch(),
+                                        "what",
+                                        m.get("what"));
                         peers.values().forEach(p -> p.send(on));
                         spread(on);
                     }
@@ -975,17 +1212,26 @@
             if (node == null) {
                 return "this voter takes no part now";
             }
-            List<String> now = node.getCommittedMembers().getMembers().stream().map(e -> ((Endpoint) e).name()).toList();
-            boolean settled = now.stream().allMatch(ConsensusNode.this::votes) && register.voters().entrySet().stream()
-                .allMatch(c -> c.getValue().isEmpty() || now.contains(c.getKey()))
-                && node.getEffectiveMembers().getLogIndex() == node.getCommittedMembers().getLogIndex();
+            List<String> now =
+                    node.getCommittedMembers().getMembers().stream()
+                            .map(e -> ((Endpoint) e).name())
+                            .toList();
+            boolean settled =
+                    now.stream().allMatch(ConsensusNode.this::votes)
+                            && register.voters().entrySet().stream()
+                                    .allMatch(
+                                            c -> c.getValue().isEmpty() || now.contains(c.getKey()))
+                            && node.getEffectiveMembers().getLogIndex()
+                                    == node.getCommittedMembers().getLogIndex();
             if (!settled && !register.voters().getOrDefault(op.to(), "-").equals(op.duty())) {
                 return "the change before is not settled yet: one at a time";
             }
             if (op.duty().isEmpty() && now.size() <= 1) {
                 return "the last voter can't be taken out";
             }
-            return op.duty().isEmpty() && !now.contains(op.to()) ? "'" + op.to() + "' does not vote" : "";
+            return op.duty().isEmpty() && !now.contains(op.to())
+                    ? "'" + op.to() + "' does not vote"
+                    : "";
         }
 
         /** Tells what is settled and not told yet. */
@@ -1008,8 +1254,14 @@
         all.put("term", node == null ? 0L : (long) node.getTerm().getTerm());
         RaftEndpoint leader = node == null ? null : node.getTerm().getLeaderEndpoint();
         all.put("leader", leader == null ? "" : ((Endpoint) leader).name());
-        all.put("voters", node == null ? List.of() : node.getCommittedMembers().getMembers().stream()
-            .map(e -> ((Endpoint) e).name()).sorted().toList());
+        all.put(
+                "voters",
+                node == null
+                        ? List.of()
+                        : node.getCommittedMembers().getMembers().stream()
+                                .map(e -> ((Endpoint) e).name())
+                                .sorted()
+                                .toList());
         CouncilStatus.add(all, register, overdue, host.now());
         return all;
     }
--- a/src/main/java/wingroad/fleet/ConsensusStore.java
+++ b/src/main/java/wingroad/fleet/ConsensusStore.java
@@ -22,8 +22,9 @@
 import wingroad.protocol.Json;
 
 /**
- * A voter's state: who it is, the council that it belongs to, the engine's term, log and snapshot, and what it has seen the
- * other voters confirm. Each row has a checksum, so that one that was changed is not taken for a vote.
+ * A voter's state: who it is, the council that it belongs to, the engine's term, log and snapshot,
+ * and what it has seen the other voters confirm. Each row has a checksum, so that one that was
+ * changed is not taken for a vote.
  */
 final class ConsensusStore implements RaftStore {
     private static final long SELF = 0;
@@ -34,7 +35,10 @@
     private static final long VOTERS = 5;
     private static final int SUM = 4;
 
-    /** The newest that another voter is known to have confirmed: its term, and an entry's index in a term. */
+    /**
+     * The newest that another voter is known to have confirmed: its term, and an entry's index in a
+     * term.
+     */
     record Seen(int term, int entryTerm, long index) {
         Seen with(int newTerm, long newIndex) {
             if (newIndex > 0 && (newTerm > entryTerm || newTerm == entryTerm && newIndex > index)) {
@@ -57,7 +61,9 @@
     private IOException broken;
     private String wasAside;
 
-    /** Reads what is there; where that can't be read it is set aside, and told by {@link #wasAside}. */
+    /**
+     * Reads what is there; where that can't be read it is set aside, and told by {@link #wasAside}.
+     */
     ConsensusStore(RowStore rows, Supplier<String> names) throws IOException {
         this.rows = rows;
         this.names = names;
@@ -81,11 +87,17 @@
         founders = MessageCodec.texts(self.get("founders"));
         epochs = MessageCodec.number(self, "epochs");
         if (meta.get(WITNESS) != null) {
-            map(meta.get(WITNESS)).forEach((e, v) -> {
-                List<?> l = (List<?>) v;
-                seen.put(e, new Seen(((Number) l.get(0)).intValue(), ((Number) l.get(1)).intValue(),
-                    ((Number) l.get(2)).longValue()));
-            });
+            map(meta.get(WITNESS))
+                    .forEach(
+                            (e, v) -> {
+                                List<?> l = (List<?>) v;
+                                seen.put(
+                                        e,
+                                        new Seen(
+                                                ((Number) l.get(0)).intValue(),
+                                                ((Number) l.get(1)).intValue(),
+                                                ((Number) l.get(2)).longValue()));
+                            });
         }
         if (meta.get(VOTERS) != null) {
             map(meta.get(VOTERS)).forEach((n, a) -> voters.put(n, (String) a));
@@ -97,12 +109,20 @@
 
     private RestoredRaftState restore(Map<Long, byte[]> meta) throws IOException {
         Map<String, Object> e = map(meta.get(ENDPOINT));
-        RaftEndpointPersistentState local = MessageCodec.MODELS.createRaftEndpointPersistentStateBuilder()
-            .setLocalEndpoint(Endpoint.of(Json.text(e, "e"))).setVoting(Boolean.TRUE.equals(e.get("vote"))).build();
+        RaftEndpointPersistentState local =
+                MessageCodec.MODELS
+                        .createRaftEndpointPersistentStateBuilder()
+                        .setLocalEndpoint(Endpoint.of(Json.text(e, "e")))
+                        .setVoting(Boolean.TRUE.equals(e.get("vote")))
+                        .build();
         Map<String, Object> t = meta.get(TERM) == null ? Map.of() : map(meta.get(TERM));
         String voted = MessageCodec.text(t, "voted");
-        RaftTermPersistentState term = MessageCodec.MODELS.createRaftTermPersistentStateBuilder()
-            .setTerm((int) MessageCodec.number(t, "term")).setVotedFor(voted.isEmpty() ? null : Endpoint.of(voted)).build();
+        RaftTermPersistentState term =
+                MessageCodec.MODELS
+                        .createRaftTermPersistentStateBuilder()
+                        .setTerm((int) MessageCodec.number(t, "term"))
+                        .setVotedFor(voted.isEmpty() ? null : Endpoint.of(voted))
+                        .build();
         TreeMap<Long, List<SnapshotChunk>> snapshots = new TreeMap<>();
         for (byte[] row : rows.all(RowStore.Table.CHUNKS).values()) {
             SnapshotChunk c = MessageCodec.chunk(map(row));
@@ -115,15 +135,23 @@
             List<SnapshotChunk> newest = snapshots.lastEntry().getValue();
             SnapshotChunk first = newest.get(0);
             from = first.getIndex();
-            snapshot = MessageCodec.MODELS.createSnapshotEntryBuilder().setIndex(from).setTerm(first.getTerm())
-                .setSnapshotChunks(new ArrayList<Object>(newest).stream().map(c -> (SnapshotChunk) c).toList())
-                .setGroupMembersView(first.getGroupMembersView()).build();
+            snapshot =
+                    MessageCodec.MODELS
+                            .createSnapshotEntryBuilder()
+                            .setIndex(from)
+                            .setTerm(first.getTerm())
+                            .setSnapshotChunks(
+                                    new ArrayList<Object>(newest)
+                                            .stream().map(c -> (SnapshotChunk) c).toList())
+                            .setGroupMembersView(first.getGroupMembersView())
+                            .build();
         }
         List<LogEntry> entries = new ArrayList<>();
         for (byte[] row : rows.all(RowStore.Table.LOG).tailMap(from + 1).values()) {
             entries.add(MessageCodec.entry(map(row)));
         }
-        return new RestoredRaftState(local, MessageCodec.view(map(meta.get(INITIAL))), term, snapshot, entries);
+        return new RestoredRaftState(
+                local, MessageCodec.view(map(meta.get(INITIAL))), term, snapshot, entries);
     }
 
     private void begin() throws IOException {
@@ -218,7 +246,9 @@
         seen.put(endpoint, what);
     }
 
-    /** The changes of the voters, as they were known last: where to look for the others at a start. */
+    /**
+     * The changes of the voters, as they were known last: where to look for the others at a start.
+     */
     Map<String, String> voters() {
         return voters;
     }
@@ -254,10 +284,13 @@
         }
         List<LogEntry> log = restored.getLogEntries();
         SnapshotEntry s = restored.getSnapshotEntry();
-        long index = log.isEmpty() ? s == null ? 0 : s.getIndex() : log.get(log.size() - 1).getIndex();
+        long index =
+                log.isEmpty() ? s == null ? 0 : s.getIndex() : log.get(log.size() - 1).getIndex();
         int term = log.isEmpty() ? s == null ? 0 : s.getTerm() : log.get(log.size() - 1).getTerm();
-        // A shorter log is right where a later leader cut it: then its last entry is of a later term.
-        return restored.getTermPersistentState().getTerm() < known.term || index < known.index && term <= known.entryTerm;
+        // A shorter log is right where a later leader cut it: then its last entry is of a later
+        // term.
+        return restored.getTermPersistentState().getTerm() < known.term
+                || index < known.index && term <= known.entryTerm;
     }
 
     void close() {
@@ -268,7 +301,10 @@
 
     @Override
     public void persistAndFlushLocalEndpoint(RaftEndpointPersistentState s) throws IOException {
-        put(RowStore.Table.META, ENDPOINT, MessageCodec.message("e", "e", s.getLocalEndpoint().getId(), "vote", s.isVoting()));
+        put(
+                RowStore.Table.META,
+                ENDPOINT,
+                MessageCodec.message("e", "e", s.getLocalEndpoint().getId(), "vote", s.isVoting()));
         flush();
     }
 
@@ -281,7 +317,11 @@
     @Override
     public void persistAndFlushTerm(RaftTermPersistentState t) throws IOException {
         RaftEndpoint voted = t.getVotedFor();
-        put(RowStore.Table.META, TERM, MessageCodec.message("t", "term", t.getTerm(), "voted", voted == null ? "" : voted.getId()));
+        put(
+                RowStore.Table.META,
+                TERM,
+                MessageCodec.message(
+                        "t", "term", t.getTerm(), "voted", voted == null ? "" : voted.getId()));
         flush();
     }
 
@@ -294,7 +334,10 @@
 
     @Override
     public void persistSnapshotChunk(SnapshotChunk c) throws IOException {
-        put(RowStore.Table.CHUNKS, c.getIndex() << 10 | c.getSnapshotChunkIndex(), MessageCodec.of(c));
+        put(
+                RowStore.Table.CHUNKS,
+                c.getIndex() << 10 | c.getSnapshotChunkIndex(),
+                MessageCodec.of(c));
     }
 
     @Override
@@ -343,7 +386,10 @@
         byte[] body = Cbor.write(value);
         try {
             whole();
-            rows.put(table, key, ByteBuffer.allocate(SUM + body.length).putInt(sum(body, 0)).put(body).array());
+            rows.put(
+                    table,
+                    key,
+                    ByteBuffer.allocate(SUM + body.length).putInt(sum(body, 0)).put(body).array());
         } catch (IOException e) {
             broken = broken == null ? e : broken;
             throw e;
--- a/src/main/java/wingroad/fleet/CouncilSession.java
+++ b/src/main/java/wingroad/fleet/CouncilSession.java
@@ -17,16 +17,23 @@
 import wingroad.work.WorkRules;
 
 /**
- * A driver's side of the fleet: its session with the council by way of one voter, and another one when that falls silent.
- * What it asks it asks again with each beat until it sees it settled. Free of I/O; all calls on one thread.
+ * A driver's side of the fleet: its session with the council by way of one voter, and another one
+ * when that falls silent. What it asks it asks again with each beat until it sees it settled. Free
+ * of I/O; all calls on one thread.
  */
 final class CouncilSession implements Net.Owner {
     private static final Duration REFUSED_AGAIN = Duration.ofSeconds(2);
+
     /** A word that it leaves goes out again so soon; after so many to one voter, to the next. */
     private static final Duration LEAVE_AGAIN = Duration.ofMillis(40);
+
     private static final int LEAVE_TRIES = 3;
-    /** A report is said again with each of so many beats: the one before may not have got through. */
+
+    /**
+     * A report is said again with each of so many beats: the one before may not have got through.
+     */
     private static final int REPORT_BEATS = 4;
+
     private static final int REPORTS = 3;
     private static final int REST_BEATS = 32;
 
@@ -54,11 +61,13 @@
     private SessionLease sessionLease;
     private Wire wire;
     private boolean up;
+
     /**
-     * The voter has been heard on this connection. Before that nothing is asked there: one that hears nothing but is heard would
-     * keep its session, and its duties, that it can't act under.
+     * The voter has been heard on this connection. Before that nothing is asked there: one that
+     * hears nothing but is heard would keep its session, and its duties, that it can't act under.
      */
     private boolean greeted;
+
     private int at;
     private Duration heardAt;
     private Duration openAt = Duration.ZERO;
@@ -70,22 +79,34 @@
     private String refusal = "";
     private boolean hadLease;
     private boolean hurried;
+
     /** Who acts on the plan of work, or null. */
     private Worker worker;
-    /** The register's revision that the plan is known of; an older voter's word on it counts for nothing. */
+
+    /**
+     * The register's revision that the plan is known of; an older voter's word on it counts for
+     * nothing.
+     */
     private long planOf = -1;
+
     private Report report;
     private int reportIn;
     private int reports;
 
     /**
      * @param identity of the state folder
-     * @param runs     gives a new session's part behind the driver's name
+     * @param runs gives a new session's part behind the driver's name
      * @param sessionLeases makes the driver's side of a session
-     * @param news     hears what owners hand on, past the fence
+     * @param news hears what owners hand on, past the fence
      */
-    CouncilSession(Host host, Net net, FleetRules rules, String identity, Supplier<String> runs,
-              Function<String, SessionLease> sessionLeases, Fleet.News news) {
+    CouncilSession(
+            Host host,
+            Net net,
+            FleetRules rules,
+            String identity,
+            Supplier<String> runs,
+            Function<String, SessionLease> sessionLeases,
+            Fleet.News news) {
         this.host = host;
         this.net = net;
         this.rules = rules;
@@ -96,8 +117,9 @@
         addresses.putAll(rules.voters());
         order.addAll(addresses.keySet());
         // Its own voter first; else spread over the voters by name.
-        order.sort(Comparator.<String>comparingInt(v -> v.equals(rules.driver()) ? 0 : 1)
-            .thenComparing(v -> (v + '/' + rules.driver()).hashCode()));
+        order.sort(
+                Comparator.<String>comparingInt(v -> v.equals(rules.driver()) ? 0 : 1)
+                        .thenComparing(v -> (v + '/' + rules.driver()).hashCode()));
         sessionLease = sessionLeases.apply(rules.driver() + "/" + runs.get());
     }
 
@@ -159,7 +181,9 @@
         asks.remove(name);
     }
 
-    /** Nothing is done under any duty from now on; {@code then} runs once that is settled, if it is. */
+    /**
+     * Nothing is done under any duty from now on; {@code then} runs once that is settled, if it is.
+     */
     void leave(Runnable then) {
         leaving = true;
         left = then;
@@ -170,8 +194,8 @@
     }
 
     /**
-     * Until it is settled, and more often than with each beat: the duties stand still meanwhile. A voter that can't get it settled
-     * may know of no leader, or be gone.
+     * Until it is settled, and more often than with each beat: the duties stand still meanwhile. A
+     * voter that can't get it settled may know of no leader, or be gone.
      */
     private void leaveAgain(int tries) {
         if (left == null || stopped) {
@@ -194,7 +218,9 @@
     void publish(String duty, Map<String, Object> what) {
         SessionLease.Held h = sessionLease.known(duty);
         if (greeted && h != null && sessionLease.mayAct(duty, h.epoch(), host.now())) {
-            wire.send(MessageCodec.message("publish", "duty", duty, "epoch", h.epoch(), "what", what));
+            wire.send(
+                    MessageCodec.message(
+                            "publish", "duty", duty, "epoch", h.epoch(), "what", what));
         }
     }
 
@@ -249,8 +275,15 @@
         boolean has = sessionLease.isOpen() && now.compareTo(sessionLease.until()) < 0;
         if (has != hadLease) {
             hadLease = has;
-            host.log(has ? "fleet: lease of " + sessionLease.session() + " runs, by " + order.get(at)
-                : "fleet: lease of " + sessionLease.session() + " has run out; its duties stand still here");
+            host.log(
+                    has
+                            ? "fleet: lease of "
+                                    + sessionLease.session()
+                                    + " runs, by "
+                                    + order.get(at)
+                            : "fleet: lease of "
+                                    + sessionLease.session()
+                                    + " has run out; its duties stand still here");
         }
     }
 
@@ -261,8 +294,12 @@
                 ask("give " + h.duty(), Op.giveUp(sessionLease.session(), h.duty(), h.epoch()));
             }
         }
-        asks.keySet().removeIf(n -> n.startsWith("give ")
-            && sessionLease.askedBack().stream().noneMatch(h -> n.equals("give " + h.duty())));
+        asks.keySet()
+                .removeIf(
+                        n ->
+                                n.startsWith("give ")
+                                        && sessionLease.askedBack().stream()
+                                                .noneMatch(h -> n.equals("give " + h.duty())));
     }
 
     private void next() {
@@ -270,7 +307,8 @@
         at = (at + 1) % order.size();
         openAt = host.now();
         if (!hurried) {
-            // The next one at once, but no more than one between two beats: all of them may be gone.
+            // The next one at once, but no more than one between two beats: all of them may be
+            // gone.
             hurried = true;
             host.run(this::connect);
         }
@@ -288,23 +326,36 @@
     @Override
     public void up(Wire w) {
         up = true;
-        w.send(MessageCodec.message("hello", "fleet", rules.name(), "name", rules.driver(), "role", "driver", "identity", identity,
-            "run", run()));
+        w.send(
+                MessageCodec.message(
+                        "hello",
+                        "fleet",
+                        rules.name(),
+                        "name",
+                        rules.driver(),
+                        "role",
+                        "driver",
+                        "identity",
+                        identity,
+                        "run",
+                        run()));
     }
 
     /** The voters as they are now: those of the file, and what was changed since. */
     private void voters(Object changes) {
         if (changes instanceof Map<?, ?> m) {
             String by = order.get(at);
-            m.forEach((name, address) -> {
-                if (address.equals("")) {
-                    if (!name.equals(by) && order.size() > 1) {
-                        order.remove(name);
-                    }
-                } else if (addresses.putIfAbsent((String) name, (String) address) == null || !order.contains(name)) {
-                    order.add((String) name);
-                }
-            });
+            m.forEach(
+                    (name, address) -> {
+                        if (address.equals("")) {
+                            if (!name.equals(by) && order.size() > 1) {
+                                order.remove(name);
+                            }
+                        } else if (addresses.putIfAbsent((String) name, (String) address) == null
+                                || !order.contains(name)) {
+                            order.add((String) name);
+                        }
+                    });
             at = order.indexOf(by);
         }
     }
@@ -327,8 +378,10 @@
             case "plan" -> {
                 if (worker != null && MessageCodec.number(m, "of") >= planOf) {
                     planOf = MessageCodec.number(m, "of");
-                    worker.plan(Json.object(m.get("news"), "the plan"), m.get("sums") instanceof List<?> l ? l : null,
-                        m.get("live") instanceof List<?> l ? l : null);
+                    worker.plan(
+                            Json.object(m.get("news"), "the plan"),
+                            m.get("sums") instanceof List<?> l ? l : null,
+                            m.get("live") instanceof List<?> l ? l : null);
                 }
             }
             case "refused" -> {
@@ -367,8 +420,14 @@
         for (Object o : Json.list(m, "duties")) {
             List<?> d = (List<?>) o;
             fence.raise((String) d.get(0), ((Number) d.get(2)).longValue());
-            sessionLease.told(new SessionLease.Held((String) d.get(0), (String) d.get(1), ((Number) d.get(2)).longValue(),
-                ((Number) d.get(3)).longValue(), (String) d.get(4), (String) d.get(5)));
+            sessionLease.told(
+                    new SessionLease.Held(
+                            (String) d.get(0),
+                            (String) d.get(1),
+                            ((Number) d.get(2)).longValue(),
+                            ((Number) d.get(3)).longValue(),
+                            (String) d.get(4),
+                            (String) d.get(5)));
         }
         boolean open = Boolean.TRUE.equals(m.get("open"));
         if (open) {
@@ -396,7 +455,10 @@
         doer.look();
     }
 
-    /** The council has ended the session: another one is opened, and nothing is done under the old one. */
+    /**
+     * The council has ended the session: another one is opened, and nothing is done under the old
+     * one.
+     */
     private void begin() {
         SessionLease old = sessionLease;
         old.ended();
@@ -405,7 +467,11 @@
         opened = false;
         sessionLease = sessionLeases.apply(rules.driver() + "/" + runs.get());
         old.known().forEach(sessionLease::told);
-        host.log("fleet: the council has ended " + old.session() + "; opens " + sessionLease.session());
+        host.log(
+                "fleet: the council has ended "
+                        + old.session()
+                        + "; opens "
+                        + sessionLease.session());
         if (greeted) {
             wire.send(MessageCodec.message("again", "run", run()));
             send(Op.open(sessionLease.session(), identity, rules.duties()));
--- a/src/main/java/wingroad/fleet/Fleet.java
+++ b/src/main/java/wingroad/fleet/Fleet.java
@@ -15,8 +15,9 @@
 import wingroad.work.Report;
 
 /**
- * A driver's part in the fleet, on a thread of its own: the voter's consensus node where it has one, its session, its duties. What goes
- * wrong here is told and tried again; serving clients never waits for it.
+ * A driver's part in the fleet, on a thread of its own: the voter's consensus node where it has
+ * one, its session, its duties. What goes wrong here is told and tried again; serving clients never
+ * waits for it.
  */
 public final class Fleet {
     private static final Duration AGAIN = Duration.ofSeconds(2);
@@ -69,7 +70,13 @@
         }
     }
 
-    private Fleet(FleetRules rules, Consumer<String> log, Consumer<Throwable> bug, Runner runner, News news, Worker worker)
+    private Fleet(
+            FleetRules rules,
+            Consumer<String> log,
+            Consumer<Throwable> bug,
+            Runner runner,
+            News news,
+            Worker worker)
             throws IOException {
         this.worker = worker;
         this.rules = rules;
@@ -80,9 +87,18 @@
         net = new LoopNet(loop);
     }
 
-    /** Begins on a thread of its own; {@code runner}, {@code news} and {@code worker} (or null) are called on that thread. */
-    public static Fleet begin(FleetRules rules, Consumer<String> log, Consumer<Throwable> bug, Runner runner, News news,
-                              Worker worker) throws IOException {
+    /**
+     * Begins on a thread of its own; {@code runner}, {@code news} and {@code worker} (or null) are
+     * called on that thread.
+     */
+    public static Fleet begin(
+            FleetRules rules,
+            Consumer<String> log,
+            Consumer<Throwable> bug,
+            Runner runner,
+            News news,
+            Worker worker)
+            throws IOException {
         Fleet f = new Fleet(rules, log, bug, runner, news, worker);
         f.loop.run(f::enter);
         return f;
@@ -95,38 +111,53 @@
 
     /** Hands something on to all drivers, if this one owns the duty now. */
     public void publish(String duty, Map<String, Object> what) {
-        loop.run(() -> {
-            if (councilSession != null) {
-                councilSession.publish(duty, what);
-            }
-        });
+        loop.run(
+                () -> {
+                    if (councilSession != null) {
+                        councilSession.publish(duty, what);
+                    }
+                });
     }
 
     /** What this driver says of itself to whoever plans work. */
     public void report(Report what) {
-        loop.run(() -> {
-            if (councilSession != null) {
-                councilSession.report(what);
-            }
-        });
+        loop.run(
+                () -> {
+                    if (councilSession != null) {
+                        councilSession.report(what);
+                    }
+                });
     }
 
     /** Proposes the conductor's steps, if this driver still conducts under this epoch. */
     public void order(long epoch, List<Conductor.Step> steps) {
-        loop.run(() -> {
-            if (councilSession != null) {
-                steps.forEach(x -> councilSession.order(epoch, s -> Op.workStep(s, epoch, x.machine(), x.to(), x.stageAt(), x.why())));
-            }
-        });
+        loop.run(
+                () -> {
+                    if (councilSession != null) {
+                        steps.forEach(
+                                x ->
+                                        councilSession.order(
+                                                epoch,
+                                                s ->
+                                                        Op.workStep(
+                                                                s,
+                                                                epoch,
+                                                                x.machine(),
+                                                                x.to(),
+                                                                x.stageAt(),
+                                                                x.why())));
+                    }
+                });
     }
 
     /** Proposes the machines that there are, likewise. */
     public void orderMachines(long epoch, List<String> lines) {
-        loop.run(() -> {
-            if (councilSession != null) {
-                councilSession.order(epoch, s -> Op.workMachines(s, epoch, lines));
-            }
-        });
+        loop.run(
+                () -> {
+                    if (councilSession != null) {
+                        councilSession.order(epoch, s -> Op.workMachines(s, epoch, lines));
+                    }
+                });
     }
 
     /** Runs a task on the fleet's thread. */
@@ -144,18 +175,40 @@
             }
             String identity = folder.identity();
             if (rules.listen() != null) {
-                consensusNode = new ConsensusNode(here, net, rules, folder::store, random.nextLong());
+                consensusNode =
+                        new ConsensusNode(here, net, rules, folder::store, random.nextLong());
                 door = net.listen(LoopNet.address(rules.listen()), () -> consensusNode.guest());
                 consensusNode.start();
                 watch();
             }
-            councilSession = new CouncilSession(here, net, rules, identity, names, s -> new SessionLease(rules.lease(), s),
-                news);
+            councilSession =
+                    new CouncilSession(
+                            here,
+                            net,
+                            rules,
+                            identity,
+                            names,
+                            s -> new SessionLease(rules.lease(), s),
+                            news);
             councilSession.work(worker);
             councilSession.start(new Chores(here, rules, councilSession, runner));
-            log.accept("fleet: driver " + rules.driver() + " of fleet " + rules.name() + ", " + (rules.listen() == null
-                ? "no voter" : "listens at " + door.at().getHostString() + ":" + door.at().getPort()) + ", lease "
-                + rules.lease().held().toMillis() + " ms, " + rules.duties().size() + " duties");
+            log.accept(
+                    "fleet: driver "
+                            + rules.driver()
+                            + " of fleet "
+                            + rules.name()
+                            + ", "
+                            + (rules.listen() == null
+                                    ? "no voter"
+                                    : "listens at "
+                                            + door.at().getHostString()
+                                            + ":"
+                                            + door.at().getPort())
+                            + ", lease "
+                            + rules.lease().held().toMillis()
+                            + " ms, "
+                            + rules.duties().size()
+                            + " duties");
         } catch (IOException | RuntimeException e) {
             if (!e.toString().equals(failure)) {
                 failure = e.toString();
@@ -175,7 +228,9 @@
 
     /** A voter whose state could not be written reads it again, once that works. */
     private void watch() {
-        if (consensusNode != null && consensusNode.phase() == ConsensusNode.Phase.BROKEN && !leaving) {
+        if (consensusNode != null
+                && consensusNode.phase() == ConsensusNode.Phase.BROKEN
+                && !leaving) {
             try {
                 consensusNode.resume();
             } catch (IOException e) {
@@ -185,44 +240,50 @@
         loop.after(AGAIN, this::watch);
     }
 
-    /** Gives all duties back and goes; {@code then} runs once that is settled, or after a while all the same. */
+    /**
+     * Gives all duties back and goes; {@code then} runs once that is settled, or after a while all
+     * the same.
+     */
     public void leave(Runnable then) {
-        loop.run(() -> {
-            if (leaving) {
-                return;
-            }
-            leaving = true;
-            boolean[] gone = new boolean[1];
-            Runnable once = () -> {
-                if (!gone[0]) {
-                    gone[0] = true;
-                    if (councilSession != null) {
-                        councilSession.stop();
+        loop.run(
+                () -> {
+                    if (leaving) {
+                        return;
                     }
-                    then.run();
-                }
-            };
-            if (councilSession == null) {
-                once.run();
-            } else {
-                councilSession.leave(once);
-                loop.after(LEAVE_WITHIN, once);
-            }
-        });
+                    leaving = true;
+                    boolean[] gone = new boolean[1];
+                    Runnable once =
+                            () -> {
+                                if (!gone[0]) {
+                                    gone[0] = true;
+                                    if (councilSession != null) {
+                                        councilSession.stop();
+                                    }
+                                    then.run();
+                                }
+                            };
+                    if (councilSession == null) {
+                        once.run();
+                    } else {
+                        councilSession.leave(once);
+                        loop.after(LEAVE_WITHIN, once);
+                    }
+                });
     }
 
     /** Closes the voter's state; for the end of the process. */
     public void close() {
-        loop.run(() -> {
-            if (door != null) {
-                door.close();
-            }
-            if (consensusNode != null) {
-                consensusNode.stop();
-            }
-            if (folder != null) {
-                folder.close();
-            }
-        });
+        loop.run(
+                () -> {
+                    if (door != null) {
+                        door.close();
+                    }
+                    if (consensusNode != null) {
+                        consensusNode.stop();
+                    }
+                    if (folder != null) {
+                        folder.close();
+                    }
+                });
     }
 }
--- a/src/main/java/wingroad/fleet/FleetClient.java
+++ b/src/main/java/wingroad/fleet/FleetClient.java
@@ -8,7 +8,10 @@
 import wingroad.duty.Op;
 import wingroad.protocol.Json;
 
-/** A caller of the command line's: asks voters, one after the other, on a blocking socket of its own. */
+/**
+ * A caller of the command line's: asks voters, one after the other, on a blocking socket of its
+ * own.
+ */
 public final class FleetClient implements AutoCloseable {
     private static final int CONNECT_MS = 1000;
     private static final int ANSWER_MS = 2000;
@@ -24,7 +27,9 @@
             socket.connect(at, CONNECT_MS);
             socket.setSoTimeout(ANSWER_MS);
             in = new DataInputStream(socket.getInputStream());
-            send(MessageCodec.message("hello", "fleet", rules.name(), "name", "guest", "role", "guest"));
+            send(
+                    MessageCodec.message(
+                            "hello", "fleet", rules.name(), "name", "guest", "role", "guest"));
             await("here");
         } catch (IOException | RuntimeException e) {
             socket.close();
@@ -34,7 +39,8 @@
 
     private void send(Map<String, Object> message) throws IOException {
         byte[] text = Cbor.write(message);
-        byte[] frame = java.nio.ByteBuffer.allocate(4 + text.length).putInt(text.length).put(text).array();
+        byte[] frame =
+                java.nio.ByteBuffer.allocate(4 + text.length).putInt(text.length).put(text).array();
         socket.getOutputStream().write(frame);
     }
 
@@ -64,22 +70,41 @@
         return Json.object(Json.need(await("status"), "status"), "the status");
     }
 
-    /** Asks for a duty's hand-over; the answer once it is settled: empty, or why it is not done. Safe to repeat. */
+    /**
+     * Asks for a duty's hand-over; the answer once it is settled: empty, or why it is not done.
+     * Safe to repeat.
+     */
     public String handOver(String duty, String to, String ask) throws IOException {
         send(MessageCodec.message("ask", "op", MessageCodec.of(Op.handOver(duty, to, ask))));
         return MessageCodec.text(await("answer"), "result");
     }
 
-    /** Asks for a voter to be let in at an address, or with none taken out; the answer as for a hand-over. */
+    /**
+     * Asks for a voter to be let in at an address, or with none taken out; the answer as for a
+     * hand-over.
+     */
     public String voter(String name, String address, String ask) throws IOException {
         send(MessageCodec.message("ask", "op", MessageCodec.of(Op.voter(name, address, ask))));
         return MessageCodec.text(await("answer"), "result");
     }
 
-    /** Asks for a machine; the answer once it is settled: empty, or why it can't be had. Safe to repeat under the same name. */
-    public String workAsk(String machine, String why, long forMs, long before, java.util.List<String> after, String ask)
+    /**
+     * Asks for a machine; the answer once it is settled: empty, or why it can't be had. Safe to
+     * repeat under the same name.
+     */
+    public String workAsk(
+            String machine,
+            String why,
+            long forMs,
+            long before,
+            java.util.List<String> after,
+            String ask)
             throws IOException {
-        send(MessageCodec.message("ask", "op", MessageCodec.of(Op.workAsk(machine, why, forMs, before, after, ask))));
+        send(
+                MessageCodec.message(
+                        "ask",
+                        "op",
+                        MessageCodec.of(Op.workAsk(machine, why, forMs, before, after, ask))));
         return MessageCodec.text(await("answer"), "result");
     }
 
--- a/src/main/java/wingroad/fleet/FleetRules.java
+++ b/src/main/java/wingroad/fleet/FleetRules.java
@@ -11,23 +11,40 @@
 /**
  * What the operator's file says of the fleet.
  *
- * @param name    the fleet's; another fleet's drivers are refused
- * @param driver  this driver's name in it
- * @param listen  where it listens for others, or null: it never votes
- * @param voters  those that found the council, by name, each with the address at which this driver reaches it
- * @param state   the folder for what must outlive the process
- * @param chores  statements that one driver runs for all
- * @param listCheck how often a driver asks discovery that goes by the list's owner, or null: each asks for itself
- * @param work    machines that may be taken out for work, or null: none are
+ * @param name the fleet's; another fleet's drivers are refused
+ * @param driver this driver's name in it
+ * @param listen where it listens for others, or null: it never votes
+ * @param voters those that found the council, by name, each with the address at which this driver
+ *     reaches it
+ * @param state the folder for what must outlive the process
+ * @param chores statements that one driver runs for all
+ * @param listCheck how often a driver asks discovery that goes by the list's owner, or null: each
+ *     asks for itself
+ * @param work machines that may be taken out for work, or null: none are
  */
-public record FleetRules(String name, String driver, String listen, Map<String, String> voters, Path state, Lease lease,
-                         List<Chore> chores, Duration listCheck, WorkRules work) {
+public record FleetRules(
+        String name,
+        String driver,
+        String listen,
+        Map<String, String> voters,
+        Path state,
+        Lease lease,
+        List<Chore> chores,
+        Duration listCheck,
+        WorkRules work) {
     /** The duty of asking discovery for all. */
     public static final String LIST = "list";
 
     /** The same without work on machines. */
-    public FleetRules(String name, String driver, String listen, Map<String, String> voters, Path state, Lease lease,
-                      List<Chore> chores, Duration listCheck) {
+    public FleetRules(
+            String name,
+            String driver,
+            String listen,
+            Map<String, String> voters,
+            Path state,
+            Lease lease,
+            List<Chore> chores,
+            Duration listCheck) {
         this(name, driver, listen, voters, state, lease, chores, listCheck, null);
     }
 
@@ -53,7 +70,10 @@
 
     /** The same for a driver of this name where the file gives it none. */
     public FleetRules named(String name) {
-        return driver.isEmpty() ? new FleetRules(this.name, name, listen, voters, state, lease, chores, listCheck, work) : this;
+        return driver.isEmpty()
+                ? new FleetRules(
+                        this.name, name, listen, voters, state, lease, chores, listCheck, work)
+                : this;
     }
 
     /** The same with these rules of work. */
--- a/src/main/java/wingroad/fleet/Host.java
+++ b/src/main/java/wingroad/fleet/Host.java
@@ -2,7 +2,10 @@
 
 import java.time.Duration;
 
-/** What the fleet's parts stand on: a thread's tasks and timers and its clock. Real, or played in virtual time. */
+/**
+ * What the fleet's parts stand on: a thread's tasks and timers and its clock. Real, or played in
+ * virtual time.
+ */
 public interface Host {
     /** The monotone clock, since some start. */
     Duration now();
--- a/src/main/java/wingroad/fleet/LoopNet.java
+++ b/src/main/java/wingroad/fleet/LoopNet.java
@@ -23,7 +23,8 @@
 
     static InetSocketAddress address(String text) {
         int colon = text.lastIndexOf(':');
-        return new InetSocketAddress(text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
+        return new InetSocketAddress(
+                text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
     }
 
     @Override
@@ -39,13 +40,19 @@
 
     /** Listens; each guest gets an owner of its own. */
     Listener listen(InetSocketAddress at, Supplier<Owner> owners) throws IOException {
-        Listener door = new Listener(loop, at, LONGEST + 4, () -> loop.channelsLeft() > 0, guest -> {
-            Owner owner = owners.get();
-            Line line = new Line(owner);
-            line.link = guest.apply(line);
-            owner.up(line);
-            line.link.begin();
-        });
+        Listener door =
+                new Listener(
+                        loop,
+                        at,
+                        LONGEST + 4,
+                        () -> loop.channelsLeft() > 0,
+                        guest -> {
+                            Owner owner = owners.get();
+                            Line line = new Line(owner);
+                            line.link = guest.apply(line);
+                            owner.up(line);
+                            line.link.begin();
+                        });
         door.again();
         return door;
     }
