--- a/src/main/java/wingroad/fleet/MessageCodec.java
+++ b/src/main/java/wingroad/fleet/MessageCodec.java
@@ -34,8 +34,7 @@
 final class MessageCodec {
     static final RaftModelFactory MODELS = new DefaultRaftModelFactory();
 
-    private MessageCodec() {
-    }
+    private MessageCodec() {}
 
     /** A voter in the engine's eyes: "name/identity". */
     record Endpoint(String id) implements RaftEndpoint {
@@ -124,8 +123,17 @@
         } catch (IllegalArgumentException e) {
             throw new Json.Malformed("no op: " + m.get("k"));
         }
-        return new Op(kind, text(m, "by"), text(m, "duty"), number(m, "epoch"), number(m, "n"), text(m, "to"),
-            texts(m.get("duties")), beats(m.get("beats")), text(m, "ask"), number(m, "wall"));
+        return new Op(
+                kind,
+                text(m, "by"),
+                text(m, "duty"),
+                number(m, "epoch"),
+                number(m, "n"),
+                text(m, "to"),
+                texts(m.get("duties")),
+                beats(m.get("beats")),
+                text(m, "ask"),
+                number(m, "wall"));
     }
 
     static Map<String, Long> beats(Object of) {
@@ -149,13 +157,23 @@
     }
 
     static Map<String, Object> of(RaftGroupMembersView v) {
-        return message("view", "i", v.getLogIndex(), "all", ids(v.getMembers()), "vote", ids(v.getVotingMembers()));
+        return message(
+                "view",
+                "i",
+                v.getLogIndex(),
+                "all",
+                ids(v.getMembers()),
+                "vote",
+                ids(v.getVotingMembers()));
     }
 
     static RaftGroupMembersView view(Object of) {
         Map<String, Object> m = Json.object(of, "the voters");
-        return MODELS.createRaftGroupMembersViewBuilder().setLogIndex(number(m, "i")).setMembers(endpoints(m.get("all")))
-            .setVotingMembers(endpoints(m.get("vote"))).build();
+        return MODELS.createRaftGroupMembersViewBuilder()
+                .setLogIndex(number(m, "i"))
+                .setMembers(endpoints(m.get("all")))
+                .setVotingMembers(endpoints(m.get("vote")))
+                .build();
     }
 
     private static Map<String, Object> ofOperation(Object operation) {
@@ -163,8 +181,16 @@
             return of(op);
         }
         if (operation instanceof UpdateRaftGroupMembersOp u) {
-            return message("members", "all", ids(u.getMembers()), "vote", ids(u.getVotingMembers()), "e",
-                u.getEndpoint().getId(), "mode", u.getMode().name());
+            return message(
+                    "members",
+                    "all",
+                    ids(u.getMembers()),
+                    "vote",
+                    ids(u.getVotingMembers()),
+                    "e",
+                    u.getEndpoint().getId(),
+                    "mode",
+                    u.getMode().name());
         }
         return message("whole", "v", operation);
     }
@@ -172,52 +198,119 @@
     private static Object operation(Object of) {
         Map<String, Object> m = Json.object(of, "an operation");
         return switch (text(m, "k")) {
-            case "members" -> MODELS.createUpdateRaftGroupMembersOpBuilder().setMembers(endpoints(m.get("all")))
-                .setVotingMembers(endpoints(m.get("vote"))).setEndpoint(Endpoint.of(text(m, "e")))
-                .setMode(MembershipChangeMode.valueOf(text(m, "mode"))).build();
+            case "members" ->
+                    MODELS.createUpdateRaftGroupMembersOpBuilder()
+                            .setMembers(endpoints(m.get("all")))
+                            .setVotingMembers(endpoints(m.get("vote")))
+                            .setEndpoint(Endpoint.of(text(m, "e")))
+                            .setMode(MembershipChangeMode.valueOf(text(m, "mode")))
+                            .build();
             case "whole" -> m.get("v");
             default -> op(m);
         };
     }
 
     static Map<String, Object> of(LogEntry e) {
-        return message("entry", "i", e.getIndex(), "t", e.getTerm(), "op", ofOperation(e.getOperation()));
+        return message(
+                "entry", "i", e.getIndex(), "t", e.getTerm(), "op", ofOperation(e.getOperation()));
     }
 
     static LogEntry entry(Object of) {
         Map<String, Object> m = Json.object(of, "an entry");
-        return MODELS.createLogEntryBuilder().setIndex(number(m, "i")).setTerm((int) number(m, "t"))
-            .setOperation(operation(m.get("op"))).build();
+        return MODELS.createLogEntryBuilder()
+                .setIndex(number(m, "i"))
+                .setTerm((int) number(m, "t"))
+                .setOperation(operation(m.get("op")))
+                .build();
     }
 
     static Map<String, Object> of(SnapshotChunk c) {
-        return message("chunk", "i", c.getIndex(), "t", c.getTerm(), "op", ofOperation(c.getOperation()), "c",
-            c.getSnapshotChunkIndex(), "of", c.getSnapshotChunkCount(), "view", of(c.getGroupMembersView()));
+        return message(
+                "chunk",
+                "i",
+                c.getIndex(),
+                "t",
+                c.getTerm(),
+                "op",
+                ofOperation(c.getOperation()),
+                "c",
+                c.getSnapshotChunkIndex(),
+                "of",
+                c.getSnapshotChunkCount(),
+                "view",
+                of(c.getGroupMembersView()));
     }
 
     static SnapshotChunk chunk(Object of) {
         Map<String, Object> m = Json.object(of, "a chunk");
-        return MODELS.createSnapshotChunkBuilder().setIndex(number(m, "i")).setTerm((int) number(m, "t"))
-            .setOperation(operation(m.get("op"))).setSnapshotChunkIndex((int) number(m, "c"))
-            .setSnapshotChunkCount((int) number(m, "of")).setGroupMembersView(view(m.get("view"))).build();
+        return MODELS.createSnapshotChunkBuilder()
+                .setIndex(number(m, "i"))
+                .setTerm((int) number(m, "t"))
+                .setOperation(operation(m.get("op")))
+                .setSnapshotChunkIndex((int) number(m, "c"))
+                .setSnapshotChunkCount((int) number(m, "of"))
+                .setGroupMembersView(view(m.get("view")))
+                .build();
     }
 
     // ---- messages between voters ----
 
     static Map<String, Object> of(RaftMessage any) {
-        Map<String, Object> m = message("", "g", any.getGroupId(), "s", any.getSender().getId(), "t", any.getTerm());
+        Map<String, Object> m =
+                message(
+                        "",
+                        "g",
+                        any.getGroupId(),
+                        "s",
+                        any.getSender().getId(),
+                        "t",
+                        any.getTerm());
         if (any instanceof AppendEntriesRequest r) {
-            return more(m, "append", "pt", r.getPreviousLogTerm(), "pi", r.getPreviousLogIndex(), "ci", r.getCommitIndex(),
-                "e", r.getLogEntries().stream().map(MessageCodec::of).toList(), "q", r.getQuerySequenceNumber(), "f",
-                r.getFlowControlSequenceNumber());
+            return more(
+                    m,
+                    "append",
+                    "pt",
+                    r.getPreviousLogTerm(),
+                    "pi",
+                    r.getPreviousLogIndex(),
+                    "ci",
+                    r.getCommitIndex(),
+                    "e",
+                    r.getLogEntries().stream().map(MessageCodec::of).toList(),
+                    "q",
+                    r.getQuerySequenceNumber(),
+                    "f",
+                    r.getFlowControlSequenceNumber());
         } else if (any instanceof AppendEntriesSuccessResponse r) {
-            return more(m, "appended", "li", r.getLastLogIndex(), "q", r.getQuerySequenceNumber(), "f",
-                r.getFlowControlSequenceNumber());
+            return more(
+                    m,
+                    "appended",
+                    "li",
+                    r.getLastLogIndex(),
+                    "q",
+                    r.getQuerySequenceNumber(),
+                    "f",
+                    r.getFlowControlSequenceNumber());
         } else if (any instanceof AppendEntriesFailureResponse r) {
-            return more(m, "not-appended", "ni", r.getExpectedNextIndex(), "q", r.getQuerySequenceNumber(), "f",
-                r.getFlowControlSequenceNumber());
+            return more(
+                    m,
+                    "not-appended",
+                    "ni",
+                    r.getExpectedNextIndex(),
+                    "q",
+                    r.getQuerySequenceNumber(),
+                    "f",
+                    r.getFlowControlSequenceNumber());
         } else if (any instanceof VoteRequest r) {
-            return more(m, "vote", "lt", r.getLastLogTerm(), "li", r.getLastLogIndex(), "sticky", r.isSticky());
+            return more(
+                    m,
+                    "vote",
+                    "lt",
+                    r.getLastLogTerm(),
+                    "li",
+                    r.getLastLogIndex(),
+                    "sticky",
+                    r.isSticky());
         } else if (any instanceof VoteResponse r) {
             return more(m, "voted", "yes", r.isGranted());
         } else if (any instanceof PreVoteRequest r) {
@@ -225,13 +318,39 @@
         } else if (any instanceof PreVoteResponse r) {
             return more(m, "would-vote", "yes", r.isGranted());
         } else if (any instanceof InstallSnapshotRequest r) {
-            return more(m, "snapshot", "leads", r.isSenderLeader(), "st", r.getSnapshotTerm(), "si", r.getSnapshotIndex(),
-                "of", r.getTotalSnapshotChunkCount(), "chunk", r.getSnapshotChunk() == null ? null
-                    : of(r.getSnapshotChunk()), "from", ids(r.getSnapshottedMembers()), "view",
-                of(r.getGroupMembersView()), "q", r.getQuerySequenceNumber(), "f", r.getFlowControlSequenceNumber());
+            return more(
+                    m,
+                    "snapshot",
+                    "leads",
+                    r.isSenderLeader(),
+                    "st",
+                    r.getSnapshotTerm(),
+                    "si",
+                    r.getSnapshotIndex(),
+                    "of",
+                    r.getTotalSnapshotChunkCount(),
+                    "chunk",
+                    r.getSnapshotChunk() == null ? null : of(r.getSnapshotChunk()),
+                    "from",
+                    ids(r.getSnapshottedMembers()),
+                    "view",
+                    of(r.getGroupMembersView()),
+                    "q",
+                    r.getQuerySequenceNumber(),
+                    "f",
+                    r.getFlowControlSequenceNumber());
         } else if (any instanceof InstallSnapshotResponse r) {
-            return more(m, "snapshot-got", "si", r.getSnapshotIndex(), "c", r.getRequestedSnapshotChunkIndex(), "q",
-                r.getQuerySequenceNumber(), "f", r.getFlowControlSequenceNumber());
+            return more(
+                    m,
+                    "snapshot-got",
+                    "si",
+                    r.getSnapshotIndex(),
+                    "c",
+                    r.getRequestedSnapshotChunkIndex(),
+                    "q",
+                    r.getQuerySequenceNumber(),
+                    "f",
+                    r.getFlowControlSequenceNumber());
         } else if (any instanceof TriggerLeaderElectionRequest r) {
             return more(m, "lead", "lt", r.getLastLogTerm(), "li", r.getLastLogIndex());
         }
@@ -256,33 +375,100 @@
             case "append" -> {
                 List<LogEntry> entries = new ArrayList<>();
                 Json.list(m, "e").forEach(e -> entries.add(entry(e)));
-                yield MODELS.createAppendEntriesRequestBuilder().setGroupId(g).setSender(s).setTerm(t)
-                    .setPreviousLogTerm((int) number(m, "pt")).setPreviousLogIndex(number(m, "pi"))
-                    .setCommitIndex(number(m, "ci")).setLogEntries(entries).setQuerySequenceNumber(q)
-                    .setFlowControlSequenceNumber(f).build();
+                yield MODELS.createAppendEntriesRequestBuilder()
+                        .setGroupId(g)
+                        .setSender(s)
+                        .setTerm(t)
+                        .setPreviousLogTerm((int) number(m, "pt"))
+                        .setPreviousLogIndex(number(m, "pi"))
+                        .setCommitIndex(number(m, "ci"))
+                        .setLogEntries(entries)
+                        .setQuerySequenceNumber(q)
+                        .setFlowControlSequenceNumber(f)
+                        .build();
             }
-            case "appended" -> MODELS.createAppendEntriesSuccessResponseBuilder().setGroupId(g).setSender(s).setTerm(t)
-                .setLastLogIndex(li).setQuerySequenceNumber(q).setFlowControlSequenceNumber(f).build();
-            case "not-appended" -> MODELS.createAppendEntriesFailureResponseBuilder().setGroupId(g).setSender(s).setTerm(t)
-                .setExpectedNextIndex(number(m, "ni")).setQuerySequenceNumber(q).setFlowControlSequenceNumber(f).build();
-            case "vote" -> MODELS.createVoteRequestBuilder().setGroupId(g).setSender(s).setTerm(t).setLastLogTerm(lt)
-                .setLastLogIndex(li).setSticky(Boolean.TRUE.equals(m.get("sticky"))).build();
-            case "voted" -> MODELS.createVoteResponseBuilder().setGroupId(g).setSender(s).setTerm(t).setGranted(yes).build();
-            case "would" -> MODELS.createPreVoteRequestBuilder().setGroupId(g).setSender(s).setTerm(t).setLastLogTerm(lt)
-                .setLastLogIndex(li).build();
-            case "would-vote" -> MODELS.createPreVoteResponseBuilder().setGroupId(g).setSender(s).setTerm(t)
-                .setGranted(yes).build();
-            case "snapshot" -> MODELS.createInstallSnapshotRequestBuilder().setGroupId(g).setSender(s).setTerm(t)
-                .setSenderLeader(Boolean.TRUE.equals(m.get("leads"))).setSnapshotTerm((int) number(m, "st"))
-                .setSnapshotIndex(number(m, "si")).setTotalSnapshotChunkCount((int) number(m, "of"))
-                .setSnapshotChunk(m.get("chunk") == null ? null : chunk(m.get("chunk")))
-                .setSnapshottedMembers(endpoints(m.get("from"))).setGroupMembersView(view(m.get("view")))
-                .setQuerySequenceNumber(q).setFlowControlSequenceNumber(f).build();
-            case "snapshot-got" -> MODELS.createInstallSnapshotResponseBuilder().setGroupId(g).setSender(s).setTerm(t)
-                .setSnapshotIndex(number(m, "si")).setRequestedSnapshotChunkIndex((int) number(m, "c"))
-                .setQuerySequenceNumber(q).setFlowControlSequenceNumber(f).build();
-            case "lead" -> MODELS.createTriggerLeaderElectionRequestBuilder().setGroupId(g).setSender(s).setTerm(t)
-                .setLastLogTerm(lt).setLastLogIndex(li).build();
+            case "appended" ->
+                    MODELS.createAppendEntriesSuccessResponseBuilder()
+                            .setGroupId(g)
+                            .setSender(s)
+                            .setTerm(t)
+                            .setLastLogIndex(li)
+                            .setQuerySequenceNumber(q)
+                            .setFlowControlSequenceNumber(f)
+                            .build();
+            case "not-appended" ->
+                    MODELS.createAppendEntriesFailureResponseBuilder()
+                            .setGroupId(g)
+                            .setSender(s)
+                            .setTerm(t)
+                            .setExpectedNextIndex(number(m, "ni"))
+                            .setQuerySequenceNumber(q)
+                            .setFlowControlSequenceNumber(f)
+                            .build();
+            case "vote" ->
+                    MODELS.createVoteRequestBuilder()
+                            .setGroupId(g)
+                            .setSender(s)
+                            .setTerm(t)
+                            .setLastLogTerm(lt)
+                            .setLastLogIndex(li)
+                            .setSticky(Boolean.TRUE.equals(m.get("sticky")))
+                            .build();
+            case "voted" ->
+                    MODELS.createVoteResponseBuilder()
+                            .setGroupId(g)
+                            .setSender(s)
+                            .setTerm(t)
+                            .setGranted(yes)
+                            .build();
+            case "would" ->
+                    MODELS.createPreVoteRequestBuilder()
+                            .setGroupId(g)
+                            .setSender(s)
+                            .setTerm(t)
+                            .setLastLogTerm(lt)
+                            .setLastLogIndex(li)
+                            .build();
+            case "would-vote" ->
+                    MODELS.createPreVoteResponseBuilder()
+                            .setGroupId(g)
+                            .setSender(s)
+                            .setTerm(t)
+                            .setGranted(yes)
+                            .build();
+            case "snapshot" ->
+                    MODELS.createInstallSnapshotRequestBuilder()
+                            .setGroupId(g)
+                            .setSender(s)
+                            .setTerm(t)
+                            .setSenderLeader(Boolean.TRUE.equals(m.get("leads")))
+                            .setSnapshotTerm((int) number(m, "st"))
+                            .setSnapshotIndex(number(m, "si"))
+                            .setTotalSnapshotChunkCount((int) number(m, "of"))
+                            .setSnapshotChunk(m.get("chunk") == null ? null : chunk(m.get("chunk")))
+                            .setSnapshottedMembers(endpoints(m.get("from")))
+                            .setGroupMembersView(view(m.get("view")))
+                            .setQuerySequenceNumber(q)
+                            .setFlowControlSequenceNumber(f)
+                            .build();
+            case "snapshot-got" ->
+                    MODELS.createInstallSnapshotResponseBuilder()
+                            .setGroupId(g)
+                            .setSender(s)
+                            .setTerm(t)
+                            .setSnapshotIndex(number(m, "si"))
+                            .setRequestedSnapshotChunkIndex((int) number(m, "c"))
+                            .setQuerySequenceNumber(q)
+                            .setFlowControlSequenceNumber(f)
+                            .build();
+            case "lead" ->
+                    MODELS.createTriggerLeaderElectionRequestBuilder()
+                            .setGroupId(g)
+                            .setSender(s)
+                            .setTerm(t)
+                            .setLastLogTerm(lt)
+                            .setLastLogIndex(li)
+                            .build();
             default -> throw new Json.Malformed("no message: " + m.get("k"));
         };
     }
--- a/src/main/java/wingroad/fleet/Net.java
+++ b/src/main/java/wingroad/fleet/Net.java
@@ -4,7 +4,10 @@
 
 /** Connections that carry messages, each whole and in order, or break. */
 public interface Net {
-    /** Opens a connection; its owner hears {@code up} or {@code ended} later, never within this call. */
+    /**
+     * Opens a connection; its owner hears {@code up} or {@code ended} later, never within this
+     * call.
+     */
     Wire open(String address, Owner owner);
 
     /** One connection. */
@@ -17,8 +20,7 @@
 
     /** Whose connection it is. */
     interface Owner {
-        default void up(Wire wire) {
-        }
+        default void up(Wire wire) {}
 
         void message(Wire wire, Map<String, Object> message);
 
--- a/src/main/java/wingroad/fleet/RowStore.java
+++ b/src/main/java/wingroad/fleet/RowStore.java
@@ -3,11 +3,15 @@
 import java.io.IOException;
 import java.util.SortedMap;
 
-/** Numbered rows in a few tables, durable once flushed, all that was put before one flush together. */
+/**
+ * Numbered rows in a few tables, durable once flushed, all that was put before one flush together.
+ */
 interface RowStore {
     /** The tables. */
     enum Table {
-        META, LOG, CHUNKS
+        META,
+        LOG,
+        CHUNKS
     }
 
     void put(Table table, long key, byte[] row) throws IOException;
@@ -19,7 +23,9 @@
 
     void flush() throws IOException;
 
-    /** Puts all that there is out of the way, under a name that it returns, and begins with nothing. */
+    /**
+     * Puts all that there is out of the way, under a name that it returns, and begins with nothing.
+     */
     String setAside() throws IOException;
 
     void close();
--- a/src/main/java/wingroad/fleet/Runner.java
+++ b/src/main/java/wingroad/fleet/Runner.java
@@ -8,7 +8,8 @@
     /**
      * Runs it once, if that may still be, and says how it ended on the fleet's thread.
      *
-     * @param until on the monotone clock, {@code System.nanoTime()}: from then on it may no more be begun nor waited for
+     * @param until on the monotone clock, {@code System.nanoTime()}: from then on it may no more be
+     *     begun nor waited for
      */
     void run(Chore chore, long epoch, long turn, Duration until, Ended ended);
 
--- a/src/main/java/wingroad/fleet/SessionFeed.java
+++ b/src/main/java/wingroad/fleet/SessionFeed.java
@@ -9,15 +9,18 @@
 import wingroad.work.WorkRules;
 
 /**
- * What one driver's session has been told by the voter that it is attached to, so that it is told the rest: the plan, the duties
- * that have changed, the last renewal that is settled. A new one tells everything.
+ * What one driver's session has been told by the voter that it is attached to, so that it is told
+ * the rest: the plan, the duties that have changed, the last renewal that is settled. A new one
+ * tells everything.
  */
 final class SessionFeed {
     private long sentRevision = -1;
     private long sentBeat = -1;
     private boolean sentOpen;
+
     /** Up to which change of the plan it has been told; whether it has been told at all. */
     private long sentWork;
+
     private boolean toldWork;
     private List<Object> sentSums = List.of();
 
@@ -28,7 +31,8 @@
         List<Object> duties = new ArrayList<>();
         for (Register.Duty d : register.duties()) {
             if (d.revision() > sentRevision) {
-                duties.add(List.of(d.name(), d.owner(), d.epoch(), d.turn(), d.outcome(), d.wanted()));
+                duties.add(
+                        List.of(d.name(), d.owner(), d.epoch(), d.turn(), d.outcome(), d.wanted()));
             }
         }
         Register.Session s = register.session(session);
@@ -36,7 +40,17 @@
         if (beat != sentBeat || !duties.isEmpty() || sentRevision < 0 || sentOpen != (s != null)) {
             sentBeat = beat;
             sentOpen = s != null;
-            wire.send(MessageCodec.message("settled", "rev", register.revision(), "open", s != null, "beat", beat, "duties", duties));
+            wire.send(
+                    MessageCodec.message(
+                            "settled",
+                            "rev",
+                            register.revision(),
+                            "open",
+                            s != null,
+                            "beat",
+                            beat,
+                            "duties",
+                            duties));
         }
         sentRevision = register.revision();
     }
@@ -51,8 +65,13 @@
         boolean conducts = d.owner().equals(session);
         List<Object> sums = conducts ? plan.sums() : sentSums;
         if (!toldWork || plan.changes() > sentWork || !sums.equals(sentSums)) {
-            Map<String, Object> m = MessageCodec.message("plan", "news", plan.news(toldWork ? sentWork : 0), "of",
-                register.revision());
+            Map<String, Object> m =
+                    MessageCodec.message(
+                            "plan",
+                            "news",
+                            plan.news(toldWork ? sentWork : 0),
+                            "of",
+                            register.revision());
             if (conducts) {
                 m.put("sums", sums);
                 m.put("live", register.sessions().stream().map(Register.Session::name).toList());
--- a/src/main/java/wingroad/fleet/SqliteRowStore.java
+++ b/src/main/java/wingroad/fleet/SqliteRowStore.java
@@ -12,7 +12,10 @@
 import java.util.SortedMap;
 import java.util.TreeMap;
 
-/** RowStore in an SQLite file, by its write-ahead log: what was flushed survives the end of the process at any byte. */
+/**
+ * RowStore in an SQLite file, by its write-ahead log: what was flushed survives the end of the
+ * process at any byte.
+ */
 final class SqliteRowStore implements RowStore {
     private static final String[] PARTS = {"", "-wal", "-shm"};
 
@@ -24,7 +27,8 @@
         try {
             open();
         } catch (SQLException e) {
-            // What can't be opened as a database is set aside by whoever reads it: nothing is overwritten.
+            // What can't be opened as a database is set aside by whoever reads it: nothing is
+            // overwritten.
             shut();
             String name = setAside();
             throw new Unreadable(name + ": " + e.getMessage());
@@ -51,7 +55,10 @@
                 }
             }
             for (Table t : Table.values()) {
-                s.execute("CREATE TABLE IF NOT EXISTS " + t + " (k INTEGER PRIMARY KEY, v BLOB NOT NULL)");
+                s.execute(
+                        "CREATE TABLE IF NOT EXISTS "
+                                + t
+                                + " (k INTEGER PRIMARY KEY, v BLOB NOT NULL)");
             }
         }
         db.setAutoCommit(false);
@@ -59,7 +66,8 @@
 
     @Override
     public void put(Table table, long key, byte[] row) throws IOException {
-        try (PreparedStatement s = db.prepareStatement("INSERT OR REPLACE INTO " + table + " VALUES (?, ?)")) {
+        try (PreparedStatement s =
+                db.prepareStatement("INSERT OR REPLACE INTO " + table + " VALUES (?, ?)")) {
             s.setLong(1, key);
             s.setBytes(2, row);
             s.execute();
@@ -70,7 +78,8 @@
 
     @Override
     public void drop(Table table, long from, long to) throws IOException {
-        try (PreparedStatement s = db.prepareStatement("DELETE FROM " + table + " WHERE k BETWEEN ? AND ?")) {
+        try (PreparedStatement s =
+                db.prepareStatement("DELETE FROM " + table + " WHERE k BETWEEN ? AND ?")) {
             s.setLong(1, from);
             s.setLong(2, to);
             s.execute();
@@ -82,7 +91,8 @@
     @Override
     public SortedMap<Long, byte[]> all(Table table) throws IOException {
         SortedMap<Long, byte[]> all = new TreeMap<>();
-        try (Statement s = db.createStatement(); ResultSet r = s.executeQuery("SELECT k, v FROM " + table)) {
+        try (Statement s = db.createStatement();
+                ResultSet r = s.executeQuery("SELECT k, v FROM " + table)) {
             while (r.next()) {
                 all.put(r.getLong(1), r.getBytes(2));
             }
--- a/src/main/java/wingroad/fleet/StateFolder.java
+++ b/src/main/java/wingroad/fleet/StateFolder.java
@@ -12,7 +12,10 @@
 import java.nio.file.StandardOpenOption;
 import java.util.function.Supplier;
 
-/** A driver's folder for what must outlive it. One process has it at a time, by a lock that ends with the process. */
+/**
+ * A driver's folder for what must outlive it. One process has it at a time, by a lock that ends
+ * with the process.
+ */
 final class StateFolder implements AutoCloseable {
     private final Path dir;
     private final Supplier<String> names;
@@ -22,7 +25,9 @@
         this.dir = dir;
         this.names = names;
         Files.createDirectories(dir);
-        channel = FileChannel.open(dir.resolve("lock"), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+        channel =
+                FileChannel.open(
+                        dir.resolve("lock"), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
         try {
             FileLock lock = channel.tryLock();
             if (lock == null) {
@@ -30,7 +35,9 @@
             }
         } catch (IOException | OverlappingFileLockException e) {
             channel.close();
-            throw e instanceof IOException io ? io : new IOException(dir + " is in use in this process");
+            throw e instanceof IOException io
+                    ? io
+                    : new IOException(dir + " is in use in this process");
         }
     }
 
@@ -46,8 +53,12 @@
         }
         String drawn = names.get();
         Path next = dir.resolve("identity.new");
-        try (FileChannel c = FileChannel.open(next, StandardOpenOption.CREATE, StandardOpenOption.WRITE,
-            StandardOpenOption.TRUNCATE_EXISTING)) {
+        try (FileChannel c =
+                FileChannel.open(
+                        next,
+                        StandardOpenOption.CREATE,
+                        StandardOpenOption.WRITE,
+                        StandardOpenOption.TRUNCATE_EXISTING)) {
             c.write(java.nio.ByteBuffer.wrap(drawn.getBytes(StandardCharsets.UTF_8)));
             c.force(true);
         }
@@ -69,8 +80,8 @@
     }
 
     /**
-     * The database's own library is unpacked into a file at each start, and one that was killed leaves it behind. In here,
-     * under the folder's lock, what is found is nobody's any more.
+     * The database's own library is unpacked into a file at each start, and one that was killed
+     * leaves it behind. In here, under the folder's lock, what is found is nobody's any more.
      */
     private void unpackHere() throws IOException {
         Path unpacked = Files.createDirectories(dir.resolve("unpacked"));
--- a/src/main/java/wingroad/fleet/Worker.java
+++ b/src/main/java/wingroad/fleet/Worker.java
@@ -18,8 +18,8 @@
     /**
      * How long what was told last holds.
      *
-     * @param until    on the monotone clock
-     * @param over     the session has ended: nothing holds any more
+     * @param until on the monotone clock
+     * @param over the session has ended: nothing holds any more
      * @param conducts the epoch under which this driver conducts the work, or 0
      */
     void lease(Duration until, boolean over, long conducts);
--- a/src/main/java/wingroad/kdl/KdlReader.java
+++ b/src/main/java/wingroad/kdl/KdlReader.java
@@ -19,23 +19,25 @@
 import org.antlr.v4.runtime.Token;
 import org.antlr.v4.runtime.misc.IntervalSet;
 
-/** Reads KDL 2.0 into nodes; what is wrong is told with its place and with what was expected there. */
+/**
+ * Reads KDL 2.0 into nodes; what is wrong is told with its place and with what was expected there.
+ */
 public final class KdlReader {
     private static final int MOST_PROBLEMS = 50;
+
     /** Deeper than any document that is meant; the parser calls itself for each block. */
     private static final int DEEPEST = 64;
+
     private static final int MOST_SIGNS = 16;
     private static final String NEWLINES = "\r\n|[\r\n\u0085\u000b\u000c\u2028\u2029]";
     private static final String SPACES = "[ \\t\u00a0\u1680\u2000-\u200a\u202f\u205f\u3000\ufeff]*";
 
     /** A document as far as it could be read. */
-    public record Document(List<Node> nodes, List<Problem> problems) {
-    }
+    public record Document(List<Node> nodes, List<Problem> problems) {}
 
     private final List<Problem> problems = new ArrayList<>();
 
-    private KdlReader() {
-    }
+    private KdlReader() {}
 
     public static Document read(String text) {
         return new KdlReader().document(text);
@@ -45,13 +47,19 @@
         if (tooDeep(text) || tooManySigns(text)) {
             return new Document(List.of(), problems);
         }
-        BaseErrorListener heard = new BaseErrorListener() {
-            @Override
-            public void syntaxError(Recognizer<?, ?> recognizer, Object symbol, int line, int column, String msg,
-                                    RecognitionException e) {
-                problem(line, column + 1, message(recognizer, symbol, msg));
-            }
-        };
+        BaseErrorListener heard =
+                new BaseErrorListener() {
+                    @Override
+                    public void syntaxError(
+                            Recognizer<?, ?> recognizer,
+                            Object symbol,
+                            int line,
+                            int column,
+                            String msg,
+                            RecognitionException e) {
+                        problem(line, column + 1, message(recognizer, symbol, msg));
+                    }
+                };
         KdlLexer lexer = new KdlLexer(CharStreams.fromString(text));
         lexer.removeErrorListeners();
         lexer.addErrorListener(heard);
@@ -64,7 +72,10 @@
         return new Document(nodes, problems);
     }
 
-    /** Guards the stack: brackets in strings and comments count too, which only matters to what is absurd anyway. */
+    /**
+     * Guards the stack: brackets in strings and comments count too, which only matters to what is
+     * absurd anyway.
+     */
     private boolean tooDeep(String text) {
         int deep = 0;
         int line = 1;
@@ -87,8 +98,10 @@
     private boolean tooManySigns(String text) {
         int at = text.indexOf("#".repeat(MOST_SIGNS + 1));
         if (at >= 0) {
-            problem(1 + (int) text.substring(0, at).chars().filter(c -> c == '\n').count(), 1, "more than " + MOST_SIGNS
-                + " signs # in a row");
+            problem(
+                    1 + (int) text.substring(0, at).chars().filter(c -> c == '\n').count(),
+                    1,
+                    "more than " + MOST_SIGNS + " signs # in a row");
         }
         return at >= 0;
     }
@@ -105,8 +118,12 @@
         if (!(recognizer instanceof Parser parser) || !(symbol instanceof Token t)) {
             return msg;
         }
-        String found = t.getType() == Token.EOF ? "the end of the text" : t.getType() == KdlLexer.NEWLINE
-            ? "the end of the line" : "'" + shown(t.getText()) + "'";
+        String found =
+                t.getType() == Token.EOF
+                        ? "the end of the text"
+                        : t.getType() == KdlLexer.NEWLINE
+                                ? "the end of the line"
+                                : "'" + shown(t.getText()) + "'";
         String why = unfinished(t);
         return "found " + found + why + ", expected " + expected(parser.getExpectedTokens());
     }
@@ -118,7 +135,8 @@
         return switch (t.getText()) {
             case "\"" -> " (a string without its end)";
             case "/" -> " (a comment without its end, or a name with a slash: that needs quotes)";
-            case "#" -> " (words after # are #true, #false, #null, #inf, #-inf and #nan; a raw string needs its end)";
+            case "#" ->
+                    " (words after # are #true, #false, #null, #inf, #-inf and #nan; a raw string needs its end)";
             case "\\" -> " (a line goes on only where nothing but a comment stands behind)";
             default -> "";
         };
@@ -132,24 +150,28 @@
     private static String expected(IntervalSet set) {
         List<String> words = new ArrayList<>();
         for (int type : set.toList()) {
-            String word = switch (type) {
-                case KdlLexer.QUOTED -> "a name or string";
-                case KdlLexer.NUMBER -> "a number";
-                case KdlLexer.KEYWORD -> "#true, #false or #null";
-                case KdlLexer.NEWLINE -> "the end of the line";
-                case KdlLexer.EQUALS -> "'='";
-                case KdlLexer.LEFT -> "'{'";
-                case KdlLexer.RIGHT -> "'}'";
-                case KdlLexer.CLOSE -> "')'";
-                default -> null;
-            };
+            String word =
+                    switch (type) {
+                        case KdlLexer.QUOTED -> "a name or string";
+                        case KdlLexer.NUMBER -> "a number";
+                        case KdlLexer.KEYWORD -> "#true, #false or #null";
+                        case KdlLexer.NEWLINE -> "the end of the line";
+                        case KdlLexer.EQUALS -> "'='";
+                        case KdlLexer.LEFT -> "'{'";
+                        case KdlLexer.RIGHT -> "'}'";
+                        case KdlLexer.CLOSE -> "')'";
+                        default -> null;
+                    };
             if (word != null) {
                 words.add(word);
             }
         }
         int last = words.size() - 1;
-        return last < 0 ? "the end" : last == 0 ? words.get(0)
-            : String.join(", ", words.subList(0, last)) + " or " + words.get(last);
+        return last < 0
+                ? "the end"
+                : last == 0
+                        ? words.get(0)
+                        : String.join(", ", words.subList(0, last)) + " or " + words.get(last);
     }
 
     // ---- nodes ----
@@ -159,7 +181,9 @@
         KdlParser.StatementContext before = null;
         for (KdlParser.StatementContext s : all.statement()) {
             if (before != null && before.end() == null) {
-                at(s, "found a second node on the line, expected the end of the line or ';' before it");
+                at(
+                        s,
+                        "found a second node on the line, expected the end of the line or ';' before it");
             }
             before = s;
             if (s.SLASHDASH() == null) {
@@ -192,16 +216,28 @@
             }
         }
         Token at = n.name.getStart();
-        return new Node(string(n.name), n.type() == null ? null : string(n.type().string()), arguments, properties,
-            repeated, n.block() == null ? List.of() : nodes(n.block().nodes()), at.getLine(), at.getCharPositionInLine() + 1);
+        return new Node(
+                string(n.name),
+                n.type() == null ? null : string(n.type().string()),
+                arguments,
+                properties,
+                repeated,
+                n.block() == null ? List.of() : nodes(n.block().nodes()),
+                at.getLine(),
+                at.getCharPositionInLine() + 1);
     }
 
     private Value value(KdlParser.ValueContext v) {
         Token at = v.getStart();
-        Object it = v.string() != null ? string(v.string()) : v.number() != null ? number(v.number())
-            : keyword(v.keyword().getText());
-        return new Value(it, v.type() == null ? null : string(v.type().string()), at.getLine(),
-            at.getCharPositionInLine() + 1);
+        Object it =
+                v.string() != null
+                        ? string(v.string())
+                        : v.number() != null ? number(v.number()) : keyword(v.keyword().getText());
+        return new Value(
+                it,
+                v.type() == null ? null : string(v.type().string()),
+                at.getLine(),
+                at.getCharPositionInLine() + 1);
     }
 
     private static Object keyword(String word) {
@@ -277,10 +313,17 @@
         for (int i = 1; i < lines.length - 1; i++) {
             boolean blank = lines[i].matches(SPACES);
             if (!blank && !lines[i].startsWith(indent)) {
-                problem(s.getStart().getLine() + i, 1, "a line of a multi-line string is indented less than its end");
+                problem(
+                        s.getStart().getLine() + i,
+                        1,
+                        "a line of a multi-line string is indented less than its end");
             }
-            all.append(i > 1 ? "\n" : "").append(blank ? "" : lines[i].substring(Math.min(indent.length(),
-                lines[i].length())));
+            all.append(i > 1 ? "\n" : "")
+                    .append(
+                            blank
+                                    ? ""
+                                    : lines[i].substring(
+                                            Math.min(indent.length(), lines[i].length())));
         }
         return all.toString();
     }
@@ -302,12 +345,19 @@
                 all.append("\n\r\t\b\f \"\\".charAt(plain));
             } else if (next == 'u') {
                 i = unicode(s, text, i, all);
-            } else if (Character.isWhitespace(next) || next == '\u0085' || next == '\u00a0' || next == '\ufeff') {
+            } else if (Character.isWhitespace(next)
+                    || next == '\u0085'
+                    || next == '\u00a0'
+                    || next == '\ufeff') {
                 while (i + 1 < text.length() && Character.isWhitespace(text.charAt(i + 1))) {
                     i++;
                 }
             } else {
-                at(s, "the escape \\" + next + " is none; expected one of \\n \\r \\t \\b \\f \\s \\\" \\\\ \\u{...}");
+                at(
+                        s,
+                        "the escape \\"
+                                + next
+                                + " is none; expected one of \\n \\r \\t \\b \\f \\s \\\" \\\\ \\u{...}");
             }
         }
         return all.toString();
@@ -315,7 +365,10 @@
 
     private int unicode(KdlParser.StringContext s, String text, int i, StringBuilder all) {
         int close = text.indexOf('}', i);
-        String hex = i + 1 < text.length() && text.charAt(i + 1) == '{' && close > 0 ? text.substring(i + 2, close) : "";
+        String hex =
+                i + 1 < text.length() && text.charAt(i + 1) == '{' && close > 0
+                        ? text.substring(i + 2, close)
+                        : "";
         int point = hex.matches("[0-9a-fA-F]{1,6}") ? Integer.parseInt(hex, 16) : -1;
         if (point < 0 || point > 0x10ffff || point >= 0xd800 && point < 0xe000) {
             at(s, "\\u needs one to six hex digits of a character in braces, as in \\u{1f600}");
--- a/src/main/java/wingroad/kdl/Problem.java
+++ b/src/main/java/wingroad/kdl/Problem.java
@@ -4,7 +4,9 @@
 public record Problem(int line, int column, String text) implements Comparable<Problem> {
     @Override
     public int compareTo(Problem other) {
-        return line != other.line ? Integer.compare(line, other.line) : Integer.compare(column, other.column);
+        return line != other.line
+                ? Integer.compare(line, other.line)
+                : Integer.compare(column, other.column);
     }
 
     @Override
--- a/src/main/java/wingroad/operator/FleetSection.java
+++ b/src/main/java/wingroad/operator/FleetSection.java
@@ -22,16 +22,17 @@
 final class FleetSection {
     /** Names stand in sessions and in file names. */
     private static final String NAME = "[A-Za-z0-9][A-Za-z0-9._-]{0,62}";
+
     /** A change of leaders takes up to 3 s; a lease that is shorter would run out with each one. */
     private static final int SHORTEST_LEASE_MS = 3000;
+
     private static final int USUAL_LEASE_MS = 5000;
     private static final double USUAL_DRIFT = 0.01;
     private static final int USUAL_CHECK_S = 60;
     private static final int MOST_CHORES = 256;
     private static final int LONGEST_STATEMENT = 4096;
 
-    private FleetSection() {
-    }
+    private FleetSection() {}
 
     /** The fleet's rules; what is wrong stands in the section's problems. */
     static FleetRules read(Section fleet) {
@@ -46,9 +47,30 @@
         List<Chore> chores = new ArrayList<>();
         Duration listCheck = null;
         WorkRules work = null;
-        Set<String> once = Set.of("driver", "listen", "state", "lease-ms", "drift", "trusted-network", "list", "work");
-        for (Section s : fleet.within(Set.of("driver", "listen", "voter", "state", "lease-ms", "drift", "trusted-network",
-            "chore", "list", "work"), once)) {
+        Set<String> once =
+                Set.of(
+                        "driver",
+                        "listen",
+                        "state",
+                        "lease-ms",
+                        "drift",
+                        "trusted-network",
+                        "list",
+                        "work");
+        for (Section s :
+                fleet.within(
+                        Set.of(
+                                "driver",
+                                "listen",
+                                "voter",
+                                "state",
+                                "lease-ms",
+                                "drift",
+                                "trusted-network",
+                                "chore",
+                                "list",
+                                "work"),
+                        once)) {
             if (s.name().equals("work")) {
                 work = WorkSection.read(s);
                 continue;
@@ -57,8 +79,15 @@
                 case "driver" -> driver = named(s, "this driver's name");
                 case "listen" -> listen = address(s, "the address to listen at");
                 case "state" -> state = s.word("a folder");
-                case "lease-ms" -> lease = s.whole("how long a lease lasts", SHORTEST_LEASE_MS, 600_000, lease);
-                case "drift" -> drift = s.part("how far a clock may run fast or slow", 0, 0.2, drift);
+                case "lease-ms" ->
+                        lease =
+                                s.whole(
+                                        "how long a lease lasts",
+                                        SHORTEST_LEASE_MS,
+                                        600_000,
+                                        lease);
+                case "drift" ->
+                        drift = s.part("how far a clock may run fast or slow", 0, 0.2, drift);
                 case "trusted-network" -> trusted = s.flag(false);
                 case "voter" -> {
                     String voter = named(s, "a voter's name");
@@ -67,7 +96,11 @@
                         s.problem("the voter '" + voter + "' is listed already");
                     }
                 }
-                case "list" -> listCheck = Duration.ofMillis(Math.round(s.number("check", 1, 600, USUAL_CHECK_S) * 1000));
+                case "list" ->
+                        listCheck =
+                                Duration.ofMillis(
+                                        Math.round(
+                                                s.number("check", 1, 600, USUAL_CHECK_S) * 1000));
                 default -> chore(s, chores);
             }
             s.end(false);
@@ -77,18 +110,36 @@
             fleet.problem("'fleet' needs state, the folder for what must outlive the process");
         }
         if (voters.isEmpty() || voters.size() > 5 || voters.size() % 2 == 0) {
-            fleet.problem("found " + voters.size() + " voters, expected 1, 3 or 5: an even number bears no more losses than one less");
+            fleet.problem(
+                    "found "
+                            + voters.size()
+                            + " voters, expected 1, 3 or 5: an even number bears no more losses than one less");
         }
         if (voters.containsKey(driver) && listen == null) {
             fleet.problem("'" + driver + "' is a voter and needs listen");
         }
         List<String> open = new ArrayList<>(voters.values());
         open.add(listen == null ? "127.0.0.1:1" : listen);
-        if (!trusted && !open.stream().allMatch(a -> a.isEmpty() || a.startsWith("127.") || a.startsWith("[::1]"))) {
-            fleet.problem("an address that is not loopback needs trusted-network #true: drivers' messages are not signed");
-        }
-        return new FleetRules(name, driver, listen, voters, Path.of(state == null ? "." : state),
-            new Lease(Duration.ofMillis(lease), drift), List.copyOf(chores), listCheck, work);
+        if (!trusted
+                && !open.stream()
+                        .allMatch(
+                                a ->
+                                        a.isEmpty()
+                                                || a.startsWith("127.")
+                                                || a.startsWith("[::1]"))) {
+            fleet.problem(
+                    "an address that is not loopback needs trusted-network #true: drivers' messages are not signed");
+        }
+        return new FleetRules(
+                name,
+                driver,
+                listen,
+                voters,
+                Path.of(state == null ? "." : state),
+                new Lease(Duration.ofMillis(lease), drift),
+                List.copyOf(chores),
+                listCheck,
+                work);
     }
 
     private static String named(Section s, String what) {
@@ -105,8 +156,10 @@
             return null;
         }
         int colon = a.lastIndexOf(':');
-        if (colon <= 0 || !a.substring(colon + 1).matches("[0-9]{1,5}") || Integer.parseInt(a.substring(colon + 1)) > 0xffff
-            || !MemberList.isLiteral(a.substring(0, colon))) {
+        if (colon <= 0
+                || !a.substring(colon + 1).matches("[0-9]{1,5}")
+                || Integer.parseInt(a.substring(colon + 1)) > 0xffff
+                || !MemberList.isLiteral(a.substring(0, colon))) {
             s.problem("'" + a + "' is no address, such as 127.0.0.1:7400");
             return null;
         }
@@ -125,10 +178,16 @@
             s.problem("a chore needs group, whose primary runs it");
         }
         if (!statement.contains("{epoch}")) {
-            s.problem("a chore's statement needs {epoch}: without it the member can't tell an owner that woke up late");
+            s.problem(
+                    "a chore's statement needs {epoch}: without it the member can't tell an owner that woke up late");
         }
-        if (statement.length() > LONGEST_STATEMENT || statement.contains("*/") || statement.indexOf('\0') >= 0) {
-            s.problem("a statement has at most " + LONGEST_STATEMENT + " characters, and no comment's end");
+        if (statement.length() > LONGEST_STATEMENT
+                || statement.contains("*/")
+                || statement.indexOf('\0') >= 0) {
+            s.problem(
+                    "a statement has at most "
+                            + LONGEST_STATEMENT
+                            + " characters, and no comment's end");
         }
         if (chores.size() >= MOST_CHORES) {
             s.problem("more than " + MOST_CHORES + " chores");
@@ -136,7 +195,12 @@
         if (name != null && chores.stream().anyMatch(c -> c.name().equals(name))) {
             s.problem("the chore '" + name + "' is listed already");
         }
-        chores.add(new Chore(name == null ? "" : name, Duration.ofMillis(Math.round(every * 1000)), group, statement));
+        chores.add(
+                new Chore(
+                        name == null ? "" : name,
+                        Duration.ofMillis(Math.round(every * 1000)),
+                        group,
+                        statement));
     }
 
     /** All settings in force, in the file's own form. */
@@ -146,12 +210,18 @@
         if (f.listen() != null) {
             within.add(node("listen", List.of(value(f.listen())), Map.of()));
         }
-        f.voters().forEach((n, a) -> within.add(node("voter", List.of(value(n), value(a)), Map.of())));
+        f.voters()
+                .forEach(
+                        (n, a) -> within.add(node("voter", List.of(value(n), value(a)), Map.of())));
         within.add(node("state", List.of(value(f.state().toString())), Map.of()));
         within.add(node("lease-ms", List.of(value(f.lease().held().toMillis())), Map.of()));
         within.add(node("drift", List.of(value(f.lease().drift())), Map.of()));
         if (f.listCheck() != null) {
-            within.add(node("list", List.of(), Map.of("check", value(f.listCheck().toMillis() / 1000.0))));
+            within.add(
+                    node(
+                            "list",
+                            List.of(),
+                            Map.of("check", value(f.listCheck().toMillis() / 1000.0))));
         }
         for (Chore c : f.chores()) {
             Map<String, Value> p = new LinkedHashMap<>();
--- a/src/main/java/wingroad/operator/OperatorFile.java
+++ b/src/main/java/wingroad/operator/OperatorFile.java
@@ -25,27 +25,33 @@
 import wingroad.kdl.Problem;
 import wingroad.kdl.Value;
 
-/** The operator's own file: what is switched on, and how. {@code door} and {@code fleet} are null where there is to be none. */
+/**
+ * The operator's own file: what is switched on, and how. {@code door} and {@code fleet} are null
+ * where there is to be none.
+ */
 public record OperatorFile(FairQueueSettings door, FleetRules fleet) {
     /** A file without end must not fill the memory. */
     private static final int LONGEST = 1 << 20;
+
     private static final int MOST_TENANTS = 1024;
 
     /** What was read, or why it can't be used: one of the two is empty. */
-    public record Read(OperatorFile file, List<Problem> problems) {
-    }
+    public record Read(OperatorFile file, List<Problem> problems) {}
 
     public static Read read(Path path) {
         try (InputStream in = Files.newInputStream(path)) {
             byte[] bytes = in.readNBytes(LONGEST + 1);
             if (bytes.length == 0) {
-                // Guards against a start in the moment in which the file is written anew: all would be off without a word.
-                return broken("empty: is it being written? A file that is to switch nothing on has a comment at least");
+                // Guards against a start in the moment in which the file is written anew: all would
+                // be off without a word.
+                return broken(
+                        "empty: is it being written? A file that is to switch nothing on has a comment at least");
             }
             if (bytes.length > LONGEST) {
                 return broken("longer than " + LONGEST + " bytes");
             }
-            return read(StandardCharsets.UTF_8.newDecoder().decode(ByteBuffer.wrap(bytes)).toString());
+            return read(
+                    StandardCharsets.UTF_8.newDecoder().decode(ByteBuffer.wrap(bytes)).toString());
         } catch (CharacterCodingException e) {
             return broken("no UTF-8");
         } catch (IOException e) {
@@ -74,7 +80,9 @@
             }
         }
         Collections.sort(problems);
-        return problems.isEmpty() ? new Read(new OperatorFile(door, fleet), List.of()) : new Read(null, problems);
+        return problems.isEmpty()
+                ? new Read(new OperatorFile(door, fleet), List.of())
+                : new Read(null, problems);
     }
 
     private static FairQueueSettings door(Section door) {
@@ -84,12 +92,20 @@
         int mostWaiting = usual.mostWaiting();
         Tenant others = usual.others();
         Map<String, Tenant> tenants = new LinkedHashMap<>();
-        for (Section s : door.within(Set.of("tenant-from", "names-per-address", "most-waiting", "others", "tenant"),
-            Set.of("names-per-address", "most-waiting", "others"))) {
+        for (Section s :
+                door.within(
+                        Set.of(
+                                "tenant-from",
+                                "names-per-address",
+                                "most-waiting",
+                                "others",
+                                "tenant"),
+                        Set.of("names-per-address", "most-waiting", "others"))) {
             switch (s.name()) {
                 case "tenant-from" -> source(s, sources);
                 case "names-per-address" -> names = (int) s.whole("how many names", 0, 16, names);
-                case "most-waiting" -> mostWaiting = (int) s.whole("how many txns", 1, 2048, mostWaiting);
+                case "most-waiting" ->
+                        mostWaiting = (int) s.whole("how many txns", 1, 2048, mostWaiting);
                 case "others" -> others = tenant(s);
                 default -> {
                     String name = s.word("a name");
@@ -107,7 +123,12 @@
         if (sources.isEmpty()) {
             sources = usual.sources();
         }
-        return new FairQueueSettings(List.copyOf(sources), names, mostWaiting, others, Collections.unmodifiableMap(tenants));
+        return new FairQueueSettings(
+                List.copyOf(sources),
+                names,
+                mostWaiting,
+                others,
+                Collections.unmodifiableMap(tenants));
     }
 
     private static void source(Section s, List<Source> sources) {
@@ -116,8 +137,12 @@
         places.put("startup", Place.STARTUP);
         places.put("address", Place.ADDRESS);
         Place place = s.oneOf("a place", places);
-        String name = place == Place.STARTUP ? s.oneOf("a startup parameter", startupNames())
-            : place == Place.COMMENT ? s.word("the name of the value in the comment") : null;
+        String name =
+                place == Place.STARTUP
+                        ? s.oneOf("a startup parameter", startupNames())
+                        : place == Place.COMMENT
+                                ? s.word("the name of the value in the comment")
+                                : null;
         if (place == null || name == null && place != Place.ADDRESS) {
             return;
         }
@@ -168,10 +193,12 @@
             }
             within.add(node("tenant-from", words, Map.of()));
         }
-        within.add(node("names-per-address", List.of(value((long) door.namesPerAddress())), Map.of()));
+        within.add(
+                node("names-per-address", List.of(value((long) door.namesPerAddress())), Map.of()));
         within.add(node("most-waiting", List.of(value((long) door.mostWaiting())), Map.of()));
         within.add(node("others", List.of(), due(door.others())));
-        door.tenants().forEach((name, t) -> within.add(node("tenant", List.of(value(name)), due(t))));
+        door.tenants()
+                .forEach((name, t) -> within.add(node("tenant", List.of(value(name)), due(t))));
         return new Node("door", List.of(), Map.of(), within);
     }
 
--- a/src/main/java/wingroad/operator/Section.java
+++ b/src/main/java/wingroad/operator/Section.java
@@ -11,8 +11,8 @@
 import wingroad.kdl.Value;
 
 /**
- * One node of the operator's file while it is read: what is asked for is checked by kind and range, and what nobody
- * asked for is a problem too. Every problem says where it is and what was expected.
+ * One node of the operator's file while it is read: what is asked for is checked by kind and range,
+ * and what nobody asked for is a problem too. Every problem says where it is and what was expected.
  */
 final class Section {
     private final Node node;
@@ -63,7 +63,16 @@
         if (v.it() instanceof Long n && n >= least && n <= most) {
             return n;
         }
-        problem(v, "found " + v.kind() + ", expected " + what + ", a whole number from " + least + " to " + most);
+        problem(
+                v,
+                "found "
+                        + v.kind()
+                        + ", expected "
+                        + what
+                        + ", a whole number from "
+                        + least
+                        + " to "
+                        + most);
         return absent;
     }
 
@@ -77,7 +86,16 @@
         if (v.it() instanceof Number n && n.doubleValue() >= least && n.doubleValue() <= most) {
             return n.doubleValue();
         }
-        problem(v, "found " + v.kind() + ", expected " + name + " from " + plain(least) + " to " + plain(most));
+        problem(
+                v,
+                "found "
+                        + v.kind()
+                        + ", expected "
+                        + name
+                        + " from "
+                        + plain(least)
+                        + " to "
+                        + plain(most));
         return absent;
     }
 
@@ -114,14 +132,31 @@
     double part(String what, double least, double most, double absent) {
         if (arguments >= node.arguments().size()) {
             arguments++;
-            problem("'" + node.name() + "' needs " + what + ", from " + plain(least) + " to " + plain(most));
+            problem(
+                    "'"
+                            + node.name()
+                            + "' needs "
+                            + what
+                            + ", from "
+                            + plain(least)
+                            + " to "
+                            + plain(most));
             return absent;
         }
         Value v = node.arguments().get(arguments++);
         if (v.it() instanceof Number n && n.doubleValue() >= least && n.doubleValue() <= most) {
             return n.doubleValue();
         }
-        problem(v, "found " + v.kind() + ", expected " + what + ", from " + plain(least) + " to " + plain(most));
+        problem(
+                v,
+                "found "
+                        + v.kind()
+                        + ", expected "
+                        + what
+                        + ", from "
+                        + plain(least)
+                        + " to "
+                        + plain(most));
         return absent;
     }
 
@@ -134,26 +169,46 @@
         int at = arguments;
         String w = word(what + ", one of " + String.join(", ", words.keySet()));
         if (w != null && !words.containsKey(w)) {
-            problem(node.arguments().get(at), "found '" + w + "', expected " + what + ", one of "
-                + String.join(", ", words.keySet()));
+            problem(
+                    node.arguments().get(at),
+                    "found '"
+                            + w
+                            + "', expected "
+                            + what
+                            + ", one of "
+                            + String.join(", ", words.keySet()));
         }
         return w == null ? null : words.get(w);
     }
 
-    /** The nodes within, each of a name that is known; {@code once}: those that may stand there one time only. */
+    /**
+     * The nodes within, each of a name that is known; {@code once}: those that may stand there one
+     * time only.
+     */
     List<Section> within(Set<String> names, Set<String> once) {
         List<Section> all = new ArrayList<>();
         Map<String, Node> seen = new HashMap<>();
         for (Node n : node.children()) {
             if (!names.contains(n.name())) {
-                problems.add(new Problem(n.line(), n.column(), "'" + n.name() + "' is not known in '" + node.name()
-                    + "', expected one of " + String.join(", ", names.stream().sorted().toList())));
+                problems.add(
+                        new Problem(
+                                n.line(),
+                                n.column(),
+                                "'"
+                                        + n.name()
+                                        + "' is not known in '"
+                                        + node.name()
+                                        + "', expected one of "
+                                        + String.join(", ", names.stream().sorted().toList())));
                 continue;
             }
             Node first = seen.putIfAbsent(n.name(), n);
             if (first != null && once.contains(n.name())) {
-                problems.add(new Problem(n.line(), n.column(), "'" + n.name() + "' stands in line " + first.line()
-                    + " already"));
+                problems.add(
+                        new Problem(
+                                n.line(),
+                                n.column(),
+                                "'" + n.name() + "' stands in line " + first.line() + " already"));
                 continue;
             }
             all.add(new Section(n, problems));
@@ -165,18 +220,42 @@
     void end(boolean mayHaveChildren) {
         for (int i = arguments; i < node.arguments().size(); i++) {
             Value v = node.arguments().get(i);
-            problem(v, "found " + v.kind() + ", expected nothing more behind '" + node.name() + "'");
+            problem(
+                    v,
+                    "found " + v.kind() + ", expected nothing more behind '" + node.name() + "'");
         }
-        node.properties().forEach((name, v) -> {
-            if (!known.contains(name)) {
-                problem(v, "'" + name + "' is not known for '" + node.name() + "'" + (known.isEmpty() ? ""
-                    : ", expected one of " + String.join(", ", known.stream().sorted().toList())));
-            }
-        });
-        node.repeated().forEach(name -> problem(node.properties().get(name), "'" + name + "' stands twice"));
+        node.properties()
+                .forEach(
+                        (name, v) -> {
+                            if (!known.contains(name)) {
+                                problem(
+                                        v,
+                                        "'"
+                                                + name
+                                                + "' is not known for '"
+                                                + node.name()
+                                                + "'"
+                                                + (known.isEmpty()
+                                                        ? ""
+                                                        : ", expected one of "
+                                                                + String.join(
+                                                                        ", ",
+                                                                        known.stream()
+                                                                                .sorted()
+                                                                                .toList())));
+                            }
+                        });
+        node.repeated()
+                .forEach(
+                        name ->
+                                problem(
+                                        node.properties().get(name),
+                                        "'" + name + "' stands twice"));
         if (!mayHaveChildren && !node.children().isEmpty()) {
             Node n = node.children().get(0);
-            problems.add(new Problem(n.line(), n.column(), "'" + node.name() + "' has nothing within it"));
+            problems.add(
+                    new Problem(
+                            n.line(), n.column(), "'" + node.name() + "' has nothing within it"));
         }
         if (node.type() != null) {
             problem("'(" + node.type() + ")' means nothing here");
--- a/src/main/java/wingroad/operator/WorkSection.java
+++ b/src/main/java/wingroad/operator/WorkSection.java
@@ -17,10 +17,14 @@
 import wingroad.work.WorkRules;
 import wingroad.work.WorkRules.Lost;
 
-/** The node {@code work} of the operator's fleet: the machines that there are, and the limits of work on them. */
+/**
+ * The node {@code work} of the operator's fleet: the machines that there are, and the limits of
+ * work on them.
+ */
 final class WorkSection {
     /** Names of machines, zones and members stand in lines that blanks, commas and signs part. */
     private static final String NAME = "[A-Za-z0-9][A-Za-z0-9._:-]{0,62}\\*?";
+
     private static final int MOST_MACHINES = 4096;
     private static final int MOST_AT_ONCE = 64;
     private static final int USUAL_HORIZON_S = 60;
@@ -28,8 +32,7 @@
     private static final double USUAL_HARM = 0.02;
     private static final int USUAL_LAG_MS = 1000;
 
-    private WorkSection() {
-    }
+    private WorkSection() {}
 
     /** The rules; what is wrong stands in the section's problems. */
     static WorkRules read(Section work) {
@@ -42,11 +45,21 @@
         double room = 0;
         Map<String, Machine> machines = new LinkedHashMap<>();
         Map<String, String> holders = new LinkedHashMap<>();
-        for (Section s : work.within(Set.of("at-once", "lost-view", "watch", "harm", "lag-ms", "room", "machine"),
-            Set.of("at-once", "lost-view", "watch", "harm", "lag-ms", "room"))) {
+        for (Section s :
+                work.within(
+                        Set.of(
+                                "at-once",
+                                "lost-view",
+                                "watch",
+                                "harm",
+                                "lag-ms",
+                                "room",
+                                "machine"),
+                        Set.of("at-once", "lost-view", "watch", "harm", "lag-ms", "room"))) {
             boolean within = false;
             switch (s.name()) {
-                case "at-once" -> atOnce = (int) s.whole("how many machines", 1, MOST_AT_ONCE, atOnce);
+                case "at-once" ->
+                        atOnce = (int) s.whole("how many machines", 1, MOST_AT_ONCE, atOnce);
                 case "lost-view" -> {
                     Map<String, Lost> words = new LinkedHashMap<>();
                     for (Lost l : Lost.values()) {
@@ -56,10 +69,12 @@
                     lost = l == null ? lost : l;
                     horizon = s.number("horizon", 5, 86_400, horizon);
                 }
-                case "watch" -> watch = s.part("how many seconds must be without harm", 0.5, 3600, watch);
+                case "watch" ->
+                        watch = s.part("how many seconds must be without harm", 0.5, 3600, watch);
                 case "harm" -> harm = s.part("the part of the txns", 0, 1, harm);
                 case "lag-ms" -> lag = s.whole("how far behind the log", 1, 3_600_000, lag);
-                case "room" -> room = s.part("how many txns a member has room for", 0, 100_000, room);
+                case "room" ->
+                        room = s.part("how many txns a member has room for", 0, 100_000, room);
                 default -> {
                     machine(s, machines, holders);
                     within = true;
@@ -71,15 +86,26 @@
         if (machines.isEmpty()) {
             work.problem("'work' needs machines");
         }
-        return new WorkRules(machines, atOnce, lost, millis(horizon), millis(watch), harm, Duration.ofMillis(lag), room,
-            Duration.ZERO, Duration.ZERO, Duration.ZERO);
+        return new WorkRules(
+                machines,
+                atOnce,
+                lost,
+                millis(horizon),
+                millis(watch),
+                harm,
+                Duration.ofMillis(lag),
+                room,
+                Duration.ZERO,
+                Duration.ZERO,
+                Duration.ZERO);
     }
 
     private static Duration millis(double seconds) {
         return Duration.ofMillis(Math.round(seconds * 1000));
     }
 
-    private static void machine(Section s, Map<String, Machine> machines, Map<String, String> holders) {
+    private static void machine(
+            Section s, Map<String, Machine> machines, Map<String, String> holders) {
         String name = named(s, "the machine's name");
         String zone = s.text("zone", "the machine's zone", "");
         if (!zone.matches(NAME)) {
@@ -89,13 +115,22 @@
         List<String> drivers = new ArrayList<>();
         for (Section p : s.within(Set.of("member", "driver"), Set.of())) {
             String what = named(p, p.name().equals("member") ? "a member's id" : "a driver's name");
-            int group = p.name().equals("member") ? (int) p.number("group", 0, Integer.MAX_VALUE, -1) : 0;
+            int group =
+                    p.name().equals("member")
+                            ? (int) p.number("group", 0, Integer.MAX_VALUE, -1)
+                            : 0;
             if (group < 0) {
                 p.problem("a member needs group");
             }
             p.end(false);
-            if (what != null && holders.putIfAbsent(p.name() + " " + what, String.valueOf(name)) != null) {
-                p.problem("'" + what + "' is on '" + holders.get(p.name() + " " + what) + "' already");
+            if (what != null
+                    && holders.putIfAbsent(p.name() + " " + what, String.valueOf(name)) != null) {
+                p.problem(
+                        "'"
+                                + what
+                                + "' is on '"
+                                + holders.get(p.name() + " " + what)
+                                + "' already");
             }
             if (what != null && p.name().equals("member")) {
                 parts.add(new Part(what, group));
@@ -109,7 +144,11 @@
         if (machines.size() >= MOST_MACHINES) {
             s.problem("more than " + MOST_MACHINES + " machines");
         }
-        if (name != null && machines.put(name, new Machine(name, zone, List.copyOf(parts), List.copyOf(drivers))) != null) {
+        if (name != null
+                && machines.put(
+                                name,
+                                new Machine(name, zone, List.copyOf(parts), List.copyOf(drivers)))
+                        != null) {
             s.problem("the machine '" + name + "' is listed already");
         }
     }
@@ -127,8 +166,11 @@
     static Node whole(WorkRules w) {
         List<Node> within = new ArrayList<>();
         within.add(one("at-once", (long) w.atOnce()));
-        within.add(node("lost-view", List.of(value(w.lost().name().toLowerCase(Locale.ROOT))),
-            Map.of("horizon", value(w.horizon().toMillis() / 1000.0))));
+        within.add(
+                node(
+                        "lost-view",
+                        List.of(value(w.lost().name().toLowerCase(Locale.ROOT))),
+                        Map.of("horizon", value(w.horizon().toMillis() / 1000.0))));
         within.add(one("watch", w.watch().toMillis() / 1000.0));
         within.add(one("harm", w.harm()));
         within.add(one("lag-ms", w.lag().toMillis()));
@@ -140,7 +182,12 @@
                 holds.add(node("member", List.of(value(p.uid())), group));
             }
             m.drivers().forEach(d -> holds.add(one("driver", d)));
-            within.add(new Node("machine", List.of(value(m.name())), Map.of("zone", value(m.zone())), holds));
+            within.add(
+                    new Node(
+                            "machine",
+                            List.of(value(m.name())),
+                            Map.of("zone", value(m.zone())),
+                            holds));
         }
         return new Node("work", List.of(), Map.of(), within);
     }
--- a/src/main/java/wingroad/protocol/ClientInput.java
+++ b/src/main/java/wingroad/protocol/ClientInput.java
@@ -8,8 +8,12 @@
 
 /** What a client sends, cut out of the bytes as they come. */
 public final class ClientInput {
-    /** A value of 64 KiB is twice as long when it is written in hex; the rest is for the statement around it. */
+    /**
+     * A value of 64 KiB is twice as long when it is written in hex; the rest is for the statement
+     * around it.
+     */
     public static final int MOST = 2 * 64 * 1024 + 4096;
+
     private static final int MOST_STARTUP = 10_000;
     private static final int VERSION = 3 << 16;
     private static final int CANCEL = 80877102;
@@ -17,9 +21,23 @@
     private static final int GSS = 80877104;
 
     /** What a message asks for. */
-    public enum Kind { STARTUP, NEWER_STARTUP, ENCRYPTION, CANCEL, QUERY, EXTENDED, SYNC, SKIP, TERMINATE, BROKEN }
+    public enum Kind {
+        STARTUP,
+        NEWER_STARTUP,
+        ENCRYPTION,
+        CANCEL,
+        QUERY,
+        EXTENDED,
+        SYNC,
+        SKIP,
+        TERMINATE,
+        BROKEN
+    }
 
-    /** One message: {@code bytes} is a query's or startup's text, {@code why} tells what broke the stream. */
+    /**
+     * One message: {@code bytes} is a query's or startup's text, {@code why} tells what broke the
+     * stream.
+     */
     public record Message(Kind kind, byte[] bytes, String why) {
         private static Message of(Kind kind) {
             return new Message(kind, null, null);
@@ -88,16 +106,17 @@
             return broken(f.broken());
         }
         switch (f.type()) {
-            case 'Q': {
-                ByteBuffer body = f.body();
-                int last = body.limit() - 1;
-                if (last < 0 || body.get(last) != 0) {
-                    return broken("query without its end");
+            case 'Q':
+                {
+                    ByteBuffer body = f.body();
+                    int last = body.limit() - 1;
+                    if (last < 0 || body.get(last) != 0) {
+                        return broken("query without its end");
+                    }
+                    byte[] text = new byte[last];
+                    body.get(text);
+                    return new Message(Kind.QUERY, text, null);
                 }
-                byte[] text = new byte[last];
-                body.get(text);
-                return new Message(Kind.QUERY, text, null);
-            }
             case 'X':
                 return Message.of(Kind.TERMINATE);
             case 'S':
@@ -107,7 +126,8 @@
             case 'p':
                 return broken("no password was asked for");
             default:
-                return new Message(f.type() == 'F' ? Kind.SYNC : Kind.EXTENDED, null, "function call");
+                return new Message(
+                        f.type() == 'F' ? Kind.SYNC : Kind.EXTENDED, null, "function call");
         }
     }
 
--- a/src/main/java/wingroad/protocol/ClientOutput.java
+++ b/src/main/java/wingroad/protocol/ClientOutput.java
@@ -8,8 +8,10 @@
 public final class ClientOutput {
     /** Codes that tell a client that trying again is harmless. */
     public static final String DECLINED = "53300";
+
     /** The outcome of the txn is not known: no promise. */
     public static final String ROLLED_BACK = "08007";
+
     public static final String MALFORMED = "08P01";
     public static final String UNSUPPORTED = "0A000";
     public static final String UNKNOWN_NAME = "42704";
@@ -28,7 +30,9 @@
         return this;
     }
 
-    /** The session is open. {@code newer}: the client asked for a later minor version than there is. */
+    /**
+     * The session is open. {@code newer}: the client asked for a later minor version than there is.
+     */
     public ClientOutput welcome(boolean newer, int number) {
         if (newer) {
             message('v', ByteBuffer.allocate(8).array());
@@ -70,8 +74,18 @@
     /** An error; {@code detail} may be null. Not followed by ready: a fatal one needs none. */
     public ClientOutput error(boolean fatal, String code, String text, String detail) {
         String severity = fatal ? "FATAL" : "ERROR";
-        String fields = "S" + severity + "\0V" + severity + "\0C" + code + "\0M" + text + '\0'
-            + (detail == null ? "" : "D" + detail + '\0') + '\0';
+        String fields =
+                "S"
+                        + severity
+                        + "\0V"
+                        + severity
+                        + "\0C"
+                        + code
+                        + "\0M"
+                        + text
+                        + '\0'
+                        + (detail == null ? "" : "D" + detail + '\0')
+                        + '\0';
         message('E', fields.getBytes(StandardCharsets.UTF_8));
         return this;
     }
--- a/src/main/java/wingroad/protocol/Frames.java
+++ b/src/main/java/wingroad/protocol/Frames.java
@@ -2,7 +2,9 @@
 
 import java.nio.ByteBuffer;
 
-/** Cuts PostgreSQL's messages (a type, a length, a body) out of a stream as their last bytes come. */
+/**
+ * Cuts PostgreSQL's messages (a type, a length, a body) out of a stream as their last bytes come.
+ */
 final class Frames {
     /** A message, or why there can be none any more. */
     record Frame(char type, ByteBuffer body, String broken) {
@@ -11,8 +13,7 @@
         }
     }
 
-    private Frames() {
-    }
+    private Frames() {}
 
     /** The next message, or null until it is whole; the buffer then stands where it stood. */
     static Frame next(ByteBuffer in, int most) {
--- a/src/main/java/wingroad/protocol/Gauges.java
+++ b/src/main/java/wingroad/protocol/Gauges.java
@@ -4,12 +4,14 @@
 import java.util.Map;
 import java.util.regex.Pattern;
 
-/** A member's report of itself: {@code inflight=7,util=0.61}. What is malformed counts as absent. */
+/**
+ * A member's report of itself: {@code inflight=7,util=0.61}. What is malformed counts as absent.
+ */
 public final class Gauges {
-    private static final Pattern NUMBER = Pattern.compile("-?[0-9]{1,18}(\\.[0-9]{1,18})?([eE][-+]?[0-9]{1,2})?");
+    private static final Pattern NUMBER =
+            Pattern.compile("-?[0-9]{1,18}(\\.[0-9]{1,18})?([eE][-+]?[0-9]{1,2})?");
 
-    private Gauges() {
-    }
+    private Gauges() {}
 
     public static Map<String, Double> parse(String text) {
         Map<String, Double> figures = new HashMap<>();
@@ -25,6 +27,8 @@
 
     /** A finite number, or null. */
     public static Double number(String text) {
-        return text != null && NUMBER.matcher(text.strip()).matches() ? Double.valueOf(text.strip()) : null;
+        return text != null && NUMBER.matcher(text.strip()).matches()
+                ? Double.valueOf(text.strip())
+                : null;
     }
 }
--- a/src/main/java/wingroad/protocol/HttpReply.java
+++ b/src/main/java/wingroad/protocol/HttpReply.java
@@ -12,9 +12,23 @@
     private static final int MOST_LINES = 128;
 
     /** How far it has come. */
-    public enum State { WAITING, WHOLE, BROKEN }
+    public enum State {
+        WAITING,
+        WHOLE,
+        BROKEN
+    }
 
-    private enum Part { STATUS, HEADERS, BODY, TO_THE_END, CHUNK_SIZE, CHUNK, CHUNK_END, TRAILERS, DONE }
+    private enum Part {
+        STATUS,
+        HEADERS,
+        BODY,
+        TO_THE_END,
+        CHUNK_SIZE,
+        CHUNK,
+        CHUNK_END,
+        TRAILERS,
+        DONE
+    }
 
     private Part part = Part.STATUS;
     private final StringBuilder line = new StringBuilder();
@@ -27,8 +41,13 @@
     private String why;
 
     public static ByteBuffer request(String host, String path) {
-        return ByteBuffer.wrap(("GET " + path + " HTTP/1.1\r\nHost: " + host + "\r\nAccept: application/json\r\n\r\n")
-            .getBytes(StandardCharsets.US_ASCII));
+        return ByteBuffer.wrap(
+                ("GET "
+                                + path
+                                + " HTTP/1.1\r\nHost: "
+                                + host
+                                + "\r\nAccept: application/json\r\n\r\n")
+                        .getBytes(StandardCharsets.US_ASCII));
     }
 
     /** Takes bytes up to the answer's end. */
@@ -39,7 +58,10 @@
                     if (!in.hasRemaining()) {
                         return State.WAITING;
                     }
-                    int n = part == Part.TO_THE_END ? in.remaining() : (int) Math.min(left, in.remaining());
+                    int n =
+                            part == Part.TO_THE_END
+                                    ? in.remaining()
+                                    : (int) Math.min(left, in.remaining());
                     if (body.size() + n > MOST_BODY) {
                         why = "a body without end";
                         break;
@@ -79,7 +101,12 @@
             char c = (char) (in.get() & 0xff);
             if (c == '\n') {
                 int length = line.length();
-                String all = line.substring(0, length > 0 && line.charAt(length - 1) == '\r' ? length - 1 : length);
+                String all =
+                        line.substring(
+                                0,
+                                length > 0 && line.charAt(length - 1) == '\r'
+                                        ? length - 1
+                                        : length);
                 line.setLength(0);
                 return all;
             }
@@ -93,7 +120,8 @@
     }
 
     private void understood(String text) {
-        if ((part == Part.STATUS || part == Part.HEADERS || part == Part.TRAILERS) && ++lines > MOST_LINES) {
+        if ((part == Part.STATUS || part == Part.HEADERS || part == Part.TRAILERS)
+                && ++lines > MOST_LINES) {
             why = "headers without end";
             return;
         }
@@ -155,7 +183,8 @@
                     left = Integer.parseInt(value);
                 }
             }
-            case "transfer-encoding" -> chunked = value.toLowerCase(Locale.ROOT).endsWith("chunked");
+            case "transfer-encoding" ->
+                    chunked = value.toLowerCase(Locale.ROOT).endsWith("chunked");
             case "connection" -> closes |= value.equalsIgnoreCase("close");
             default -> {
                 // of no use here
--- a/src/main/java/wingroad/protocol/Json.java
+++ b/src/main/java/wingroad/protocol/Json.java
@@ -14,11 +14,13 @@
 /** Reads JSON values from a token stream, and the figures in them. */
 public final class Json {
     /** What is nested deeper than anything agreed is an error, long before the stack ends. */
-    private static final JsonFactory FACTORY = JsonFactory.builder()
-        .streamReadConstraints(StreamReadConstraints.builder().maxNestingDepth(64).build()).build();
+    private static final JsonFactory FACTORY =
+            JsonFactory.builder()
+                    .streamReadConstraints(
+                            StreamReadConstraints.builder().maxNestingDepth(64).build())
+                    .build();
 
-    private Json() {
-    }
+    private Json() {}
 
     /** The object that the text is. */
     public static Map<String, Object> object(byte[] text, String what) throws IOException {
@@ -35,27 +37,30 @@
             throw new Malformed("the line ends early");
         }
         switch (t) {
-            case START_OBJECT: {
-                Map<String, Object> object = new HashMap<>();
-                while (in.nextToken() != JsonToken.END_OBJECT) {
-                    String name = in.currentName();
-                    in.nextToken();
-                    object.put(name, value(in));
+            case START_OBJECT:
+                {
+                    Map<String, Object> object = new HashMap<>();
+                    while (in.nextToken() != JsonToken.END_OBJECT) {
+                        String name = in.currentName();
+                        in.nextToken();
+                        object.put(name, value(in));
+                    }
+                    return object;
                 }
-                return object;
-            }
-            case START_ARRAY: {
-                List<Object> list = new ArrayList<>();
-                while (in.nextToken() != JsonToken.END_ARRAY) {
-                    list.add(value(in));
+            case START_ARRAY:
+                {
+                    List<Object> list = new ArrayList<>();
+                    while (in.nextToken() != JsonToken.END_ARRAY) {
+                        list.add(value(in));
+                    }
+                    return list;
                 }
-                return list;
-            }
             case VALUE_STRING:
                 return in.getText();
             case VALUE_NUMBER_INT:
                 return in.getNumberType() == JsonParser.NumberType.BIG_INTEGER
-                    ? (Object) in.getDoubleValue() : (Object) in.getLongValue();
+                        ? (Object) in.getDoubleValue()
+                        : (Object) in.getLongValue();
             case VALUE_NUMBER_FLOAT:
                 return in.getDoubleValue();
             case VALUE_TRUE:
--- a/src/main/java/wingroad/protocol/MemberInput.java
+++ b/src/main/java/wingroad/protocol/MemberInput.java
@@ -10,23 +10,35 @@
 import wingroad.protocol.Frames.Frame;
 
 /**
- * What a member sends, one answer after the other: the first one is to the startup message, the others to one
- * query each. An answer is taken whole.
+ * What a member sends, one answer after the other: the first one is to the startup message, the
+ * others to one query each. An answer is taken whole.
  */
 public final class MemberInput {
-    /** The largest row. Values of 400 KB were met; what all of them may hold together is bounded by the loop. */
+    /**
+     * The largest row. Values of 400 KB were met; what all of them may hold together is bounded by
+     * the loop.
+     */
     public static final int MOST = 2 << 20;
+
     /** A value that is text, as a report is. */
     private static final int MOST_TEXT = 4096;
 
     /** The largest message that is no row. */
     private static final int MOST_BUT_ROWS = 16 * 1024;
-    /** What may come beside one answer's row in all; an answer that goes on for longer has no end. */
+
+    /**
+     * What may come beside one answer's row in all; an answer that goes on for longer has no end.
+     */
     private static final int MOST_BESIDE = 16 * MOST_BUT_ROWS;
+
     private static final Pattern TAG = Pattern.compile("[A-Z]{2,20}( [0-9]{1,10}){0,2}");
 
     /** How far an answer has come. */
-    public enum State { WAITING, WHOLE, BROKEN }
+    public enum State {
+        WAITING,
+        WHOLE,
+        BROKEN
+    }
 
     private boolean started;
     private boolean described;
@@ -38,10 +50,14 @@
     private String error;
     private String why;
     private final Map<String, String> parameters = new HashMap<>();
+
     /** The row's messages, one after the other. */
     private final List<byte[]> row = new ArrayList<>(3);
 
-    /** Takes what it can from the buffer. WHOLE: one answer is there, to be read and then to be cleared. */
+    /**
+     * Takes what it can from the buffer. WHOLE: one answer is there, to be read and then to be
+     * cleared.
+     */
     public State take(ByteBuffer in) {
         while (why == null) {
             String wrong = early(in);
@@ -57,17 +73,18 @@
                 return broken(f.broken());
             }
             ByteBuffer body = f.body();
-            boolean good = switch (f.type()) {
-                case 'S' -> parameter(body);
-                case 'N', 'A' -> true;
-                case 'E' -> error(body);
-                case 'R' -> body.remaining() == 4 && body.getInt() == 0;
-                case 'T' -> described(body);
-                case 'D' -> value(body);
-                case 'C' -> completed(body);
-                case 'Z' -> body.remaining() == 1 && "ITE".indexOf(body.get()) >= 0;
-                default -> body.remaining() >= 8;
-            };
+            boolean good =
+                    switch (f.type()) {
+                        case 'S' -> parameter(body);
+                        case 'N', 'A' -> true;
+                        case 'E' -> error(body);
+                        case 'R' -> body.remaining() == 4 && body.getInt() == 0;
+                        case 'T' -> described(body);
+                        case 'D' -> value(body);
+                        case 'C' -> completed(body);
+                        case 'Z' -> body.remaining() == 1 && "ITE".indexOf(body.get()) >= 0;
+                        default -> body.remaining() >= 8;
+                    };
             if (!good) {
                 return broken("a malformed " + f.type());
             }
@@ -87,23 +104,27 @@
         return State.BROKEN;
     }
 
-    /** What can be told wrong of a message before all of it is there, or null: a spoilt one may never come whole. */
+    /**
+     * What can be told wrong of a message before all of it is there, or null: a spoilt one may
+     * never come whole.
+     */
     private String early(ByteBuffer in) {
         if (!in.hasRemaining()) {
             return null;
         }
         int at = in.position();
         char type = (char) (in.get(at) & 0xff);
-        boolean inTurn = switch (type) {
-            case 'S', 'N', 'A' -> true;
-            case 'E' -> error == null && !completed;
-            case 'R', 'K', 'v' -> !started;
-            case 'T' -> started && !described && error == null;
-            case 'D' -> described && !valued && error == null;
-            case 'C' -> valued && !completed && error == null;
-            case 'Z' -> !started || completed || error != null;
-            default -> false;
-        };
+        boolean inTurn =
+                switch (type) {
+                    case 'S', 'N', 'A' -> true;
+                    case 'E' -> error == null && !completed;
+                    case 'R', 'K', 'v' -> !started;
+                    case 'T' -> started && !described && error == null;
+                    case 'D' -> described && !valued && error == null;
+                    case 'C' -> valued && !completed && error == null;
+                    case 'Z' -> !started || completed || error != null;
+                    default -> false;
+                };
         if (!inTurn) {
             return "a message out of turn";
         }
@@ -115,7 +136,9 @@
             return "a message of a wrong length";
         }
         // A row has one column: the two lengths tell the same.
-        return type == 'D' && in.remaining() >= 11 && in.getInt(at + 7) != length - 10 ? "a row of a wrong length" : null;
+        return type == 'D' && in.remaining() >= 11 && in.getInt(at + 7) != length - 10
+                ? "a row of a wrong length"
+                : null;
     }
 
     private boolean parameter(ByteBuffer body) {
@@ -129,7 +152,11 @@
     }
 
     private boolean described(ByteBuffer body) {
-        described = body.remaining() > 2 && body.getShort() == 1 && Frames.text(body) != null && body.remaining() == 18;
+        described =
+                body.remaining() > 2
+                        && body.getShort() == 1
+                        && Frames.text(body) != null
+                        && body.remaining() == 18;
         return described;
     }
 
--- a/src/main/java/wingroad/protocol/MemberOutput.java
+++ b/src/main/java/wingroad/protocol/MemberOutput.java
@@ -5,18 +5,26 @@
 
 /** What a member is sent. */
 public final class MemberOutput {
-    private static final byte[] STARTUP = "user\0svc\0database\0main\0\0".getBytes(StandardCharsets.UTF_8);
+    private static final byte[] STARTUP =
+            "user\0svc\0database\0main\0\0".getBytes(StandardCharsets.UTF_8);
 
-    private MemberOutput() {
-    }
+    private MemberOutput() {}
 
     public static ByteBuffer startup() {
-        return ByteBuffer.allocate(8 + STARTUP.length).putInt(8 + STARTUP.length).putInt(3 << 16).put(STARTUP).flip();
+        return ByteBuffer.allocate(8 + STARTUP.length)
+                .putInt(8 + STARTUP.length)
+                .putInt(3 << 16)
+                .put(STARTUP)
+                .flip();
     }
 
     public static ByteBuffer query(byte[] text) {
-        return ByteBuffer.allocate(6 + text.length).put((byte) 'Q').putInt(5 + text.length).put(text).put((byte) 0)
-            .flip();
+        return ByteBuffer.allocate(6 + text.length)
+                .put((byte) 'Q')
+                .putInt(5 + text.length)
+                .put(text)
+                .put((byte) 0)
+                .flip();
     }
 
     /** Asks for the member's own report. */
--- a/src/main/java/wingroad/protocol/Statement.java
+++ b/src/main/java/wingroad/protocol/Statement.java
@@ -7,24 +7,37 @@
 import java.util.regex.Pattern;
 
 /**
- * A client's statement: the comment that tells what it is, and the text that members get. {@code after} is the
- * position that a read must see, in Unix milliseconds, or null.
+ * A client's statement: the comment that tells what it is, and the text that members get. {@code
+ * after} is the position that a read must see, in Unix milliseconds, or null.
  */
-public record Statement(String id, String type, long left, int group, Double after, boolean retry, boolean writes,
-                        String key, byte[] text, int leftFrom, int leftTo) {
+public record Statement(
+        String id,
+        String type,
+        long left,
+        int group,
+        Double after,
+        boolean retry,
+        boolean writes,
+        String key,
+        byte[] text,
+        int leftFrom,
+        int leftTo) {
 
     /** A statement, or why there is none. */
-    public record Parsed(Statement statement, String why) {
-    }
+    public record Parsed(Statement statement, String why) {}
 
     /** A comment's names beyond this are not looked for. */
     private static final int LONGEST_COMMENT = 2048;
+
     private static final int LONGEST_WAIT_MS = 24 * 3600 * 1000;
-    private static final Pattern READ = Pattern.compile(" SELECT v FROM records WHERE k = '([^'\\\\]{1,256})'");
+    private static final Pattern READ =
+            Pattern.compile(" SELECT v FROM records WHERE k = '([^'\\\\]{1,256})'");
     private static final String WRITE = " INSERT INTO records (k, v) VALUES ('";
     private static final String RETURNS = "') RETURNING v";
 
-    /** Reads a query's text. Whatever is not of the one agreed form is turned away, with the reason. */
+    /**
+     * Reads a query's text. Whatever is not of the one agreed form is turned away, with the reason.
+     */
     public static Parsed parse(byte[] bytes) {
         // One byte, one char: positions in the text are positions in the bytes.
         String s = new String(bytes, StandardCharsets.ISO_8859_1);
@@ -35,7 +48,7 @@
         Map<String, String> names = new HashMap<>();
         int leftFrom = -1;
         int leftTo = -1;
-        for (int at = 2; at < end;) {
+        for (int at = 2; at < end; ) {
             int comma = s.indexOf(',', at);
             int to = comma < 0 || comma > end ? end : comma;
             int equals = s.indexOf('=', at);
@@ -91,13 +104,30 @@
                 return wrong("not the one statement that is served here");
             }
         }
-        return new Parsed(new Statement(id, type, Math.min(left, LONGEST_WAIT_MS), group.intValue(), after,
-            "1".equals(marked), writes, key, bytes, leftFrom, leftTo), null);
+        return new Parsed(
+                new Statement(
+                        id,
+                        type,
+                        Math.min(left, LONGEST_WAIT_MS),
+                        group.intValue(),
+                        after,
+                        "1".equals(marked),
+                        writes,
+                        key,
+                        bytes,
+                        leftFrom,
+                        leftTo),
+                null);
     }
 
     /** The value that the comment gives to a name, or null. */
     public String named(String name) {
-        String comment = new String(text, 2, Math.min(text.length - 2, LONGEST_COMMENT), StandardCharsets.UTF_8);
+        String comment =
+                new String(
+                        text,
+                        2,
+                        Math.min(text.length - 2, LONGEST_COMMENT),
+                        StandardCharsets.UTF_8);
         int end = comment.indexOf("*/");
         for (String part : end < 0 ? new String[0] : comment.substring(0, end).split(",")) {
             int equals = part.indexOf('=');
@@ -118,8 +148,10 @@
         int quote = s.indexOf('\'', key);
         String between = "', '\\x";
         int last = s.length() - RETURNS.length();
-        if (quote <= key || quote - key > 256 || !s.startsWith(between, quote)
-            || s.lastIndexOf('\\', quote) >= key) {
+        if (quote <= key
+                || quote - key > 256
+                || !s.startsWith(between, quote)
+                || s.lastIndexOf('\\', quote) >= key) {
             return null;
         }
         int value = quote + between.length();
--- a/src/main/java/wingroad/routing/Decision.java
+++ b/src/main/java/wingroad/routing/Decision.java
@@ -6,9 +6,21 @@
 public record Decision(Kind kind, String txn, long member, int submission, Duration when) {
 
     /** What is to be done. */
-    public enum Kind { SUBMIT, DECLINE, ROLL_BACK, CANCEL, PROBE, RELEASE, FOLLOW_LIST, FETCH_LIST }
-
-    /** Submit the txn to the member; give the submission up at {@code until} (null: with the client). */
+    public enum Kind {
+        SUBMIT,
+        DECLINE,
+        ROLL_BACK,
+        CANCEL,
+        PROBE,
+        RELEASE,
+        FOLLOW_LIST,
+        FETCH_LIST
+    }
+
+    /**
+     * Submit the txn to the member; give the submission up at {@code until} (null: with the
+     * client).
+     */
     public static Decision submit(String txn, long member, int submission, Duration until) {
         return new Decision(Kind.SUBMIT, txn, member, submission, until);
     }
--- a/src/main/java/wingroad/routing/TxnRouter.java
+++ b/src/main/java/wingroad/routing/TxnRouter.java
@@ -1,5 +1,7 @@
-// THE MODULE: every decision of the driver. Router.java, beside this file, is its interface: tell it what
-// happens; after each call, and at wakeAt(), pull next(now) until it is null. The reasons: docs/design.md.
+// THE MODULE: every decision of the driver. Router.java, beside this file, is its interface: tell
+// it what
+// happens; after each call, and at wakeAt(), pull next(now) until it is null. The reasons:
+// docs/design.md.
 package wingroad.routing;
 
 import static wingroad.state.Spans.max;
@@ -34,44 +36,61 @@
 import wingroad.state.TxnType.Freshness;
 import wingroad.state.TxnType.Repeat;
 
-/** Decides by the Failover Plugin v2 mechanism: roles per group, writer search, held writes, fresh reads. */
+/**
+ * Decides by the Failover Plugin v2 mechanism: roles per group, writer search, held writes, fresh
+ * reads.
+ */
 public final class TxnRouter implements Router {
-    /** The design's figures: the primary's probe at rest, and its fast rate and span after a change. */
+    /**
+     * The design's figures: the primary's probe at rest, and its fast rate and span after a change.
+     */
     private static final Duration STEADY_PROBE = Duration.ofSeconds(5);
+
     private static final Duration WATCH_PROBE = Duration.ofMillis(100);
     private static final Duration WATCH_SPAN = Duration.ofSeconds(30);
     private static final Duration SEARCH_PAUSE = Duration.ofMillis(100);
     private static final double SPILL_SHARE = 0.1;
+
     /** Reads that may be sent to a group, as a multiple of those answered in time of late. */
     private static final double IN_TIME_MULTIPLE = 1.25;
-    /** Work that a member may leave unanswered, in usual answer times, before it counts as silent. */
+
+    /**
+     * Work that a member may leave unanswered, in usual answer times, before it counts as silent.
+     */
     private static final double PATIENCE = 4;
+
     /** How many submissions a member gets at once before its answers have set its limit. */
     private static final double FIRST_LIMIT = 8;
+
     /** After so long a session's last write is no longer told from those of others. */
     private static final Duration SESSION_MEMORY = Duration.ofSeconds(60);
 
-    private record Alarm(Duration at, long number, Object what) {
-    }
+    private record Alarm(Duration at, long number, Object what) {}
 
     private final Map<String, Object> terms;
     private final Random random;
     private final Consumer<String> log;
     private final TxnType[] types;
+
     /** How long each txn type takes, over all members and by their kind. */
     private final Took[] took;
+
     private final Map<Integer, Took[]> tookByKind = new HashMap<>();
     private final Map<Integer, Load> sentToKind = new LinkedHashMap<>();
     private final DecayingSum firsts;
     private final DecayingSum furthers;
     private final DecayingSum ended;
     private final DecayingSum committed;
+
     /** Submissions that lately found no connection at a member that lives. */
     private final DecayingSum refused;
+
     private final Duration[] longestTry;
     private final Duration memory;
+
     /** The shortest age that a read's data may have. */
     private final Duration bound;
+
     private final Duration step;
     private final Duration cold;
     private final boolean checked;
@@ -81,12 +100,18 @@
     private final Map<Integer, Group> groups = new LinkedHashMap<>();
     private final Map<String, Txn> txns = new HashMap<>();
     private final Map<Long, Duration> sessionWrites = new LinkedHashMap<>(16, 0.75f, true);
+
     /** The latest of those sessions' writes that are no longer told apart, or null. */
     private Duration oldWrites;
+
     private final ArrayDeque<Decision> ready = new ArrayDeque<>();
     private final ArrayDeque<Group> dirty = new ArrayDeque<>();
-    private final PriorityQueue<Alarm> alarms = new PriorityQueue<>((a, b) ->
-        a.at.equals(b.at) ? Long.compare(a.number, b.number) : a.at.compareTo(b.at));
+    private final PriorityQueue<Alarm> alarms =
+            new PriorityQueue<>(
+                    (a, b) ->
+                            a.at.equals(b.at)
+                                    ? Long.compare(a.number, b.number)
+                                    : a.at.compareTo(b.at));
     private long alarmNumber;
     private boolean listWhole;
     private final List<Member> listNamed = new ArrayList<>();
@@ -104,7 +129,8 @@
         this.types = TxnType.all(terms);
         this.longestTry = new Duration[types.length];
         Arrays.fill(longestTry, Duration.ZERO);
-        // Updates set the pace, since the roles are about their member: guards against one txn type that
+        // Updates set the pace, since the roles are about their member: guards against one txn type
+        // that
         // takes many times longer than the rest and would stretch what is remembered of all.
         Duration pace = Duration.ofSeconds(1);
         Duration shortest = null;
@@ -133,8 +159,17 @@
     }
 
     @Override
-    public void listed(Duration now, long id, int group, int zone, int kind, double weight, boolean primary,
-                       boolean draining, boolean gone, Duration startedAt) {
+    public void listed(
+            Duration now,
+            long id,
+            int group,
+            int zone,
+            int kind,
+            double weight,
+            boolean primary,
+            boolean draining,
+            boolean gone,
+            Duration startedAt) {
         Member m = members.computeIfAbsent(id, i -> new Member(i, memory));
         if (m.group == null) {
             m.group = groups.computeIfAbsent(group, i -> new Group(i, SPILL_SHARE));
@@ -154,7 +189,10 @@
         m.gone = gone;
         m.listed = !gone;
         listNamed.add(m);
-        if (primary && !gone && m.group.primary == null && "late".equals(terms.get("role-in-list"))) {
+        if (primary
+                && !gone
+                && m.group.primary == null
+                && "late".equals(terms.get("role-in-list"))) {
             m.group.primary = m;
         }
         touch(m.group);
@@ -162,15 +200,17 @@
 
     @Override
     public void listEnds(Duration now) {
-        for (Iterator<Member> i = members.values().iterator(); i.hasNext();) {
+        for (Iterator<Member> i = members.values().iterator(); i.hasNext(); ) {
             Member m = i.next();
             if (listWhole && !listNamed.contains(m)) {
                 m.listed = false;
                 m.stopTold = m.stopTold == null ? now : m.stopTold;
                 m.gone = true;
             }
-            // What is gone and holds nothing is let go; where the list does not bind, once it is lost long.
-            boolean lost = m.lostSince != null && now.minus(m.lostSince).compareTo(max(cold, memory)) > 0;
+            // What is gone and holds nothing is let go; where the list does not bind, once it is
+            // lost long.
+            boolean lost =
+                    m.lostSince != null && now.minus(m.lostSince).compareTo(max(cold, memory)) > 0;
             boolean held = !m.out.isEmpty() || m.probeOut || m == m.group.primary;
             if (m.gone && !held && (lost || mustStop(m, now, false))) {
                 m.group.members.remove(m);
@@ -185,7 +225,8 @@
 
     @Override
     public void listFailed(Duration now) {
-        // Guards against asking without a pause: where lists are pushed, the settings name no time for it.
+        // Guards against asking without a pause: where lists are pushed, the settings name no time
+        // for it.
         if (!ask) {
             return;
         }
@@ -195,21 +236,33 @@
     }
 
     @Override
-    public void txnArrived(Duration now, String id, int type, int group, Duration left, long session,
-                           Duration sinceWrite, boolean retry, Duration waited) {
+    public void txnArrived(
+            Duration now,
+            String id,
+            int type,
+            int group,
+            Duration left,
+            long session,
+            Duration sinceWrite,
+            boolean retry,
+            Duration waited) {
         Group g = groups.computeIfAbsent(group, i -> new Group(i, SPILL_SHARE));
         Txn t = new Txn(id, types[type], g, now.minus(waited), now.plus(left), session, retry);
-        // The SLA time runs from the first try. One with less time than others of its type is a later one and
-        // tells when the first was; where retries are marked, one without a mark has little patience.
+        // The SLA time runs from the first try. One with less time than others of its type is a
+        // later one and
+        // tells when the first was; where retries are marked, one without a mark has little
+        // patience.
         Duration given = left.plus(waited);
         longestTry[type] = max(longestTry[type], given);
-        if (given.plus(step).compareTo(longestTry[type]) < 0 && (retry || !flag("clients-mark-retries"))) {
+        if (given.plus(step).compareTo(longestTry[type]) < 0
+                && (retry || !flag("clients-mark-retries"))) {
             t.aimAt = t.aimAt.minus(max(Duration.ZERO, t.type.expiry().minus(given)));
         }
         if (t.type.freshness() == Freshness.OWN_WRITES) {
-            t.mustReflect = "client".equals(terms.get("session-marks"))
-                ? sinceWrite == null ? null : now.minus(sinceWrite)
-                : sessionWrites.getOrDefault(session, oldWrites);
+            t.mustReflect =
+                    "client".equals(terms.get("session-marks"))
+                            ? sinceWrite == null ? null : now.minus(sinceWrite)
+                            : sessionWrites.getOrDefault(session, oldWrites);
         }
         txns.put(id, t);
         hold(t, now);
@@ -217,17 +270,30 @@
     }
 
     @Override
-    public void submissionEnded(Duration now, String id, int number, long member, End end, Duration took,
-                                boolean over, Role role, Duration position) {
+    public void submissionEnded(
+            Duration now,
+            String id,
+            int number,
+            long member,
+            End end,
+            Duration took,
+            boolean over,
+            Role role,
+            Duration position) {
         Member m = members.get(member);
         Txn t = txns.get(id);
-        Submission s = m.out.stream().filter(o -> o.txn.id.equals(id) && o.number == number).findAny().get();
+        Submission s =
+                m.out.stream()
+                        .filter(o -> o.txn.id.equals(id) && o.number == number)
+                        .findAny()
+                        .get();
         m.out.remove(s);
         m.ended = true;
         s.end = end;
-        // Guards against a member that lives but takes no further connection: a no at once, and nothing ran.
-        boolean turnedAway = end == End.UNREACHABLE
-            && took.compareTo(time("connect-time-out").dividedBy(2)) < 0;
+        // Guards against a member that lives but takes no further connection: a no at once, and
+        // nothing ran.
+        boolean turnedAway =
+                end == End.UNREACHABLE && took.compareTo(time("connect-time-out").dividedBy(2)) < 0;
         ended.add(now, 1);
         if (end == End.COMMITTED) {
             committed.add(now, 1);
@@ -235,8 +301,10 @@
             if (warmth(m, now) >= 1 && took.compareTo(s.txn.type.slaTime()) <= 0) {
                 m.credit += IN_TIME_MULTIPLE * calm(s.txn.type);
             }
-            if (s.txn.type.update() && s.txn.session >= 0 && position != null
-                && "router".equals(terms.get("session-marks"))) {
+            if (s.txn.type.update()
+                    && s.txn.session >= 0
+                    && position != null
+                    && "router".equals(terms.get("session-marks"))) {
                 sessionWrites.merge(s.txn.session, position, Spans::max);
                 forgetWrites(now);
             }
@@ -248,8 +316,9 @@
             signOfLife(m, now, end);
         } else if (turnedAway) {
             turnedAway(m, now);
-        } else if (end != End.CANCELLED && end != End.MOOT
-            && !(end == End.TIMED_OUT && m.quietSince.compareTo(s.sentAt) > 0)) {
+        } else if (end != End.CANCELLED
+                && end != End.MOOT
+                && !(end == End.TIMED_OUT && m.quietSince.compareTo(s.sentAt) > 0)) {
             fault(m, now, end);
         }
         if (m.silent && m.out.isEmpty()) {
@@ -261,8 +330,13 @@
         }
         heardPosition(m, position, now);
         Group g = m.group;
-        if (s.txn.type.update() && g.primary == m && (end == End.MISSED || end == End.ERROR
-            || end == End.UNREACHABLE && !turnedAway || end == End.RESET || end == End.TIMED_OUT)) {
+        if (s.txn.type.update()
+                && g.primary == m
+                && (end == End.MISSED
+                        || end == End.ERROR
+                        || end == End.UNREACHABLE && !turnedAway
+                        || end == End.RESET
+                        || end == End.TIMED_OUT)) {
             search(g, now, "write " + end + " at " + m.id);
         }
         touch(g);
@@ -275,7 +349,9 @@
 
     private void forgetWrites(Duration now) {
         Iterator<Duration> i = sessionWrites.values().iterator();
-        for (Duration d = i.next(); now.minus(d).compareTo(SESSION_MEMORY) > 0 && i.hasNext(); d = i.next()) {
+        for (Duration d = i.next();
+                now.minus(d).compareTo(SESSION_MEMORY) > 0 && i.hasNext();
+                d = i.next()) {
             oldWrites = oldWrites == null ? d : max(oldWrites, d);
             i.remove();
         }
@@ -287,10 +363,17 @@
     }
 
     @Override
-    public void reported(Duration now, long member, Role role, Duration position, double held, double waiting,
-                         double busy) {
+    public void reported(
+            Duration now,
+            long member,
+            Role role,
+            Duration position,
+            double held,
+            double waiting,
+            double busy) {
         Member m = members.get(member);
-        // A primary's position is the time of its report, a replica's is never later: it dates the role.
+        // A primary's position is the time of its report, a replica's is never later: it dates the
+        // role.
         if (role != Role.UNKNOWN && position != null) {
             heard(m, role, position, now);
         }
@@ -336,18 +419,20 @@
     }
 
     /**
-     * Guards the rules on drains, old data, answered txns and repeats, and writes for a primary that has
-     * moved, against changes while a connection opens: a window may end meanwhile.
+     * Guards the rules on drains, old data, answered txns and repeats, and writes for a primary
+     * that has moved, against changes while a connection opens: a window may end meanwhile.
      */
     @Override
     public boolean mayStillGo(Duration now, String id, long member) {
         Txn t = txns.get(id);
         Member m = members.get(member);
         Duration need = t == null || checked || stands(m) ? null : needs(t, now);
-        return t != null && !mustStop(m, now, m == m.group.primary)
-            && (!t.type.toPrimary() || (t.type.update() ? m == m.group.primary : stands(m)))
-            && (mayRepeat(t, now) || t.submissions.stream().noneMatch(s -> !s.out() && s.mayHaveRun()))
-            && (need == null || m.position != null && m.position.compareTo(need) >= 0);
+        return t != null
+                && !mustStop(m, now, m == m.group.primary)
+                && (!t.type.toPrimary() || (t.type.update() ? m == m.group.primary : stands(m)))
+                && (mayRepeat(t, now)
+                        || t.submissions.stream().noneMatch(s -> !s.out() && s.mayHaveRun()))
+                && (need == null || m.position != null && m.position.compareTo(need) >= 0);
     }
 
     // ---- decisions ----
@@ -397,7 +482,8 @@
         } else if (g.primary != null) {
             watch(g, g.primary, now);
         }
-        // Guards against members that take few connections: one that stands idle here keeps all others out.
+        // Guards against members that take few connections: one that stands idle here keeps all
+        // others out.
         for (Member m : g.members) {
             if (m.ended && m.out.isEmpty() && refused.read(now) > 1) {
                 ready.add(Decision.release(m.id));
@@ -408,7 +494,9 @@
 
     // ---- roles and the writer search ----
 
-    /** Evidence of a role, with the time that it is proven for; the newest claim to be primary wins. */
+    /**
+     * Evidence of a role, with the time that it is proven for; the newest claim to be primary wins.
+     */
     private void heard(Member m, Role role, Duration at, Duration now) {
         Group g = m.group;
         m.replicaAt = role == Role.REPLICA ? now : m.replicaAt;
@@ -422,10 +510,14 @@
             }
             return;
         }
-        // Guards against confirming a primary that is gone or hangs by a report from before it went.
-        if (g.claimAt != null && at.compareTo(g.claimAt) < 0 || g.primary == m && g.searching
-            && (at.compareTo(g.searchSince) <= 0 || m.silent
-            || m.lostSince == null && m.shunnedUntil.compareTo(now) > 0)) {
+        // Guards against confirming a primary that is gone or hangs by a report from before it
+        // went.
+        if (g.claimAt != null && at.compareTo(g.claimAt) < 0
+                || g.primary == m
+                        && g.searching
+                        && (at.compareTo(g.searchSince) <= 0
+                                || m.silent
+                                || m.lostSince == null && m.shunnedUntil.compareTo(now) > 0)) {
             return;
         }
         m.replicaAt = m.replicaAt != null && at.compareTo(m.replicaAt) < 0 ? m.replicaAt : null;
@@ -437,8 +529,17 @@
         g.primary = m;
         g.claimAt = at;
         m.shunnedUntil = min(m.shunnedUntil, now);
-        log.accept("group " + g.id + " primary " + m.id + (g.searching ? " found after "
-            + (long) ms(now.minus(g.searchSince)) + " ms, held " + g.writes.size() : " by claim"));
+        log.accept(
+                "group "
+                        + g.id
+                        + " primary "
+                        + m.id
+                        + (g.searching
+                                ? " found after "
+                                        + (long) ms(now.minus(g.searchSince))
+                                        + " ms, held "
+                                        + g.writes.size()
+                                : " by claim"));
         g.searching = false;
         // The same primary found again, or a fresh driver's first one, leaves nothing to settle.
         if (old != null && old != m) {
@@ -454,8 +555,9 @@
     }
 
     /**
-     * It is the primary on record and has not said otherwise since it last claimed to be. Guards against old
-     * data: its word may be dated before that claim, and while it is searched for it stays on record.
+     * It is the primary on record and has not said otherwise since it last claimed to be. Guards
+     * against old data: its word may be dated before that claim, and while it is searched for it
+     * stays on record.
      */
     private static boolean stands(Member m) {
         return m == m.group.primary && m.replicaAt == null;
@@ -474,26 +576,33 @@
 
     private void searchOn(Group g, Duration now) {
         g.writes.removeIf(t -> t.answered);
-        // Guards against many drivers' probes that wait for nothing: after one round the rate is steady.
+        // Guards against many drivers' probes that wait for nothing: after one round the rate is
+        // steady.
         boolean idle = g.searchRounds > 0 && g.writes.isEmpty();
         Duration due = idle ? g.nextProbe.plus(STEADY_PROBE) : g.nextProbe;
         if (now.compareTo(due) >= 0) {
             for (Member m : g.members) {
                 probe(m, now);
             }
-            // A long search must be no load of its own: the pause grows to the time that a lost probe takes.
+            // A long search must be no load of its own: the pause grows to the time that a lost
+            // probe takes.
             g.searchRounds++;
             Duration most = max(SEARCH_PAUSE, time("connect-time-out").multipliedBy(2));
-            g.nextProbe = now.plus(min(most, times(SEARCH_PAUSE, Math.pow(1.4, g.searchRounds - 1))));
+            g.nextProbe =
+                    now.plus(min(most, times(SEARCH_PAUSE, Math.pow(1.4, g.searchRounds - 1))));
             due = g.nextProbe;
         }
         wake(g, due);
     }
 
-    /** Fast after a change, but only while work of this driver is out there: else a probe guards nothing. */
+    /**
+     * Fast after a change, but only while work of this driver is out there: else a probe guards
+     * nothing.
+     */
     private void watch(Group g, Member p, Duration now) {
         boolean fast = now.compareTo(g.watchUntil) < 0 && !p.out.isEmpty();
-        // All drivers together ask a primary ten times a second at rest, a hundred after a change, at most.
+        // All drivers together ask a primary ten times a second at rest, a hundred after a change,
+        // at most.
         Duration all = times(WATCH_PROBE, number("drivers"));
         Duration every = fast ? max(WATCH_PROBE, all.dividedBy(10)) : max(STEADY_PROBE, all);
         Duration last = p.probedAt == null ? g.claimAt : p.probedAt;
@@ -530,7 +639,7 @@
             return;
         }
         for (int pass = 0; pass < 2; pass++) {
-            for (Iterator<Txn> i = g.writes.iterator(); i.hasNext();) {
+            for (Iterator<Txn> i = g.writes.iterator(); i.hasNext(); ) {
                 Txn t = i.next();
                 if (t.answered) {
                     i.remove();
@@ -541,8 +650,10 @@
                     continue;
                 }
                 if (p.out.size() >= room(p, now) || now.compareTo(p.shunnedUntil) < 0) {
-                    // Guards against writes held for a crowd that is over: only a newer report ends it.
-                    if (crowded(p, now) && now.minus(p.waitingAt).compareTo(memory.dividedBy(2)) > 0) {
+                    // Guards against writes held for a crowd that is over: only a newer report ends
+                    // it.
+                    if (crowded(p, now)
+                            && now.minus(p.waitingAt).compareTo(memory.dividedBy(2)) > 0) {
                         probe(p, now);
                     }
                     wake(g, max(p.shunnedUntil, now.plus(Duration.ofMillis(50))));
@@ -565,10 +676,11 @@
         if (g.reads.isEmpty() || g.members.isEmpty()) {
             return;
         }
-        // Newest first: under overload those that waited long are late anyway, and get what the others leave.
+        // Newest first: under overload those that waited long are late anyway, and get what the
+        // others leave.
         for (int pass = 0; pass < 2; pass++) {
             int looked = 0;
-            for (Iterator<Txn> i = g.reads.descendingIterator(); i.hasNext() && looked < 32;) {
+            for (Iterator<Txn> i = g.reads.descendingIterator(); i.hasNext() && looked < 32; ) {
                 Txn t = i.next();
                 if (t.answered) {
                     i.remove();
@@ -597,11 +709,17 @@
     private Member choose(Group g, Txn t, double part, Duration now) {
         Duration need = needs(t, now);
         Member p = g.primary;
-        // Guards against writes held for one stuck connection: a repeatable read asks the silent primary,
+        // Guards against writes held for one stuck connection: a repeatable read asks the silent
+        // primary,
         // where such reads of all drivers together are no crowd.
-        if (crowd() < 1 && g.searching && p != null && p.silent && stands(p) && !mustStop(p, now, true)
-            && t.type.repeat() == Repeat.REPEATABLE
-            && p.out.stream().allMatch(s -> s.sentAt.compareTo(g.searchSince) < 0)) {
+        if (crowd() < 1
+                && g.searching
+                && p != null
+                && p.silent
+                && stands(p)
+                && !mustStop(p, now, true)
+                && t.type.repeat() == Repeat.REPEATABLE
+                && p.out.stream().allMatch(s -> s.sentAt.compareTo(g.searchSince) < 0)) {
             return p;
         }
         Member best = null;
@@ -610,7 +728,8 @@
         int replicas = 0;
         int fresh = 0;
         for (Member m : g.members) {
-            // While it is in doubt the primary serves what its proven position allows, as any replica.
+            // While it is in doubt the primary serves what its proven position allows, as any
+            // replica.
             if (stands(m) && !g.searching || mustStop(m, now, false)) {
                 continue;
             }
@@ -624,8 +743,10 @@
             }
             boolean room = m.out.size() < part * room(m, now);
             if (!ok) {
-                if (room && !missedAt(t, m) && !sureMiss(m, need, now) && (leastBehind == null
-                    || behind(m).compareTo(behind(leastBehind)) < 0)) {
+                if (room
+                        && !missedAt(t, m)
+                        && !sureMiss(m, need, now)
+                        && (leastBehind == null || behind(m).compareTo(behind(leastBehind)) < 0)) {
                     leastBehind = m;
                 }
                 continue;
@@ -639,9 +760,14 @@
                 }
             }
         }
-        // Guards against a crowd that never ends: trials by many drivers keep a low member full of late work.
-        if (best != null && crowd() > 1 && best.limit < FIRST_LIMIT / 2 && best.waitingAt != null
-            && now.minus(best.waitingAt).compareTo(memory) > 0 && probe(best, now)) {
+        // Guards against a crowd that never ends: trials by many drivers keep a low member full of
+        // late work.
+        if (best != null
+                && crowd() > 1
+                && best.limit < FIRST_LIMIT / 2
+                && best.waitingAt != null
+                && now.minus(best.waitingAt).compareTo(memory) > 0
+                && probe(best, now)) {
             return null;
         }
         if (best != null) {
@@ -651,8 +777,12 @@
         if (checked && leastBehind != null && fresh == 0 && t.submissions.size() < 2) {
             return leastBehind;
         }
-        if (asked && fresh == 0 || p == null || g.searching || !stands(p) || away(p, now)
-            || mustStop(p, now, true)) {
+        if (asked && fresh == 0
+                || p == null
+                || g.searching
+                || !stands(p)
+                || away(p, now)
+                || mustStop(p, now, true)) {
             return null;
         }
         // Reads that need the primary leave a part of its room to the writes.
@@ -673,8 +803,9 @@
 
     /** It was heard lately to be further behind than it would wait for. */
     private boolean sureMiss(Member m, Duration need, Duration now) {
-        return m.behind != null && m.positionHeard.plus(memory.dividedBy(2)).compareTo(now) > 0
-            && now.minus(m.behind).plus(time("members-hold-for")).compareTo(need) < 0;
+        return m.behind != null
+                && m.positionHeard.plus(memory.dividedBy(2)).compareTo(now) > 0
+                && now.minus(m.behind).plus(time("members-hold-for")).compareTo(need) < 0;
     }
 
     private static Duration behind(Member m) {
@@ -682,10 +813,14 @@
     }
 
     private static boolean missedAt(Txn t, Member m) {
-        return t.submissions.stream().anyMatch(s -> s.member == m && (s.out() || s.end == End.MISSED));
+        return t.submissions.stream()
+                .anyMatch(s -> s.member == m && (s.out() || s.end == End.MISSED));
     }
 
-    /** The position that a read's data must have reached, or null; a step more than the bound asks for. */
+    /**
+     * The position that a read's data must have reached, or null; a step more than the bound asks
+     * for.
+     */
     private Duration needs(Txn t, Duration now) {
         return switch (t.type.freshness()) {
             case RECENT -> now.minus(t.type.oldestData()).plus(step);
@@ -694,17 +829,28 @@
         };
     }
 
-    /** Asks replicas of which too little is known for their position, each not too often for the bound. */
+    /**
+     * Asks replicas of which too little is known for their position, each not too often for the
+     * bound.
+     */
     private boolean refresh(Group g, Txn t, Duration now) {
-        Duration bound = t.type.freshness() == Freshness.RECENT ? t.type.oldestData() : t.type.slaTime();
+        Duration bound =
+                t.type.freshness() == Freshness.RECENT ? t.type.oldestData() : t.type.slaTime();
         int asked = 0;
         int start = random.nextInt(g.members.size());
         for (int i = 0; i < g.members.size() && asked < 2; i++) {
             Member m = g.members.get((start + i) % g.members.size());
-            if (m != g.primary && !away(m, now) && (m.probeOut
-                || (m.probedAt == null || now.minus(m.probedAt).compareTo(bound.dividedBy(4)) > 0)
-                && (m.positionHeard == null || now.minus(m.positionHeard).compareTo(bound.dividedBy(4)) > 0)
-                && probe(m, now))) {
+            if (m != g.primary
+                    && !away(m, now)
+                    && (m.probeOut
+                            || (m.probedAt == null
+                                            || now.minus(m.probedAt).compareTo(bound.dividedBy(4))
+                                                    > 0)
+                                    && (m.positionHeard == null
+                                            || now.minus(m.positionHeard)
+                                                            .compareTo(bound.dividedBy(4))
+                                                    > 0)
+                                    && probe(m, now))) {
                 asked++;
             }
         }
@@ -747,8 +893,11 @@
             return;
         }
         boolean spent = t.submissions.size() >= number("most-submissions");
-        if (now.compareTo(endAt(t)) >= 0 || t.held && (spent || now.compareTo(giveUpAt(t, now)) >= 0
-            || t.mayHaveRun() && !mayRepeat(t, now))) {
+        if (now.compareTo(endAt(t)) >= 0
+                || t.held
+                        && (spent
+                                || now.compareTo(giveUpAt(t, now)) >= 0
+                                || t.mayHaveRun() && !mayRepeat(t, now))) {
             finish(t, now);
             return;
         }
@@ -770,8 +919,12 @@
         if (g.primary == s.member) {
             search(g, now, "primary silent " + s.member.id + " holding " + s.member.out.size());
         }
-        if (t.type.repeat() != Repeat.REPEATABLE || s.cancelled || late(t, now) || t.held
-            || t.submissions.size() >= number("most-submissions") || !budget(now)) {
+        if (t.type.repeat() != Repeat.REPEATABLE
+                || s.cancelled
+                || late(t, now)
+                || t.held
+                || t.submissions.size() >= number("most-submissions")
+                || !budget(now)) {
             return;
         }
         if (!flag("second-copies")) {
@@ -792,12 +945,17 @@
 
     /** The final answer: a decline where a retry is harmless, else a rollback. */
     private void finish(Txn t, Duration now) {
-        boolean harmless = t.type.repeat() == Repeat.REPEATABLE || !t.mayHaveRun()
-            || t.type.repeat() == Repeat.REFERENCED && t.type.anyMemberDropsRepeats();
-        // A client that can still be in time may come back at once; one that is too late better waits.
+        boolean harmless =
+                t.type.repeat() == Repeat.REPEATABLE
+                        || !t.mayHaveRun()
+                        || t.type.repeat() == Repeat.REFERENCED && t.type.anyMemberDropsRepeats();
+        // A client that can still be in time may come back at once; one that is too late better
+        // waits.
         boolean away = flag("may-advise-come-back") && late(t, now);
-        ready.add(!harmless ? Decision.rollBack(t.id)
-            : Decision.decline(t.id, away ? time("longest-come-back") : null));
+        ready.add(
+                !harmless
+                        ? Decision.rollBack(t.id)
+                        : Decision.decline(t.id, away ? time("longest-come-back") : null));
         close(t);
     }
 
@@ -810,7 +968,8 @@
     /** When a held txn is given up: what it waits for could no longer be of use by then. */
     private Duration giveUpAt(Txn t, Duration now) {
         Duration takes = millis(Math.max(calm(t.type), usual(t.type, now)));
-        Duration last = (t.type.lateShare() > 0 ? t.expiresAt : min(t.aimAt, t.expiresAt)).minus(takes);
+        Duration last =
+                (t.type.lateShare() > 0 ? t.expiresAt : min(t.aimAt, t.expiresAt)).minus(takes);
         if (t.type.lateShare() == 0) {
             // Half of it: a client that asks again may then still be served in time.
             last = min(last, t.arrivedAt.plus(t.type.slaTime().minus(takes).dividedBy(2)));
@@ -823,13 +982,19 @@
     }
 
     private boolean mayRepeat(Txn t, Duration now) {
-        return t.type.repeat() == Repeat.REPEATABLE || !t.mayHaveRun() || t.type.repeat() == Repeat.REFERENCED
-            && now.plus(step).compareTo(t.firstMayHaveRunAt().plus(t.type.window())) < 0;
+        return t.type.repeat() == Repeat.REPEATABLE
+                || !t.mayHaveRun()
+                || t.type.repeat() == Repeat.REFERENCED
+                        && now.plus(step).compareTo(t.firstMayHaveRunAt().plus(t.type.window()))
+                                < 0;
     }
 
     private boolean mayGoAgain(Txn t, Duration now) {
-        return t.submissions.isEmpty() || mayRepeat(t, now) && (t.out() == 0 || flag("second-copies"))
-            && t.submissions.size() < number("most-submissions") && budget(now);
+        return t.submissions.isEmpty()
+                || mayRepeat(t, now)
+                        && (t.out() == 0 || flag("second-copies"))
+                        && t.submissions.size() < number("most-submissions")
+                        && budget(now);
     }
 
     /** Further submissions follow the share of recent ones that succeeded. */
@@ -848,10 +1013,14 @@
         }
         m.answers.add(now, 1);
         m.slowness.add(now, ms(time) / target(m, t.type));
-        // Guards against replicas that fall behind as they are crowded: a lag well inside the bound lowers
-        // the limit while it grows, else keeps it from rising. Where answers are quick it has another cause.
-        boolean behind = m != m.group.primary && behind(m).compareTo(bound.dividedBy(4)) > 0
-            && ratio(m, now) > 0.75;
+        // Guards against replicas that fall behind as they are crowded: a lag well inside the bound
+        // lowers
+        // the limit while it grows, else keeps it from rising. Where answers are quick it has
+        // another cause.
+        boolean behind =
+                m != m.group.primary
+                        && behind(m).compareTo(bound.dividedBy(4)) > 0
+                        && ratio(m, now) > 0.75;
         boolean growing = behind(m).compareTo(m.behindBefore) > 0;
         m.behindBefore = behind(m);
         if (ratio(m, now) > 1 || behind && growing) {
@@ -860,8 +1029,10 @@
             m.limit += 1 / m.limit;
         }
         if (m == t.group.primary && !t.type.update()) {
-            t.group.spillShare = ratio(m, now) > 1 ? Math.max(SPILL_SHARE, t.group.spillShare * 0.8)
-                : Math.min(1, t.group.spillShare * 1.5);
+            t.group.spillShare =
+                    ratio(m, now) > 1
+                            ? Math.max(SPILL_SHARE, t.group.spillShare * 0.8)
+                            : Math.min(1, t.group.spillShare * 1.5);
         }
     }
 
@@ -895,24 +1066,35 @@
         return took[type.index()].calm;
     }
 
-    /** Silent: its work has waited, all together, several usual answer times since its last sign. */
+    /**
+     * Silent: its work has waited, all together, several usual answer times since its last sign.
+     */
     private boolean quiet(Member m, Duration now) {
         if (m.silent || m.out.isEmpty()) {
             return m.silent;
         }
         double waited = 0;
         for (Submission s : m.out) {
-            // One that later answers have overtaken by far is stuck by itself: it says nothing of the member.
+            // One that later answers have overtaken by far is stuck by itself: it says nothing of
+            // the member.
             double usual = usual(s.txn.type, now);
-            waited += ms(m.quietSince.minus(s.sentAt)) > PATIENCE * usual ? 0
-                : ms(now.minus(max(s.sentAt, m.quietSince))) / usual;
+            waited +=
+                    ms(m.quietSince.minus(s.sentAt)) > PATIENCE * usual
+                            ? 0
+                            : ms(now.minus(max(s.sentAt, m.quietSince))) / usual;
         }
-        // The last sign must be a usual answer time away as well: many out are no reason to doubt sooner.
+        // The last sign must be a usual answer time away as well: many out are no reason to doubt
+        // sooner.
         Txn any = m.out.iterator().next().txn;
         if (waited > PATIENCE && ms(now.minus(m.quietSince)) > usual(any.type, now)) {
             m.silent = true;
-            log.accept("member " + m.id + " silent for " + (long) ms(now.minus(m.quietSince)) + " ms holding "
-                + m.out.size());
+            log.accept(
+                    "member "
+                            + m.id
+                            + " silent for "
+                            + (long) ms(now.minus(m.quietSince))
+                            + " ms holding "
+                            + m.out.size());
         }
         return m.silent;
     }
@@ -933,7 +1115,8 @@
             m.shunnedUntil = max(m.shunnedUntil, now.plus(millis(calm(types[0]))));
         } else {
             m.failures = 0;
-            // Guards against pushing over one that is back before the list says so: out of reach for a while.
+            // Guards against pushing over one that is back before the list says so: out of reach
+            // for a while.
             if (m.lostSince != null && now.minus(m.lostSince).compareTo(memory) > 0) {
                 m.startedAt = now;
                 m.creditAt = null;
@@ -942,7 +1125,9 @@
         }
     }
 
-    /** Whether it still lives is asked of the primary alone; should that fail, the search begins. */
+    /**
+     * Whether it still lives is asked of the primary alone; should that fail, the search begins.
+     */
     private void turnedAway(Member m, Duration now) {
         refused.add(now, 1);
         m.failures++;
@@ -959,12 +1144,15 @@
         if (m.lostSince == null && (end == End.UNREACHABLE || end == End.RESET)) {
             m.lostSince = now;
         }
-        // One broken connection among answers is no loss; with the next it is left alone for a while.
+        // One broken connection among answers is no loss; with the next it is left alone for a
+        // while.
         if (m.failures < 2 && (end == End.RESET || end == End.UNREACHABLE)) {
             return;
         }
-        Duration pause = times(max(Duration.ofMillis(250), time("connect-time-out")),
-            Math.pow(2, Math.min(m.failures - 1, 3)));
+        Duration pause =
+                times(
+                        max(Duration.ofMillis(250), time("connect-time-out")),
+                        Math.pow(2, Math.min(m.failures - 1, 3)));
         m.shunnedUntil = now.plus(times(pause, 0.75 + 0.5 * random.nextDouble()));
     }
 
@@ -975,25 +1163,35 @@
         if (crowded(m, now) && crowd() > 1) {
             return 0;
         }
-        if ((m.limit < least || warmth(m, now) < 1 || crowded(m, now)) && credit(m, now) < calm(types[0])) {
+        if ((m.limit < least || warmth(m, now) < 1 || crowded(m, now))
+                && credit(m, now) < calm(types[0])) {
             return 0;
         }
         return m.failures > 1 || m.failures > 0 && now.compareTo(m.shunnedUntil) < 0 ? 1 : m.limit;
     }
 
-    /** Its own report shows more waiting than is answered in time; one that shows little proves nothing. */
+    /**
+     * Its own report shows more waiting than is answered in time; one that shows little proves
+     * nothing.
+     */
     private boolean crowded(Member m, Duration now) {
-        return m.waitingAt != null && m.waiting * calm(types[0]) > ms(memory) / 2
-            && now.minus(m.waitingAt).compareTo(times(memory, Math.max(4, crowd()))) < 0;
+        return m.waitingAt != null
+                && m.waiting * calm(types[0]) > ms(memory) / 2
+                && now.minus(m.waitingAt).compareTo(times(memory, Math.max(4, crowd()))) < 0;
     }
 
-    /** One submission of each driver at one member, in the updates' SLA times: what limits of one come to. */
+    /**
+     * One submission of each driver at one member, in the updates' SLA times: what limits of one
+     * come to.
+     */
     private double crowd() {
         return number("drivers") * calm(types[0]) / ms(memory);
     }
 
-    // Work that may be sent, saved up at a rate, as rates add up over many drivers. A cold member gets a warm
-    // one's, times its warm part and 0.6 of the multiple; a replica of low limit what it answers in time.
+    // Work that may be sent, saved up at a rate, as rates add up over many drivers. A cold member
+    // gets a warm
+    // one's, times its warm part and 0.6 of the multiple; a replica of low limit what it answers in
+    // time.
     private double credit(Member m, Duration now) {
         double calm = calm(types[0]);
         double warm = warmth(m, now);
@@ -1003,11 +1201,21 @@
             Load load = sentToKind.get(m.kind);
             if (load.countedAt == null || now.minus(load.countedAt).compareTo(time("fall")) > 0) {
                 load.countedAt = now;
-                // Each counts whole: by warm parts, many that start at once would each get the share of few.
-                load.members = members.values().stream().filter(o -> o.listed && o.kind == m.kind).count();
+                // Each counts whole: by warm parts, many that start at once would each get the
+                // share of few.
+                load.members =
+                        members.values().stream().filter(o -> o.listed && o.kind == m.kind).count();
             }
-            rate = Math.max(calm / ms(cold), warm * number("fall-multiple") * 0.6
-                * load.sent.read(now) * Math.log(2) / ms(load.span) / Math.max(1, load.members));
+            rate =
+                    Math.max(
+                            calm / ms(cold),
+                            warm
+                                    * number("fall-multiple")
+                                    * 0.6
+                                    * load.sent.read(now)
+                                    * Math.log(2)
+                                    / ms(load.span)
+                                    / Math.max(1, load.members));
             most = calm + rate * ms(time("fall")) / 4;
         }
         if (m.creditAt == null) {
@@ -1027,14 +1235,19 @@
         return age >= 1 ? 1 : number("cold-share") + (1 - number("cold-share")) * Math.max(0, age);
     }
 
-    /** Nothing new goes there; a primary is used on for most of the grace, until it has handed over. */
+    /**
+     * Nothing new goes there; a primary is used on for most of the grace, until it has handed over.
+     */
     private boolean mustStop(Member m, Duration now, boolean asPrimary) {
-        // Where the list does not prove who is gone, the txn path does: faults there leave a member alone.
+        // Where the list does not prove who is gone, the txn path does: faults there leave a member
+        // alone.
         if (m.stopTold == null || m.gone && !m.seenDraining && flag("removal-not-binding")) {
             return false;
         }
-        Duration grace = asPrimary && !m.gone ? time("drain-grace").minus(step.multipliedBy(2))
-            : Duration.ZERO;
+        Duration grace =
+                asPrimary && !m.gone
+                        ? time("drain-grace").minus(step.multipliedBy(2))
+                        : Duration.ZERO;
         return now.compareTo(m.stopTold.plus(grace)) >= 0;
     }
 
@@ -1047,7 +1260,10 @@
         m.positionHeard = now;
     }
 
-    /** Where the list must be asked for: follow it, again after failures and when it was quiet for long. */
+    /**
+     * Where the list must be asked for: follow it, again after failures and when it was quiet for
+     * long.
+     */
     private void askListAt(Duration at) {
         listAt = at;
         alarm(at, at);
--- a/src/main/java/wingroad/simhost/Instance.java
+++ b/src/main/java/wingroad/simhost/Instance.java
@@ -14,24 +14,33 @@
 import wingroad.state.Submission;
 import wingroad.terms.Terms;
 
-/** One driver on the wire: its module, its clock's start, and the one wake-up that it keeps armed. */
+/**
+ * One driver on the wire: its module, its clock's start, and the one wake-up that it keeps armed.
+ */
 final class Instance {
     private final double startWall;
     private final double zero;
     private final List<?> reportNames;
     private final Router router;
+
     /** Where log lines go: the reply being written. */
     private JsonGenerator log;
+
     private Duration armed;
     private long armedNumber;
 
     Instance(double wall, long seed, Map<String, Object> profile, JsonGenerator steps) {
         this.startWall = wall;
         Object family = profile.get("family-info");
-        this.zero = family instanceof Map<?, ?> m && m.get("zero") instanceof Number n ? n.doubleValue() : 0;
+        this.zero =
+                family instanceof Map<?, ?> m && m.get("zero") instanceof Number n
+                        ? n.doubleValue()
+                        : 0;
         Object report = profile.get("report");
-        this.reportNames = report instanceof Map<?, ?> m && m.get("names") instanceof List<?> names
-            ? names : List.of();
+        this.reportNames =
+                report instanceof Map<?, ?> m && m.get("names") instanceof List<?> names
+                        ? names
+                        : List.of();
         this.log = steps;
         this.router = new TxnRouter(Terms.of(profile), seed, this::writeLog);
     }
@@ -44,23 +53,37 @@
         return Json.ms(at.plusNanos(Math.round(startWall * 1000) * 1000));
     }
 
-    void take(double wall, String name, Map<String, Object> event, Map<Long, List<?>> lists,
-              JsonGenerator steps) throws IOException {
+    void take(
+            double wall,
+            String name,
+            Map<String, Object> event,
+            Map<Long, List<?>> lists,
+            JsonGenerator steps)
+            throws IOException {
         log = steps;
         Duration now = sinceStart(wall);
         try {
             switch (name) {
                 case "view" -> view(now, event, lists);
-                case "new-request" -> router.txnArrived(now, Json.text(event, "op-id"),
-                    Json.number(event, "band", 0).intValue(), Json.number(event, "shard", 0).intValue(),
-                    Json.span(Json.number(event, "ttl")), Json.number(event, "user", -1).longValue(),
-                    sinceWrite(event), (Json.number(event, "marks", 0).intValue() & 2) != 0, Duration.ZERO);
+                case "new-request" ->
+                        router.txnArrived(
+                                now,
+                                Json.text(event, "op-id"),
+                                Json.number(event, "band", 0).intValue(),
+                                Json.number(event, "shard", 0).intValue(),
+                                Json.span(Json.number(event, "ttl")),
+                                Json.number(event, "user", -1).longValue(),
+                                sinceWrite(event),
+                                (Json.number(event, "marks", 0).intValue() & 2) != 0,
+                                Duration.ZERO);
                 case "result" -> result(now, event);
                 case "status-back" -> {
                     long member = Json.number(event, "member").longValue();
                     report(now, member, event);
                     // One that takes no further probe lives: many drivers may ask it at once.
-                    boolean lives = "ok".equals(event.get("state-code")) || "full".equals(event.get("state-code"));
+                    boolean lives =
+                            "ok".equals(event.get("state-code"))
+                                    || "full".equals(event.get("state-code"));
                     router.probeEnded(now, member, lives, took(event));
                 }
                 case "lapsed" -> router.txnLapsed(now, Json.text(event, "op-id"));
@@ -104,12 +127,17 @@
             Map<String, Object> entry = Json.object(e, "a list entry");
             double launched = Json.number(entry, "launched", 0).doubleValue();
             String readiness = entry.get("readiness") instanceof String s ? s : "in_service";
-            router.listed(now, Json.number(entry, "member").longValue(),
-                Json.number(entry, "group", 0).intValue(), Json.number(entry, "site", 0).intValue(),
-                Json.number(entry, "class-of-host", 0).intValue(),
-                Json.number(entry, "heft", 1).doubleValue(), Json.number(entry, "head", 0).doubleValue() == 1,
-                readiness.equals("terminating"), readiness.equals("terminated"),
-                launched > 0 ? sinceStart(launched) : null);
+            router.listed(
+                    now,
+                    Json.number(entry, "member").longValue(),
+                    Json.number(entry, "group", 0).intValue(),
+                    Json.number(entry, "site", 0).intValue(),
+                    Json.number(entry, "class-of-host", 0).intValue(),
+                    Json.number(entry, "heft", 1).doubleValue(),
+                    Json.number(entry, "head", 0).doubleValue() == 1,
+                    readiness.equals("terminating"),
+                    readiness.equals("terminated"),
+                    launched > 0 ? sinceStart(launched) : null);
         }
         router.listEnds(now);
     }
@@ -117,26 +145,36 @@
     private void result(Duration now, Map<String, Object> event) {
         long member = Json.number(event, "member").longValue();
         report(now, member, event);
-        Submission.End end = switch (Json.text(event, "state-code")) {
-            case "ok" -> Submission.End.COMMITTED;
-            case "full" -> Submission.End.FULL;
-            case "timeout" -> Submission.End.TIMED_OUT;
-            case "connect_failed" -> Submission.End.UNREACHABLE;
-            case "reset" -> Submission.End.RESET;
-            case "cancelled" -> Submission.End.CANCELLED;
-            case "moot" -> Submission.End.MOOT;
-            case "miss" -> Submission.End.MISSED;
-            default -> Submission.End.ERROR;
-        };
+        Submission.End end =
+                switch (Json.text(event, "state-code")) {
+                    case "ok" -> Submission.End.COMMITTED;
+                    case "full" -> Submission.End.FULL;
+                    case "timeout" -> Submission.End.TIMED_OUT;
+                    case "connect_failed" -> Submission.End.UNREACHABLE;
+                    case "reset" -> Submission.End.RESET;
+                    case "cancelled" -> Submission.End.CANCELLED;
+                    case "moot" -> Submission.End.MOOT;
+                    case "miss" -> Submission.End.MISSED;
+                    default -> Submission.End.ERROR;
+                };
         long stand = Json.number(event, "stand", 0).longValue();
         Duration position = stand >> 2 == 0 ? null : sinceStart(zero + (stand >> 2));
-        router.submissionEnded(now, Json.text(event, "op-id"),
-            Json.number(event, "round-no", 0).intValue(), member, end, took(event),
-            Boolean.TRUE.equals(event.get("terminal")), role((int) (stand & 3)), position);
+        router.submissionEnded(
+                now,
+                Json.text(event, "op-id"),
+                Json.number(event, "round-no", 0).intValue(),
+                member,
+                end,
+                took(event),
+                Boolean.TRUE.equals(event.get("terminal")),
+                role((int) (stand & 3)),
+                position);
     }
 
     private static Member.Role role(int number) {
-        return number == 1 ? Member.Role.PRIMARY : number == 2 ? Member.Role.REPLICA : Member.Role.UNKNOWN;
+        return number == 1
+                ? Member.Role.PRIMARY
+                : number == 2 ? Member.Role.REPLICA : Member.Role.UNKNOWN;
     }
 
     private void report(Duration now, long member, Map<String, Object> event) {
@@ -251,8 +289,14 @@
         StackTraceElement[] at = bug.getStackTrace();
         steps.writeStartObject();
         steps.writeStringField("msg", "crash");
-        steps.writeStringField("reason-text", bug.getClass().getSimpleName() + ": " + bug.getMessage()
-            + (at.length > 0 ? " at " + at[0].getFileName() + ":" + at[0].getLineNumber() : ""));
+        steps.writeStringField(
+                "reason-text",
+                bug.getClass().getSimpleName()
+                        + ": "
+                        + bug.getMessage()
+                        + (at.length > 0
+                                ? " at " + at[0].getFileName() + ":" + at[0].getLineNumber()
+                                : ""));
         steps.writeEndObject();
     }
 }
--- a/src/main/java/wingroad/simhost/SimHost.java
+++ b/src/main/java/wingroad/simhost/SimHost.java
@@ -19,8 +19,8 @@
 import wingroad.protocol.Json;
 
 /**
- * The adapter for the simulator's wire: one line in, one line out, many instances. It decodes, renames and
- * encodes, and decides nothing.
+ * The adapter for the simulator's wire: one line in, one line out, many instances. It decodes,
+ * renames and encodes, and decides nothing.
  */
 public final class SimHost {
     private final BufferedReader in;
@@ -28,6 +28,7 @@
     private final PrintStream err;
     private final JsonFactory json = new JsonFactory();
     private final Map<Long, Instance> instances = new HashMap<>();
+
     /** Lists by number; a newer one takes over an older one's number. */
     private final Map<Long, List<?>> lists = new HashMap<>();
 
@@ -89,18 +90,27 @@
         }
     }
 
-    private void serve(double wall, long id, List<?> events, JsonGenerator steps) throws IOException {
+    private void serve(double wall, long id, List<?> events, JsonGenerator steps)
+            throws IOException {
         for (Object e : events) {
             Map<String, Object> event = Json.object(e, "an event");
             String name = Json.text(event, "msg");
             switch (name) {
                 case "inventory" ->
-                    lists.put(Json.number(event, "buffer").longValue(), Json.list(event, "members-list"));
+                        lists.put(
+                                Json.number(event, "buffer").longValue(),
+                                Json.list(event, "members-list"));
                 case "crash-now" -> instances.remove(id);
                 case "power-on" -> {
                     try {
-                        instances.put(id, new Instance(wall, Json.number(event, "salt").longValue(),
-                            Json.object(Json.need(event, "profile-data"), "'profile-data'"), steps));
+                        instances.put(
+                                id,
+                                new Instance(
+                                        wall,
+                                        Json.number(event, "salt").longValue(),
+                                        Json.object(
+                                                Json.need(event, "profile-data"), "'profile-data'"),
+                                        steps));
                     } catch (Json.Malformed bad) {
                         throw bad;
                     } catch (RuntimeException bug) {
--- a/src/main/java/wingroad/state/Group.java
+++ b/src/main/java/wingroad/state/Group.java
@@ -14,17 +14,24 @@
     public Duration searchSince;
     public int searchRounds;
     public Duration nextProbe;
+
     /** Probe at the fast rate until then. */
     public Duration watchUntil = Duration.ZERO;
+
     /** Txns that wait for a member, in the order in which they came. */
     public final ArrayDeque<Txn> writes = new ArrayDeque<>();
+
     public final ArrayDeque<Txn> reads = new ArrayDeque<>();
+
     /** The part of the reads without a fit replica that may go to the primary. */
     public double spillShare;
+
     /** The time for which the newest claim to be primary was proven. */
     public Duration claimAt;
+
     /** When this group asked to be looked at again, or null. */
     public Duration wakeAsked;
+
     public boolean dirty;
 
     public Group(int id, double spillShare) {
--- a/src/main/java/wingroad/state/Spans.java
+++ b/src/main/java/wingroad/state/Spans.java
@@ -4,8 +4,7 @@
 
 /** Arithmetic on spans of time. */
 public final class Spans {
-    private Spans() {
-    }
+    private Spans() {}
 
     public static double ms(Duration d) {
         return d.toNanos() / 1e6;
--- a/src/main/java/wingroad/state/Submission.java
+++ b/src/main/java/wingroad/state/Submission.java
@@ -6,7 +6,15 @@
 public final class Submission {
     /** How a submission ended. */
     public enum End {
-        COMMITTED, ERROR, FULL, TIMED_OUT, UNREACHABLE, RESET, CANCELLED, MOOT, MISSED;
+        COMMITTED,
+        ERROR,
+        FULL,
+        TIMED_OUT,
+        UNREACHABLE,
+        RESET,
+        CANCELLED,
+        MOOT,
+        MISSED;
 
         /** True where the end proves that nothing ran. */
         public boolean neverRan() {
--- a/src/main/java/wingroad/state/Took.java
+++ b/src/main/java/wingroad/state/Took.java
@@ -6,6 +6,7 @@
 public final class Took {
     public final DecayingSum total;
     public final DecayingSum count;
+
     /** A low mean: what it takes of a member that is not crowded. */
     public double calm;
 
--- a/src/main/java/wingroad/state/Txn.java
+++ b/src/main/java/wingroad/state/Txn.java
@@ -11,23 +11,38 @@
     public final Group group;
     public final Duration arrivedAt;
     public Duration expiresAt;
+
     /** Until when an answer has its full value, as far as is known. */
     public Duration aimAt;
+
     /** The client says that it has asked before. */
     public final boolean retry;
+
     /** The session, or -1. */
     public final long session;
+
     /** The position that the session has written up to, or null. */
     public Duration mustReflect;
+
     public final List<Submission> submissions = new ArrayList<>(2);
     public boolean answered;
+
     /** True while it waits at the router for a member. */
     public boolean held;
-    /** Whether it is of the part of reads without a fit replica that may spill; null: not asked yet. */
+
+    /**
+     * Whether it is of the part of reads without a fit replica that may spill; null: not asked yet.
+     */
     public Boolean spill;
 
-    public Txn(String id, TxnType type, Group group, Duration arrivedAt, Duration expiresAt,
-               long session, boolean retry) {
+    public Txn(
+            String id,
+            TxnType type,
+            Group group,
+            Duration arrivedAt,
+            Duration expiresAt,
+            long session,
+            boolean retry) {
         this.id = id;
         this.type = type;
         this.group = group;
--- a/src/main/java/wingroad/state/TxnType.java
+++ b/src/main/java/wingroad/state/TxnType.java
@@ -5,24 +5,39 @@
 import java.util.Map;
 
 /** One kind of txn as the deployment describes it. */
-public record TxnType(int index, Duration slaTime, Duration expiry, double value, double lateShare,
-                      Repeat repeat, Freshness freshness, Duration oldestData, Duration window,
-                      boolean anyMemberDropsRepeats) {
+public record TxnType(
+        int index,
+        Duration slaTime,
+        Duration expiry,
+        double value,
+        double lateShare,
+        Repeat repeat,
+        Freshness freshness,
+        Duration oldestData,
+        Duration window,
+        boolean anyMemberDropsRepeats) {
 
     /** What running a txn twice would do. */
     public enum Repeat {
-        REPEATABLE, REFERENCED, ONCE_ONLY;
+        REPEATABLE,
+        REFERENCED,
+        ONCE_ONLY;
 
         /** The kind that the word names; one that is not known must never run twice. */
         public static Repeat of(Object word) {
-            return "repeatable".equals(word) ? REPEATABLE
-                : "referenced".equals(word) ? REFERENCED : ONCE_ONLY;
+            return "repeatable".equals(word)
+                    ? REPEATABLE
+                    : "referenced".equals(word) ? REFERENCED : ONCE_ONLY;
         }
     }
 
     /** What the data that a txn works on must reflect. */
     public enum Freshness {
-        UPDATE, LATEST, OWN_WRITES, RECENT, LOOSE;
+        UPDATE,
+        LATEST,
+        OWN_WRITES,
+        RECENT,
+        LOOSE;
 
         public static Freshness of(Object word) {
             for (Freshness f : values()) {
@@ -39,10 +54,18 @@
         TxnType[] all = new TxnType[terms.get("txn-types") instanceof Double n ? n.intValue() : 0];
         for (int i = 0; i < all.length; i++) {
             String t = "txn-type." + i + ".";
-            all[i] = new TxnType(i, time(terms, t + "sla-time"), time(terms, t + "expiry"),
-                number(terms, t + "value"), number(terms, t + "late-share"), Repeat.of(terms.get(t + "repeat")),
-                Freshness.of(terms.get(t + "reads")), time(terms, t + "oldest-data"), time(terms, t + "window"),
-                "all".equals(terms.get(t + "repeats-dropped-by")));
+            all[i] =
+                    new TxnType(
+                            i,
+                            time(terms, t + "sla-time"),
+                            time(terms, t + "expiry"),
+                            number(terms, t + "value"),
+                            number(terms, t + "late-share"),
+                            Repeat.of(terms.get(t + "repeat")),
+                            Freshness.of(terms.get(t + "reads")),
+                            time(terms, t + "oldest-data"),
+                            time(terms, t + "window"),
+                            "all".equals(terms.get(t + "repeats-dropped-by")));
         }
         return all;
     }
--- a/src/main/java/wingroad/state/Wheel.java
+++ b/src/main/java/wingroad/state/Wheel.java
@@ -1,10 +1,10 @@
 package wingroad.state;
 
 /**
- * Timers by the time at which they are due: a hashed wheel. Adding and taking out cost the same however many there are;
- * what is due comes out when its slot of about 4 ms has passed, in the order of the slots, within one in the order in which it
- * was added.
- * A timer is its own link in the wheel, so nothing is allocated for it. Measured against a heap in bench/fair-queues.sh.
+ * Timers by the time at which they are due: a hashed wheel. Adding and taking out cost the same
+ * however many there are; what is due comes out when its slot of about 4 ms has passed, in the
+ * order of the slots, within one in the order in which it was added. A timer is its own link in the
+ * wheel, so nothing is allocated for it. Measured against a heap in bench/fair-queues.sh.
  */
 public final class Wheel {
     private static final int SLOT_BITS = 22;
@@ -30,6 +30,7 @@
 
     /** The ends of each slot's ring. */
     private final Timer[] slots = new Timer[SLOTS];
+
     private final long[] used = new long[SLOTS / 64];
     private long slot;
     private int size;
@@ -38,7 +39,10 @@
         return size;
     }
 
-    /** Sets the timer, anew where it was set. One that is due in the past comes out with the present slot. */
+    /**
+     * Sets the timer, anew where it was set. One that is due in the past comes out with the present
+     * slot.
+     */
     public void set(Timer t, long due) {
         cancel(t);
         t.due = due;
@@ -102,12 +106,15 @@
         return null;
     }
 
-    /** When to poll next, in nanoseconds: no later than the end of the slot in which the first is due; -1 where none is set. */
+    /**
+     * When to poll next, in nanoseconds: no later than the end of the slot in which the first is
+     * due; -1 where none is set.
+     */
     public long nextDue() {
         if (size == 0) {
             return -1;
         }
-        for (int i = 0; i < SLOTS;) {
+        for (int i = 0; i < SLOTS; ) {
             int at = (int) (slot + i) & SLOTS - 1;
             long word = used[at >> 6] >>> (at & 63);
             if (word != 0) {
--- a/src/main/java/wingroad/terms/Terms.java
+++ b/src/main/java/wingroad/terms/Terms.java
@@ -7,9 +7,9 @@
 import wingroad.protocol.Json;
 
 /**
- * Renames the start-up object, the same on the simulator's wire and in a driver's configuration, into the flat
- * map of names to values that the module reads: the users' words, times as Durations. What has no name here is
- * skipped; what is absent takes the wire's default.
+ * Renames the start-up object, the same on the simulator's wire and in a driver's configuration,
+ * into the flat map of names to values that the module reads: the users' words, times as Durations.
+ * What has no name here is skipped; what is absent takes the wire's default.
  */
 public final class Terms {
     private static final int NUMBER = 0;
@@ -17,8 +17,7 @@
     private static final int WORD = 2;
     private static final int FLAG = 3;
 
-    private record Name(String wire, String ours, int form, Object absent) {
-    }
+    private record Name(String wire, String ours, int form, Object absent) {}
 
     private static final Name[] WHOLE = {
         new Name("balancers", "drivers", NUMBER, 1.0),
@@ -68,17 +67,42 @@
         new Name("window", "window", TIME, Duration.ZERO),
     };
 
-    private static final Map<String, String> WORDS = Map.of(
-        "by_key", "referenced", "once", "once-only", "own_writes", "own-writes", "delayed", "late",
-        "initial", "start", "piggyback", "answers", "pull", "probes");
+    private static final Map<String, String> WORDS =
+            Map.of(
+                    "by_key",
+                    "referenced",
+                    "once",
+                    "once-only",
+                    "own_writes",
+                    "own-writes",
+                    "delayed",
+                    "late",
+                    "initial",
+                    "start",
+                    "piggyback",
+                    "answers",
+                    "pull",
+                    "probes");
 
     /** What a figure in a member's report is called here; one that is not known keeps its name. */
-    private static final Map<String, String> FIGURES = Map.of(
-        "x0", "position", "x1", "primary", "rif", "held", "inflight", "held", "q", "waiting", "queue", "waiting",
-        "util", "busy");
+    private static final Map<String, String> FIGURES =
+            Map.of(
+                    "x0",
+                    "position",
+                    "x1",
+                    "primary",
+                    "rif",
+                    "held",
+                    "inflight",
+                    "held",
+                    "q",
+                    "waiting",
+                    "queue",
+                    "waiting",
+                    "util",
+                    "busy");
 
-    private Terms() {
-    }
+    private Terms() {}
 
     public static String figure(String wire) {
         return FIGURES.getOrDefault(wire, wire);
@@ -99,9 +123,11 @@
             }
             Object fresh = element(at(wire, "family-info.consistency"), i);
             terms.put(prefix + "reads", fresh instanceof String s ? word(s) : "loose");
-            terms.put(prefix + "oldest-data",
-                element(at(wire, "family-info.oldest-data"), i) instanceof Number n ? Json.span(n)
-                    : Duration.ZERO);
+            terms.put(
+                    prefix + "oldest-data",
+                    element(at(wire, "family-info.oldest-data"), i) instanceof Number n
+                            ? Json.span(n)
+                            : Duration.ZERO);
         }
         return terms;
     }
--- a/src/main/java/wingroad/terms/TermsCheck.java
+++ b/src/main/java/wingroad/terms/TermsCheck.java
@@ -6,9 +6,10 @@
 import java.util.Set;
 
 /**
- * What is wrong with a deployment's settings, each with the path of its key: a value of the wrong form, out of range, a
- * word that nobody knows, and settings that contradict each other because they are of two shapes of deployment. What is
- * absent takes its default; keys that are not read are not looked at, as the wire asks.
+ * What is wrong with a deployment's settings, each with the path of its key: a value of the wrong
+ * form, out of range, a word that nobody knows, and settings that contradict each other because
+ * they are of two shapes of deployment. What is absent takes its default; keys that are not read
+ * are not looked at, as the wire asks.
  */
 public final class TermsCheck {
     private static final double DAY_MS = 86_400_000;
@@ -43,7 +44,8 @@
         word("family-info.write-marks", Set.of("client", "router"));
         word("report.source", Set.of("piggyback", "pull", "silent"));
         flag("callers.marks-retry");
-        for (String name : List.of("cancelling", "peers", "probes", "retry-after", "second-copies")) {
+        for (String name :
+                List.of("cancelling", "peers", "probes", "retry-after", "second-copies")) {
             flag("limits." + name);
         }
         number("limits.max-attempts", 1, MANY);
@@ -78,7 +80,9 @@
             word(type + "semantics", Set.of("repeatable", "by_key", "once"));
             word(type + "group", Set.of("all", "zone", "cell"));
             number(type + "window", 0, DAY_MS);
-            word("family-info.consistency[" + i + "]", Set.of("update", "latest", "own_writes", "recent", "loose"));
+            word(
+                    "family-info.consistency[" + i + "]",
+                    Set.of("update", "latest", "own_writes", "recent", "loose"));
             number("family-info.oldest-data[" + i + "]", 0, DAY_MS);
             if (value(type + "aim", 0) > value(type + "deadline", DAY_MS)) {
                 problems.add(type + "deadline: earlier than " + type + "aim");
@@ -88,7 +92,8 @@
             }
         }
         for (String list : List.of("family-info.consistency", "family-info.oldest-data")) {
-            if (get(list) != null && (!(get(list) instanceof List<?> l) || l.size() != types.size())) {
+            if (get(list) != null
+                    && (!(get(list) instanceof List<?> l) || l.size() != types.size())) {
                 problems.add(list + ": a list of as many values as grades has is needed");
             }
         }
@@ -109,18 +114,31 @@
         if (value("rules.drain-grace", DAY_MS) < 2 * value("granularity", 0)) {
             problems.add("rules.drain-grace: shorter than two steps of granularity");
         }
-        boolean proven = !"silent".equals(text("family-info.checks", "silent"))
-            || Boolean.TRUE.equals(get("family-info.stamps"))
-            || !"silent".equals(text("report.source", "silent")) && get("report.names") instanceof List<?> names
-            && names.stream().anyMatch(n -> "position".equals(Terms.figure(String.valueOf(n))));
+        boolean proven =
+                !"silent".equals(text("family-info.checks", "silent"))
+                        || Boolean.TRUE.equals(get("family-info.stamps"))
+                        || !"silent".equals(text("report.source", "silent"))
+                                && get("report.names") instanceof List<?> names
+                                && names.stream()
+                                        .anyMatch(
+                                                n ->
+                                                        "position"
+                                                                .equals(
+                                                                        Terms.figure(
+                                                                                String.valueOf(
+                                                                                        n))));
         int types = get("grades") instanceof List<?> l ? l.size() : 0;
         for (int i = 0; i < types; i++) {
             boolean recent = "recent".equals(get("family-info.consistency[" + i + "]"));
             if (recent != value("family-info.oldest-data[" + i + "]", 0) > 0) {
-                problems.add("family-info.oldest-data[" + i + "]: goes with consistency recent, and with it alone");
+                problems.add(
+                        "family-info.oldest-data["
+                                + i
+                                + "]: goes with consistency recent, and with it alone");
             }
             if (recent && !proven) {
-                problems.add("family-info.stamps: members neither check nor tell a position, so no replica may be read");
+                problems.add(
+                        "family-info.stamps: members neither check nor tell a position, so no replica may be read");
             }
         }
     }
@@ -144,15 +162,26 @@
         }
         double d = v instanceof Number n ? n.doubleValue() : Double.NaN;
         if (!(d >= least && d <= most)) {
-            problems.add(path + ": a number from " + (long) least + " to " + (long) most + " is needed, not " + shown(v));
+            problems.add(
+                    path
+                            + ": a number from "
+                            + (long) least
+                            + " to "
+                            + (long) most
+                            + " is needed, not "
+                            + shown(v));
         }
     }
 
     private void word(String path, Set<String> words) {
         Object v = get(path);
         if (v != null && !(v instanceof String s && words.contains(s))) {
-            problems.add(path + ": one of " + String.join(", ", words.stream().sorted().toList()) + " is needed, not "
-                + shown(v));
+            problems.add(
+                    path
+                            + ": one of "
+                            + String.join(", ", words.stream().sorted().toList())
+                            + " is needed, not "
+                            + shown(v));
         }
     }
 
--- a/src/main/java/wingroad/transport/Connection.java
+++ b/src/main/java/wingroad/transport/Connection.java
@@ -10,44 +10,55 @@
 import java.util.Arrays;
 
 /**
- * One connection. It has one buffer for what comes in, which grows as it needs up to a bound and is compacted in
- * place, and a queue for what goes out. All calls and all of the owner's calls are on the loop's thread.
+ * One connection. It has one buffer for what comes in, which grows as it needs up to a bound and is
+ * compacted in place, and a queue for what goes out. All calls and all of the owner's calls are on
+ * the loop's thread.
  */
 public final class Connection {
     private static final int FIRST_SIZE = 1024;
+
     /**
-     * Read ahead in any case for an owner that does not take it yet. The other side's end stands behind all that it has
-     * sent: as long as there is memory to spare, all of it is read, up to the bound, so that the end is seen.
+     * Read ahead in any case for an owner that does not take it yet. The other side's end stands
+     * behind all that it has sent: as long as there is memory to spare, all of it is read, up to
+     * the bound, so that the end is seen.
      */
     private static final int AHEAD = 4096;
-    /** One call reads or writes no more: the system's side copies all that it is given, each time. */
+
+    /**
+     * One call reads or writes no more: the system's side copies all that it is given, each time.
+     */
     private static final int PIECE = 64 * 1024;
 
     /** Who a connection belongs to. */
     public interface Owner {
         /** The connection is up; only where it was opened from here. */
-        default void up() {
-        }
+        default void up() {}
 
-        /** Bytes are there; the owner takes from the front what it can use, and the rest is offered again. */
+        /**
+         * Bytes are there; the owner takes from the front what it can use, and the rest is offered
+         * again.
+         */
         void bytes(ByteBuffer in);
 
-        /** Whether it takes what comes now; while it does not, what is read ahead gives way to others' bytes. */
+        /**
+         * Whether it takes what comes now; while it does not, what is read ahead gives way to
+         * others' bytes.
+         */
         default boolean takes() {
             return true;
         }
 
         /** All that was handed over has been written. */
-        default void written() {
-        }
+        default void written() {}
 
         /** There is no memory for more of what comes in; nothing more is read. */
         void full();
 
         /**
-         * The connection is no more, and not by the owner's own closing. {@code unwritten}: how many of the bytes
-         * handed over were certainly not written. {@code orderly}: the other side said that no more comes; where it
-         * did not, as at a reset, what has come may be a part of it.
+         * The connection is no more, and not by the owner's own closing. {@code unwritten}: how
+         * many of the bytes handed over were certainly not written. {@code orderly}: the other side
+         * said that no more comes; where it did not, as at a reset, what has come may be a part of
+         * it.
          */
         void ended(int unwritten, boolean orderly, String how);
     }
@@ -57,8 +68,10 @@
     private final Owner owner;
     private final int bound;
     private final byte[] none = new byte[0];
+
     /** What has come in is from start to end; a read that is out fills what is behind it. */
     private byte[] data = none;
+
     private int start;
     private int end;
     private boolean reading;
@@ -71,8 +84,10 @@
     private boolean finishing;
     private boolean deaf;
     private boolean closed;
+
     /** Why it broke, while a write that is out must still tell how far it came. */
     private String broken;
+
     private boolean orderly;
     private boolean told;
 
@@ -92,20 +107,28 @@
     /** The other side's address, without its port; empty where it has gone already. */
     public String from() {
         try {
-            return channel.getRemoteAddress() instanceof InetSocketAddress a ? a.getAddress().getHostAddress() : "";
+            return channel.getRemoteAddress() instanceof InetSocketAddress a
+                    ? a.getAddress().getHostAddress()
+                    : "";
         } catch (IOException e) {
             return "";
         }
     }
 
     /** Takes over an accepted channel; reading begins with {@link #begin}. */
-    static Connection accepted(EventLoop loop, AsynchronousSocketChannel channel, Owner owner, int bound) {
+    static Connection accepted(
+            EventLoop loop, AsynchronousSocketChannel channel, Owner owner, int bound) {
         return new Connection(loop, channel, owner, bound);
     }
 
-    /** Opens a connection; the owner hears {@code up} or {@code ended} later, never within this call. */
-    public static Connection open(EventLoop loop, InetSocketAddress to, Owner owner, int bound) throws IOException {
-        Connection link = new Connection(loop, AsynchronousSocketChannel.open(loop.group), owner, bound);
+    /**
+     * Opens a connection; the owner hears {@code up} or {@code ended} later, never within this
+     * call.
+     */
+    public static Connection open(EventLoop loop, InetSocketAddress to, Owner owner, int bound)
+            throws IOException {
+        Connection link =
+                new Connection(loop, AsynchronousSocketChannel.open(loop.group), owner, bound);
         link.connect(to);
         return link;
     }
@@ -113,17 +136,20 @@
     private void connect(InetSocketAddress to) {
         connecting = true;
         try {
-            channel.connect(to, null, new CompletionHandler<Void, Void>() {
-                @Override
-                public void completed(Void nothing, Void n) {
-                    loop.run(Connection.this::connected);
-                }
-
-                @Override
-                public void failed(Throwable cause, Void n) {
-                    loop.run(() -> notConnected(cause));
-                }
-            });
+            channel.connect(
+                    to,
+                    null,
+                    new CompletionHandler<Void, Void>() {
+                        @Override
+                        public void completed(Void nothing, Void n) {
+                            loop.run(Connection.this::connected);
+                        }
+
+                        @Override
+                        public void failed(Throwable cause, Void n) {
+                            loop.run(() -> notConnected(cause));
+                        }
+                    });
         } catch (RuntimeException e) {
             loop.run(() -> notConnected(e));
         }
@@ -148,10 +174,11 @@
 
     /** Offers again what is still in the buffer, after the owner has become able to take it. */
     public void offerAgain() {
-        loop.run(() -> {
-            offer();
-            read();
-        });
+        loop.run(
+                () -> {
+                    offer();
+                    read();
+                });
     }
 
     private void offer() {
@@ -183,7 +210,8 @@
         }
         if (end == data.length) {
             int size = Math.min(bound, Math.max(FIRST_SIZE, data.length * 2));
-            if (end >= bound || end >= AHEAD && !owner.takes() && !loop.maySpare(size - data.length)) {
+            if (end >= bound
+                    || end >= AHEAD && !owner.takes() && !loop.maySpare(size - data.length)) {
                 return;
             }
             if (size > FIRST_SIZE && !loop.mayHold(size - data.length)) {
@@ -196,7 +224,8 @@
         reading = true;
         inCall = true;
         try {
-            channel.read(ByteBuffer.wrap(data, end, Math.min(PIECE, data.length - end)), null, reads);
+            channel.read(
+                    ByteBuffer.wrap(data, end, Math.min(PIECE, data.length - end)), null, reads);
         } catch (RuntimeException e) {
             reading = false;
             loop.run(() -> breaks("cannot read: " + e.getMessage()));
@@ -204,25 +233,28 @@
         inCall = false;
     }
 
-    // A completion can come within the call that asked for it, so neither handler goes on from there.
-    private final CompletionHandler<Integer, Void> reads = new CompletionHandler<>() {
-        @Override
-        public void completed(Integer count, Void nothing) {
-            if (inCall) {
-                loop.run(() -> haveRead(count));
-            } else {
-                guarded(() -> haveRead(count));
-            }
-        }
+    // A completion can come within the call that asked for it, so neither handler goes on from
+    // there.
+    private final CompletionHandler<Integer, Void> reads =
+            new CompletionHandler<>() {
+                @Override
+                public void completed(Integer count, Void nothing) {
+                    if (inCall) {
+                        loop.run(() -> haveRead(count));
+                    } else {
+                        guarded(() -> haveRead(count));
+                    }
+                }
 
-        @Override
-        public void failed(Throwable cause, Void nothing) {
-            loop.run(() -> {
-                reading = false;
-                breaks("read: " + cause.getMessage());
-            });
-        }
-    };
+                @Override
+                public void failed(Throwable cause, Void nothing) {
+                    loop.run(
+                            () -> {
+                                reading = false;
+                                breaks("read: " + cause.getMessage());
+                            });
+                }
+            };
 
     private void haveRead(int count) {
         reading = false;
@@ -263,25 +295,28 @@
         inCall = false;
     }
 
-    private final CompletionHandler<Integer, Void> writes = new CompletionHandler<>() {
-        @Override
-        public void completed(Integer count, Void nothing) {
-            // No longer a way than a read's: an answer must not seem to come before its query was written.
-            if (inCall) {
-                loop.run(() -> haveWritten(count));
-            } else {
-                guarded(() -> haveWritten(count));
-            }
-        }
+    private final CompletionHandler<Integer, Void> writes =
+            new CompletionHandler<>() {
+                @Override
+                public void completed(Integer count, Void nothing) {
+                    // No longer a way than a read's: an answer must not seem to come before its
+                    // query was written.
+                    if (inCall) {
+                        loop.run(() -> haveWritten(count));
+                    } else {
+                        guarded(() -> haveWritten(count));
+                    }
+                }
 
-        @Override
-        public void failed(Throwable cause, Void nothing) {
-            loop.run(() -> {
-                writing = false;
-                breaks("write: " + cause.getMessage());
-            });
-        }
-    };
+                @Override
+                public void failed(Throwable cause, Void nothing) {
+                    loop.run(
+                            () -> {
+                                writing = false;
+                                breaks("write: " + cause.getMessage());
+                            });
+                }
+            };
 
     private void haveWritten(int count) {
         writing = false;
@@ -326,7 +361,8 @@
         if (!closed) {
             broken = how;
             shut();
-            // Only the write that is out knows whether its last byte went: its handler comes now for certain.
+            // Only the write that is out knows whether its last byte went: its handler comes now
+            // for certain.
             if (!writing) {
                 tellEnded();
             }
@@ -347,7 +383,10 @@
         }
     }
 
-    /** Writes what was handed over, then tells the other side that no more comes; its own end ends it all. */
+    /**
+     * Writes what was handed over, then tells the other side that no more comes; its own end ends
+     * it all.
+     */
     public void finish() {
         finishing = true;
         if (out.isEmpty() && !closed) {
@@ -359,7 +398,10 @@
         }
     }
 
-    /** Reads nothing more: what still comes is held up at the other side until the connection is closed. */
+    /**
+     * Reads nothing more: what still comes is held up at the other side until the connection is
+     * closed.
+     */
     public void readNoMore() {
         deaf = true;
     }
--- a/src/main/java/wingroad/transport/EventLoop.java
+++ b/src/main/java/wingroad/transport/EventLoop.java
@@ -9,8 +9,9 @@
 import java.util.function.Consumer;
 
 /**
- * The one thread that owns the module and all connections. Tasks, timers and the channels' completion handlers
- * run on it, in the order in which they came. It also counts the descriptors that its channels hold.
+ * The one thread that owns the module and all connections. Tasks, timers and the channels'
+ * completion handlers run on it, in the order in which they came. It also counts the descriptors
+ * that its channels hold.
  */
 public final class EventLoop {
     private final ScheduledThreadPoolExecutor thread;
@@ -23,21 +24,24 @@
 
     /**
      * @param mostChannels how many channels may be open at once
-     * @param mostHeld     how many bytes all connections may hold that came in or wait to go out
-     * @param onBug        hears of what escapes a task
+     * @param mostHeld how many bytes all connections may hold that came in or wait to go out
+     * @param onBug hears of what escapes a task
      */
-    public EventLoop(int mostChannels, long mostHeld, Consumer<Throwable> onBug) throws IOException {
+    public EventLoop(int mostChannels, long mostHeld, Consumer<Throwable> onBug)
+            throws IOException {
         this("wingroad", mostChannels, mostHeld, onBug);
     }
 
     /** The same with the thread's name, for a part that has a thread of its own. */
-    public EventLoop(String name, int mostChannels, long mostHeld, Consumer<Throwable> onBug) throws IOException {
+    public EventLoop(String name, int mostChannels, long mostHeld, Consumer<Throwable> onBug)
+            throws IOException {
         thread = new ScheduledThreadPoolExecutor(1, r -> new Thread(r, name));
         this.mostChannels = mostChannels;
         this.mostHeld = mostHeld;
         this.onBug = onBug;
         thread.setRemoveOnCancelPolicy(true);
-        // Not a fixed pool: its own threads poll in here, and no task of ours could run on them. With this one
+        // Not a fixed pool: its own threads poll in here, and no task of ours could run on them.
+        // With this one
         // the channels poll on a thread of theirs and hand every completion to ours.
         group = AsynchronousChannelGroup.withThreadPool(thread);
     }
@@ -49,8 +53,9 @@
 
     /** Runs the task after the wait, unless the timer is cancelled first. */
     public Timer after(Duration wait, Runnable task) {
-        ScheduledFuture<?> f = thread.schedule(() -> guarded(task), Math.max(0, wait.toNanos()),
-            TimeUnit.NANOSECONDS);
+        ScheduledFuture<?> f =
+                thread.schedule(
+                        () -> guarded(task), Math.max(0, wait.toNanos()), TimeUnit.NANOSECONDS);
         return () -> f.cancel(false);
     }
 
--- a/src/main/java/wingroad/transport/Listener.java
+++ b/src/main/java/wingroad/transport/Listener.java
@@ -25,11 +25,16 @@
     private int refusals;
 
     /**
-     * @param room  asked before each accept; when it says no, {@link #again} goes on later
+     * @param room asked before each accept; when it says no, {@link #again} goes on later
      * @param guest gets each accepted connection, as a function from its owner to its link
      */
-    public Listener(EventLoop loop, InetSocketAddress at, int bound, BooleanSupplier room,
-                Consumer<Function<Connection.Owner, Connection>> guest) throws IOException {
+    public Listener(
+            EventLoop loop,
+            InetSocketAddress at,
+            int bound,
+            BooleanSupplier room,
+            Consumer<Function<Connection.Owner, Connection>> guest)
+            throws IOException {
         this.loop = loop;
         this.bound = bound;
         this.room = room;
@@ -60,27 +65,37 @@
             accepting = false;
             return;
         }
-        channel.accept(null, new CompletionHandler<AsynchronousSocketChannel, Void>() {
-            @Override
-            public void completed(AsynchronousSocketChannel guestChannel, Void nothing) {
-                loop.run(() -> {
-                    accepting = false;
-                    refusals = 0;
-                    guest.accept(owner -> Connection.accepted(loop, guestChannel, owner, bound));
-                    again();
-                });
-            }
+        channel.accept(
+                null,
+                new CompletionHandler<AsynchronousSocketChannel, Void>() {
+                    @Override
+                    public void completed(AsynchronousSocketChannel guestChannel, Void nothing) {
+                        loop.run(
+                                () -> {
+                                    accepting = false;
+                                    refusals = 0;
+                                    guest.accept(
+                                            owner ->
+                                                    Connection.accepted(
+                                                            loop, guestChannel, owner, bound));
+                                    again();
+                                });
+                    }
 
-            @Override
-            public void failed(Throwable cause, Void nothing) {
-                loop.run(() -> {
-                    accepting = false;
-                    refusals++;
-                    // Guards against spinning where the system has no descriptor left: a longer wait each time.
-                    loop.after(Duration.ofMillis(1L << Math.min(refusals, 8)), Listener.this::again);
+                    @Override
+                    public void failed(Throwable cause, Void nothing) {
+                        loop.run(
+                                () -> {
+                                    accepting = false;
+                                    refusals++;
+                                    // Guards against spinning where the system has no descriptor
+                                    // left: a longer wait each time.
+                                    loop.after(
+                                            Duration.ofMillis(1L << Math.min(refusals, 8)),
+                                            Listener.this::again);
+                                });
+                    }
                 });
-            }
-        });
     }
 
     public void close() {
