--- a/src/main/java/wingroad/work/Conductor.java
+++ b/src/main/java/wingroad/work/Conductor.java
@@ -14,25 +14,35 @@
 import java.util.TreeSet;
 
 /**
- * The work's conductor: what the next steps are, from what is settled and from what its driver has seen of the members. It only
- * proposes; the log refuses what breaks a limit, and whatever comes under an older epoch. No I/O; the clock is handed in.
+ * The work's conductor: what the next steps are, from what is settled and from what its driver has
+ * seen of the members. It only proposes; the log refuses what breaks a limit, and whatever comes
+ * under an older epoch. No I/O; the clock is handed in.
  */
 public final class Conductor {
     /** A member may have this part of its room in use once another one of its group is away. */
     private static final double MOST_USE = 0.8;
-    /** A machine that was put back for harm is looked at again after so many times the watched span. */
+
+    /**
+     * A machine that was put back for harm is looked at again after so many times the watched span.
+     */
     private static final int REST = 3;
+
     /** So many times the bound may one that carries on be behind, while a machine drains. */
     private static final int FAR = 2;
+
     /** Drivers that have not confirmed for so many watched spans are told about. */
     private static final int PATIENCE = 6;
-    /** So many times what may go at a time, and some, are looked at in one look: their members have to be asked. */
+
+    /**
+     * So many times what may go at a time, and some, are looked at in one look: their members have
+     * to be asked.
+     */
     private static final int LOOKS = 2;
+
     private static final int AND_SOME = 8;
 
     /** A step to be settled; {@code to} is a stage's name, "IN" or "note". */
-    public record Step(String machine, String to, long stageAt, String why) {
-    }
+    public record Step(String machine, String to, long stageAt, String why) {}
 
     private final WorkRules rules;
     private final HarmMonitor harm;
@@ -45,19 +55,30 @@
     private final Map<Integer, Long> busyBefore = new TreeMap<>();
     private final Map<Integer, Double> use = new TreeMap<>();
     private final Map<String, Duration> plannedSince = new HashMap<>();
-    /** Machines of which it has been told that they wait for confirmations, and that they are too late. */
+
+    /**
+     * Machines of which it has been told that they wait for confirmations, and that they are too
+     * late.
+     */
     private final Set<String> told = new HashSet<>();
+
     private final Set<String> late = new HashSet<>();
     private Duration busyAt;
+
     /** Machines that are out, and when the last one was seen to have become so. */
     private Set<String> outs = Set.of();
+
     /** Those that are to drain by the look that is under way. */
     private final Set<String> chosen = new HashSet<>();
+
     /** Those whose members had to be known in the last look. */
     private final Set<String> looked = new HashSet<>();
+
     private Duration outAt;
 
-    /** @param voters who decides in the council: never more of them away than a majority can spare */
+    /**
+     * @param voters who decides in the council: never more of them away than a majority can spare
+     */
     public Conductor(WorkRules rules, Collection<String> voters) {
         this.rules = rules;
         this.voters = voters;
@@ -75,18 +96,28 @@
     /** The groups whose members have to be seen for the next look. */
     public Set<Integer> groups(PlanCopy plan) {
         Set<Integer> all = new TreeSet<>();
-        looked.stream().map(m -> plan.machines().get(m)).filter(m -> m != null).forEach(m -> all.addAll(m.groups()));
+        looked.stream()
+                .map(m -> plan.machines().get(m))
+                .filter(m -> m != null)
+                .forEach(m -> all.addAll(m.groups()));
         return all;
     }
 
     /** The steps that are next; asked again and again until they are seen settled. */
-    public List<Step> next(PlanCopy plan, MemberObservations observations, long wall, Duration now) {
+    public List<Step> next(
+            PlanCopy plan, MemberObservations observations, long wall, Duration now) {
         List<Step> steps = new ArrayList<>();
         List<Plan.Entry> all = new ArrayList<>(plan.entries());
         chosen.clear();
         looked.clear();
         all.stream().filter(e -> e.stage.announced()).forEach(e -> looked.add(e.machine));
-        boolean atWork = all.stream().anyMatch(e -> e.stage == Stage.DRAINING || e.stage == Stage.OUT || e.stage == Stage.RETURNING);
+        boolean atWork =
+                all.stream()
+                        .anyMatch(
+                                e ->
+                                        e.stage == Stage.DRAINING
+                                                || e.stage == Stage.OUT
+                                                || e.stage == Stage.RETURNING);
         harm.figures(plan.served(), plan.harmed(), atWork, now);
         uses(plan, now);
         Set<String> out = new HashSet<>();
@@ -95,8 +126,12 @@
             outAt = now;
         }
         outs = out;
-        returningSince.keySet().removeIf(m -> plan.entry(m) == null || plan.entry(m).stage != Stage.RETURNING);
-        plannedSince.keySet().removeIf(m -> plan.entry(m) == null || plan.entry(m).stage != Stage.PLANNED);
+        returningSince
+                .keySet()
+                .removeIf(m -> plan.entry(m) == null || plan.entry(m).stage != Stage.RETURNING);
+        plannedSince
+                .keySet()
+                .removeIf(m -> plan.entry(m) == null || plan.entry(m).stage != Stage.PLANNED);
         told.retainAll(plannedSince.keySet());
         late.removeIf(m -> plan.entry(m) == null);
         restUntil.values().removeIf(t -> now.compareTo(t) >= 0);
@@ -118,12 +153,20 @@
         return steps;
     }
 
-    /** One that has to be out before a time that it can't keep any more is told about, once; it goes on waiting. */
+    /**
+     * One that has to be out before a time that it can't keep any more is told about, once; it goes
+     * on waiting.
+     */
     private void soon(Plan.Entry e, long wall, List<Step> steps) {
         long least = rules.grace().plus(rules.watch()).toMillis();
         if (e.before > 0 && wall + least > e.before && late.add(e.machine)) {
-            pages.put(e.machine, "PAGE: wanted out before " + java.time.Instant.ofEpochMilli(e.before) + " and still "
-                + e.stage.name().toLowerCase(Locale.ROOT) + (e.note.isEmpty() ? "" : ": " + e.note));
+            pages.put(
+                    e.machine,
+                    "PAGE: wanted out before "
+                            + java.time.Instant.ofEpochMilli(e.before)
+                            + " and still "
+                            + e.stage.name().toLowerCase(Locale.ROOT)
+                            + (e.note.isEmpty() ? "" : ": " + e.note));
             steps.add(new Step(e.machine, "note", e.stageAt, "PAGE: too late for its time"));
         }
     }
@@ -135,11 +178,13 @@
         }
         if (busyAt != null) {
             double span = Math.max(1, now.minus(busyAt).toMillis());
-            plan.busy().forEach((g, ms) -> {
-                if (busyBefore.containsKey(g) && ms >= busyBefore.get(g)) {
-                    use.put(g, (ms - busyBefore.get(g)) / span);
-                }
-            });
+            plan.busy()
+                    .forEach(
+                            (g, ms) -> {
+                                if (busyBefore.containsKey(g) && ms >= busyBefore.get(g)) {
+                                    use.put(g, (ms - busyBefore.get(g)) / span);
+                                }
+                            });
         }
         busyAt = now;
         busyBefore.clear();
@@ -147,29 +192,46 @@
         use.keySet().retainAll(plan.busy().keySet());
     }
 
-    private void planned(Plan.Entry e, Machine m, PlanCopy plan, MemberObservations observations, long wall, Duration now, List<Step> steps) {
+    private void planned(
+            Plan.Entry e,
+            Machine m,
+            PlanCopy plan,
+            MemberObservations observations,
+            long wall,
+            Duration now,
+            List<Step> steps) {
         Duration since = plannedSince.computeIfAbsent(e.machine, k -> now);
         soon(e, wall, steps);
         if (!e.known) {
-            if (now.minus(since).compareTo(rules.watch().multipliedBy(PATIENCE)) > 0 && told.add(e.machine)) {
-                pages.put(e.machine, "PAGE: drivers have not confirmed it for " + now.minus(since).toSeconds() + " s; 'work plan' has"
-                    + " their names");
+            if (now.minus(since).compareTo(rules.watch().multipliedBy(PATIENCE)) > 0
+                    && told.add(e.machine)) {
+                pages.put(
+                        e.machine,
+                        "PAGE: drivers have not confirmed it for "
+                                + now.minus(since).toSeconds()
+                                + " s; 'work plan' has"
+                                + " their names");
             }
             return;
         }
         String not = whyNotDrain(e, m, plan, observations, now);
         if (not.isEmpty()) {
             chosen.add(e.machine);
-            steps.add(new Step(e.machine, Stage.DRAINING.name(), e.stageAt, "everybody knows of it"));
+            steps.add(
+                    new Step(e.machine, Stage.DRAINING.name(), e.stageAt, "everybody knows of it"));
         } else {
             note(e, not, steps);
         }
     }
 
     /** Why a machine can't be spared now, or empty. */
-    private String whyNotDrain(Plan.Entry e, Machine m, PlanCopy plan, MemberObservations observations, Duration now) {
+    private String whyNotDrain(
+            Plan.Entry e, Machine m, PlanCopy plan, MemberObservations observations, Duration now) {
         if (!harm.calm(now) || outAt != null && now.minus(outAt).compareTo(rules.watch()) < 0) {
-            return "watches for harm: " + part(harm.part()) + " of the txns, before " + part(harm.before());
+            return "watches for harm: "
+                    + part(harm.part())
+                    + " of the txns, before "
+                    + part(harm.before());
         }
         String others = othersUnfit(m, observations, now);
         if (!others.isEmpty()) {
@@ -181,26 +243,47 @@
                 return "no primary of group " + g + " is seen";
             }
             if (m.holds(primary)) {
-                return "the primary of group " + g + " is here: to be moved to " + couldLead(m, g, observations, now);
+                return "the primary of group "
+                        + g
+                        + " is here: to be moved to "
+                        + couldLead(m, g, observations, now);
             }
             List<String> left = left(m, g, observations, now);
             double most = rules.room() * left.size() * MOST_USE;
             double used = use.getOrDefault(g, 0.0);
             if (rules.room() > 0 && used > most) {
-                return String.format(Locale.ROOT, "group %d has %.1f txns at work, room for %.1f without it", g, used, most);
+                return String.format(
+                        Locale.ROOT,
+                        "group %d has %.1f txns at work, room for %.1f without it",
+                        g,
+                        used,
+                        most);
             }
             if (capacity.tooMuch(g, used / Math.max(1, left.size()), now)) {
-                return String.format(Locale.ROOT, "group %d has %.1f txns at work: as much as did harm without it", g, used);
+                return String.format(
+                        Locale.ROOT,
+                        "group %d has %.1f txns at work: as much as did harm without it",
+                        g,
+                        used);
             }
         }
         if (!e.unbelieved) {
             return "some driver still takes a member here for a primary";
         }
-        // Those that are chosen in the same look count as well; two that only wait for each other's turn do not.
+        // Those that are chosen in the same look count as well; two that only wait for each other's
+        // turn do not.
         Set<String> away = new HashSet<>(m.drivers());
-        plan.entries().stream().filter(o -> o.stage == Stage.DRAINING || o.stage == Stage.OUT || chosen.contains(o.machine))
-            .map(o -> plan.machines().get(o.machine)).filter(o -> o != null).forEach(o -> away.addAll(o.drivers()));
-        long gone = voters.stream().filter(v -> !plan.live().contains(v) || away.contains(v)).count();
+        plan.entries().stream()
+                .filter(
+                        o ->
+                                o.stage == Stage.DRAINING
+                                        || o.stage == Stage.OUT
+                                        || chosen.contains(o.machine))
+                .map(o -> plan.machines().get(o.machine))
+                .filter(o -> o != null)
+                .forEach(o -> away.addAll(o.drivers()));
+        long gone =
+                voters.stream().filter(v -> !plan.live().contains(v) || away.contains(v)).count();
         if (m.drivers().stream().anyMatch(voters::contains) && gone > (voters.size() - 1) / 2) {
             return "a voter is on it, and " + (gone - 1) + " of " + voters.size() + " are away";
         }
@@ -213,12 +296,22 @@
 
     /** The fit members of a group that are on other machines. */
     private List<String> left(Machine m, int group, MemberObservations observations, Duration now) {
-        return observations.of(group).stream().filter(u -> !m.holds(u) && observations.fit(u, now)).toList();
+        return observations.of(group).stream()
+                .filter(u -> !m.holds(u) && observations.fit(u, now))
+                .toList();
     }
 
     private String couldLead(Machine m, int group, MemberObservations observations, Duration now) {
-        List<String> fit = left(m, group, observations, now).stream().filter(u -> observations.behind(u, now) != null
-            && observations.behind(u, now).compareTo(rules.lag()) <= 0).toList();
+        List<String> fit =
+                left(m, group, observations, now).stream()
+                        .filter(
+                                u ->
+                                        observations.behind(u, now) != null
+                                                && observations
+                                                                .behind(u, now)
+                                                                .compareTo(rules.lag())
+                                                        <= 0)
+                        .toList();
         return fit.isEmpty() ? "none that is fit and close on the log" : String.join(" or ", fit);
     }
 
@@ -237,29 +330,69 @@
         return "";
     }
 
-    private void draining(Plan.Entry e, Machine m, MemberObservations observations, Duration now, List<Step> steps) {
+    private void draining(
+            Plan.Entry e,
+            Machine m,
+            MemberObservations observations,
+            Duration now,
+            List<Step> steps) {
         String others = lasting(e.machine, othersUnfit(m, observations, now), now);
         String late = behind(m, observations, now);
         others = others.isEmpty() ? lasting(e.machine + " log", late, now) : others;
         if (!others.isEmpty() || harm.harms(now)) {
             if (others.isEmpty()) {
-                m.groups().forEach(g -> capacity.harmed(g, use.getOrDefault(g, 0.0) / Math.max(1, left(m, g, observations, now).size()), now));
+                m.groups()
+                        .forEach(
+                                g ->
+                                        capacity.harmed(
+                                                g,
+                                                use.getOrDefault(g, 0.0)
+                                                        / Math.max(
+                                                                1,
+                                                                left(m, g, observations, now)
+                                                                        .size()),
+                                                now));
             }
             restUntil.put(e.machine, now.plus(rules.watch().multipliedBy(REST)));
-            steps.add(new Step(e.machine, Stage.ASKED.name(), e.stageAt, "put back: " + (others.isEmpty()
-                ? part(harm.part()) + " of the txns harmed, before " + part(harm.before()) : others)));
+            steps.add(
+                    new Step(
+                            e.machine,
+                            Stage.ASKED.name(),
+                            e.stageAt,
+                            "put back: "
+                                    + (others.isEmpty()
+                                            ? part(harm.part())
+                                                    + " of the txns harmed, before "
+                                                    + part(harm.before())
+                                            : others)));
         } else if (e.clear) {
-            steps.add(new Step(e.machine, Stage.OUT.name(), e.stageAt, "nothing of anybody's is there"));
+            steps.add(
+                    new Step(
+                            e.machine,
+                            Stage.OUT.name(),
+                            e.stageAt,
+                            "nothing of anybody's is there"));
         }
     }
 
-    /** Which of the others has fallen behind the log since its machine's share came to them, or empty. */
+    /**
+     * Which of the others has fallen behind the log since its machine's share came to them, or
+     * empty.
+     */
     private String behind(Machine m, MemberObservations observations, Duration now) {
         for (int g : m.groups()) {
             for (String u : left(m, g, observations, now)) {
                 Duration behind = observations.behind(u, now);
-                if (!u.equals(observations.primary(g, now)) && behind != null && behind.compareTo(rules.lag().multipliedBy(FAR)) > 0) {
-                    return "group " + g + ": " + u + " is " + behind.toMillis() + " ms behind on the log";
+                if (!u.equals(observations.primary(g, now))
+                        && behind != null
+                        && behind.compareTo(rules.lag().multipliedBy(FAR)) > 0) {
+                    return "group "
+                            + g
+                            + ": "
+                            + u
+                            + " is "
+                            + behind.toMillis()
+                            + " ms behind on the log";
                 }
             }
         }
@@ -276,7 +409,13 @@
         return now.minus(since).compareTo(rules.watch().dividedBy(2)) >= 0 ? what : "";
     }
 
-    private void out(Plan.Entry e, Machine m, MemberObservations observations, long wall, Duration now, List<Step> steps) {
+    private void out(
+            Plan.Entry e,
+            Machine m,
+            MemberObservations observations,
+            long wall,
+            Duration now,
+            List<Step> steps) {
         String others = lasting(e.machine, othersUnfit(m, observations, now), now);
         if (!others.isEmpty()) {
             note(e, "PAGE: wanted back: " + others, steps);
@@ -287,7 +426,12 @@
         }
     }
 
-    private void returning(Plan.Entry e, Machine m, MemberObservations observations, Duration now, List<Step> steps) {
+    private void returning(
+            Plan.Entry e,
+            Machine m,
+            MemberObservations observations,
+            Duration now,
+            List<Step> steps) {
         Duration since = returningSince.computeIfAbsent(e.machine, k -> now);
         for (int g : m.groups()) {
             List<String> here = observations.of(g).stream().filter(m::holds).toList();
@@ -301,9 +445,17 @@
                     return;
                 }
                 Duration behind = observations.behind(u, now);
-                if (!u.equals(observations.primary(g, now)) && (behind == null || behind.compareTo(rules.lag()) > 0)) {
-                    note(e, u + " is " + (behind == null ? "not known to be close" : behind.toMillis() + " ms behind") + " on the log",
-                        steps);
+                if (!u.equals(observations.primary(g, now))
+                        && (behind == null || behind.compareTo(rules.lag()) > 0)) {
+                    note(
+                            e,
+                            u
+                                    + " is "
+                                    + (behind == null
+                                            ? "not known to be close"
+                                            : behind.toMillis() + " ms behind")
+                                    + " on the log",
+                            steps);
                     return;
                 }
             }
@@ -316,7 +468,8 @@
     }
 
     private void note(Plan.Entry e, String what, List<Step> steps) {
-        // Measured figures change with each look: what stands in the log is changed only where the rest is another.
+        // Measured figures change with each look: what stands in the log is changed only where the
+        // rest is another.
         if (!words(e.note).equals(words(what))) {
             steps.add(new Step(e.machine, "note", e.stageAt, what));
             if (what.startsWith("PAGE")) {
@@ -330,13 +483,31 @@
     }
 
     /** Announces what may go next: as much together as the limits let. */
-    private void begin(List<Plan.Entry> all, PlanCopy plan, MemberObservations observations, Duration now, List<Step> steps) {
-        List<Plan.Entry> away = new ArrayList<>(all.stream().filter(e -> e.stage.announced()).toList());
-        List<Plan.Entry> waiting = new ArrayList<>(all.stream().filter(e -> e.stage == Stage.ASKED && !e.held
-            && !restUntil.containsKey(e.machine) && plan.machines().containsKey(e.machine)).toList());
-        // Whoever has a time to keep first, then replicas before primaries, then whoever has waited longest.
-        waiting.sort(Comparator.<Plan.Entry>comparingLong(e -> e.before > 0 ? e.before : Long.MAX_VALUE)
-            .thenComparingLong(e -> primaries(plan.machines().get(e.machine), observations, now)).thenComparingLong(e -> e.number));
+    private void begin(
+            List<Plan.Entry> all,
+            PlanCopy plan,
+            MemberObservations observations,
+            Duration now,
+            List<Step> steps) {
+        List<Plan.Entry> away =
+                new ArrayList<>(all.stream().filter(e -> e.stage.announced()).toList());
+        List<Plan.Entry> waiting =
+                new ArrayList<>(
+                        all.stream()
+                                .filter(
+                                        e ->
+                                                e.stage == Stage.ASKED
+                                                        && !e.held
+                                                        && !restUntil.containsKey(e.machine)
+                                                        && plan.machines().containsKey(e.machine))
+                                .toList());
+        // Whoever has a time to keep first, then replicas before primaries, then whoever has waited
+        // longest.
+        waiting.sort(
+                Comparator.<Plan.Entry>comparingLong(e -> e.before > 0 ? e.before : Long.MAX_VALUE)
+                        .thenComparingLong(
+                                e -> primaries(plan.machines().get(e.machine), observations, now))
+                        .thenComparingLong(e -> e.number));
         Set<String> stillThere = new HashSet<>();
         all.forEach(e -> stillThere.add(e.machine));
         int most = limit(plan) * LOOKS + AND_SOME + looked.size();
@@ -345,8 +516,15 @@
             if (away.size() >= limit(plan) || looked.size() >= most) {
                 break;
             }
-            boolean fits = away.stream().map(o -> plan.machines().get(o.machine)).allMatch(o -> o != null
-                && o.zone().equals(m.zone()) && !o.sharesGroup(m)) && e.after.stream().noneMatch(stillThere::contains);
+            boolean fits =
+                    away.stream()
+                                    .map(o -> plan.machines().get(o.machine))
+                                    .allMatch(
+                                            o ->
+                                                    o != null
+                                                            && o.zone().equals(m.zone())
+                                                            && !o.sharesGroup(m))
+                            && e.after.stream().noneMatch(stillThere::contains);
             if (!fits) {
                 continue;
             }
@@ -370,6 +548,11 @@
     }
 
     private static long primaries(Machine m, MemberObservations observations, Duration now) {
-        return m.groups().stream().filter(g -> observations.primary(g, now) != null && m.holds(observations.primary(g, now))).count();
+        return m.groups().stream()
+                .filter(
+                        g ->
+                                observations.primary(g, now) != null
+                                        && m.holds(observations.primary(g, now)))
+                .count();
     }
 }
--- a/src/main/java/wingroad/work/GroupCapacity.java
+++ b/src/main/java/wingroad/work/GroupCapacity.java
@@ -5,15 +5,18 @@
 import java.util.TreeMap;
 
 /**
- * What a group's members have been seen to bear: learned from harm, not from a setting. While a machine of the group is away and
- * txns are harmed, each of the others had so many at work; that was too much, and as much is not tried again soon. What was too
- * much is let off by and by: machines get stronger, txns shorter, and the harm may have had another cause.
+ * What a group's members have been seen to bear: learned from harm, not from a setting. While a
+ * machine of the group is away and txns are harmed, each of the others had so many at work; that
+ * was too much, and as much is not tried again soon. What was too much is let off by and by:
+ * machines get stronger, txns shorter, and the harm may have had another cause.
  */
 final class GroupCapacity {
     /** So near to what was too much it is not tried. */
     private static final double SHY = 0.95;
+
     /** What was too much grows by this part with each watched span. */
     private static final double LET_OFF = 0.002;
+
     /** Grown to so many times what it was, it is forgotten. */
     private static final double FORGOTTEN = 2;
 
@@ -26,7 +29,9 @@
     private final Duration span;
     private final Map<Integer, Ceiling> ceilings = new TreeMap<>();
 
-    /** @param span the watched span */
+    /**
+     * @param span the watched span
+     */
     GroupCapacity(Duration span) {
         this.span = span;
     }
--- a/src/main/java/wingroad/work/HarmMonitor.java
+++ b/src/main/java/wingroad/work/HarmMonitor.java
@@ -4,15 +4,15 @@
 import java.util.ArrayDeque;
 
 /**
- * Whether work does harm: the part of the txns that are declined, rolled back or late, now beside before it began. Learned from the
- * fleet's figures; a new conductor knows nothing and watches for a while first.
+ * Whether work does harm: the part of the txns that are declined, rolled back or late, now beside
+ * before it began. Learned from the fleet's figures; a new conductor knows nothing and watches for
+ * a while first.
  */
 final class HarmMonitor {
     /** So few txns in a window say nothing. */
     private static final long FEW = 20;
 
-    private record Sample(Duration at, long served, long harmed) {
-    }
+    private record Sample(Duration at, long served, long harmed) {}
 
     private final Duration watch;
     private final double most;
@@ -27,7 +27,8 @@
 
     /** The fleet's figures since some start; {@code atWork} while a machine is on its way. */
     void figures(long served, long harmed, boolean atWork, Duration now) {
-        if (!samples.isEmpty() && (served < samples.peekLast().served || harmed < samples.peekLast().harmed)) {
+        if (!samples.isEmpty()
+                && (served < samples.peekLast().served || harmed < samples.peekLast().harmed)) {
             // A driver has gone with its figures: they begin anew.
             samples.clear();
         }
@@ -65,7 +66,8 @@
 
     /** Nothing was seen for the whole of the time that has to be watched. */
     boolean calm(Duration now) {
-        return !samples.isEmpty() && now.minus(samples.peekFirst().at).compareTo(watch.dividedBy(2)) >= 0
-            && (harmAt == null || now.minus(harmAt).compareTo(watch) >= 0);
+        return !samples.isEmpty()
+                && now.minus(samples.peekFirst().at).compareTo(watch.dividedBy(2)) >= 0
+                && (harmAt == null || now.minus(harmAt).compareTo(watch) >= 0);
     }
 }
--- a/src/main/java/wingroad/work/Holders.java
+++ b/src/main/java/wingroad/work/Holders.java
@@ -5,9 +5,13 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Which machine holds a member: by its id, else by the longest beginning that a machine names. Lists have thousands of members. */
+/**
+ * Which machine holds a member: by its id, else by the longest beginning that a machine names.
+ * Lists have thousands of members.
+ */
 final class Holders {
     private final Map<String, Machine> ids = new HashMap<>();
+
     /** By beginning; all beginnings of an id that are in here lie before it in order. */
     private final TreeMap<String, Machine> beginnings = new TreeMap<>();
 
@@ -33,10 +37,15 @@
         while (e != null && !uid.startsWith(e.getKey())) {
             // Whatever begins both has no more in common with the id than this one has.
             int same = 0;
-            while (same < e.getKey().length() && same < uid.length() && e.getKey().charAt(same) == uid.charAt(same)) {
+            while (same < e.getKey().length()
+                    && same < uid.length()
+                    && e.getKey().charAt(same) == uid.charAt(same)) {
                 same++;
             }
-            e = same == 0 && !beginnings.containsKey("") ? null : beginnings.floorEntry(uid.substring(0, same));
+            e =
+                    same == 0 && !beginnings.containsKey("")
+                            ? null
+                            : beginnings.floorEntry(uid.substring(0, same));
         }
         return e == null ? null : e.getValue();
     }
--- a/src/main/java/wingroad/work/LostDrivers.java
+++ b/src/main/java/wingroad/work/LostDrivers.java
@@ -7,25 +7,29 @@
 import java.util.Map;
 
 /**
- * A voter's own clock on drivers without a session: how long ago each was lost, and so what is certain to have stopped there. It
- * only ever proposes; a driver that was lost anew has another number, which makes the proposal void.
+ * A voter's own clock on drivers without a session: how long ago each was lost, and so what is
+ * certain to have stopped there. It only ever proposes; a driver that was lost anew has another
+ * number, which makes the proposal void.
  */
 public final class LostDrivers {
     /** So long may the end of a process take that has said that it ends, beside its last txns. */
     private static final Duration ENDING = Duration.ofSeconds(10);
 
-    /** What is certain of a lost driver: at level 1 nothing at what it knew to be announced, at 2 nothing at all. */
-    public record Stopped(String identity, long number, long level) {
-    }
+    /**
+     * What is certain of a lost driver: at level 1 nothing at what it knew to be announced, at 2
+     * nothing at all.
+     */
+    public record Stopped(String identity, long number, long level) {}
 
-    private record Seen(long number, Duration at) {
-    }
+    private record Seen(long number, Duration at) {}
 
     private final WorkRules rules;
     private final double slow;
     private final Map<String, Seen> seen = new HashMap<>();
 
-    /** @param drift how far two clocks may run apart, as a part of one */
+    /**
+     * @param drift how far two clocks may run apart, as a part of one
+     */
     public LostDrivers(WorkRules rules, double drift) {
         this.rules = rules;
         this.slow = (1 + drift) / (1 - drift);
@@ -52,9 +56,12 @@
             }
             Duration ago = now.minus(s.at);
             boolean strict = plan.lost() == WorkRules.Lost.STRICT;
-            if (a.ends && past(ago, rules.settle().plus(ENDING)) || strict && past(ago, rules.horizon().plus(rules.settle()))) {
+            if (a.ends && past(ago, rules.settle().plus(ENDING))
+                    || strict && past(ago, rules.horizon().plus(rules.settle()))) {
                 all.add(new Stopped(a.identity, a.number, 2));
-            } else if (a.level < 1 && plan.lost() != WorkRules.Lost.SERVE && past(ago, rules.settle())) {
+            } else if (a.level < 1
+                    && plan.lost() != WorkRules.Lost.SERVE
+                    && past(ago, rules.settle())) {
                 all.add(new Stopped(a.identity, a.number, 1));
             }
         }
--- a/src/main/java/wingroad/work/Machine.java
+++ b/src/main/java/wingroad/work/Machine.java
@@ -7,10 +7,15 @@
 
 /** A machine: the members that it holds, by id and group, and the drivers that run on it. */
 public record Machine(String name, String zone, List<Part> parts, List<String> drivers) {
-    /** A member; an id that ends in {@code *} stands for all that begin so: machines come back under new ids. */
+    /**
+     * A member; an id that ends in {@code *} stands for all that begin so: machines come back under
+     * new ids.
+     */
     public record Part(String uid, int group) {
         boolean is(String other) {
-            return uid.endsWith("*") ? other.startsWith(uid.substring(0, uid.length() - 1)) : uid.equals(other);
+            return uid.endsWith("*")
+                    ? other.startsWith(uid.substring(0, uid.length() - 1))
+                    : uid.equals(other);
         }
     }
 
@@ -30,8 +35,13 @@
 
     /** As one line, for the log: names hold neither blanks nor signs that part them. */
     String line() {
-        return name + " " + zone + " " + String.join(",", parts.stream().map(p -> p.uid + "#" + p.group).toList()) + " "
-            + String.join(",", drivers);
+        return name
+                + " "
+                + zone
+                + " "
+                + String.join(",", parts.stream().map(p -> p.uid + "#" + p.group).toList())
+                + " "
+                + String.join(",", drivers);
     }
 
     /** Reads such a line; throws {@link IllegalArgumentException} where it is none. */
--- a/src/main/java/wingroad/work/MemberObservations.java
+++ b/src/main/java/wingroad/work/MemberObservations.java
@@ -8,8 +8,9 @@
 import java.util.TreeMap;
 
 /**
- * What a driver has seen of the members lately, from their answers and probes: who says it is primary, how far behind the log, who
- * answers. What has not been heard for a while counts for nothing. Bounded by what discovery lists.
+ * What a driver has seen of the members lately, from their answers and probes: who says it is
+ * primary, how far behind the log, who answers. What has not been heard for a while counts for
+ * nothing. Bounded by what discovery lists.
  */
 public final class MemberObservations {
     /** What a member said last. */
@@ -36,7 +37,9 @@
     private final Map<Integer, Map<String, Seen>> byGroup = new HashMap<>();
     private final Duration fresh;
 
-    /** @param fresh how long what was seen counts */
+    /**
+     * @param fresh how long what was seen counts
+     */
     public MemberObservations(Duration fresh) {
         this.fresh = fresh;
     }
@@ -45,7 +48,9 @@
     public void listed(String uid, int group, boolean gone, boolean fit) {
         if (gone) {
             Seen s = all.remove(uid);
-            if (s != null && byGroup.get(s.group).remove(uid) != null && byGroup.get(s.group).isEmpty()) {
+            if (s != null
+                    && byGroup.get(s.group).remove(uid) != null
+                    && byGroup.get(s.group).isEmpty()) {
                 byGroup.remove(s.group);
             }
             return;
@@ -91,8 +96,9 @@
     public String primary(int group, Duration now) {
         Seen best = null;
         for (Seen s : byGroup.getOrDefault(group, Map.of()).values()) {
-            if (Boolean.TRUE.equals(s.primary) && isFresh(s.roleAt, now)
-                && (best == null || s.roleAt.compareTo(best.roleAt) > 0)) {
+            if (Boolean.TRUE.equals(s.primary)
+                    && isFresh(s.roleAt, now)
+                    && (best == null || s.roleAt.compareTo(best.roleAt) > 0)) {
                 best = s;
             }
         }
--- a/src/main/java/wingroad/work/Plan.java
+++ b/src/main/java/wingroad/work/Plan.java
@@ -11,9 +11,10 @@
 import java.util.TreeSet;
 
 /**
- * What is settled of the work on machines: what was asked for, how far each machine has come, who has confirmed what. Part of
- * the state that follows from the agreed log: it reads no clock, draws nothing and iterates in order of names, and it refuses
- * each step that breaks a limit, whoever proposes it.
+ * What is settled of the work on machines: what was asked for, how far each machine has come, who
+ * has confirmed what. Part of the state that follows from the agreed log: it reads no clock, draws
+ * nothing and iterates in order of names, and it refuses each step that breaks a limit, whoever
+ * proposes it.
  */
 public class Plan {
     private static final int MOST_ASKS = 4096;
@@ -22,6 +23,7 @@
     private static final int HISTORY = 4096;
     private static final int MOST_GONE = 1024;
     private static final int LONGEST_TEXT = 200;
+
     /** What a word or step is called that concerns all. */
     public static final String ALL = "*";
 
@@ -36,22 +38,41 @@
         final long askedAt;
         final long number;
         Stage stage = Stage.ASKED;
+
         /** The plan's revision when it was planned, and when its stage changed last. */
         long mark;
+
         long stageAt;
+
         /** Wall clock of the last change, and of when it was out, for people. */
         long since;
+
         long outSince;
         boolean held;
-        /** Derived: each driver knows that it is planned; each has nothing there; nobody believes in a primary there. */
+
+        /**
+         * Derived: each driver knows that it is planned; each has nothing there; nobody believes in
+         * a primary there.
+         */
         boolean known;
+
         boolean clear;
         boolean unbelieved;
+
         /** The conductor's word on what it waits for. */
         String note = "";
+
         long changed;
 
-        Entry(String machine, String ask, String why, long forMs, long before, List<String> after, long askedAt, long number) {
+        Entry(
+                String machine,
+                String ask,
+                String why,
+                long forMs,
+                long before,
+                List<String> after,
+                long askedAt,
+                long number) {
             this.machine = machine;
             this.ask = ask;
             this.why = why;
@@ -93,16 +114,42 @@
 
         /** As plain values, for drivers and snapshots. */
         public List<Object> values() {
-            return List.of(machine, ask, why, forMs, before, after, askedAt, number, stage.name(), mark, stageAt, since, outSince,
-                held, known, clear, unbelieved, note, changed);
+            return List.of(
+                    machine,
+                    ask,
+                    why,
+                    forMs,
+                    before,
+                    after,
+                    askedAt,
+                    number,
+                    stage.name(),
+                    mark,
+                    stageAt,
+                    since,
+                    outSince,
+                    held,
+                    known,
+                    clear,
+                    unbelieved,
+                    note,
+                    changed);
         }
 
         /** Reads what {@link #values} has written. */
         public static Entry of(List<?> v) {
             List<String> after = new ArrayList<>();
             ((List<?>) v.get(5)).forEach(a -> after.add((String) a));
-            Entry e = new Entry((String) v.get(0), (String) v.get(1), (String) v.get(2), number(v.get(3)), number(v.get(4)), after,
-                number(v.get(6)), number(v.get(7)));
+            Entry e =
+                    new Entry(
+                            (String) v.get(0),
+                            (String) v.get(1),
+                            (String) v.get(2),
+                            number(v.get(3)),
+                            number(v.get(4)),
+                            after,
+                            number(v.get(6)),
+                            number(v.get(7)));
             e.stage = Stage.valueOf((String) v.get(8));
             e.mark = number(v.get(9));
             e.stageAt = number(v.get(10));
@@ -124,8 +171,13 @@
         final String name;
         final long knows;
         final long number;
-        /** It has said that it ends: its process does, within the time that such an end takes at the most. */
+
+        /**
+         * It has said that it ends: its process does, within the time that such an end takes at the
+         * most.
+         */
         final boolean ends;
+
         /** 0: lately lost; 1: what it knew to be announced has nothing of it any more. */
         int level;
 
@@ -176,12 +228,18 @@
 
     private final TreeMap<String, Machine> machines = new TreeMap<>();
     private final TreeMap<String, Entry> entries = new TreeMap<>();
-    /** The same by their last changes: what is new is asked for by each driver, after each change. */
+
+    /**
+     * The same by their last changes: what is new is asked for by each driver, after each change.
+     */
     private final TreeMap<Long, Entry> byChange = new TreeMap<>();
+
     private final TreeMap<String, Live> live = new TreeMap<>();
     private final TreeMap<String, LostDriver> astray = new TreeMap<>();
+
     /** Machines that were taken off the plan, with the change's number, oldest first. */
     private final ArrayDeque<Object[]> gone = new ArrayDeque<>();
+
     private final ArrayDeque<String> history = new ArrayDeque<>();
     private List<String> lines = List.of();
     private long linesChanged;
@@ -233,26 +291,42 @@
 
     // ---- who is there ----
 
-    /** A driver has a session from now on; where it had another one, that one's process has ended or is the same. */
+    /**
+     * A driver has a session from now on; where it had another one, that one's process has ended or
+     * is the same.
+     */
     public void opened(String session, String identity, String name) {
         astray.remove(identity);
         live.put(session, new Live(identity, name));
         derive();
     }
 
-    /** A session has ended, by itself where {@code ends}: its process may run on, and is waited for. */
+    /**
+     * A session has ended, by itself where {@code ends}: its process may run on, and is waited for.
+     */
     public void ended(String session, boolean ends) {
         Live l = live.remove(session);
         if (l != null) {
-            // More than there can be drivers: one stands for the rest, and nothing goes out until somebody has looked.
+            // More than there can be drivers: one stands for the rest, and nothing goes out until
+            // somebody has looked.
             boolean room = astray.size() < MOST_ASTRAY || astray.containsKey(l.identity);
             String identity = room ? l.identity : MANY;
-            astray.put(identity, new LostDriver(identity, room ? l.name : MANY, room ? l.report.knows() : 0, ++losses, room && ends));
+            astray.put(
+                    identity,
+                    new LostDriver(
+                            identity,
+                            room ? l.name : MANY,
+                            room ? l.report.knows() : 0,
+                            ++losses,
+                            room && ends));
         }
         derive();
     }
 
-    /** By the voters' clocks: level 1, nothing of it is left at what it knew to be announced; level 2, nothing at all. */
+    /**
+     * By the voters' clocks: level 1, nothing of it is left at what it knew to be announced; level
+     * 2, nothing at all.
+     */
     public String stopped(String identity, long number, long level) {
         LostDriver a = astray.get(identity);
         if (a == null || a.number != number) {
@@ -281,7 +355,10 @@
 
     // ---- what is asked ----
 
-    /** The machines that there are, and the limits, by the conductor's file; what is away stays as it was. */
+    /**
+     * The machines that there are, and the limits, by the conductor's file; what is away stays as
+     * it was.
+     */
     public String inventory(List<String> all) {
         if (all.equals(lines)) {
             return "";
@@ -291,16 +368,19 @@
         all.stream().skip(1).map(Machine::of).forEach(m -> next.put(m.name(), m));
         for (Entry e : entries.values()) {
             if (e.stage.announced() && !machines.get(e.machine).equals(next.get(e.machine))) {
-                return e.machine + " is on its way, and the file has changed it: not before it is in";
+                return e.machine
+                        + " is on its way, and the file has changed it: not before it is in";
             }
         }
-        entries.values().removeIf(e -> {
-            boolean over = !next.containsKey(e.machine);
-            if (over) {
-                remove(e);
-            }
-            return over;
-        });
+        entries.values()
+                .removeIf(
+                        e -> {
+                            boolean over = !next.containsKey(e.machine);
+                            if (over) {
+                                remove(e);
+                            }
+                            return over;
+                        });
         atOnce = Integer.parseInt(limits[0]);
         lost = WorkRules.Lost.valueOf(limits[1]);
         machines.clear();
@@ -313,15 +393,30 @@
     }
 
     /** Somebody wants a machine; empty, or why it can never be had. */
-    public String ask(String machine, String ask, String why, long forMs, long before, List<String> after, long wall) {
+    public String ask(
+            String machine,
+            String ask,
+            String why,
+            long forMs,
+            long before,
+            List<String> after,
+            long wall) {
         Machine m = machines.get(machine);
         if (m == null) {
-            return machines.isEmpty() ? "no machines are settled yet: is there a conductor?" : "there is no machine '" + machine + "'";
+            return machines.isEmpty()
+                    ? "no machines are settled yet: is there a conductor?"
+                    : "there is no machine '" + machine + "'";
         }
         Entry old = entries.get(machine);
         if (old != null) {
-            return old.ask.equals(ask) ? "" : "'" + machine + "' is " + old.stage.name().toLowerCase(java.util.Locale.ROOT)
-                + " already: " + old.why;
+            return old.ask.equals(ask)
+                    ? ""
+                    : "'"
+                            + machine
+                            + "' is "
+                            + old.stage.name().toLowerCase(java.util.Locale.ROOT)
+                            + " already: "
+                            + old.why;
         }
         if (entries.size() >= MOST_ASKS) {
             return "more than " + MOST_ASKS + " machines are asked for";
@@ -331,9 +426,12 @@
         }
         for (int g : m.groups()) {
             if (m.parts().stream().filter(p -> p.group() == g).count() > 1) {
-                return "it holds more than one member of group " + g + ": no two of a group are away together";
+                return "it holds more than one member of group "
+                        + g
+                        + ": no two of a group are away together";
             }
-            if (machines.values().stream().noneMatch(o -> !o.name().equals(machine) && o.groups().contains(g))) {
+            if (machines.values().stream()
+                    .noneMatch(o -> !o.name().equals(machine) && o.groups().contains(g))) {
                 return "it holds the only member of group " + g;
             }
         }
@@ -354,22 +452,29 @@
 
     private boolean comesAfter(String first, String second, Set<String> seen) {
         Entry e = entries.get(first);
-        return e != null && seen.add(first) && e.after.stream().anyMatch(a -> a.equals(second) || comesAfter(a, second, seen));
+        return e != null
+                && seen.add(first)
+                && e.after.stream().anyMatch(a -> a.equals(second) || comesAfter(a, second, seen));
     }
 
     /** An operator's word on a machine, or on all. */
     public String word(String word, String machine, long wall) {
         if (word.equals("gone")) {
-            return astray.values().removeIf(a -> a.name.equals(machine) || a.known().equals(machine)) ? derived()
-                : "no driver '" + machine + "' is waited for without a session";
+            return astray.values()
+                            .removeIf(a -> a.name.equals(machine) || a.known().equals(machine))
+                    ? derived()
+                    : "no driver '" + machine + "' is waited for without a session";
         }
         if (machine.equals(ALL)) {
             return all(word, wall);
         }
         Entry e = entries.get(machine);
         if (e == null) {
-            return machines.containsKey(machine) ? word.equals("done") || word.equals("back") ? "" : "'" + machine
-                + "' is not asked for" : "there is no machine '" + machine + "'";
+            return machines.containsKey(machine)
+                    ? word.equals("done") || word.equals("back")
+                            ? ""
+                            : "'" + machine + "' is not asked for"
+                    : "there is no machine '" + machine + "'";
         }
         boolean out = e.stage == Stage.OUT || e.stage == Stage.RETURNING;
         switch (word) {
@@ -384,8 +489,13 @@
             }
             case "done", "back" -> {
                 if (e.stage == Stage.OUT) {
-                    turn(e, Stage.RETURNING, wall, word.equals("done") ? "work is done" : "called back");
-                } else if (e.stage == Stage.DRAINING && word.equals("back") || !out && word.equals("back")) {
+                    turn(
+                            e,
+                            Stage.RETURNING,
+                            wall,
+                            word.equals("done") ? "work is done" : "called back");
+                } else if (e.stage == Stage.DRAINING && word.equals("back")
+                        || !out && word.equals("back")) {
                     withdraw(e, wall, "called back");
                 } else if (!out) {
                     return "'" + machine + "' is not out yet";
@@ -443,10 +553,12 @@
     // ---- the conductor's steps ----
 
     /**
-     * A step under the conductor's epoch, which has been looked at; {@code stageAt} is what the conductor knew of the machine,
-     * {@code idle} whether no driver on it owns a duty. Empty, or why it is not taken.
+     * A step under the conductor's epoch, which has been looked at; {@code stageAt} is what the
+     * conductor knew of the machine, {@code idle} whether no driver on it owns a duty. Empty, or
+     * why it is not taken.
      */
-    public String step(String machine, String to, long stageAt, String why, boolean idle, long wall) {
+    public String step(
+            String machine, String to, long stageAt, String why, boolean idle, long wall) {
         Entry e = entries.get(machine);
         if (e == null || e.stageAt != stageAt) {
             return "'" + machine + "' has moved on";
@@ -458,16 +570,33 @@
             }
             return "";
         }
-        String not = switch (to) {
-            case "ASKED" -> e.stage == Stage.PLANNED || e.stage == Stage.DRAINING ? "" : "it can't be put back";
-            case "PLANNED" -> e.stage != Stage.ASKED ? "it is not waiting" : whyNotPlanned(e);
-            case "DRAINING" -> e.stage != Stage.PLANNED ? "it is not planned" : e.held || held ? "held" : !e.known
-                ? "not everybody knows of it" : !e.unbelieved ? "somebody believes its member to be primary" : "";
-            case "OUT" -> e.stage != Stage.DRAINING ? "it does not drain" : !e.clear ? "not everybody has left it"
-                : idle ? "" : "a driver on it has a duty";
-            case "IN" -> e.stage == Stage.RETURNING ? "" : "it does not return";
-            default -> "no stage '" + to + "'";
-        };
+        String not =
+                switch (to) {
+                    case "ASKED" ->
+                            e.stage == Stage.PLANNED || e.stage == Stage.DRAINING
+                                    ? ""
+                                    : "it can't be put back";
+                    case "PLANNED" ->
+                            e.stage != Stage.ASKED ? "it is not waiting" : whyNotPlanned(e);
+                    case "DRAINING" ->
+                            e.stage != Stage.PLANNED
+                                    ? "it is not planned"
+                                    : e.held || held
+                                            ? "held"
+                                            : !e.known
+                                                    ? "not everybody knows of it"
+                                                    : !e.unbelieved
+                                                            ? "somebody believes its member to be primary"
+                                                            : "";
+                    case "OUT" ->
+                            e.stage != Stage.DRAINING
+                                    ? "it does not drain"
+                                    : !e.clear
+                                            ? "not everybody has left it"
+                                            : idle ? "" : "a driver on it has a duty";
+                    case "IN" -> e.stage == Stage.RETURNING ? "" : "it does not return";
+                    default -> "no stage '" + to + "'";
+                };
         if (!not.isEmpty()) {
             return not;
         }
@@ -497,7 +626,9 @@
                 return "it comes after " + o.machine;
             }
         }
-        return e.held || held ? "held" : away >= atOnce ? "there are " + away + " on their way, at most " + atOnce : "";
+        return e.held || held
+                ? "held"
+                : away >= atOnce ? "there are " + away + " on their way, at most " + atOnce : "";
     }
 
     private void turn(Entry e, Stage to, long wall, String why) {
@@ -550,8 +681,10 @@
             boolean known = e.stage.announced() && enough(whoKnowsNot(e));
             boolean clear = e.stage == Stage.DRAINING && enough(whoIsThere(e));
             // Of what only waits nothing is asked: there may be a thousand of them.
-            boolean unbelieved = e.stage.announced() && live.values().stream().noneMatch(l -> believes(l.report,
-                machines.get(e.machine)));
+            boolean unbelieved =
+                    e.stage.announced()
+                            && live.values().stream()
+                                    .noneMatch(l -> believes(l.report, machines.get(e.machine)));
             if (known != e.known || clear != e.clear || unbelieved != e.unbelieved) {
                 e.known = known;
                 e.clear = clear;
@@ -567,15 +700,21 @@
     }
 
     private static boolean believes(Report r, Machine m) {
-        return m != null && m.parts().stream().anyMatch(p -> r.believes().containsKey(p.group())
-            && p.is(r.believes().get(p.group())));
+        return m != null
+                && m.parts().stream()
+                        .anyMatch(
+                                p ->
+                                        r.believes().containsKey(p.group())
+                                                && p.is(r.believes().get(p.group())));
     }
 
     /** Those who have not confirmed that the machine is announced. */
     public Set<String> whoKnowsNot(Entry e) {
         Set<String> not = new TreeSet<>();
         live.values().stream().filter(l -> l.report.knows() < e.mark).forEach(l -> not.add(l.name));
-        astray.values().stream().filter(a -> a.knows < e.mark).forEach(a -> not.add(a.name + " (without a session)"));
+        astray.values().stream()
+                .filter(a -> a.knows < e.mark)
+                .forEach(a -> not.add(a.name + " (without a session)"));
         return not;
     }
 
@@ -587,10 +726,12 @@
     /** Those who may have something at a machine that drains. */
     public Set<String> whoIsThere(Entry e) {
         Set<String> there = new TreeSet<>();
-        live.values().stream().filter(l -> l.report.knows() < e.stageAt || !l.report.clear().contains(e.machine))
-            .forEach(l -> there.add(l.name));
-        astray.values().stream().filter(a -> a.level < 1 || a.knows < e.mark)
-            .forEach(a -> there.add(a.name + " (without a session)"));
+        live.values().stream()
+                .filter(l -> l.report.knows() < e.stageAt || !l.report.clear().contains(e.machine))
+                .forEach(l -> there.add(l.name));
+        astray.values().stream()
+                .filter(a -> a.level < 1 || a.knows < e.mark)
+                .forEach(a -> there.add(a.name + " (without a session)"));
         return there;
     }
 
@@ -612,11 +753,19 @@
 
     /** Whether a driver runs on a machine that drains or is out: it gets no duties. */
     public boolean leaves(String driver) {
-        return entries.values().stream().anyMatch(e -> e.stage != Stage.ASKED && e.stage != Stage.PLANNED
-            && e.stage != Stage.RETURNING && machines.get(e.machine).drivers().contains(driver));
+        return entries.values().stream()
+                .anyMatch(
+                        e ->
+                                e.stage != Stage.ASKED
+                                        && e.stage != Stage.PLANNED
+                                        && e.stage != Stage.RETURNING
+                                        && machines.get(e.machine).drivers().contains(driver));
     }
 
-    /** The fleet's figures, all drivers together: served, harmed, and by group the milliseconds at members. */
+    /**
+     * The fleet's figures, all drivers together: served, harmed, and by group the milliseconds at
+     * members.
+     */
     public List<Object> sums() {
         long served = 0;
         long harmed = 0;
@@ -629,16 +778,34 @@
         return List.of(served, harmed, busy);
     }
 
-    /** What has changed for drivers since a change's number; all of it where that lies too far back. */
+    /**
+     * What has changed for drivers since a change's number; all of it where that lies too far back.
+     */
     public Map<String, Object> news(long since) {
         Map<String, Object> m = new TreeMap<>();
-        boolean whole = since <= 0 || !gone.isEmpty() && gone.size() >= MOST_GONE && (long) gone.peek()[1] > since;
+        boolean whole =
+                since <= 0
+                        || !gone.isEmpty()
+                                && gone.size() >= MOST_GONE
+                                && (long) gone.peek()[1] > since;
         m.put("whole", whole);
         m.put("rev", revision);
         m.put("held", held);
-        m.put("entries", (whole ? entries : byChange.tailMap(since, false)).values().stream().map(Entry::values).toList());
-        m.put("gone", whole ? List.of() : gone.stream().filter(g -> (long) g[1] > since && !entries.containsKey((String) g[0]))
-            .map(g -> g[0]).toList());
+        m.put(
+                "entries",
+                (whole ? entries : byChange.tailMap(since, false))
+                        .values().stream().map(Entry::values).toList());
+        m.put(
+                "gone",
+                whole
+                        ? List.of()
+                        : gone.stream()
+                                .filter(
+                                        g ->
+                                                (long) g[1] > since
+                                                        && !entries.containsKey((String) g[0]))
+                                .map(g -> g[0])
+                                .toList());
         if (whole || linesChanged > since) {
             m.put("lines", lines);
         }
@@ -656,14 +823,28 @@
         List<Object> l = new ArrayList<>();
         live.forEach((s, v) -> l.add(List.of(s, v.identity, v.name, v.report.line(s))));
         all.put("live", l);
-        all.put("astray", astray.values().stream().map(a -> List.of(a.identity, a.name, a.knows, a.number, (long) a.level, a.ends))
-            .toList());
+        all.put(
+                "astray",
+                astray.values().stream()
+                        .map(
+                                a ->
+                                        List.of(
+                                                a.identity,
+                                                a.name,
+                                                a.knows,
+                                                a.number,
+                                                (long) a.level,
+                                                a.ends))
+                        .toList());
         all.put("gone", gone.stream().map(g -> List.of(g[0], g[1])).toList());
         all.put("history", List.copyOf(history));
         return all;
     }
 
-    /** Takes over a snapshot in place of all that is there; one from before there was a plan is empty. */
+    /**
+     * Takes over a snapshot in place of all that is there; one from before there was a plan is
+     * empty.
+     */
     public void become(Object of) {
         machines.clear();
         entries.clear();
@@ -691,24 +872,42 @@
         losses = number(f.get(3));
         linesChanged = number(f.get(4));
         held = (Boolean) f.get(5);
-        ((List<?>) all.get("entries")).forEach(v -> {
-            Entry e = Entry.of((List<?>) v);
-            entries.put(e.machine, e);
-            byChange.put(e.changed, e);
-        });
-        ((List<?>) all.get("live")).forEach(o -> {
-            List<?> v = (List<?>) o;
-            Live one = new Live((String) v.get(1), (String) v.get(2));
-            one.report = Report.of((String) v.get(3));
-            live.put((String) v.get(0), one);
-        });
-        ((List<?>) all.get("astray")).forEach(o -> {
-            List<?> v = (List<?>) o;
-            LostDriver a = new LostDriver((String) v.get(0), (String) v.get(1), number(v.get(2)), number(v.get(3)), (Boolean) v.get(5));
-            a.level = (int) number(v.get(4));
-            astray.put(a.identity, a);
-        });
-        ((List<?>) all.get("gone")).forEach(o -> gone.add(new Object[] {((List<?>) o).get(0), number(((List<?>) o).get(1))}));
+        ((List<?>) all.get("entries"))
+                .forEach(
+                        v -> {
+                            Entry e = Entry.of((List<?>) v);
+                            entries.put(e.machine, e);
+                            byChange.put(e.changed, e);
+                        });
+        ((List<?>) all.get("live"))
+                .forEach(
+                        o -> {
+                            List<?> v = (List<?>) o;
+                            Live one = new Live((String) v.get(1), (String) v.get(2));
+                            one.report = Report.of((String) v.get(3));
+                            live.put((String) v.get(0), one);
+                        });
+        ((List<?>) all.get("astray"))
+                .forEach(
+                        o -> {
+                            List<?> v = (List<?>) o;
+                            LostDriver a =
+                                    new LostDriver(
+                                            (String) v.get(0),
+                                            (String) v.get(1),
+                                            number(v.get(2)),
+                                            number(v.get(3)),
+                                            (Boolean) v.get(5));
+                            a.level = (int) number(v.get(4));
+                            astray.put(a.identity, a);
+                        });
+        ((List<?>) all.get("gone"))
+                .forEach(
+                        o ->
+                                gone.add(
+                                        new Object[] {
+                                            ((List<?>) o).get(0), number(((List<?>) o).get(1))
+                                        }));
         ((List<?>) all.get("history")).forEach(h -> history.add((String) h));
     }
 
--- a/src/main/java/wingroad/work/PlanCopy.java
+++ b/src/main/java/wingroad/work/PlanCopy.java
@@ -27,10 +27,12 @@
             entries.clear();
         }
         ((List<?>) m.get("gone")).forEach(g -> entries.remove((String) g));
-        ((List<?>) m.get("entries")).forEach(v -> {
-            Plan.Entry e = Plan.Entry.of((List<?>) v);
-            entries.put(e.machine, e);
-        });
+        ((List<?>) m.get("entries"))
+                .forEach(
+                        v -> {
+                            Plan.Entry e = Plan.Entry.of((List<?>) v);
+                            entries.put(e.machine, e);
+                        });
         if (m.get("lines") instanceof List<?> l) {
             List<String> next = new ArrayList<>();
             l.forEach(o -> next.add((String) o));
@@ -50,7 +52,8 @@
         served = number(sums.get(0));
         harmed = number(sums.get(1));
         busy.clear();
-        ((Map<?, ?>) sums.get(2)).forEach((g, ms) -> busy.put(Integer.parseInt((String) g), number(ms)));
+        ((Map<?, ?>) sums.get(2))
+                .forEach((g, ms) -> busy.put(Integer.parseInt((String) g), number(ms)));
         Set<String> all = new TreeSet<>();
         names.forEach(n -> all.add((String) n));
         live = all;
--- a/src/main/java/wingroad/work/View.java
+++ b/src/main/java/wingroad/work/View.java
@@ -7,13 +7,17 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * What the plan makes of the members that discovery lists, at one driver: the list that the module is told. It holds only as long
- * as the driver's lease runs: the plan may have gone on since. The table is in docs/notes/work.md. No I/O; the clock is handed in.
+ * What the plan makes of the members that discovery lists, at one driver: the list that the module
+ * is told. It holds only as long as the driver's lease runs: the plan may have gone on since. The
+ * table is in docs/notes/work.md. No I/O; the clock is handed in.
  */
 public final class View {
     /** What a member counts as. */
     public enum State {
-        AS_LISTED, DRAINING, GONE, COLD
+        AS_LISTED,
+        DRAINING,
+        GONE,
+        COLD
     }
 
     private final WorkRules rules;
@@ -23,17 +27,21 @@
     private PlanCopy planCopy;
     private Duration until = Duration.ZERO;
     private boolean over = true;
+
     /**
-     * The plan has been known under a lease. Before that, what a voter tells may be old: one that has just started tells what
-     * its own state says, and nobody waits for what this driver makes of it.
+     * The plan has been known under a lease. Before that, what a voter tells may be old: one that
+     * has just started tells what its own state says, and nobody waits for what this driver makes
+     * of it.
      */
     private boolean learned;
+
     /** Machines that return, and since when this driver has known. */
     private final Map<String, Duration> returning = new TreeMap<>();
 
     /**
-     * @param began    when the driver started
-     * @param patience with {@link WorkRules.Lost#SERVE}: how long after a start the plan is waited for
+     * @param began when the driver started
+     * @param patience with {@link WorkRules.Lost#SERVE}: how long after a start the plan is waited
+     *     for
      */
     public View(WorkRules rules, Duration began, Duration patience) {
         this.rules = rules;
@@ -45,11 +53,18 @@
     /** The plan as it is settled. */
     public void told(PlanCopy plan, Duration now) {
         planCopy = plan;
-        returning.keySet().removeIf(m -> plan.entry(m) == null || plan.entry(m).stage != Stage.RETURNING);
-        plan.entries().stream().filter(e -> e.stage == Stage.RETURNING).forEach(e -> returning.putIfAbsent(e.machine, now));
+        returning
+                .keySet()
+                .removeIf(m -> plan.entry(m) == null || plan.entry(m).stage != Stage.RETURNING);
+        plan.entries().stream()
+                .filter(e -> e.stage == Stage.RETURNING)
+                .forEach(e -> returning.putIfAbsent(e.machine, now));
     }
 
-    /** What was told last holds so long. Only a lease makes a view that has ended hold again, not what is told. */
+    /**
+     * What was told last holds so long. Only a lease makes a view that has ended hold again, not
+     * what is told.
+     */
     public void leased(Duration ends) {
         until = ends;
         over = false;
@@ -75,7 +90,9 @@
         if (!learned) {
             return rules.lost() == WorkRules.Lost.SERVE ? began.plus(patience) : null;
         }
-        return current(now) ? until : rules.lost() == WorkRules.Lost.STRICT ? until.plus(rules.horizon()) : null;
+        return current(now)
+                ? until
+                : rules.lost() == WorkRules.Lost.STRICT ? until.plus(rules.horizon()) : null;
     }
 
     /**
@@ -86,7 +103,8 @@
     public State state(String uid, BooleanSupplier others, Duration now) {
         if (!learned) {
             boolean planned = own.of(uid) != null;
-            boolean waits = rules.lost() != WorkRules.Lost.SERVE || now.compareTo(began.plus(patience)) < 0;
+            boolean waits =
+                    rules.lost() != WorkRules.Lost.SERVE || now.compareTo(began.plus(patience)) < 0;
             return planned && waits ? State.GONE : State.AS_LISTED;
         }
         Machine m = planCopy.holder(uid);
@@ -95,18 +113,25 @@
             return State.AS_LISTED;
         }
         if (current(now)) {
-            return e == null ? State.AS_LISTED : switch (e.stage) {
-                case ASKED, PLANNED -> State.AS_LISTED;
-                case DRAINING -> State.DRAINING;
-                case OUT -> State.GONE;
-                case RETURNING -> State.COLD;
-            };
+            return e == null
+                    ? State.AS_LISTED
+                    : switch (e.stage) {
+                        case ASKED, PLANNED -> State.AS_LISTED;
+                        case DRAINING -> State.DRAINING;
+                        case OUT -> State.GONE;
+                        case RETURNING -> State.COLD;
+                    };
         }
         if (e != null && e.stage.announced()) {
-            boolean serves = rules.lost() == WorkRules.Lost.SERVE && e.stage != Stage.OUT && !others.getAsBoolean();
+            boolean serves =
+                    rules.lost() == WorkRules.Lost.SERVE
+                            && e.stage != Stage.OUT
+                            && !others.getAsBoolean();
             return !serves ? State.GONE : e.stage == Stage.RETURNING ? State.COLD : State.AS_LISTED;
         }
-        boolean past = rules.lost() == WorkRules.Lost.STRICT && now.compareTo(until.plus(rules.horizon())) >= 0;
+        boolean past =
+                rules.lost() == WorkRules.Lost.STRICT
+                        && now.compareTo(until.plus(rules.horizon())) >= 0;
         return past ? State.GONE : State.AS_LISTED;
     }
 
@@ -118,8 +143,11 @@
 
     /** The machines at which this driver must have nothing. */
     public Collection<Plan.Entry> leaving() {
-        return planCopy == null ? java.util.List.of() : planCopy.entries().stream().filter(e -> e.stage == Stage.DRAINING
-            || e.stage == Stage.OUT).toList();
+        return planCopy == null
+                ? java.util.List.of()
+                : planCopy.entries().stream()
+                        .filter(e -> e.stage == Stage.DRAINING || e.stage == Stage.OUT)
+                        .toList();
     }
 
     /** The plan's revision that counts here, or 0. */
--- a/src/test/java/wingroad/Fixtures.java
+++ b/src/test/java/wingroad/Fixtures.java
@@ -28,8 +28,8 @@
 import wingroad.state.Submission.End;
 
 /**
- * What the tests share: terms of a small deployment, a router and short ways to tell it
- * things, and stand-ins for members, discovery and clients on sockets.
+ * What the tests share: terms of a small deployment, a router and short ways to tell it things, and
+ * stand-ins for members, discovery and clients on sockets.
  */
 public final class Fixtures {
     public static final int READ = 0;
@@ -114,8 +114,8 @@
     }
 
     public void ends(long now, String id, int submission, long member, End end, Role role) {
-        router.submissionEnded(at(now), id, submission, member, end, ANSWER, end == End.COMMITTED, role,
-            null);
+        router.submissionEnded(
+                at(now), id, submission, member, end, ANSWER, end == End.COMMITTED, role, null);
     }
 
     public List<Decision> decisions(long now) {
@@ -172,14 +172,21 @@
 
         /** The same, and in the same piece what nobody asked for. */
         public void row(String value, boolean primary, byte[] behind) throws IOException {
-            raw(message('T', DESCRIPTION), message('D', column(value)), message('C', text("SELECT 1")),
-                parameter("part", primary ? "master" : "replica"),
-                parameter("caught_up_to", Long.toString(System.currentTimeMillis())), READY, behind);
+            raw(
+                    message('T', DESCRIPTION),
+                    message('D', column(value)),
+                    message('C', text("SELECT 1")),
+                    parameter("part", primary ? "master" : "replica"),
+                    parameter("caught_up_to", Long.toString(System.currentTimeMillis())),
+                    READY,
+                    behind);
         }
 
         public void error(String code, boolean primary) throws IOException {
-            raw(message('E', text("SERROR"), text("C" + code), text("Mno"), new byte[1]),
-                parameter("part", primary ? "master" : "replica"), READY);
+            raw(
+                    message('E', text("SERROR"), text("C" + code), text("Mno"), new byte[1]),
+                    parameter("part", primary ? "master" : "replica"),
+                    READY);
         }
 
         public void end() throws IOException {
@@ -197,7 +204,9 @@
     }
 
     public static final byte[] READY = message('Z', new byte[] {'I'});
-    public static final byte[] DESCRIPTION = {0, 1, 'v', 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 17, -1, -1, -1, -1, -1, -1, 0, 1};
+    public static final byte[] DESCRIPTION = {
+        0, 1, 'v', 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 17, -1, -1, -1, -1, -1, -1, 0, 1
+    };
 
     public static byte[] joined(byte[]... parts) {
         ByteArrayOutputStream all = new ByteArrayOutputStream();
@@ -209,7 +218,11 @@
 
     public static byte[] message(char type, byte[]... parts) {
         byte[] body = joined(parts);
-        return ByteBuffer.allocate(5 + body.length).put((byte) type).putInt(4 + body.length).put(body).array();
+        return ByteBuffer.allocate(5 + body.length)
+                .put((byte) type)
+                .putInt(4 + body.length)
+                .put(body)
+                .array();
     }
 
     public static byte[] text(String s) {
@@ -218,34 +231,44 @@
 
     public static byte[] column(String value) {
         byte[] bytes = value.getBytes(StandardCharsets.UTF_8);
-        return ByteBuffer.allocate(6 + bytes.length).putShort((short) 1).putInt(bytes.length).put(bytes).array();
+        return ByteBuffer.allocate(6 + bytes.length)
+                .putShort((short) 1)
+                .putInt(bytes.length)
+                .put(bytes)
+                .array();
     }
 
     public static byte[] parameter(String name, String value) {
         return message('S', text(name), text(value));
     }
 
-    /** A member on a port of its own: it lets everybody in, answers probes, and does the rest by its script. */
+    /**
+     * A member on a port of its own: it lets everybody in, answers probes, and does the rest by its
+     * script.
+     */
     public static final class StandInMember implements AutoCloseable {
         private final ServerSocket door = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         public final BlockingQueue<String> queries = new LinkedBlockingQueue<>();
         public final AtomicInteger connections = new AtomicInteger();
         public volatile boolean primary;
+
         /** How far behind the log it says that it is. */
         public volatile long behindMs;
+
         public volatile byte[] welcome = message('R', new byte[4]);
         private volatile Script script;
 
         public StandInMember(boolean primary, Script script) throws IOException {
             this.primary = primary;
             this.script = script;
-            thread(() -> {
-                while (true) {
-                    Socket s = door.accept();
-                    connections.incrementAndGet();
-                    thread(() -> serve(new Session(s)));
-                }
-            });
+            thread(
+                    () -> {
+                        while (true) {
+                            Socket s = door.accept();
+                            connections.incrementAndGet();
+                            thread(() -> serve(new Session(s)));
+                        }
+                    });
         }
 
         public void script(Script next) {
@@ -259,7 +282,12 @@
                 byte[] body = s.in.readNBytes(s.in.readInt() - 4);
                 String sql = new String(body, 0, body.length - 1, StandardCharsets.ISO_8859_1);
                 if (sql.equals("SHOW gauges")) {
-                    s.row("x0=" + (System.currentTimeMillis() - behindMs) / 1000.0 + ",x1=" + (primary ? 1 : 0), primary);
+                    s.row(
+                            "x0="
+                                    + (System.currentTimeMillis() - behindMs) / 1000.0
+                                    + ",x1="
+                                    + (primary ? 1 : 0),
+                            primary);
                 } else {
                     queries.add(sql);
                     script.asked(sql, s);
@@ -286,35 +314,48 @@
     /** A member list on a port of its own: each watch waits until there is a newer list. */
     public static final class StandInDiscovery implements AutoCloseable {
         private final ServerSocket door = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
+
         /** What calls get instead of an answer, one each. */
         public final BlockingQueue<String> broken = new LinkedBlockingQueue<>();
+
         /** The version that each call named. */
         public final BlockingQueue<Integer> asked = new LinkedBlockingQueue<>();
+
         private String list = "";
         private int version;
 
         public StandInDiscovery() throws IOException {
-            thread(() -> {
-                while (true) {
-                    Socket s = door.accept();
-                    thread(() -> serve(s));
-                }
-            });
+            thread(
+                    () -> {
+                        while (true) {
+                            Socket s = door.accept();
+                            thread(() -> serve(s));
+                        }
+                    });
         }
 
         private void serve(Socket s) throws IOException, InterruptedException {
-            BufferedReader in = new BufferedReader(new InputStreamReader(s.getInputStream(), StandardCharsets.UTF_8));
+            BufferedReader in =
+                    new BufferedReader(
+                            new InputStreamReader(s.getInputStream(), StandardCharsets.UTF_8));
             for (String line = in.readLine(); line != null; line = in.readLine()) {
                 String wrong = line.startsWith("GET ") ? broken.poll() : null;
                 if (wrong != null) {
                     s.getOutputStream().write(wrong.getBytes(StandardCharsets.UTF_8));
                     s.close();
                 } else if (line.startsWith("GET ")) {
-                    int since = line.contains("since=") ? Integer.parseInt(line.replaceAll(".*since=([0-9]+).*", "$1")) : -1;
+                    int since =
+                            line.contains("since=")
+                                    ? Integer.parseInt(line.replaceAll(".*since=([0-9]+).*", "$1"))
+                                    : -1;
                     asked.add(since);
                     byte[] body = newer(since).getBytes(StandardCharsets.UTF_8);
-                    s.getOutputStream().write(("HTTP/1.1 200 OK\r\nContent-Length: " + body.length + "\r\n\r\n")
-                        .getBytes(StandardCharsets.UTF_8));
+                    s.getOutputStream()
+                            .write(
+                                    ("HTTP/1.1 200 OK\r\nContent-Length: "
+                                                    + body.length
+                                                    + "\r\n\r\n")
+                                            .getBytes(StandardCharsets.UTF_8));
                     s.getOutputStream().write(body);
                 }
             }
@@ -349,8 +390,14 @@
 
     /** An entry of discovery's list. */
     public static String entry(String uid, int port, String state) {
-        return "{\"uid\":\"" + uid + "\",\"endpoint\":\"127.0.0.1:" + port + "\",\"az\":\"a\",\"model\":\"std\","
-            + "\"pod_group\":7,\"state\":\"" + state + "\",\"capacity_hint\":1.0,\"boot_ms\":0}";
+        return "{\"uid\":\""
+                + uid
+                + "\",\"endpoint\":\"127.0.0.1:"
+                + port
+                + "\",\"az\":\"a\",\"model\":\"std\","
+                + "\"pod_group\":7,\"state\":\""
+                + state
+                + "\",\"capacity_hint\":1.0,\"boot_ms\":0}";
     }
 
     /** A client on a socket; what it reads is told a message at a time. */
@@ -364,7 +411,10 @@
             in = new DataInputStream(socket.getInputStream());
         }
 
-        /** Sends all of it at once: what is sent in parts may wait for the other side to confirm the first. */
+        /**
+         * Sends all of it at once: what is sent in parts may wait for the other side to confirm the
+         * first.
+         */
         public Client raw(byte[]... parts) throws IOException {
             socket.getOutputStream().write(joined(parts));
             return this;
@@ -397,7 +447,10 @@
             return last;
         }
 
-        /** What comes up to the next ready, or to the end: rows by their value, errors by their code. */
+        /**
+         * What comes up to the next ready, or to the end: rows by their value, errors by their
+         * code.
+         */
         public List<String> heard() throws IOException {
             List<String> all = new ArrayList<>();
             for (int type = in.read(); type >= 0; type = in.read()) {
@@ -425,19 +478,26 @@
         }
     }
 
-    public static final byte[] STARTUP = ByteBuffer.allocate(34).putInt(34).putInt(3 << 16)
-        .put("user\0svc\0database\0main\0\0".getBytes(StandardCharsets.UTF_8)).array();
+    public static final byte[] STARTUP =
+            ByteBuffer.allocate(34)
+                    .putInt(34)
+                    .putInt(3 << 16)
+                    .put("user\0svc\0database\0main\0\0".getBytes(StandardCharsets.UTF_8))
+                    .array();
 
     public static String read(String id) {
         return "/* id=" + id + ",c=look,d=3000,cluster=7 */ SELECT v FROM records WHERE k = 'ab'";
     }
 
     public static String write(String id) {
-        return "/* id=" + id + ",c=change,d=4000,cluster=7 */ INSERT INTO records (k, v) VALUES ('ab', '\\x9f03')"
-            + " RETURNING v";
+        return "/* id="
+                + id
+                + ",c=change,d=4000,cluster=7 */ INSERT INTO records (k, v) VALUES ('ab', '\\x9f03')"
+                + " RETURNING v";
     }
 
-    public static final String SETTINGS = """
+    public static final String SETTINGS =
+            """
         {"azs":["a"],"shapes":["std"],"balancers":1,"index":0,"zone":0,"granularity":5,"discovery":"push",
          "grades":[{"name":"look","aim":750,"deadline":3000,"semantics":"repeatable","worth":1,"window":5000},
           {"name":"change","aim":1200,"deadline":5000,"semantics":"once","worth":6,"late-share":0.3,"window":5000}],
@@ -454,13 +514,15 @@
     }
 
     private static void thread(Task task) {
-        Thread t = new Thread(() -> {
-            try {
-                task.run();
-            } catch (Exception ended) {
-                // its socket is closed: the stand-in is done
-            }
-        });
+        Thread t =
+                new Thread(
+                        () -> {
+                            try {
+                                task.run();
+                            } catch (Exception ended) {
+                                // its socket is closed: the stand-in is done
+                            }
+                        });
         t.setDaemon(true);
         t.start();
     }
--- a/src/test/java/wingroad/door/FairQueuesTest.java
+++ b/src/test/java/wingroad/door/FairQueuesTest.java
@@ -17,20 +17,26 @@
 import wingroad.door.Play.Crowd;
 import wingroad.state.Submission.End;
 
-/** The door in virtual time: twelve places of 50 ms, 240 txns a second, unless a test says otherwise. */
+/**
+ * The door in virtual time: twelve places of 50 ms, 240 txns a second, unless a test says
+ * otherwise.
+ */
 class FairQueuesTest {
     private final Play play = new Play().open(FairQueueSettings.USUAL);
 
     private static FairQueueSettings listed(Object... namesAndWeights) {
         Map<String, Tenant> tenants = new HashMap<>();
         for (int i = 0; i < namesAndWeights.length; i += 2) {
-            tenants.put((String) namesAndWeights[i], new Tenant((double) namesAndWeights[i + 1], 1));
+            tenants.put(
+                    (String) namesAndWeights[i], new Tenant((double) namesAndWeights[i + 1], 1));
         }
         return rules(tenants, FairQueueSettings.USUAL.others(), 2000);
     }
 
-    private static FairQueueSettings rules(Map<String, Tenant> tenants, Tenant others, int mostWaiting) {
-        return new FairQueueSettings(FairQueueSettings.USUAL.sources(), 8, mostWaiting, others, tenants);
+    private static FairQueueSettings rules(
+            Map<String, Tenant> tenants, Tenant others, int mostWaiting) {
+        return new FairQueueSettings(
+                FairQueueSettings.USUAL.sources(), 8, mostWaiting, others, tenants);
     }
 
     private List<Crowd> light() {
@@ -48,11 +54,13 @@
     }
 
     private static void assertServedAsIfAlone(List<Crowd> light) {
-        assertThat(light).allSatisfy(c -> {
-            assertThat(c.committed).isGreaterThan(8);
-            assertThat(c.declined).isZero();
-            assertThat(c.p99()).isLessThan(110);
-        });
+        assertThat(light)
+                .allSatisfy(
+                        c -> {
+                            assertThat(c.committed).isGreaterThan(8);
+                            assertThat(c.declined).isZero();
+                            assertThat(c.p99()).isLessThan(110);
+                        });
     }
 
     @Test
@@ -202,7 +210,8 @@
         play.headless.add(7);
         playFor(4000);
         assertServedAsIfAlone(light);
-        // They wait, as the design wants it: nothing of it is declined for a forecast that nobody can make.
+        // They wait, as the design wants it: nothing of it is declined for a forecast that nobody
+        // can make.
         assertThat(writes.committed).isLessThan(40);
         assertThat(writes.declined).isZero();
         assertThat(play.door.waiting()).isGreaterThan(30);
@@ -228,7 +237,8 @@
     void aThousandToldAtOnceAreNotToldTheSameTime() {
         TreeSet<Duration> told = new TreeSet<>();
         for (int i = 0; i < 1000; i++) {
-            play.door.arrived(at(0), "t" + i, 0, 7, at(2000), new Caller("10.0.0.1", Map.of()), null, false);
+            play.door.arrived(
+                    at(0), "t" + i, 0, 7, at(2000), new Caller("10.0.0.1", Map.of()), null, false);
         }
         for (AdmissionDecision v = play.door.next(at(0)); v != null; v = play.door.next(at(0))) {
             if (!v.letIn()) {
@@ -306,7 +316,11 @@
 
     @Test
     void aCapHoldsEvenWherePlacesStandEmpty() {
-        play.open(rules(Map.of("capped", new Tenant(1, 0.25)), FairQueueSettings.USUAL.others(), 2000));
+        play.open(
+                rules(
+                        Map.of("capped", new Tenant(1, 0.25)),
+                        FairQueueSettings.USUAL.others(),
+                        2000));
         Crowd capped = play.new Crowd("capped", 60, 0);
         play.until(3000);
         playFor(3000);
@@ -333,11 +347,14 @@
     void tenThousandClientsOfOneTxnEachStayWithinAMebibyteAndEachHasOneVerdict() {
         int verdicts = 0;
         for (int i = 0; i < 10_000; i++) {
-            play.door.arrived(at(0), "t" + i, 0, 7, at(2000), new Caller("10." + i, Map.of()), null, false);
+            play.door.arrived(
+                    at(0), "t" + i, 0, 7, at(2000), new Caller("10." + i, Map.of()), null, false);
         }
         List<QueuedTxn> in = new ArrayList<>();
         for (double now = 0; now < 3000; now += 5) {
-            for (AdmissionDecision v = play.door.next(at(now)); v != null; v = play.door.next(at(now))) {
+            for (AdmissionDecision v = play.door.next(at(now));
+                    v != null;
+                    v = play.door.next(at(now))) {
                 verdicts++;
                 if (v.letIn()) {
                     play.door.submitted(at(now), v.queued());
@@ -372,11 +389,12 @@
         assertThat(play.door.next(at(20))).isNull();
         assertThat(play.door.next(play.door.wakeAt())).isNotNull();
         // Their ends come after all, and change nothing twice.
-        stuck.forEach(v -> {
-            play.door.ended(at(3000), v, End.TIMED_OUT, at(2900));
-            play.door.closed(at(3000), v);
-            play.door.closed(at(3000), v);
-        });
+        stuck.forEach(
+                v -> {
+                    play.door.ended(at(3000), v, End.TIMED_OUT, at(2900));
+                    play.door.closed(at(3000), v);
+                    play.door.closed(at(3000), v);
+                });
         assertThat(play.door.out(7, false)).isZero();
     }
 
--- a/src/test/java/wingroad/door/PartsTest.java
+++ b/src/test/java/wingroad/door/PartsTest.java
@@ -38,8 +38,9 @@
             int row = accounts.find(key);
             if (row < 0) {
                 row = accounts.open(key, 0, lanes);
-                assertThat(tags.getOrDefault(key, 0.0)).isLessThanOrEqualTo(Math.max(lanes.virtualTime,
-                    lanes.owed.getOrDefault(key, 0.0)));
+                assertThat(tags.getOrDefault(key, 0.0))
+                        .isLessThanOrEqualTo(
+                                Math.max(lanes.virtualTime, lanes.owed.getOrDefault(key, 0.0)));
             } else {
                 assertThat(accounts.tags[row]).isEqualTo(tags.get(key));
             }
@@ -104,7 +105,8 @@
                 in.remove((Integer) row);
             }
             if (!in.isEmpty()) {
-                assertThat(tags[heap.first()]).isEqualTo(in.stream().mapToDouble(r -> tags[r]).min().getAsDouble());
+                assertThat(tags[heap.first()])
+                        .isEqualTo(in.stream().mapToDouble(r -> tags[r]).min().getAsDouble());
             }
         }
         assertThat(heap.size()).isEqualTo(in.size());
--- a/src/test/java/wingroad/door/Play.java
+++ b/src/test/java/wingroad/door/Play.java
@@ -11,12 +11,14 @@
 import wingroad.state.Submission.End;
 
 /**
- * The door before one lane of members, played in virtual time: places that each take so long for a txn, a module that holds
- * what finds none below its limit, and tenants that ask again. The same seed plays the same.
+ * The door before one lane of members, played in virtual time: places that each take so long for a
+ * txn, a module that holds what finds none below its limit, and tenants that ask again. The same
+ * seed plays the same.
  */
 final class Play {
     static final int READ = 0;
     static final int WRITE = 1;
+
     /** Reads that take four times as long. */
     static final int LONG = 2;
 
@@ -39,7 +41,16 @@
             asked.put(id, this);
             crowd.asked++;
             boolean retry = toldAt >= 0;
-            queued = door.arrived(at(now), id, crowd.type, crowd.group, at(crowd.left), caller, crowd.name.get(), retry);
+            queued =
+                    door.arrived(
+                            at(now),
+                            id,
+                            crowd.type,
+                            crowd.group,
+                            at(crowd.left),
+                            caller,
+                            crowd.name.get(),
+                            retry);
             pull();
         }
 
@@ -58,8 +69,12 @@
                 crowd.told += comeBack == null ? 0 : 1;
                 crowd.declinedAfter.add(now - askedAt);
             }
-            double wait = committed ? crowd.think : crowd.patient && comeBack != null
-                ? comeBack.toNanos() / 1e6 * (1 + 0.2 * random.nextDouble()) : crowd.again;
+            double wait =
+                    committed
+                            ? crowd.think
+                            : crowd.patient && comeBack != null
+                                    ? comeBack.toNanos() / 1e6 * (1 + 0.2 * random.nextDouble())
+                                    : crowd.again;
             if (!committed && crowd.patient && comeBack != null) {
                 toldAt = now + comeBack.toNanos() / 1e6;
             }
@@ -127,8 +142,7 @@
         crowds.forEach(Crowd::forget);
     }
 
-    private record Event(double at, long number, Runnable what) {
-    }
+    private record Event(double at, long number, Runnable what) {}
 
     final Map<String, Object> terms = new HashMap<>();
     final List<Crowd> crowds = new ArrayList<>();
@@ -136,15 +150,21 @@
     final Random random = new Random(5);
     FairQueues door;
     double now;
+
     /** Places at the members, and how long one txn takes. */
     int places = 12;
+
     double takes = 50;
+
     /** 0: always the same; 1: as an exponential one. */
     double varies;
+
     /** How many the module would have out at most. */
     int moduleLimit = 1000;
+
     /** Groups without a primary: their writes are held. */
     final java.util.Set<Integer> headless = new java.util.HashSet<>();
+
     int out;
     private int busy;
     private long number;
@@ -152,8 +172,12 @@
     private final java.util.ArrayDeque<String> held = new java.util.ArrayDeque<>();
     private final java.util.ArrayDeque<String> queue = new java.util.ArrayDeque<>();
     private final Map<String, Double> sentAt = new HashMap<>();
-    private final PriorityQueue<Event> events = new PriorityQueue<>((a, b) ->
-        a.at != b.at ? Double.compare(a.at, b.at) : Long.compare(a.number, b.number));
+    private final PriorityQueue<Event> events =
+            new PriorityQueue<>(
+                    (a, b) ->
+                            a.at != b.at
+                                    ? Double.compare(a.at, b.at)
+                                    : Long.compare(a.number, b.number));
     private long eventNumber;
     private boolean pulling;
     private double wakeAt = -1;
@@ -246,7 +270,10 @@
         while (busy < places && !queue.isEmpty()) {
             busy++;
             String id = queue.poll();
-            double work = (asked.get(id).crowd.type == LONG ? 4 : 1) * takes * (1 - varies + varies * -Math.log(1 - random.nextDouble()));
+            double work =
+                    (asked.get(id).crowd.type == LONG ? 4 : 1)
+                            * takes
+                            * (1 - varies + varies * -Math.log(1 - random.nextDouble()));
             later(now + work, () -> end(id));
         }
     }
--- a/src/test/java/wingroad/driver/ClientsTest.java
+++ b/src/test/java/wingroad/driver/ClientsTest.java
@@ -26,7 +26,10 @@
 import wingroad.state.Submission.End;
 import wingroad.transport.EventLoop;
 
-/** Clients that leave, send, and are told the end, at moments that the test chooses; the members are the test's own. */
+/**
+ * Clients that leave, send, and are told the end, at moments that the test chooses; the members are
+ * the test's own.
+ */
 class ClientsTest {
     private static final long MEMBER = 1;
 
@@ -35,9 +38,17 @@
     private final EventLoop loop = new EventLoop(200, 1 << 24, bugs::add);
     private final Clock clock = new Clock();
     private final Fixtures given = new Fixtures();
-    private final TxnRouter router = new TxnRouter(given.terms, 1, line -> { });
-    private final Exchange exchange = new Exchange(loop, clock, router, Duration.ofMillis(250), bugs::add);
-    private final Clients clients = new Clients(loop, exchange, new Counters(), List.of("look", "change"), given.terms, g -> true);
+    private final TxnRouter router = new TxnRouter(given.terms, 1, line -> {});
+    private final Exchange exchange =
+            new Exchange(loop, clock, router, Duration.ofMillis(250), bugs::add);
+    private final Clients clients =
+            new Clients(
+                    loop,
+                    exchange,
+                    new Counters(),
+                    List.of("look", "change"),
+                    given.terms,
+                    g -> true);
     private int port;
 
     ClientsTest() throws IOException {
@@ -46,59 +57,72 @@
 
     @BeforeEach
     void listen() throws Exception {
-        exchange.meet(new Exchange.MemberTransport() {
-            @Override
-            public void dispatch(Exchange.MemberRequest e) {
-                if (!e.probe()) {
-                    dispatched.add(e);
-                }
-            }
+        exchange.meet(
+                new Exchange.MemberTransport() {
+                    @Override
+                    public void dispatch(Exchange.MemberRequest e) {
+                        if (!e.probe()) {
+                            dispatched.add(e);
+                        }
+                    }
 
-            @Override
-            public void callOff(String txn, int submission) {
-                // the test ends it, or leaves it out
-            }
+                    @Override
+                    public void callOff(String txn, int submission) {
+                        // the test ends it, or leaves it out
+                    }
 
-            @Override
-            public void release(long member) {
-                // nothing stands idle here
-            }
+                    @Override
+                    public void release(long member) {
+                        // nothing stands idle here
+                    }
 
-            @Override
-            public boolean giveWay() {
-                return false;
-            }
-        }, new Exchange.Lists() {
-            @Override
-            public void follow() {
-                // the test tells the list
-            }
+                    @Override
+                    public boolean giveWay() {
+                        return false;
+                    }
+                },
+                new Exchange.Lists() {
+                    @Override
+                    public void follow() {
+                        // the test tells the list
+                    }
 
-            @Override
-            public void fetch() {
-                // as above
-            }
-        }, () -> false);
+                    @Override
+                    public void fetch() {
+                        // as above
+                    }
+                },
+                () -> false);
         BlockingQueue<Integer> at = new LinkedBlockingQueue<>();
-        loop.run(() -> {
-            try {
-                clients.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-                at.add(clients.at().getPort());
-            } catch (IOException e) {
-                bugs.add(e);
-            }
-            Duration now = clock.now();
-            exchange.router().listStarts(now, true);
-            exchange.router().listed(now, MEMBER, 7, 0, 0, 1, false, false, false, null);
-            exchange.router().listEnds(now);
-        });
+        loop.run(
+                () -> {
+                    try {
+                        clients.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
+                        at.add(clients.at().getPort());
+                    } catch (IOException e) {
+                        bugs.add(e);
+                    }
+                    Duration now = clock.now();
+                    exchange.router().listStarts(now, true);
+                    exchange.router().listed(now, MEMBER, 7, 0, 0, 1, false, false, false, null);
+                    exchange.router().listEnds(now);
+                });
         port = at.poll(20, TimeUnit.SECONDS);
     }
 
     /** The member says that it is the primary: writes that were held are sent on. */
     private void primaryFound() {
-        loop.run(() -> exchange.router().reported(clock.now(), MEMBER, Role.PRIMARY, clock.now(), Double.NaN, Double.NaN,
-            Double.NaN));
+        loop.run(
+                () ->
+                        exchange.router()
+                                .reported(
+                                        clock.now(),
+                                        MEMBER,
+                                        Role.PRIMARY,
+                                        clock.now(),
+                                        Double.NaN,
+                                        Double.NaN,
+                                        Double.NaN));
     }
 
     private Peer client() throws IOException {
@@ -111,7 +135,10 @@
         return message('Q', text(sql));
     }
 
-    /** Asked on the loop's own thread, again and again, until it is so; not for longer than any wait in the code. */
+    /**
+     * Asked on the loop's own thread, again and again, until it is so; not for longer than any wait
+     * in the code.
+     */
     private void until(BooleanSupplier is) throws InterruptedException {
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(5);
         BlockingQueue<Boolean> was = new LinkedBlockingQueue<>();
@@ -122,11 +149,25 @@
     }
 
     private void commit(Exchange.MemberRequest e) {
-        byte[] row = Fixtures.joined(message('T', Fixtures.DESCRIPTION), message('D', Fixtures.column("done")), message('C', text("SELECT 1")));
-        loop.run(() -> exchange.ended(e, End.COMMITTED, Duration.ofMillis(1), new Exchange.MemberStatus(Role.PRIMARY, null, null), row));
+        byte[] row =
+                Fixtures.joined(
+                        message('T', Fixtures.DESCRIPTION),
+                        message('D', Fixtures.column("done")),
+                        message('C', text("SELECT 1")));
+        loop.run(
+                () ->
+                        exchange.ended(
+                                e,
+                                End.COMMITTED,
+                                Duration.ofMillis(1),
+                                new Exchange.MemberStatus(Role.PRIMARY, null, null),
+                                row));
     }
 
-    /** Guards against a txn that is sent on though its client has left behind all that it had sent ahead. */
+    /**
+     * Guards against a txn that is sent on though its client has left behind all that it had sent
+     * ahead.
+     */
     @Test
     void oneThatSendsMuchAheadAndLeavesIsSeenToLeave() throws Exception {
         for (boolean resets : new boolean[] {false, true}) {
@@ -145,13 +186,25 @@
             primaryFound();
             until(() -> clients.connections() == 0);
             assertThat(dispatched).isEmpty();
-            loop.run(() -> exchange.router().reported(clock.now(), MEMBER, Role.REPLICA, clock.now(), Double.NaN, Double.NaN,
-                Double.NaN));
+            loop.run(
+                    () ->
+                            exchange.router()
+                                    .reported(
+                                            clock.now(),
+                                            MEMBER,
+                                            Role.REPLICA,
+                                            clock.now(),
+                                            Double.NaN,
+                                            Double.NaN,
+                                            Double.NaN));
         }
         assertThat(bugs).isEmpty();
     }
 
-    /** What is read ahead gives way: with half of the room in use, a flood is held up and everybody else is served. */
+    /**
+     * What is read ahead gives way: with half of the room in use, a flood is held up and everybody
+     * else is served.
+     */
     @Test
     void aFloodThatIsReadAheadLeavesHalfOfTheRoom() throws Exception {
         Peer c = client();
@@ -170,7 +223,10 @@
         assertThat(dispatched.poll(20, TimeUnit.SECONDS).statement().id()).isEqualTo("r0");
     }
 
-    /** Guards against a planned stop that cuts a statement off in its middle, be it a client's first or a later one. */
+    /**
+     * Guards against a planned stop that cuts a statement off in its middle, be it a client's first
+     * or a later one.
+     */
     @Test
     void oneInTheMiddleOfAStatementIsAnsweredBeforeItIsToldTheEnd() throws Exception {
         primaryFound();
@@ -192,12 +248,16 @@
         until(() -> clients.connections() == 0);
     }
 
-    /** Open as the others are let go, with more behind it: all of it is answered, in order, and then it is told the end. */
+    /**
+     * Open as the others are let go, with more behind it: all of it is answered, in order, and then
+     * it is told the end.
+     */
     @Test
     void oneWithAnOpenTxnAndMoreSentAheadIsAnsweredBeforeItIsToldTheEnd() throws Exception {
         primaryFound();
         Peer c = client();
-        // In one piece, so that all of it is read at once: what is still unread when it is told the end, the client sends elsewhere.
+        // In one piece, so that all of it is read at once: what is still unread when it is told the
+        // end, the client sends elsewhere.
         c.send(Fixtures.joined(ask(write("w")), ask(read("r")), ask("")));
         Exchange.MemberRequest w = dispatched.poll(20, TimeUnit.SECONDS);
         loop.run(clients::beginClosing);
@@ -213,7 +273,10 @@
         until(() -> clients.connections() == 0);
     }
 
-    /** A statement that comes in the moment of the end is not sent on, and its client sees an end and no break. */
+    /**
+     * A statement that comes in the moment of the end is not sent on, and its client sees an end
+     * and no break.
+     */
     @Test
     void whatComesBehindTheEndIsReadAndThrownAway() throws Exception {
         primaryFound();
@@ -231,7 +294,8 @@
             assertThat(p.rest()).isEmpty();
             p.send(ask(write("later")));
         }
-        // Both stay until their clients end their side: a close over unread bytes would break the connection.
+        // Both stay until their clients end their side: a close over unread bytes would break the
+        // connection.
         until(() -> clients.connections() == 2 && clients.idle());
         c.close();
         fresh.close();
@@ -240,7 +304,10 @@
         assertThat(exchange.openTxns()).isZero();
     }
 
-    /** Its client reads late: the answer is handed over but not flushed when all are told the end, and comes whole. */
+    /**
+     * Its client reads late: the answer is handed over but not flushed when all are told the end,
+     * and comes whole.
+     */
     @Test
     void anAnswerThatIsNotFlushedYetIsWrittenBeforeTheEnd() throws Exception {
         primaryFound();
@@ -248,25 +315,36 @@
         c.send(ask(write("large")));
         Exchange.MemberRequest e = dispatched.poll(20, TimeUnit.SECONDS);
         byte[] row = new byte[32 << 20];
-        loop.run(() -> {
-            exchange.ended(e, End.COMMITTED, Duration.ofMillis(1), new Exchange.MemberStatus(Role.PRIMARY, null, null), row);
-            clients.endAll();
-        });
+        loop.run(
+                () -> {
+                    exchange.ended(
+                            e,
+                            End.COMMITTED,
+                            Duration.ofMillis(1),
+                            new Exchange.MemberStatus(Role.PRIMARY, null, null),
+                            row);
+                    clients.endAll();
+                });
         until(() -> exchange.openTxns() == 0 && !clients.idle());
         assertThat(c.rest().length).isGreaterThanOrEqualTo(row.length);
         c.close();
         until(() -> clients.connections() == 0);
     }
 
-    /** Guards the thread against clients that send without end what nobody answers: rows for a copy, extended queries. */
+    /**
+     * Guards the thread against clients that send without end what nobody answers: rows for a copy,
+     * extended queries.
+     */
     @Test
     void oneThatSendsWithoutEndWhatIsNoQueryIsLetGo() throws Exception {
-        for (byte[] nothing : new byte[][] {message('d', new byte[1000]), message('P', new byte[1000])}) {
+        for (byte[] nothing :
+                new byte[][] {message('d', new byte[1000]), message('P', new byte[1000])}) {
             Peer c = client();
             for (int i = 0; i < 300; i++) {
                 c.send(nothing);
             }
-            assertThat(new String(c.rest(), StandardCharsets.ISO_8859_1)).contains("too much that is no query");
+            assertThat(new String(c.rest(), StandardCharsets.ISO_8859_1))
+                    .contains("too much that is no query");
             c.close();
             until(() -> clients.connections() == 0);
         }
@@ -277,7 +355,10 @@
         assertThat(c.until("Z\0\0\0\5I")).contains("done");
     }
 
-    /** It comes again at once under the same id: taken where nothing of it went out, turned away where something may have. */
+    /**
+     * It comes again at once under the same id: taken where nothing of it went out, turned away
+     * where something may have.
+     */
     @Test
     void oneThatLeftComesAgainUnderTheSameIdOnlyIfNothingWentOut() throws Exception {
         Peer c = client();
@@ -295,7 +376,10 @@
         assertThat(dispatched).isEmpty();
     }
 
-    /** The client leaves while its txn waits for its connection: asked just before it would go, the exchange says no. */
+    /**
+     * The client leaves while its txn waits for its connection: asked just before it would go, the
+     * exchange says no.
+     */
     @Test
     void oneThatLeavesWhileItsConnectionOpensIsNotSentOn() throws Exception {
         primaryFound();
@@ -312,7 +396,10 @@
         c.close();
     }
 
-    /** Its statement and its end stand side by side when the driver next looks, as after a pause of the whole process. */
+    /**
+     * Its statement and its end stand side by side when the driver next looks, as after a pause of
+     * the whole process.
+     */
     @Test
     void oneThatHasLeftByTheTimeItsStatementIsReadIsNotSentOn() throws Exception {
         primaryFound();
@@ -320,14 +407,15 @@
             Peer c = client();
             CountDownLatch standing = new CountDownLatch(1);
             CountDownLatch goes = new CountDownLatch(1);
-            loop.run(() -> {
-                standing.countDown();
-                try {
-                    goes.await();
-                } catch (InterruptedException e) {
-                    Thread.currentThread().interrupt();
-                }
-            });
+            loop.run(
+                    () -> {
+                        standing.countDown();
+                        try {
+                            goes.await();
+                        } catch (InterruptedException e) {
+                            Thread.currentThread().interrupt();
+                        }
+                    });
             standing.await();
             c.send(ask(write("left" + resets)));
             if (resets) {
--- a/src/test/java/wingroad/driver/DiscoveryTest.java
+++ b/src/test/java/wingroad/driver/DiscoveryTest.java
@@ -30,9 +30,12 @@
 
     private static EventLoop loop() {
         try {
-            return new EventLoop(100, 1 << 24, bug -> {
-                throw new AssertionError(bug);
-            });
+            return new EventLoop(
+                    100,
+                    1 << 24,
+                    bug -> {
+                        throw new AssertionError(bug);
+                    });
         } catch (IOException e) {
             throw new AssertionError(e);
         }
@@ -47,7 +50,8 @@
     }
 
     private Discovery discovery(boolean asked) {
-        return new Discovery(loop, at(agent), 5, new Counters(), asked, heard::add, () -> heard.add("failed"));
+        return new Discovery(
+                loop, at(agent), 5, new Counters(), asked, heard::add, () -> heard.add("failed"));
     }
 
     private static InetSocketAddress at(Peer.Listener l) {
@@ -60,7 +64,13 @@
     }
 
     private static String list(long rev, boolean whole, String state) {
-        return "{\"rev\":" + rev + ",\"all\":" + whole + ",\"targets\":[" + entry("s-1", 5433, state) + "]}";
+        return "{\"rev\":"
+                + rev
+                + ",\"all\":"
+                + whole
+                + ",\"targets\":["
+                + entry("s-1", 5433, state)
+                + "]}";
     }
 
     private static String sized(String body) {
@@ -74,7 +84,9 @@
     /** The version that the next call on this connection names, -1 for the whole list. */
     private static long since(Peer call) throws IOException {
         String asked = call.until("\r\n\r\n");
-        return asked.contains("since=") ? Long.parseLong(asked.replaceAll("(?s).*since=([0-9]+).*", "$1")) : -1;
+        return asked.contains("since=")
+                ? Long.parseLong(asked.replaceAll("(?s).*since=([0-9]+).*", "$1"))
+                : -1;
     }
 
     /** Guards rule 3: half a list taken for a whole one would leave out who drains. */
@@ -140,8 +152,15 @@
         try (Peer.Listener gone = new Peer.Listener()) {
             nobody = gone.port();
         }
-        Discovery d = new Discovery(loop, new InetSocketAddress(InetAddress.getLoopbackAddress(), nobody), 5, tally, false,
-            heard::add, () -> heard.add("failed"));
+        Discovery d =
+                new Discovery(
+                        loop,
+                        new InetSocketAddress(InetAddress.getLoopbackAddress(), nobody),
+                        5,
+                        tally,
+                        false,
+                        heard::add,
+                        () -> heard.add("failed"));
         BlockingQueue<String> counted = new LinkedBlockingQueue<>();
         loop.run(d::follow);
         loop.after(Duration.ofMillis(600), () -> counted.add(tally.take()));
@@ -161,7 +180,10 @@
         assertThat(agent.nobodyFor(400)).isTrue();
     }
 
-    /** Guards against a list that goes quiet without a word: it is missed long before it counts as told, 6 s later. */
+    /**
+     * Guards against a list that goes quiet without a word: it is missed long before it counts as
+     * told, 6 s later.
+     */
     @Test
     void aWatchThatFallsSilentIsOpenedAnewInTime() throws Exception {
         loop.run(discovery::follow);
@@ -181,7 +203,10 @@
         first.awaitEnd();
     }
 
-    /** Guards against an answer that comes twice: the second would stand for the answer to the next call. */
+    /**
+     * Guards against an answer that comes twice: the second would stand for the answer to the next
+     * call.
+     */
     @Test
     void whatComesBehindAnAnswerEndsItsConnection() throws Exception {
         loop.run(discovery::follow);
@@ -202,13 +227,25 @@
         loop.run(discovery::follow);
         Peer call = agent.accept();
         since(call);
-        String indented = list(6, true, "draining").replace(",", ",\r\n\t ").replace("{", "{\n  ").replace("}", "\n}\n");
-        call.send(HEAD + "Transfer-Encoding: chunked\r\n\r\n" + Integer.toHexString(indented.length()) + "\r\n" + indented
-            + "\r\n0\r\n\r\n");
+        String indented =
+                list(6, true, "draining")
+                        .replace(",", ",\r\n\t ")
+                        .replace("{", "{\n  ")
+                        .replace("}", "\n}\n");
+        call.send(
+                HEAD
+                        + "Transfer-Encoding: chunked\r\n\r\n"
+                        + Integer.toHexString(indented.length())
+                        + "\r\n"
+                        + indented
+                        + "\r\n0\r\n\r\n");
         assertThat(news().entries().get(0).draining()).isTrue();
     }
 
-    /** A discovery that began anew counts from a lower number: its whole list stands, its changes alone mean nothing. */
+    /**
+     * A discovery that began anew counts from a lower number: its whole list stands, its changes
+     * alone mean nothing.
+     */
     @Test
     void versionsMayGoBackWithAWholeListOnly() throws Exception {
         loop.run(discovery::follow);
@@ -242,7 +279,10 @@
         assertThat(heard).isEmpty();
     }
 
-    /** Guards a start that waits for the list: it hears that there is one, or none, however the call ends. */
+    /**
+     * Guards a start that waits for the list: it hears that there is one, or none, however the call
+     * ends.
+     */
     @Test
     void whoeverWaitsForTheWholeListHearsOfItHoweverTheCallEnds() throws Exception {
         loop.run(discovery::follow);
@@ -251,8 +291,15 @@
         watch.send(sized(list(9, true, "ready")));
         assertThat(news().version()).isEqualTo(9);
         since(watch);
-        for (String answer : new String[] {sized(list(9, true, "ready")), sized(list(8, true, "ready")), sized("{}"), "nonsense\n",
-            "reset", "silent"}) {
+        for (String answer :
+                new String[] {
+                    sized(list(9, true, "ready")),
+                    sized(list(8, true, "ready")),
+                    sized("{}"),
+                    "nonsense\n",
+                    "reset",
+                    "silent"
+                }) {
             loop.run(() -> discovery.fetch(() -> heard.add("tried")));
             Peer call = agent.accept();
             assertThat(since(call)).isEqualTo(-1);
@@ -272,7 +319,10 @@
         assertThat(heard).isEmpty();
     }
 
-    /** Moved while a call is out, in mid-answer: the old address has no say any more, and nothing counts as failed. */
+    /**
+     * Moved while a call is out, in mid-answer: the old address has no say any more, and nothing
+     * counts as failed.
+     */
     @Test
     void movedInTheMiddleOfAnAnswerTheWatchGoesOnElsewhere() throws Exception {
         loop.run(discovery::follow);
--- a/src/test/java/wingroad/driver/DriverIT.java
+++ b/src/test/java/wingroad/driver/DriverIT.java
@@ -39,8 +39,7 @@
 /** Starts the packaged program as deploy/balancer.toml does, and speaks to it over sockets. */
 @Isolated
 class DriverIT {
-    @TempDir
-    Path dir;
+    @TempDir Path dir;
 
     private Process driver;
     private int port;
@@ -59,16 +58,23 @@
 
     private static StandInMember member(boolean primary) {
         try {
-            return new StandInMember(primary, (sql, s) -> s.row(primary ? "from primary" : "from replica", primary));
+            return new StandInMember(
+                    primary, (sql, s) -> s.row(primary ? "from primary" : "from replica", primary));
         } catch (IOException e) {
             throw new AssertionError(e);
         }
     }
 
     private Process process(String config, String... more) throws IOException {
-        String run = Files.readAllLines(Path.of("deploy/balancer.toml")).stream().filter(l -> l.startsWith("run = "))
-            .findFirst().get().replaceAll("^run = \"(.*)\"$", "$1");
-        ProcessBuilder p = new ProcessBuilder("/bin/sh", "-c", run + " " + String.join(" ", more)).redirectErrorStream(true);
+        String run =
+                Files.readAllLines(Path.of("deploy/balancer.toml")).stream()
+                        .filter(l -> l.startsWith("run = "))
+                        .findFirst()
+                        .get()
+                        .replaceAll("^run = \"(.*)\"$", "$1");
+        ProcessBuilder p =
+                new ProcessBuilder("/bin/sh", "-c", run + " " + String.join(" ", more))
+                        .redirectErrorStream(true);
         p.environment().put("LB_CONFIG", config);
         return p.start();
     }
@@ -78,11 +84,24 @@
     }
 
     private String config(int listen, int descriptors) throws IOException {
-        String known = entry("s-1", primary.port(), "ready") + "," + entry("s-2", replica.port(), "ready");
-        return Files.writeString(dir.resolve("config.json"), "{\"name\":\"n\",\"listen\":\"127.0.0.1:" + listen
-            + "\",\"discovery\":\"127.0.0.1:" + discovery.port() + "\",\"seed\":\"8c1f30d27a5be964\",\"new\":{},"
-            + "\"limits\":{\"cores\":1.0,\"memory_mb\":192,\"sockets\":" + descriptors + "},\"known\":{\"rev\":0,\"all\":true,"
-            + "\"targets\":[" + known + "]},\"settings\":" + Fixtures.SETTINGS + "}").toString();
+        String known =
+                entry("s-1", primary.port(), "ready") + "," + entry("s-2", replica.port(), "ready");
+        return Files.writeString(
+                        dir.resolve("config.json"),
+                        "{\"name\":\"n\",\"listen\":\"127.0.0.1:"
+                                + listen
+                                + "\",\"discovery\":\"127.0.0.1:"
+                                + discovery.port()
+                                + "\",\"seed\":\"8c1f30d27a5be964\",\"new\":{},"
+                                + "\"limits\":{\"cores\":1.0,\"memory_mb\":192,\"sockets\":"
+                                + descriptors
+                                + "},\"known\":{\"rev\":0,\"all\":true,"
+                                + "\"targets\":["
+                                + known
+                                + "]},\"settings\":"
+                                + Fixtures.SETTINGS
+                                + "}")
+                .toString();
     }
 
     private Client start(int descriptors) throws Exception {
@@ -92,7 +111,8 @@
     /** With the operator's file, as a file's text. */
     private Client start(String operator) throws Exception {
         Files.writeString(dir.resolve("operator.kdl"), operator);
-        return start(process(config(0, 1024), "--operator", dir.resolve("operator.kdl").toString()));
+        return start(
+                process(config(0, 1024), "--operator", dir.resolve("operator.kdl").toString()));
     }
 
     private Client start(Process begun) throws Exception {
@@ -130,7 +150,9 @@
 
     /** The next log line with these words. */
     private String awaitLine(String words) throws InterruptedException {
-        for (String line = log.poll(20, TimeUnit.SECONDS); line != null; line = log.poll(20, TimeUnit.SECONDS)) {
+        for (String line = log.poll(20, TimeUnit.SECONDS);
+                line != null;
+                line = log.poll(20, TimeUnit.SECONDS)) {
             if (line.contains(words)) {
                 return line;
             }
@@ -144,7 +166,11 @@
 
     /** Unlike {@code destroy} this leaves the log open. */
     private void send(String signal) throws Exception {
-        assertThat(new ProcessBuilder("/bin/sh", "-c", "kill -" + signal + " " + driver.pid()).start().waitFor()).isZero();
+        assertThat(
+                        new ProcessBuilder("/bin/sh", "-c", "kill -" + signal + " " + driver.pid())
+                                .start()
+                                .waitFor())
+                .isZero();
     }
 
     private Client client() throws IOException {
@@ -167,8 +193,11 @@
     void readsAndWritesAreCommittedInTheOrderInWhichTheyWereAsked() throws Exception {
         Client c = start();
         assertThat(c.ask("").heard()).containsExactly("empty");
-        c.raw(message('Q', text(read("a"))), message('Q', text(write("b"))), message('Q', text("")),
-            message('Q', text(read("c"))));
+        c.raw(
+                message('Q', text(read("a"))),
+                message('Q', text(write("b"))),
+                message('Q', text("")),
+                message('Q', text(read("c"))));
         assertThat(c.heard()).containsExactly("row from replica");
         assertThat(c.heard()).containsExactly("row from primary");
         assertThat(c.heard()).containsExactly("empty");
@@ -204,11 +233,12 @@
     @Test
     void aMemberLostMidAnswerLeavesTheClientOneWholeAnswer() throws Exception {
         Client c = start();
-        replica.script((sql, s) -> {
-            s.raw(message('T', DESCRIPTION), new byte[] {'D', 0, 0, 0, 90, 0, 1});
-            replica.script((again, s2) -> s2.row("whole", false));
-            s.end();
-        });
+        replica.script(
+                (sql, s) -> {
+                    s.raw(message('T', DESCRIPTION), new byte[] {'D', 0, 0, 0, 90, 0, 1});
+                    replica.script((again, s2) -> s2.row("whole", false));
+                    s.end();
+                });
         assertThat(c.ask(read("r")).heard()).containsExactly("row whole");
         assertThat(replica.queries).hasSize(2);
     }
@@ -228,9 +258,13 @@
     void theListIsFollowed() throws Exception {
         Client c = start();
         assertThat(c.ask(read("a")).heard()).containsExactly("row from replica");
-        try (StandInMember later = new StandInMember(false, (sql, s) -> s.row("from a later one", false))) {
+        try (StandInMember later =
+                new StandInMember(false, (sql, s) -> s.row("from a later one", false))) {
             replica.script((sql, s) -> s.error("53300", false));
-            discovery.tell(entry("s-1", primary.port(), "ready") + "," + entry("s-3", later.port(), "ready"));
+            discovery.tell(
+                    entry("s-1", primary.port(), "ready")
+                            + ","
+                            + entry("s-3", later.port(), "ready"));
             askUntil(c, "row from a later one");
             int before = replica.queries.size();
             assertThat(c.ask(read("c")).heard()).containsExactly("row from a later one");
@@ -242,8 +276,14 @@
     void anUnreadableConfigurationLeavesTheOldOneInForce() throws Exception {
         Client c = start();
         String whole = Files.readString(dir.resolve("config.json"));
-        for (String bad : new String[] {"", whole.substring(0, 150), "[".repeat(100_000), "{\"listen\":\"127.0.0.1:0\"}",
-            whole.replace("\"discovery\":\"127.0.0.1:", "\"discovery\":\"nowhere:")}) {
+        for (String bad :
+                new String[] {
+                    "",
+                    whole.substring(0, 150),
+                    "[".repeat(100_000),
+                    "{\"listen\":\"127.0.0.1:0\"}",
+                    whole.replace("\"discovery\":\"127.0.0.1:", "\"discovery\":\"nowhere:")
+                }) {
             Files.writeString(dir.resolve("config.json"), bad);
             hangUp();
             awaitLine("configuration not taken");
@@ -251,8 +291,12 @@
         Files.delete(dir.resolve("config.json"));
         hangUp();
         awaitLine("configuration not taken");
-        try (StandInMember later = new StandInMember(false, (sql, s) -> s.row("from a later one", false))) {
-            discovery.tell(entry("s-1", primary.port(), "ready") + "," + entry("s-3", later.port(), "ready"));
+        try (StandInMember later =
+                new StandInMember(false, (sql, s) -> s.row("from a later one", false))) {
+            discovery.tell(
+                    entry("s-1", primary.port(), "ready")
+                            + ","
+                            + entry("s-3", later.port(), "ready"));
             awaitLine("list 1");
             assertThat(c.ask(read("r")).heard()).containsExactly("row from a later one");
         }
@@ -261,16 +305,29 @@
     @Test
     void onHangUpDiscoveryIsFollowedAtItsNewAddressFromTheVersionHeld() throws Exception {
         Client c = start();
-        discovery.tell(41, entry("s-1", primary.port(), "ready") + "," + entry("s-2", replica.port(), "ready"));
+        discovery.tell(
+                41,
+                entry("s-1", primary.port(), "ready")
+                        + ","
+                        + entry("s-2", replica.port(), "ready"));
         awaitLine("list 41");
         try (StandInDiscovery next = new StandInDiscovery();
-             StandInMember later = new StandInMember(false, (sql, s) -> s.row("from a later one", false))) {
-            Files.writeString(dir.resolve("config.json"), Files.readString(dir.resolve("config.json"))
-                .replace("\"discovery\":\"127.0.0.1:" + discovery.port(), "\"discovery\":\"127.0.0.1:" + next.port()));
+                StandInMember later =
+                        new StandInMember(false, (sql, s) -> s.row("from a later one", false))) {
+            Files.writeString(
+                    dir.resolve("config.json"),
+                    Files.readString(dir.resolve("config.json"))
+                            .replace(
+                                    "\"discovery\":\"127.0.0.1:" + discovery.port(),
+                                    "\"discovery\":\"127.0.0.1:" + next.port()));
             hangUp();
             hangUp();
             assertThat(next.asked.poll(20, TimeUnit.SECONDS)).isEqualTo(41);
-            next.tell(42, entry("s-1", primary.port(), "ready") + "," + entry("s-3", later.port(), "ready"));
+            next.tell(
+                    42,
+                    entry("s-1", primary.port(), "ready")
+                            + ","
+                            + entry("s-3", later.port(), "ready"));
             awaitLine("list 42");
             assertThat(c.ask(read("r")).heard()).containsExactly("row from a later one");
             // The old address has no say any more.
@@ -284,24 +341,38 @@
     void aMemberIsFollowedToItsNewAddress() throws Exception {
         Client c = start();
         assertThat(c.ask(read("a")).heard()).containsExactly("row from replica");
-        try (StandInMember moved = new StandInMember(false, (sql, s) -> s.row("from its new address", false))) {
+        try (StandInMember moved =
+                new StandInMember(false, (sql, s) -> s.row("from its new address", false))) {
             replica.script((sql, s) -> s.end());
             replica.close();
-            discovery.tell(entry("s-1", primary.port(), "ready") + "," + entry("s-2", moved.port(), "ready"));
+            discovery.tell(
+                    entry("s-1", primary.port(), "ready")
+                            + ","
+                            + entry("s-2", moved.port(), "ready"));
             askUntil(c, "row from its new address");
         }
     }
 
     @Test
     void brokenAnswersOfDiscoveryLeaveTheListAndAreAskedAgain() throws Exception {
-        for (String bad : new String[] {"HTTP/1.1 500 no\r\nContent-Length: 0\r\n\r\n", "nonsense\r\n", "",
-            "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n{x}", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n{"}) {
+        for (String bad :
+                new String[] {
+                    "HTTP/1.1 500 no\r\nContent-Length: 0\r\n\r\n",
+                    "nonsense\r\n",
+                    "",
+                    "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n{x}",
+                    "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n{"
+                }) {
             discovery.broken.add(bad);
         }
         Client c = start();
         assertThat(c.ask(read("a")).heard()).containsExactly("row from replica");
-        try (StandInMember later = new StandInMember(false, (sql, s) -> s.row("from a later one", false))) {
-            discovery.tell(entry("s-1", primary.port(), "ready") + "," + entry("s-3", later.port(), "ready"));
+        try (StandInMember later =
+                new StandInMember(false, (sql, s) -> s.row("from a later one", false))) {
+            discovery.tell(
+                    entry("s-1", primary.port(), "ready")
+                            + ","
+                            + entry("s-3", later.port(), "ready"));
             askUntil(c, "row from a later one");
         }
         assertThat(discovery.broken).isEmpty();
@@ -312,13 +383,17 @@
         Client c = start();
         String value = "7f".repeat(64 * 1024);
         String[] came = new String[1];
-        primary.script((sql, s) -> {
-            came[0] = sql;
-            s.row("z".repeat(64 * 1024), true);
-        });
-        assertThat(c.ask(write("big").replace("9f03", value)).heard()).containsExactly("row " + "z".repeat(64 * 1024));
-        assertThat(came[0].replaceAll("d=[0-9]+", "d=4000")).isEqualTo(write("big").replace("9f03", value));
-        assertThat(c.ask(write("more").replace("9f03", value + "00")).heard()).containsExactly("error 08P01");
+        primary.script(
+                (sql, s) -> {
+                    came[0] = sql;
+                    s.row("z".repeat(64 * 1024), true);
+                });
+        assertThat(c.ask(write("big").replace("9f03", value)).heard())
+                .containsExactly("row " + "z".repeat(64 * 1024));
+        assertThat(came[0].replaceAll("d=[0-9]+", "d=4000"))
+                .isEqualTo(write("big").replace("9f03", value));
+        assertThat(c.ask(write("more").replace("9f03", value + "00")).heard())
+                .containsExactly("error 08P01");
     }
 
     @Test
@@ -330,13 +405,15 @@
         while (all.hasRemaining()) {
             all.put(one);
         }
-        Thread asks = new Thread(() -> {
-            try {
-                c.raw(all.array());
-            } catch (IOException e) {
-                throw new AssertionError(e);
-            }
-        });
+        Thread asks =
+                new Thread(
+                        () -> {
+                            try {
+                                c.raw(all.array());
+                            } catch (IOException e) {
+                                throw new AssertionError(e);
+                            }
+                        });
         asks.start();
         assertThat(other.ask(read("a")).heard()).containsExactly("row from replica");
         for (int i = 0; i < 20_000; i++) {
@@ -351,13 +428,21 @@
         primary.script((sql, s) -> s.awaitEnd());
         List<Client> clients = new ArrayList<>();
         for (int i = 0; i < 300; i++) {
-            clients.add(client().ask(write("w" + i).replace("d=4000", "d=1500").replace("9f03", "7f".repeat(64 * 1024))));
+            clients.add(
+                    client().ask(
+                                    write("w" + i)
+                                            .replace("d=4000", "d=1500")
+                                            .replace("9f03", "7f".repeat(64 * 1024))));
         }
         for (Client c : clients) {
             assertThat(c.heard().get(0)).isIn("error 53300", "error 08007");
         }
-        String peak = Files.readAllLines(Path.of("/proc/" + driver.pid() + "/status")).stream()
-            .filter(l -> l.startsWith("VmHWM")).findFirst().get().replaceAll("[^0-9]", "");
+        String peak =
+                Files.readAllLines(Path.of("/proc/" + driver.pid() + "/status")).stream()
+                        .filter(l -> l.startsWith("VmHWM"))
+                        .findFirst()
+                        .get()
+                        .replaceAll("[^0-9]", "");
         assertThat(Integer.parseInt(peak)).as("kB at the most").isBetween(1, 192 * 1024);
         primary.script((again, s) -> s.row("still there", true));
         assertThat(client().ask(write("x")).heard()).containsExactly("row still there");
@@ -387,7 +472,8 @@
         }
         for (Client c : all) {
             assertThat(c.heard()).isEmpty();
-            assertThat(c.heard().get(0)).isIn("row from replica", "row from primary", "error 53300");
+            assertThat(c.heard().get(0))
+                    .isIn("row from replica", "row from primary", "error 53300");
         }
     }
 
@@ -400,7 +486,8 @@
             String sql = write("w" + i).replace("d=4000", "d=60000");
             all.add(new Client(port).raw(Fixtures.STARTUP, message('Q', text(sql))));
         }
-        // Those that are let in stay at work for a minute; the others, most of them, are told so at once.
+        // Those that are let in stay at work for a minute; the others, most of them, are told so at
+        // once.
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
         List<Client> told = new ArrayList<>();
         while (told.size() < 50 && System.nanoTime() < end) {
@@ -448,10 +535,11 @@
     void aClientThatLeavesEndsItsSubmission() throws Exception {
         start();
         BlockingQueue<String> ended = new LinkedBlockingQueue<>();
-        primary.script((sql, s) -> {
-            s.awaitEnd();
-            ended.add(sql);
-        });
+        primary.script(
+                (sql, s) -> {
+                    s.awaitEnd();
+                    ended.add(sql);
+                });
         Client leaving = client().ask(write("gone"));
         primary.await();
         leaving.close();
@@ -463,18 +551,25 @@
         Client c = start();
         Client idle = client();
         assertThat(idle.ask("").heard()).containsExactly("empty");
-        primary.script((sql, s) -> {
-            driver.destroy();
-            try (Client late = client()) {
-                assertThat(late.ask(read("late")).heard()).containsExactly("row from replica");
-                // Who is connected is served on for a while, and then let go.
-                assertThat(idle.ask(read("idle")).heard()).containsExactly("row from replica");
-                // Answered before anybody is let go: what it sent ahead has its whole time then.
-                s.row("after all", true);
-                assertThat(late.heard()).containsExactly("end");
-            }
-        });
-        c.raw(message('Q', text(write("w"))), message('Q', text(read("r"))), message('Q', text("")));
+        primary.script(
+                (sql, s) -> {
+                    driver.destroy();
+                    try (Client late = client()) {
+                        assertThat(late.ask(read("late")).heard())
+                                .containsExactly("row from replica");
+                        // Who is connected is served on for a while, and then let go.
+                        assertThat(idle.ask(read("idle")).heard())
+                                .containsExactly("row from replica");
+                        // Answered before anybody is let go: what it sent ahead has its whole time
+                        // then.
+                        s.row("after all", true);
+                        assertThat(late.heard()).containsExactly("end");
+                    }
+                });
+        c.raw(
+                message('Q', text(write("w"))),
+                message('Q', text(read("r"))),
+                message('Q', text("")));
         assertThat(c.heard()).containsExactly("row after all");
         assertThat(c.heard()).containsExactly("row from replica");
         assertThat(c.heard()).containsExactly("empty");
@@ -491,12 +586,16 @@
         send("TERM");
         awaitLine("told to stop");
         long from = System.nanoTime();
-        assertThat(c.ask(write("late").replace("d=4000", "d=60000")).heard()).containsExactly("error 08007");
+        assertThat(c.ask(write("late").replace("d=4000", "d=60000")).heard())
+                .containsExactly("error 08007");
         assertThat(driver.waitFor(20, TimeUnit.SECONDS)).isTrue();
         assertThat(System.nanoTime() - from).isLessThan(TimeUnit.SECONDS.toNanos(20));
     }
 
-    /** Open before the word with an expiry behind the kill, at a member that hangs: it is not found unanswered. */
+    /**
+     * Open before the word with an expiry behind the kill, at a member that hangs: it is not found
+     * unanswered.
+     */
     @Test
     void whatIsOpenAtTheWordToStopHasItsAnswerBeforeTheKill() throws Exception {
         Client c = start();
@@ -509,27 +608,39 @@
         assertThat(c.heard()).containsExactly("end");
         assertThat(driver.waitFor(20, TimeUnit.SECONDS)).isTrue();
         String last = awaitLine("stops after");
-        assertThat(Integer.parseInt(last.replaceAll(".*stops after ([0-9]+) ms.*", "$1"))).isLessThan(20_000);
+        assertThat(Integer.parseInt(last.replaceAll(".*stops after ([0-9]+) ms.*", "$1")))
+                .isLessThan(20_000);
     }
 
     // ---- signals and lists between two steps ----
 
     private Process java(Path config) throws IOException {
-        ProcessBuilder p = new ProcessBuilder("java", "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-jar", "target/wingroad.jar",
-            "serve").redirectErrorStream(true);
+        ProcessBuilder p =
+                new ProcessBuilder(
+                                "java",
+                                "-XX:+UseSerialGC",
+                                "-XX:TieredStopAtLevel=1",
+                                "-jar",
+                                "target/wingroad.jar",
+                                "serve")
+                        .redirectErrorStream(true);
         p.environment().put("LB_CONFIG", config.toString());
         return p.start();
     }
 
-    /** Opens a pipe for the one configuration that its reader gets; waits until the reader is there. */
+    /**
+     * Opens a pipe for the one configuration that its reader gets; waits until the reader is there.
+     */
     private static OutputStream toReader(Path pipe) throws Exception {
-        return CompletableFuture.supplyAsync(() -> {
-            try {
-                return new FileOutputStream(pipe.toFile());
-            } catch (IOException e) {
-                throw new UncheckedIOException(e);
-            }
-        }).get(20, TimeUnit.SECONDS);
+        return CompletableFuture.supplyAsync(
+                        () -> {
+                            try {
+                                return new FileOutputStream(pipe.toFile());
+                            } catch (IOException e) {
+                                throw new UncheckedIOException(e);
+                            }
+                        })
+                .get(20, TimeUnit.SECONDS);
     }
 
     /** Guards against a hang-up in the first moments, which ended the program, or was forgotten. */
@@ -538,28 +649,43 @@
         String whole = Files.readString(Path.of(config(0, 1024)));
         Path pipe = dir.resolve("pipe");
         Path second = dir.resolve("second");
-        assertThat(new ProcessBuilder("mkfifo", pipe.toString(), second.toString()).start().waitFor()).isZero();
+        assertThat(
+                        new ProcessBuilder("mkfifo", pipe.toString(), second.toString())
+                                .start()
+                                .waitFor())
+                .isZero();
         driver = java(pipe);
         try (OutputStream out = toReader(pipe)) {
-            // Under the same name from now on: the first reader may be slow to close the one that it has, and is not met again.
+            // Under the same name from now on: the first reader may be slow to close the one that
+            // it has, and is not met again.
             Files.move(second, pipe, StandardCopyOption.ATOMIC_MOVE);
             send("HUP");
             out.write(whole.getBytes(StandardCharsets.UTF_8));
         }
-        try (StandInDiscovery next = new StandInDiscovery(); OutputStream out = toReader(pipe)) {
-            out.write(whole.replace("\"discovery\":\"127.0.0.1:" + discovery.port(), "\"discovery\":\"127.0.0.1:" + next.port())
-                .getBytes(StandardCharsets.UTF_8));
+        try (StandInDiscovery next = new StandInDiscovery();
+                OutputStream out = toReader(pipe)) {
+            out.write(
+                    whole.replace(
+                                    "\"discovery\":\"127.0.0.1:" + discovery.port(),
+                                    "\"discovery\":\"127.0.0.1:" + next.port())
+                            .getBytes(StandardCharsets.UTF_8));
             out.close();
             assertThat(next.asked.poll(20, TimeUnit.SECONDS)).isNotNull();
         }
     }
 
-    /** Guards against a process that stays till it is killed, since there was no door yet that it could close. */
+    /**
+     * Guards against a process that stays till it is killed, since there was no door yet that it
+     * could close.
+     */
     @Test
     void toldToStopBeforeItServesItEnds() throws Exception {
         try (Peer.Listener silent = new Peer.Listener()) {
-            String config = Files.readString(Path.of(config(0, 1024))).replace("\"discovery\":\"127.0.0.1:" + discovery.port(),
-                "\"discovery\":\"127.0.0.1:" + silent.port());
+            String config =
+                    Files.readString(Path.of(config(0, 1024)))
+                            .replace(
+                                    "\"discovery\":\"127.0.0.1:" + discovery.port(),
+                                    "\"discovery\":\"127.0.0.1:" + silent.port());
             driver = java(Files.writeString(dir.resolve("silent.json"), config));
             try (Peer call = silent.accept()) {
                 send("TERM");
@@ -569,10 +695,16 @@
         }
     }
 
-    /** What discovery's agent has counts as told from the first moment: nobody is let in before it is known. */
+    /**
+     * What discovery's agent has counts as told from the first moment: nobody is let in before it
+     * is known.
+     */
     @Test
     void theListIsKnownBeforeAnybodyIsLetIn() throws Exception {
-        discovery.tell(entry("s-1", primary.port(), "ready") + "," + entry("s-3", primary.port(), "ready"));
+        discovery.tell(
+                entry("s-1", primary.port(), "ready")
+                        + ","
+                        + entry("s-3", primary.port(), "ready"));
         driver = process(config(0, 1024));
         List<String> lines = new ArrayList<>();
         BufferedReader out = driver.inputReader(StandardCharsets.UTF_8);
@@ -586,10 +718,11 @@
     void aHangUpAndASecondWordToStopChangeNothingForWhatIsOpen() throws Exception {
         Client c = start();
         Semaphore let = new Semaphore(0);
-        primary.script((sql, s) -> {
-            let.acquireUninterruptibly();
-            s.row("after all", true);
-        });
+        primary.script(
+                (sql, s) -> {
+                    let.acquireUninterruptibly();
+                    s.row("after all", true);
+                });
         c.raw(message('Q', text(write("w"))));
         primary.await();
         send("TERM");
@@ -610,32 +743,51 @@
     /** One line that names the key, and status 2. */
     @Test
     void aLimitWithWhichItCannotRunIsNamed() throws Exception {
-        for (String limit : new String[] {"\"sockets\":3", "\"sockets\":-1", "\"memory_mb\":0", "\"memory_mb\":1e99",
-            "\"sockets\":\"many\""}) {
+        for (String limit :
+                new String[] {
+                    "\"sockets\":3",
+                    "\"sockets\":-1",
+                    "\"memory_mb\":0",
+                    "\"memory_mb\":1e99",
+                    "\"sockets\":\"many\""
+                }) {
             String key = limit.replaceAll("\"(.*)\":.*", "$1");
-            String whole = Files.readString(Path.of(config(0, 1024))).replaceAll("\"" + key + "\":[0-9]+", limit);
+            String whole =
+                    Files.readString(Path.of(config(0, 1024)))
+                            .replaceAll("\"" + key + "\":[0-9]+", limit);
             driver = java(Files.writeString(dir.resolve("limit.json"), whole));
             assertThat(driver.waitFor(20, TimeUnit.SECONDS)).as(limit).isTrue();
             assertThat(driver.exitValue()).isEqualTo(2);
-            assertThat(driver.inputReader(StandardCharsets.UTF_8).lines().toList()).singleElement().asString().contains(key);
+            assertThat(driver.inputReader(StandardCharsets.UTF_8).lines().toList())
+                    .singleElement()
+                    .asString()
+                    .contains(key);
         }
     }
 
     @Test
     void badInputGetsAnErrorAndReachesNoMember() throws Exception {
         Client c = start();
-        for (String bad : new String[] {"SELECT 1", "/* c=look,d=9,cluster=7 */ SELECT v FROM records WHERE k = 'a'",
-            read("a") + "; " + read("b")}) {
+        for (String bad :
+                new String[] {
+                    "SELECT 1",
+                    "/* c=look,d=9,cluster=7 */ SELECT v FROM records WHERE k = 'a'",
+                    read("a") + "; " + read("b")
+                }) {
             assertThat(c.ask(bad).heard()).containsExactly("error 08P01");
         }
-        assertThat(c.ask(read("a").replace("c=look", "c=other")).heard()).containsExactly("error 42704");
-        assertThat(c.ask(read("a").replace("cluster=7", "cluster=8")).heard()).containsExactly("error 42704");
+        assertThat(c.ask(read("a").replace("c=look", "c=other")).heard())
+                .containsExactly("error 42704");
+        assertThat(c.ask(read("a").replace("cluster=7", "cluster=8")).heard())
+                .containsExactly("error 42704");
         c.raw(message('P', text(""), text(read("x"))), message('B'), message('E'), message('S'));
         assertThat(c.heard()).containsExactly("error 0A000");
         assertThat(c.raw(new byte[] {1, 2, 3}).heard()).containsExactly("error 08P01", "end");
-        Client cancels = new Client(port).raw(ByteBuffer.allocate(16).putInt(16).putInt(80877102).array());
+        Client cancels =
+                new Client(port).raw(ByteBuffer.allocate(16).putInt(16).putInt(80877102).array());
         assertThat(cancels.heard()).containsExactly("end");
-        Client tls = new Client(port).raw(ByteBuffer.allocate(8).putInt(8).putInt(80877103).array());
+        Client tls =
+                new Client(port).raw(ByteBuffer.allocate(8).putInt(8).putInt(80877103).array());
         assertThat(tls.one()).isEqualTo('N');
         assertThat(tls.startup().heard()).isEmpty();
         assertThat(primary.queries).isEmpty();
@@ -647,11 +799,13 @@
     void anIdThatIsInUseIsTurnedAwayAndReachesNoMember() throws Exception {
         Client c = start();
         Client other = client();
-        primary.script((sql, s) -> {
-            assertThat(other.ask(read("w").replace("'ab'", "'cd'")).heard()).containsExactly("error 42704");
-            assertThat(other.ask(write("w")).heard()).containsExactly("error 42704");
-            s.row("the only one", true);
-        });
+        primary.script(
+                (sql, s) -> {
+                    assertThat(other.ask(read("w").replace("'ab'", "'cd'")).heard())
+                            .containsExactly("error 42704");
+                    assertThat(other.ask(write("w")).heard()).containsExactly("error 42704");
+                    s.row("the only one", true);
+                });
         assertThat(c.ask(write("w")).heard()).containsExactly("row the only one");
         assertThat(primary.queries).hasSize(1);
         assertThat(replica.queries).isEmpty();
@@ -662,8 +816,11 @@
         Client asked = start();
         assertThat(asked.ask(read("a")).heard()).containsExactly("row from replica");
         long from = System.nanoTime();
-        List<Client> bad = List.of(new Client(port), new Client(port).raw(new byte[] {0, 0, 0, 34, 0, 3}),
-            client().raw(new byte[] {'Q', 0, 0, 1, 0, '/'}));
+        List<Client> bad =
+                List.of(
+                        new Client(port),
+                        new Client(port).raw(new byte[] {0, 0, 0, 34, 0, 3}),
+                        client().raw(new byte[] {'Q', 0, 0, 1, 0, '/'}));
         for (Client c : bad) {
             assertThat(c.heard()).containsExactly("error 08P01", "end");
         }
@@ -695,7 +852,8 @@
         Client c = start();
         long from = System.nanoTime();
         for (int i = 0; i < 7; i++) {
-            assertThat(c.ask(read("a").replace("c=look", "c=other")).heard()).containsExactly("error 42704");
+            assertThat(c.ask(read("a").replace("c=look", "c=other")).heard())
+                    .containsExactly("error 42704");
         }
         assertThat(c.ask("nonsense").heard()).containsExactly("error 08P01", "end");
         assertThat(System.nanoTime() - from).isGreaterThan(TimeUnit.SECONDS.toNanos(1));
@@ -703,9 +861,15 @@
 
     @Test
     void withoutAConfigurationOrAnAddressItEndsWithOneLine() throws Exception {
-        for (String config : new String[] {"", config(primary.port(), 1024), dir.resolve("none.json").toString(),
-            Files.writeString(dir.resolve("broken.json"), "{\"listen\":").toString(),
-            Files.writeString(dir.resolve("short.json"), "{\"listen\":\"127.0.0.1:0\"}").toString()}) {
+        for (String config :
+                new String[] {
+                    "",
+                    config(primary.port(), 1024),
+                    dir.resolve("none.json").toString(),
+                    Files.writeString(dir.resolve("broken.json"), "{\"listen\":").toString(),
+                    Files.writeString(dir.resolve("short.json"), "{\"listen\":\"127.0.0.1:0\"}")
+                            .toString()
+                }) {
             driver = process(config);
             assertThat(driver.inputReader(StandardCharsets.UTF_8).lines().toList()).hasSize(1);
             assertThat(driver.waitFor()).isEqualTo(2);
@@ -714,16 +878,18 @@
 
     // ---- the door ----
 
-    private static final String SMALL_DOOR = "door {\n tenant-from comment tenant\n tenant-from startup user\n";
+    private static final String SMALL_DOOR =
+            "door {\n tenant-from comment tenant\n tenant-from startup user\n";
 
     /** Members that answer nothing before they are let. */
     private Semaphore stopMembers() {
         Semaphore let = new Semaphore(0);
         for (StandInMember m : List.of(primary, replica)) {
-            m.script((sql, s) -> {
-                let.acquireUninterruptibly();
-                s.row("late", m.primary);
-            });
+            m.script(
+                    (sql, s) -> {
+                        let.acquireUninterruptibly();
+                        s.row("late", m.primary);
+                    });
         }
         return let;
     }
@@ -748,7 +914,8 @@
             }
         }
         assertThat(declined).isGreaterThan(40);
-        // The module leaves members that were silent alone for up to 2.5 s: who asks without a pause has asked thousands of times by then.
+        // The module leaves members that were silent alone for up to 2.5 s: who asks without a
+        // pause has asked thousands of times by then.
         let.release(10_000);
         Client later = client();
         for (int n = 0; !later.ask(read("again" + n)).heard().get(0).equals("row late"); n++) {
@@ -760,20 +927,32 @@
     @Test
     void theSameBuildServesWhereTheListMustBeAskedAndReportsComeByProbes() throws Exception {
         Path config = Path.of(config(0, 1024));
-        Files.writeString(config, Files.readString(config).replace("\"discovery\":\"push\"", "\"discovery\":\"ask\"")
-            .replace("\"piggyback\"", "\"pull\"").replace("\"retry-after\":true", "\"retry-after\":false")
-            .replace("\"drain-grace\":1000", "\"drain-grace\":250,\"removal-not-binding\":true"));
+        Files.writeString(
+                config,
+                Files.readString(config)
+                        .replace("\"discovery\":\"push\"", "\"discovery\":\"ask\"")
+                        .replace("\"piggyback\"", "\"pull\"")
+                        .replace("\"retry-after\":true", "\"retry-after\":false")
+                        .replace(
+                                "\"drain-grace\":1000",
+                                "\"drain-grace\":250,\"removal-not-binding\":true"));
         Client c = start(process(config.toString()));
         assertThat(c.ask(write("w")).heard()).containsExactly("row from primary");
         askUntil(c, "row from replica");
     }
 
-    /** Guards against a start on settings of two shapes of deployment, found out only when a rule is broken. */
+    /**
+     * Guards against a start on settings of two shapes of deployment, found out only when a rule is
+     * broken.
+     */
     @Test
     void settingsOfTwoShapesAreRefusedAtTheStartByTheirKey() throws Exception {
         Path config = Path.of(config(0, 1024));
-        Files.writeString(config, Files.readString(config).replace("\"discovery\":\"push\"", "\"discovery\":\"ask\"")
-            .replace("\"ask-within\":10000", "\"ask-within\":0"));
+        Files.writeString(
+                config,
+                Files.readString(config)
+                        .replace("\"discovery\":\"push\"", "\"discovery\":\"ask\"")
+                        .replace("\"ask-within\":10000", "\"ask-within\":0"));
         driver = process(config.toString());
         String said = new String(driver.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         assertThat(driver.waitFor()).isEqualTo(2);
@@ -786,11 +965,15 @@
         driver = process(config(0, 1024), "--operator", dir.resolve("operator.kdl").toString());
         assertThat(driver.waitFor(20, TimeUnit.SECONDS)).isTrue();
         assertThat(driver.exitValue()).isEqualTo(2);
-        assertThat(driver.inputReader().lines()).anyMatch(l -> l.contains("operator.kdl:2:16: found the number 0"))
-            .anyMatch(l -> l.contains("operator.kdl:3:2: 'nobody' is not known"));
+        assertThat(driver.inputReader().lines())
+                .anyMatch(l -> l.contains("operator.kdl:2:16: found the number 0"))
+                .anyMatch(l -> l.contains("operator.kdl:3:2: 'nobody' is not known"));
     }
 
-    /** A start in the moment in which the file is written anew: serving with all of it off would look like any other start. */
+    /**
+     * A start in the moment in which the file is written anew: serving with all of it off would
+     * look like any other start.
+     */
     @Test
     void anEmptyOperatorsFileIsRefusedAtTheStart() throws Exception {
         Files.writeString(dir.resolve("operator.kdl"), "");
@@ -808,8 +991,10 @@
         primary.await();
         Files.writeString(dir.resolve("operator.kdl"), "door {");
         hangUp();
-        assertThat(awaitLine("operator's file not taken")).contains("1:7: found the end of the text");
-        Files.writeString(dir.resolve("operator.kdl"), SMALL_DOOR + " tenant svc weight=3\n tenant b\n}");
+        assertThat(awaitLine("operator's file not taken"))
+                .contains("1:7: found the end of the text");
+        Files.writeString(
+                dir.resolve("operator.kdl"), SMALL_DOOR + " tenant svc weight=3\n tenant b\n}");
         hangUp();
         awaitLine("operator's file taken, 2 tenants listed");
         let.release(100);
@@ -834,19 +1019,36 @@
 
     @Test
     void withoutAnOperatorsFileNoClassOfItIsLoaded() throws Exception {
-        ProcessBuilder p = new ProcessBuilder("java", "-Xlog:class+load:stdout", "-jar", "target/wingroad.jar", "serve")
-            .redirectErrorStream(true);
+        ProcessBuilder p =
+                new ProcessBuilder(
+                                "java",
+                                "-Xlog:class+load:stdout",
+                                "-jar",
+                                "target/wingroad.jar",
+                                "serve")
+                        .redirectErrorStream(true);
         p.environment().put("LB_CONFIG", config(0, 1024));
         driver = p.start();
         BufferedReader out = driver.inputReader(StandardCharsets.UTF_8);
         List<String> lines = new ArrayList<>();
-        for (String line = out.readLine(); line != null && !line.contains(" serves "); line = out.readLine()) {
+        for (String line = out.readLine();
+                line != null && !line.contains(" serves ");
+                line = out.readLine()) {
             lines.add(line);
         }
         assertThat(lines).anyMatch(l -> l.contains(" wingroad.routing.TxnRouter "));
-        assertThat(lines).noneMatch(l -> l.contains(" picocli.") || l.contains(" org.antlr.") || l.contains(" wingroad.door.")
-            || l.contains(" wingroad.operator.") || l.contains(" wingroad.cli.") || l.contains(" com.dynatrace.")
-            || l.contains(" wingroad.fleet.") || l.contains(" wingroad.duty.") || l.contains(" io.microraft.")
-            || l.contains(" org.sqlite."));
+        assertThat(lines)
+                .noneMatch(
+                        l ->
+                                l.contains(" picocli.")
+                                        || l.contains(" org.antlr.")
+                                        || l.contains(" wingroad.door.")
+                                        || l.contains(" wingroad.operator.")
+                                        || l.contains(" wingroad.cli.")
+                                        || l.contains(" com.dynatrace.")
+                                        || l.contains(" wingroad.fleet.")
+                                        || l.contains(" wingroad.duty.")
+                                        || l.contains(" io.microraft.")
+                                        || l.contains(" org.sqlite."));
     }
 }
--- a/src/test/java/wingroad/driver/MembersTest.java
+++ b/src/test/java/wingroad/driver/MembersTest.java
@@ -39,17 +39,20 @@
     private Members members = members(CONNECT);
     private int submissions;
     private volatile boolean mayGo = true;
+
     /** Runs once, in the turn of the loop in which the next submission ends. */
     private volatile Runnable atItsEnd;
 
-    private record Ended(End end, Exchange.MemberStatus status, byte[] row) {
-    }
+    private record Ended(End end, Exchange.MemberStatus status, byte[] row) {}
 
     private static EventLoop loop(int most) {
         try {
-            return new EventLoop(most, 1 << 24, bug -> {
-                throw new AssertionError(bug);
-            });
+            return new EventLoop(
+                    most,
+                    1 << 24,
+                    bug -> {
+                        throw new AssertionError(bug);
+                    });
         } catch (IOException e) {
             throw new AssertionError(e);
         }
@@ -60,38 +63,53 @@
     }
 
     private Members members(Duration connectTime, Duration idleTime) {
-        return new Members(loop, clock, new Counters(), Map.of("connect-time-out", connectTime, "idle-time", idleTime), new Results() {
-            @Override
-            public void roleProbed(long member, boolean answered, Exchange.Report report) {
-                // nobody plans work here
-            }
+        return new Members(
+                loop,
+                clock,
+                new Counters(),
+                Map.of("connect-time-out", connectTime, "idle-time", idleTime),
+                new Results() {
+                    @Override
+                    public void roleProbed(long member, boolean answered, Exchange.Report report) {
+                        // nobody plans work here
+                    }
 
-                @Override
-                public void ended(Exchange.MemberRequest e, End end, Duration took, Exchange.MemberStatus status, byte[] row) {
-                    ends.add(new Ended(end, status, row));
-                    Runnable then = atItsEnd;
-                    atItsEnd = null;
-                    if (then != null) {
-                        then.run();
+                    @Override
+                    public void ended(
+                            Exchange.MemberRequest e,
+                            End end,
+                            Duration took,
+                            Exchange.MemberStatus status,
+                            byte[] row) {
+                        ends.add(new Ended(end, status, row));
+                        Runnable then = atItsEnd;
+                        atItsEnd = null;
+                        if (then != null) {
+                            then.run();
+                        }
                     }
-                }
 
-                @Override
-                public void probed(long member, boolean answered, Duration took, Exchange.Report report) {
-                    ends.add(new Ended(answered ? End.COMMITTED : End.ERROR, new Exchange.MemberStatus(report.role(),
-                        report.position(), report), null));
-                }
+                    @Override
+                    public void probed(
+                            long member, boolean answered, Duration took, Exchange.Report report) {
+                        ends.add(
+                                new Ended(
+                                        answered ? End.COMMITTED : End.ERROR,
+                                        new Exchange.MemberStatus(
+                                                report.role(), report.position(), report),
+                                        null));
+                    }
 
-                @Override
-                public boolean mayStillGo(Exchange.MemberRequest e) {
-                    return mayGo;
-                }
+                    @Override
+                    public boolean mayStillGo(Exchange.MemberRequest e) {
+                        return mayGo;
+                    }
 
-                @Override
-                public boolean makeRoom() {
-                    return false;
-                }
-            });
+                    @Override
+                    public boolean makeRoom() {
+                        return false;
+                    }
+                });
     }
 
     private Ended next() throws InterruptedException {
@@ -101,13 +119,30 @@
     }
 
     private void dispatch(int port, Duration wait) {
-        loop.run(() -> {
-            long id = members.listed(MemberList.parse(("{\"rev\":1,\"all\":true,\"targets\":[" + entry("s-" + port, port,
-                "ready") + "]}").getBytes(StandardCharsets.UTF_8)).list().entries().get(0));
-            Statement s = Statement.parse(wingroad.Fixtures.read("r" + submissions).getBytes(StandardCharsets.UTF_8))
-                .statement();
-            members.dispatch(new Exchange.MemberRequest("t", submissions++, id, s, clock.now().plus(wait)));
-        });
+        loop.run(
+                () -> {
+                    long id =
+                            members.listed(
+                                    MemberList.parse(
+                                                    ("{\"rev\":1,\"all\":true,\"targets\":["
+                                                                    + entry(
+                                                                            "s-" + port,
+                                                                            port,
+                                                                            "ready")
+                                                                    + "]}")
+                                                            .getBytes(StandardCharsets.UTF_8))
+                                            .list()
+                                            .entries()
+                                            .get(0));
+                    Statement s =
+                            Statement.parse(
+                                            wingroad.Fixtures.read("r" + submissions)
+                                                    .getBytes(StandardCharsets.UTF_8))
+                                    .statement();
+                    members.dispatch(
+                            new Exchange.MemberRequest(
+                                    "t", submissions++, id, s, clock.now().plus(wait)));
+                });
     }
 
     /** How one submission ends at a member that does this with it. */
@@ -139,15 +174,23 @@
     @Test
     void aConnectionThatBreaksAfterTheLastByteMayHaveRun() throws Exception {
         assertThat(end((sql, s) -> s.end()).end()).isEqualTo(End.RESET);
-        assertThat(end((sql, s) -> {
-            s.raw(message('T', DESCRIPTION), new byte[] {'D', 0, 0, 0, 50, 0});
-            s.end();
-        }).end()).isEqualTo(End.RESET);
+        assertThat(
+                        end((sql, s) -> {
+                                    s.raw(
+                                            message('T', DESCRIPTION),
+                                            new byte[] {'D', 0, 0, 0, 50, 0});
+                                    s.end();
+                                })
+                                .end())
+                .isEqualTo(End.RESET);
     }
 
     @Test
     void anAnswerThatMakesNoSenseMayHaveRunAndEndsItsConnection() throws Exception {
-        for (byte[] bad : new byte[][] {READY, message('?'), {'D', 127, 0, 0, 0}, message('D', column("x"))}) {
+        for (byte[] bad :
+                new byte[][] {
+                    READY, message('?'), {'D', 127, 0, 0, 0}, message('D', column("x"))
+                }) {
             assertThat(end((sql, s) -> s.raw(bad)).end()).isEqualTo(End.ERROR);
         }
     }
@@ -155,24 +198,45 @@
     @Test
     void whatMakesNoSenseIsToldBeforeItIsWhole() throws Exception {
         byte[] begun = message('T', DESCRIPTION);
-        // A value of 3 GB, a row longer than its value, a text that does not end, noise: none is waited for.
-        for (byte[] bad : new byte[][] {{'D', (byte) 0xb2, (byte) 0xd0, 0x5e, 0}, {'D', 0, 0, 0, 99, 0, 1, 0, 0, 0, 5},
-            {'S', 0, 1, 0, 0, 'x'}, {17}, {'Q'}, message('S', text("part")), message('C', text("")),
-            message('D', new byte[] {0, 1, -1, -1, -1, -1})}) {
-            assertThat(end((sql, s) -> {
-                s.raw(begun, bad);
-                s.awaitEnd();
-            }).end()).isEqualTo(End.ERROR);
+        // A value of 3 GB, a row longer than its value, a text that does not end, noise: none is
+        // waited for.
+        for (byte[] bad :
+                new byte[][] {
+                    {'D', (byte) 0xb2, (byte) 0xd0, 0x5e, 0},
+                    {'D', 0, 0, 0, 99, 0, 1, 0, 0, 0, 5},
+                    {'S', 0, 1, 0, 0, 'x'},
+                    {17},
+                    {'Q'},
+                    message('S', text("part")),
+                    message('C', text("")),
+                    message('D', new byte[] {0, 1, -1, -1, -1, -1})
+                }) {
+            assertThat(
+                            end((sql, s) -> {
+                                        s.raw(begun, bad);
+                                        s.awaitEnd();
+                                    })
+                                    .end())
+                    .isEqualTo(End.ERROR);
         }
     }
 
     @Test
     void whatComesBehindAnAnswerIsNeverTakenForTheNextOne() throws Exception {
-        byte[] copy = wingroad.Fixtures.joined(message('T', DESCRIPTION), message('D', column("old")),
-            message('C', text("SELECT 1")), READY);
-        for (byte[] more : new byte[][] {copy, message('S', text("part"), text("master")), {'T', 0, 0}, {17}}) {
-            // In one piece: what comes in another one may come after the rest, and can't be told from an answer then.
-            try (StandInMember m = new StandInMember(false, (sql, s) -> s.row("first", false, more))) {
+        byte[] copy =
+                wingroad.Fixtures.joined(
+                        message('T', DESCRIPTION),
+                        message('D', column("old")),
+                        message('C', text("SELECT 1")),
+                        READY);
+        for (byte[] more :
+                new byte[][] {
+                    copy, message('S', text("part"), text("master")), {'T', 0, 0}, {17}
+                }) {
+            // In one piece: what comes in another one may come after the rest, and can't be told
+            // from an answer then.
+            try (StandInMember m =
+                    new StandInMember(false, (sql, s) -> s.row("first", false, more))) {
                 dispatch(m.port(), LONG);
                 assertThat(next().end()).isEqualTo(End.COMMITTED);
                 dispatch(m.port(), LONG);
@@ -195,7 +259,8 @@
         Ended e = end((sql, s) -> s.row(large, false));
         assertThat(e.end()).isEqualTo(End.COMMITTED);
         assertThat(e.row()).hasSizeGreaterThan(1_000_000);
-        // Asked on the loop's own thread, behind the task that the answer came with: that one gives its buffer back at its end.
+        // Asked on the loop's own thread, behind the task that the answer came with: that one gives
+        // its buffer back at its end.
         CompletableFuture<Long> held = new CompletableFuture<>();
         loop.run(() -> held.complete(loop.held()));
         assertThat(held.get(20, TimeUnit.SECONDS)).isLessThanOrEqualTo(1024);
@@ -207,10 +272,11 @@
             dispatch(m.port(), LONG);
             assertThat(next().end()).isEqualTo(End.COMMITTED);
             BlockingQueue<Integer> left = new LinkedBlockingQueue<>();
-            loop.run(() -> {
-                members.forget(id -> false);
-                left.add(members.connections());
-            });
+            loop.run(
+                    () -> {
+                        members.forget(id -> false);
+                        left.add(members.connections());
+                    });
             assertThat(left.poll(20, TimeUnit.SECONDS)).isZero();
             dispatch(m.port(), LONG);
             assertThat(next().end()).isEqualTo(End.COMMITTED);
@@ -220,10 +286,24 @@
 
     @Test
     void figuresThatCannotBeTrueCountAsAbsent() throws Exception {
-        for (String absurd : new String[] {"999999999999999999", "-5", "1e99", Long.toString(System.currentTimeMillis() + 60_000)}) {
-            Ended e = end((sql, s) -> s.raw(message('T', DESCRIPTION), message('D', column("x")),
-                message('C', text("SELECT 1")), wingroad.Fixtures.parameter("caught_up_to", absurd),
-                wingroad.Fixtures.parameter("gauges", "x0=" + absurd + ",x1=1"), READY));
+        for (String absurd :
+                new String[] {
+                    "999999999999999999",
+                    "-5",
+                    "1e99",
+                    Long.toString(System.currentTimeMillis() + 60_000)
+                }) {
+            Ended e =
+                    end(
+                            (sql, s) ->
+                                    s.raw(
+                                            message('T', DESCRIPTION),
+                                            message('D', column("x")),
+                                            message('C', text("SELECT 1")),
+                                            wingroad.Fixtures.parameter("caught_up_to", absurd),
+                                            wingroad.Fixtures.parameter(
+                                                    "gauges", "x0=" + absurd + ",x1=1"),
+                                            READY));
             assertThat(e.end()).isEqualTo(End.COMMITTED);
             assertThat(e.status().position()).isNull();
             assertThat(e.status().report().position()).isNull();
@@ -232,10 +312,16 @@
 
     @Test
     void aWholeAnswerCountsWhereOnlyReadyIsMissing() throws Exception {
-        assertThat(end((sql, s) -> {
-            s.raw(message('T', DESCRIPTION), message('D', column("x")), message('C', text("SELECT 1")));
-            s.end();
-        }).end()).isEqualTo(End.COMMITTED);
+        assertThat(
+                        end((sql, s) -> {
+                                    s.raw(
+                                            message('T', DESCRIPTION),
+                                            message('D', column("x")),
+                                            message('C', text("SELECT 1")));
+                                    s.end();
+                                })
+                                .end())
+                .isEqualTo(End.COMMITTED);
     }
 
     @Test
@@ -269,10 +355,13 @@
     @Test
     void silenceTimesOutAndClosesItsConnection() throws Exception {
         BlockingQueue<String> closed = new LinkedBlockingQueue<>();
-        try (StandInMember m = new StandInMember(false, (sql, s) -> {
-            s.awaitEnd();
-            closed.add(sql);
-        })) {
+        try (StandInMember m =
+                new StandInMember(
+                        false,
+                        (sql, s) -> {
+                            s.awaitEnd();
+                            closed.add(sql);
+                        })) {
             dispatch(m.port(), Duration.ofMillis(100));
             assertThat(next().end()).isEqualTo(End.TIMED_OUT);
             assertThat(closed.poll(20, TimeUnit.SECONDS)).contains("id=r0");
@@ -282,10 +371,13 @@
     @Test
     void oneThatIsCalledOffClosesItsConnection() throws Exception {
         BlockingQueue<String> closed = new LinkedBlockingQueue<>();
-        try (StandInMember m = new StandInMember(false, (sql, s) -> {
-            s.awaitEnd();
-            closed.add(sql);
-        })) {
+        try (StandInMember m =
+                new StandInMember(
+                        false,
+                        (sql, s) -> {
+                            s.awaitEnd();
+                            closed.add(sql);
+                        })) {
             dispatch(m.port(), LONG);
             m.await();
             loop.run(() -> members.callOff("t", 0));
@@ -333,7 +425,8 @@
             dispatch(m.port(), Duration.ofMillis(900));
             String sql = m.await();
             assertThat(Integer.parseInt(sql.replaceAll(".*d=([0-9]+).*", "$1"))).isBetween(1, 900);
-            assertThat(sql.replaceAll("d=[0-9]+", "d=3000")).isEqualTo(wingroad.Fixtures.read("r0"));
+            assertThat(sql.replaceAll("d=[0-9]+", "d=3000"))
+                    .isEqualTo(wingroad.Fixtures.read("r0"));
         }
     }
 
@@ -344,10 +437,11 @@
             dispatch(m.port(), LONG);
             assertThat(next().end()).isEqualTo(End.COMMITTED);
             CompletableFuture<Integer> left = new CompletableFuture<>();
-            loop.run(() -> {
-                members.release(1);
-                left.complete(members.connections());
-            });
+            loop.run(
+                    () -> {
+                        members.release(1);
+                        left.complete(members.connections());
+                    });
             assertThat(left.get(20, TimeUnit.SECONDS)).isZero();
             dispatch(m.port(), LONG);
             assertThat(next().end()).isEqualTo(End.COMMITTED);
@@ -357,19 +451,42 @@
 
     /** A list names the member at this port. */
     private void listed(int port) {
-        loop.run(() -> members.listed(MemberList.parse(("{\"rev\":1,\"all\":true,\"targets\":[" + entry("s-moves", port, "ready")
-            + "]}").getBytes(StandardCharsets.UTF_8)).list().entries().get(0)));
+        loop.run(
+                () ->
+                        members.listed(
+                                MemberList.parse(
+                                                ("{\"rev\":1,\"all\":true,\"targets\":["
+                                                                + entry("s-moves", port, "ready")
+                                                                + "]}")
+                                                        .getBytes(StandardCharsets.UTF_8))
+                                        .list()
+                                        .entries()
+                                        .get(0)));
     }
 
     private void carryToTheOne() {
-        loop.run(() -> members.dispatch(new Exchange.MemberRequest("t", submissions, 1, Statement.parse(wingroad.Fixtures.read("r"
-            + submissions++).getBytes(StandardCharsets.UTF_8)).statement(), clock.now().plus(LONG))));
-    }
-
-    /** Guards against a connection that was at work while its member moved, and would be used for all that follows. */
+        loop.run(
+                () ->
+                        members.dispatch(
+                                new Exchange.MemberRequest(
+                                        "t",
+                                        submissions,
+                                        1,
+                                        Statement.parse(
+                                                        wingroad.Fixtures.read("r" + submissions++)
+                                                                .getBytes(StandardCharsets.UTF_8))
+                                                .statement(),
+                                        clock.now().plus(LONG))));
+    }
+
+    /**
+     * Guards against a connection that was at work while its member moved, and would be used for
+     * all that follows.
+     */
     @Test
     void aConnectionAtWorkWhileItsMemberMovesAnswersAndIsNotUsedAgain() throws Exception {
-        try (Peer.Listener old = new Peer.Listener(); StandInMember moved = new StandInMember(false, (sql, s) -> s.row("new", false))) {
+        try (Peer.Listener old = new Peer.Listener();
+                StandInMember moved = new StandInMember(false, (sql, s) -> s.row("new", false))) {
             listed(old.port());
             carryToTheOne();
             Peer at = old.accept();
@@ -377,7 +494,11 @@
             at.send(message('R', new byte[4]), READY);
             at.until("'\0");
             listed(moved.port());
-            at.send(message('T', DESCRIPTION), message('D', column("old")), message('C', text("SELECT 1")), READY);
+            at.send(
+                    message('T', DESCRIPTION),
+                    message('D', column("old")),
+                    message('C', text("SELECT 1")),
+                    READY);
             assertThat(new String(next().row(), StandardCharsets.ISO_8859_1)).contains("old");
             at.awaitEnd();
             carryToTheOne();
@@ -389,7 +510,10 @@
         return java.nio.ByteBuffer.wrap(at.read(4)).getInt();
     }
 
-    /** The connection comes up at last where the member no longer is: nothing is sent there, and nothing is held against it. */
+    /**
+     * The connection comes up at last where the member no longer is: nothing is sent there, and
+     * nothing is held against it.
+     */
     @Test
     void aConnectionThatOpensWhileItsMemberMovesSendsNothing() throws Exception {
         try (Peer.Listener old = new Peer.Listener()) {
@@ -412,7 +536,10 @@
         }
     }
 
-    /** Guards against resting connections to what has gone, or is no longer thought of, while a txn was there. */
+    /**
+     * Guards against resting connections to what has gone, or is no longer thought of, while a txn
+     * was there.
+     */
     @Test
     void aConnectionAtWorkWhileItsMemberIsForgottenEndsWithItsAnswer() throws Exception {
         try (Peer.Listener old = new Peer.Listener()) {
@@ -423,7 +550,11 @@
             at.send(message('R', new byte[4]), READY);
             at.until("'\0");
             loop.run(() -> members.forget(id -> false));
-            at.send(message('T', DESCRIPTION), message('D', column("x")), message('C', text("SELECT 1")), READY);
+            at.send(
+                    message('T', DESCRIPTION),
+                    message('D', column("x")),
+                    message('C', text("SELECT 1")),
+                    READY);
             assertThat(next().end()).isEqualTo(End.COMMITTED);
             at.awaitEnd();
         }
@@ -439,15 +570,16 @@
             at.read(startupLength(at) - 4);
             CountDownLatch standing = new CountDownLatch(1);
             CountDownLatch goes = new CountDownLatch(1);
-            loop.run(() -> {
-                standing.countDown();
-                try {
-                    goes.await();
-                } catch (InterruptedException e) {
-                    Thread.currentThread().interrupt();
-                }
-                members.callOff("t", 0);
-            });
+            loop.run(
+                    () -> {
+                        standing.countDown();
+                        try {
+                            goes.await();
+                        } catch (InterruptedException e) {
+                            Thread.currentThread().interrupt();
+                        }
+                        members.callOff("t", 0);
+                    });
             standing.await();
             at.send(message('R', new byte[4]), READY);
             goes.countDown();
@@ -460,20 +592,31 @@
     /** An answer broken off at each of its bytes may have run; once its end is there, it counts. */
     @Test
     void anAnswerBrokenOffAtAnyByteHasOneEnd() throws Exception {
-        byte[] answer = wingroad.Fixtures.joined(message('T', DESCRIPTION), message('D', column("x")), message('C', text("SELECT 1")),
-            READY);
+        byte[] answer =
+                wingroad.Fixtures.joined(
+                        message('T', DESCRIPTION),
+                        message('D', column("x")),
+                        message('C', text("SELECT 1")),
+                        READY);
         int whole = answer.length - READY.length;
         for (int bytes = 0; bytes <= answer.length; bytes += 5) {
             byte[] part = java.util.Arrays.copyOf(answer, bytes);
-            assertThat(end((sql, s) -> {
-                s.raw(part);
-                s.end();
-            }).end()).as(bytes + " bytes").isEqualTo(bytes >= whole ? End.COMMITTED : End.RESET);
+            assertThat(
+                            end((sql, s) -> {
+                                        s.raw(part);
+                                        s.end();
+                                    })
+                                    .end())
+                    .as(bytes + " bytes")
+                    .isEqualTo(bytes >= whole ? End.COMMITTED : End.RESET);
         }
         assertThat(ends).isEmpty();
     }
 
-    /** Half a line comes unasked on a resting connection: it is in doubt, and the next txn gets one of its own. */
+    /**
+     * Half a line comes unasked on a resting connection: it is in doubt, and the next txn gets one
+     * of its own.
+     */
     @Test
     void halfALineUnaskedEndsARestingConnection() throws Exception {
         try (Peer.Listener member = new Peer.Listener()) {
@@ -483,7 +626,11 @@
             at.read(startupLength(at) - 4);
             at.send(message('R', new byte[4]), READY);
             at.until("'\0");
-            at.send(message('T', DESCRIPTION), message('D', column("x")), message('C', text("SELECT 1")), READY);
+            at.send(
+                    message('T', DESCRIPTION),
+                    message('D', column("x")),
+                    message('C', text("SELECT 1")),
+                    READY);
             assertThat(next().end()).isEqualTo(End.COMMITTED);
             at.send(new byte[] {'S', 0, 0});
             at.awaitEnd();
@@ -506,7 +653,11 @@
     }
 
     private static void answer(Peer at) throws IOException {
-        at.send(message('T', DESCRIPTION), message('D', column("x")), message('C', text("SELECT 1")), READY);
+        at.send(
+                message('T', DESCRIPTION),
+                message('D', column("x")),
+                message('C', text("SELECT 1")),
+                READY);
     }
 
     /** The client leaves while its txn waits for a connection that rests behind its last answer. */
@@ -517,27 +668,40 @@
             carryToTheOne();
             Peer at = letIn(member.accept());
             // In the turn of its answer: its rest has begun, and can't be over.
-            atItsEnd = () -> {
-                mayGo = false;
-                members.dispatch(requestToTheOne());
-            };
+            atItsEnd =
+                    () -> {
+                        mayGo = false;
+                        members.dispatch(requestToTheOne());
+                    };
             answer(at);
             assertThat(next().end()).isEqualTo(End.COMMITTED);
             assertThat(next().end()).isEqualTo(End.MOOT);
             mayGo = true;
             carryToTheOne();
-            assertThat(at.until("'\0")).contains("id=r" + (submissions - 1)).doesNotContain("id=r" + (submissions - 2));
+            assertThat(at.until("'\0"))
+                    .contains("id=r" + (submissions - 1))
+                    .doesNotContain("id=r" + (submissions - 2));
             answer(at);
             assertThat(next().end()).isEqualTo(End.COMMITTED);
         }
     }
 
     private Exchange.MemberRequest requestToTheOne() {
-        return new Exchange.MemberRequest("t", submissions, 1, Statement.parse(wingroad.Fixtures.read("r"
-            + submissions++).getBytes(StandardCharsets.UTF_8)).statement(), clock.now().plus(LONG));
-    }
-
-    /** Gone and back under the same address: what was connected before is not used again, a new connection is. */
+        return new Exchange.MemberRequest(
+                "t",
+                submissions,
+                1,
+                Statement.parse(
+                                wingroad.Fixtures.read("r" + submissions++)
+                                        .getBytes(StandardCharsets.UTF_8))
+                        .statement(),
+                clock.now().plus(LONG));
+    }
+
+    /**
+     * Gone and back under the same address: what was connected before is not used again, a new
+     * connection is.
+     */
     @Test
     void oneThatIsGoneAndBackAtItsAddressGetsANewConnection() throws Exception {
         try (Peer.Listener member = new Peer.Listener()) {
@@ -546,8 +710,20 @@
             Peer before = letIn(member.accept());
             answer(before);
             assertThat(next().end()).isEqualTo(End.COMMITTED);
-            loop.run(() -> members.listed(MemberList.parse(("{\"rev\":2,\"all\":false,\"targets\":[" + entry("s-moves", member.port(),
-                "gone") + "]}").getBytes(StandardCharsets.UTF_8)).list().entries().get(0)));
+            loop.run(
+                    () ->
+                            members.listed(
+                                    MemberList.parse(
+                                                    ("{\"rev\":2,\"all\":false,\"targets\":["
+                                                                    + entry(
+                                                                            "s-moves",
+                                                                            member.port(),
+                                                                            "gone")
+                                                                    + "]}")
+                                                            .getBytes(StandardCharsets.UTF_8))
+                                            .list()
+                                            .entries()
+                                            .get(0)));
             before.awaitEnd();
             listed(member.port());
             carryToTheOne();
@@ -556,7 +732,10 @@
         }
     }
 
-    /** The member closes in the moment in which a statement goes out: it may have run, and has one end. */
+    /**
+     * The member closes in the moment in which a statement goes out: it may have run, and has one
+     * end.
+     */
     @Test
     void oneThatClosesInTheMomentOfUseHasOneEnd() throws Exception {
         for (boolean resets : new boolean[] {true, false}) {
@@ -579,7 +758,10 @@
         }
     }
 
-    /** Guards the thread against notices without end, up to the txn's expiry: bounded in bytes as well. */
+    /**
+     * Guards the thread against notices without end, up to the txn's expiry: bounded in bytes as
+     * well.
+     */
     @Test
     void anAnswerWithoutEndIsBrokenOff() throws Exception {
         try (Peer.Listener member = new Peer.Listener()) {
@@ -598,7 +780,10 @@
         }
     }
 
-    /** Guards against connections that are closed behind each answer, where members keep idle ones for a short time only. */
+    /**
+     * Guards against connections that are closed behind each answer, where members keep idle ones
+     * for a short time only.
+     */
     @Test
     void aConnectionIsUsedAgainWhereTheIdleTimeIsShorterThanTheConnectingTime() throws Exception {
         members = members(Duration.ofSeconds(10), Duration.ofSeconds(8));
--- a/src/test/java/wingroad/duty/RegisterTest.java
+++ b/src/test/java/wingroad/duty/RegisterTest.java
@@ -15,7 +15,8 @@
 
     private Register with(String... sessions) {
         for (String s : sessions) {
-            assertThat(r.apply(Op.open(s, "id-" + Register.driver(s), List.of("x", "y", "z")))).isEmpty();
+            assertThat(r.apply(Op.open(s, "id-" + Register.driver(s), List.of("x", "y", "z"))))
+                    .isEmpty();
         }
         return r;
     }
@@ -86,7 +87,8 @@
     @Test
     void aNameBelongsToOneStateFolder() {
         with("a/1");
-        assertThat(r.apply(Op.open("a/2", "another", List.of("x")))).contains("known by the name 'a'");
+        assertThat(r.apply(Op.open("a/2", "another", List.of("x"))))
+                .contains("known by the name 'a'");
         assertThat(r.apply(Op.open("a/2", "id-a", List.of("x")))).isEmpty();
         assertThat(r.session("a/1")).isNull();
         assertThat(r.duty("x").owner()).isEqualTo("a/2");
--- a/src/test/java/wingroad/duty/RelayHealthTest.java
+++ b/src/test/java/wingroad/duty/RelayHealthTest.java
@@ -10,7 +10,8 @@
 
 /** Whether a driver goes by the owner of discovery's list. */
 class RelayHealthTest {
-    private final RelayHealth h = new RelayHealth(Duration.ofMillis(900), Duration.ofMillis(900), Duration.ofSeconds(60));
+    private final RelayHealth h =
+            new RelayHealth(Duration.ofMillis(900), Duration.ofMillis(900), Duration.ofSeconds(60));
 
     private static Duration at(long ms) {
         return Duration.ofMillis(ms);
