--- a/src/test/java/wingroad/fleet/ConsensusStoreTest.java
+++ b/src/test/java/wingroad/fleet/ConsensusStoreTest.java
@@ -16,14 +16,30 @@
     private static ConsensusStore with(RowStore rows, int term, long entries) throws IOException {
         ConsensusStore k = new ConsensusStore(rows, () -> "i1");
         k.found("g", List.of("a/i1"), 0);
-        k.persistAndFlushLocalEndpoint(MessageCodec.MODELS.createRaftEndpointPersistentStateBuilder()
-            .setLocalEndpoint(Endpoint.of("a/i1")).setVoting(true).build());
-        k.persistAndFlushInitialGroupMembers(MessageCodec.MODELS.createRaftGroupMembersViewBuilder().setLogIndex(0)
-            .setMembers(MessageCodec.endpoints(List.of("a/i1"))).setVotingMembers(MessageCodec.endpoints(List.of("a/i1"))).build());
-        k.persistAndFlushTerm(MessageCodec.MODELS.createRaftTermPersistentStateBuilder().setTerm(term).build());
+        k.persistAndFlushLocalEndpoint(
+                MessageCodec.MODELS
+                        .createRaftEndpointPersistentStateBuilder()
+                        .setLocalEndpoint(Endpoint.of("a/i1"))
+                        .setVoting(true)
+                        .build());
+        k.persistAndFlushInitialGroupMembers(
+                MessageCodec.MODELS
+                        .createRaftGroupMembersViewBuilder()
+                        .setLogIndex(0)
+                        .setMembers(MessageCodec.endpoints(List.of("a/i1")))
+                        .setVotingMembers(MessageCodec.endpoints(List.of("a/i1")))
+                        .build());
+        k.persistAndFlushTerm(
+                MessageCodec.MODELS.createRaftTermPersistentStateBuilder().setTerm(term).build());
         for (long i = 1; i <= entries; i++) {
-            k.persistLogEntries(List.of(MessageCodec.MODELS.createLogEntryBuilder().setIndex(i).setTerm(term)
-                .setOperation(Op.turn("a/1", "x", 5, i)).build()));
+            k.persistLogEntries(
+                    List.of(
+                            MessageCodec.MODELS
+                                    .createLogEntryBuilder()
+                                    .setIndex(i)
+                                    .setTerm(term)
+                                    .setOperation(Op.turn("a/1", "x", 5, i))
+                                    .build()));
         }
         k.flush();
         return k;
@@ -33,12 +49,19 @@
     void whatWasFlushedIsThereAfterAKillAndWhatWasNotIsNot() throws IOException {
         MemoryRowStore rows = new MemoryRowStore();
         ConsensusStore k = with(rows, 3, 4);
-        k.persistLogEntries(List.of(MessageCodec.MODELS.createLogEntryBuilder().setIndex(5).setTerm(3).setOperation(Op.term())
-            .build()));
+        k.persistLogEntries(
+                List.of(
+                        MessageCodec.MODELS
+                                .createLogEntryBuilder()
+                                .setIndex(5)
+                                .setTerm(3)
+                                .setOperation(Op.term())
+                                .build()));
         ConsensusStore again = new ConsensusStore(rows.afterKill(), () -> "i2");
         assertThat(again.identity()).isEqualTo("i1");
         assertThat(again.restored().getLogEntries()).hasSize(4);
-        assertThat(again.restored().getLogEntries().get(3).getOperation()).isEqualTo(Op.turn("a/1", "x", 5, 4));
+        assertThat(again.restored().getLogEntries().get(3).getOperation())
+                .isEqualTo(Op.turn("a/1", "x", 5, 4));
         assertThat(again.restored().getTermPersistentState().getTerm()).isEqualTo(3);
     }
 
@@ -50,7 +73,9 @@
         assertThat(k.olderThan(new ConsensusStore.Seen(3, 3, 4))).isFalse();
         assertThat(k.olderThan(new ConsensusStore.Seen(4, 3, 4))).as("a later term").isTrue();
         assertThat(k.olderThan(new ConsensusStore.Seen(3, 3, 5))).as("a later entry").isTrue();
-        assertThat(k.olderThan(new ConsensusStore.Seen(3, 2, 9))).as("entries that a later leader cut").isFalse();
+        assertThat(k.olderThan(new ConsensusStore.Seen(3, 2, 9)))
+                .as("entries that a later leader cut")
+                .isFalse();
     }
 
     @Test
@@ -74,14 +99,17 @@
         rows.full = true;
         assertThatThrownBy(k::flush).isInstanceOf(IOException.class);
         rows.full = false;
-        assertThatThrownBy(k::flush).isInstanceOf(IOException.class).hasMessageContaining("nothing is written after");
+        assertThatThrownBy(k::flush)
+                .isInstanceOf(IOException.class)
+                .hasMessageContaining("nothing is written after");
     }
 
     @Test
     void aFileKeepsTheSame(@TempDir Path dir) throws IOException {
         SqliteRowStore rows = new SqliteRowStore(dir.resolve("council.db"));
         with(rows, 3, 4).close();
-        ConsensusStore again = new ConsensusStore(new SqliteRowStore(dir.resolve("council.db")), () -> "i2");
+        ConsensusStore again =
+                new ConsensusStore(new SqliteRowStore(dir.resolve("council.db")), () -> "i2");
         assertThat(again.identity()).isEqualTo("i1");
         assertThat(again.restored().getLogEntries()).hasSize(4);
         again.close();
--- a/src/test/java/wingroad/fleet/FleetIT.java
+++ b/src/test/java/wingroad/fleet/FleetIT.java
@@ -30,7 +30,8 @@
 /** Several real processes of the packaged program, with faults between them. */
 @Execution(ExecutionMode.CONCURRENT)
 class FleetIT {
-    private static final String RULES = """
+    private static final String RULES =
+            """
             lease-ms 3000
             drift 0.02
             chore "a" every=0.5 group=7 statement="SELECT fenced_a({epoch})"
@@ -56,7 +57,8 @@
 
     /** Who ran a chore under this epoch, by the logs. */
     private Rig.Driver runner(FencedMember.Entry e) throws InterruptedException {
-        String words = "fleet: chore " + e.chore() + " turn " + e.turn() + " epoch " + e.epoch() + ": ran";
+        String words =
+                "fleet: chore " + e.chore() + " turn " + e.turn() + " epoch " + e.epoch() + ": ran";
         for (int i = 0; i < 4000; i++) {
             for (Rig.Driver d : rig.drivers.values()) {
                 if (d.log().stream().anyMatch(l -> l.contains(words))) {
@@ -94,7 +96,8 @@
         owner.awaitEnd();
         owner.await("fleet: left after");
         Map<String, Object> duty = duty("chore a");
-        assertThat((List<?>) duty.get("history")).anyMatch(h -> h.toString().endsWith("epoch " + e.epoch() + ": left"));
+        assertThat((List<?>) duty.get("history"))
+                .anyMatch(h -> h.toString().endsWith("epoch " + e.epoch() + ": left"));
         nothingWrong();
     }
 
@@ -104,8 +107,14 @@
         FencedMember.Entry e = first("a");
         Rig.Driver owner = runner(e);
         BlockingQueue<Object> held = new LinkedBlockingQueue<>();
-        rig.relays.between(owner.name, "m1").tap((link, way, bytes, connection) -> way == Relays.Way.FORTH
-            && text(bytes).contains("fenced_a") && held.isEmpty() && held.add(connection));
+        rig.relays
+                .between(owner.name, "m1")
+                .tap(
+                        (link, way, bytes, connection) ->
+                                way == Relays.Way.FORTH
+                                        && text(bytes).contains("fenced_a")
+                                        && held.isEmpty()
+                                        && held.add(connection));
         Object connection = held.poll(20, TimeUnit.SECONDS);
         assertThat(connection).as("the owner's next statement").isNotNull();
         owner.pause();
@@ -113,7 +122,8 @@
         int seen = member.entries();
         rig.relays.letGo(connection);
         owner.goOn();
-        FencedMember.Entry late = member.await(seen, x -> x.chore().equals("a") && x.epoch() < next.epoch());
+        FencedMember.Entry late =
+                member.await(seen, x -> x.chore().equals("a") && x.epoch() < next.epoch());
         assertThat(late.accepted()).isFalse();
         owner.await(0, l -> l.contains("has run out") || l.contains("the council has ended"));
         nothingWrong();
@@ -146,7 +156,8 @@
         int from = owner.lines();
         rig.cutOneWay(owner.name, false, true);
         owner.await(from, l -> l.contains("has run out"));
-        // Guards against a session that is renewed by an owner that does not hear of it: its duties stood still meanwhile.
+        // Guards against a session that is renewed by an owner that does not hear of it: its duties
+        // stood still meanwhile.
         assertThat(runner(successor(e))).isNotSameAs(owner);
         rig.cutOneWay(owner.name, false, false);
         owner.await(from, l -> l.contains("lease of") && l.contains("runs"));
@@ -193,8 +204,9 @@
         first("a");
         Rig.Driver d = rig.driver("d3");
         d.kill();
-        byte[] rubbish = "no database at all, but long enough to be taken for one by whoever reads it".getBytes(
-            StandardCharsets.UTF_8);
+        byte[] rubbish =
+                "no database at all, but long enough to be taken for one by whoever reads it"
+                        .getBytes(StandardCharsets.UTF_8);
         // What stands in its write-ahead log would mend it.
         Files.deleteIfExists(d.state().resolve("council.db-wal"));
         Files.write(d.state().resolve("council.db"), rubbish);
@@ -249,7 +261,8 @@
         assertThat(rig.discovery.asked.size() - asked).isLessThan(4);
         Map<Rig.Driver, Integer> from = new java.util.HashMap<>();
         by.forEach(d -> from.put(d, d.lines()));
-        // Without a council there is no other owner, however soon: each has to notice the silence by itself.
+        // Without a council there is no other owner, however soon: each has to notice the silence
+        // by itself.
         for (Rig.Driver d : by) {
             rig.cutFromCouncil(d.name, true);
         }
@@ -268,7 +281,10 @@
         nothingWrong();
     }
 
-    /** Guards against an owner that does not know of a list that came before its fleet's part had begun: nobody went by it. */
+    /**
+     * Guards against an owner that does not know of a list that came before its fleet's part had
+     * begun: nobody went by it.
+     */
     @Test
     void aListThatComesBeforeTheFleetHasBegunIsKnownToItsOwner() throws Exception {
         rig = new Rig(dir, 4, 3, RULES + "    list check=600\n", Fixtures.SETTINGS);
@@ -278,7 +294,10 @@
         awaitFollowers(3);
     }
 
-    /** Waits until all have a session and no duty has to move any more, as some do while the first sessions come. */
+    /**
+     * Waits until all have a session and no duty has to move any more, as some do while the first
+     * sessions come.
+     */
     private void awaitShared(int duties) throws Exception {
         for (Rig.Driver d : rig.drivers.values()) {
             d.await("lease of " + d.name + "/");
@@ -288,8 +307,10 @@
             Map<Object, Integer> has = new java.util.HashMap<>();
             all.forEach(o -> has.merge(((Map<?, ?>) o).get("owner"), 1, Integer::sum));
             // One more than an even share is let be.
-            if (all.size() == duties && !has.containsKey("") && has.values().stream().allMatch(n -> n <= 2)
-                && all.stream().allMatch(o -> ((Map<?, ?>) o).get("wanted").equals(""))) {
+            if (all.size() == duties
+                    && !has.containsKey("")
+                    && has.values().stream().allMatch(n -> n <= 2)
+                    && all.stream().allMatch(o -> ((Map<?, ?>) o).get("wanted").equals(""))) {
                 return;
             }
             TimeUnit.MILLISECONDS.sleep(50);
@@ -300,9 +321,17 @@
     /** Waits until so many drivers that live go by the owner of the list. */
     private List<Rig.Driver> awaitFollowers(int count) throws InterruptedException {
         for (int i = 0; i < 400; i++) {
-            List<Rig.Driver> by = rig.drivers.values().stream().filter(Rig.Driver::alive).filter(d -> d.log().stream()
-                .filter(l -> l.contains("list: ")).reduce((a, b) -> b).filter(l -> l.contains("goes by the owner")).isPresent())
-                .toList();
+            List<Rig.Driver> by =
+                    rig.drivers.values().stream()
+                            .filter(Rig.Driver::alive)
+                            .filter(
+                                    d ->
+                                            d.log().stream()
+                                                    .filter(l -> l.contains("list: "))
+                                                    .reduce((a, b) -> b)
+                                                    .filter(l -> l.contains("goes by the owner"))
+                                                    .isPresent())
+                            .toList();
             if (by.size() == count) {
                 return by;
             }
@@ -340,7 +369,8 @@
         rig = new Rig(dir, 4, 3, RULES, Fixtures.SETTINGS);
         member = rig.member("m1", 7, true, true);
         Rig.Driver full = rig.driver("d2");
-        // Room for the database's own library, which is unpacked into a file, and for some seconds of its log.
+        // Room for the database's own library, which is unpacked into a file, and for some seconds
+        // of its log.
         full.largestFileKb = 1500;
         rig.startAll();
         first("a");
@@ -379,7 +409,8 @@
     }
 
     @Test
-    void aLeaderWhoseDiskIsSlowLeadsOnOrIsReplacedAndOneWhoseDiskHangsVotesNoMore() throws Exception {
+    void aLeaderWhoseDiskIsSlowLeadsOnOrIsReplacedAndOneWhoseDiskHangsVotesNoMore()
+            throws Exception {
         start(4, 3);
         first("a");
         Rig.Driver leader = rig.driver(String.valueOf(status().get("leader")));
@@ -479,12 +510,21 @@
         Rig.Driver owner = runner(e);
         Relays.Connection link = rig.relays.between(owner.name, "m1");
         BlockingQueue<Object> held = new LinkedBlockingQueue<>();
-        link.tap((l, way, bytes, connection) -> way == Relays.Way.FORTH && text(bytes).contains("fenced_a") && held.isEmpty()
-            && held.add(connection));
+        link.tap(
+                (l, way, bytes, connection) ->
+                        way == Relays.Way.FORTH
+                                && text(bytes).contains("fenced_a")
+                                && held.isEmpty()
+                                && held.add(connection));
         assertThat(held.poll(20, TimeUnit.SECONDS)).as("the owner's next statement").isNotNull();
         int from = owner.lines();
         rig.relays.breakOff(link);
-        String told = owner.await(from, l -> l.contains("fleet: chore a turn") && l.contains("refused or broken off"));
+        String told =
+                owner.await(
+                        from,
+                        l ->
+                                l.contains("fleet: chore a turn")
+                                        && l.contains("refused or broken off"));
         long turn = Long.parseLong(told.replaceAll(".* turn ([0-9]+) .*", "$1"));
         FencedMember.Entry next = member.await(0, x -> x.chore().equals("a") && x.turn() > turn);
         assertThat(member.ledger()).noneMatch(x -> x.chore().equals("a") && x.turn() == turn);
@@ -512,9 +552,19 @@
         start(1, 1);
         first("a");
         FleetRules own = rules();
-        FleetRules other = new FleetRules("another", own.driver(), null, own.voters(), own.state(), own.lease(), List.of(), null);
-        assertThatThrownBy(() -> new FleetClient(other, "d1")).isInstanceOf(IOException.class)
-            .hasMessageContaining("this is fleet 'rig'");
+        FleetRules other =
+                new FleetRules(
+                        "another",
+                        own.driver(),
+                        null,
+                        own.voters(),
+                        own.state(),
+                        own.lease(),
+                        List.of(),
+                        null);
+        assertThatThrownBy(() -> new FleetClient(other, "d1"))
+                .isInstanceOf(IOException.class)
+                .hasMessageContaining("this is fleet 'rig'");
         nothingWrong();
     }
 
@@ -549,8 +599,12 @@
         for (Rig.Driver d : rig.drivers.values()) {
             if (!d.name.equals(newcomer)) {
                 for (int i = 0; i < 4000 && d.alive(); i++) {
-                    if (d.log().stream().anyMatch(l -> l.contains("voters: " + newcomer + "/") && l.contains(" settled"))
-                        && status().get("voters").equals(voters)) {
+                    if (d.log().stream()
+                                    .anyMatch(
+                                            l ->
+                                                    l.contains("voters: " + newcomer + "/")
+                                                            && l.contains(" settled"))
+                            && status().get("voters").equals(voters)) {
                         return;
                     }
                     if (i > 100) {
--- a/src/test/java/wingroad/fleet/SimFleet.java
+++ b/src/test/java/wingroad/fleet/SimFleet.java
@@ -24,13 +24,19 @@
 import wingroad.duty.SessionLease;
 
 /**
- * A fleet in virtual time: the program's own code on played clocks, links and disks, with faults drawn from a seed, and a
- * checker of what each process might do and what the receiver accepted.
+ * A fleet in virtual time: the program's own code on played clocks, links and disks, with faults
+ * drawn from a seed, and a checker of what each process might do and what the receiver accepted.
  */
 final class SimFleet {
     /** Wrongs that are put in to see whether the checker finds them. */
     enum Wrong {
-        NONE, NO_FENCE, LEASE_FROM_ANSWER, VOTE_FORGOTTEN, NO_LEASE_ON_VIEW, OUT_BY_MAJORITY, ORDER_WITHOUT_EPOCH
+        NONE,
+        NO_FENCE,
+        LEASE_FROM_ANSWER,
+        VOTE_FORGOTTEN,
+        NO_LEASE_ON_VIEW,
+        OUT_BY_MAJORITY,
+        ORDER_WITHOUT_EPOCH
     }
 
     static final Duration LEASE = Duration.ofSeconds(4);
@@ -50,13 +56,17 @@
     final Map<String, Proc> procs = new LinkedHashMap<>();
     final Map<String, String> voters = new TreeMap<>();
     final Receiver receiver = new Receiver();
+
     /** Work on machines, or null. */
     SimWork work;
+
     private final List<FleetRules.Chore> chores = new ArrayList<>();
     private final PriorityQueue<Event> events = new PriorityQueue<>();
     private final List<Pipe> pipes = new ArrayList<>();
+
     /** Directions that are held, "from>to". */
     final Set<String> held = new HashSet<>();
+
     private final Map<String, String> votes = new HashMap<>();
     long now;
     private long seq;
@@ -121,8 +131,10 @@
         boolean alive;
         boolean paused;
         private int life;
+
         /** How fast its clock runs, within the bound. */
         final double rate = 1 + (random.nextDouble() * 2 - 1) * DRIFT;
+
         private final long offset = random.nextInt(1_000_000_000);
         private final ArrayDeque<Runnable> waiting = new ArrayDeque<>();
         ConsensusNode consensusNode;
@@ -139,24 +151,51 @@
             waiting.clear();
             life++;
             Map<String, String> reach = new LinkedHashMap<>(voters);
-            FleetRules rules = new FleetRules("f", name, voters.get(name), reach, Path.of("."), new Lease(LEASE, DRIFT),
-                chores, null, SimFleet.this.work == null ? null : SimFleet.this.work.rules);
+            FleetRules rules =
+                    new FleetRules(
+                            "f",
+                            name,
+                            voters.get(name),
+                            reach,
+                            Path.of("."),
+                            new Lease(LEASE, DRIFT),
+                            chores,
+                            null,
+                            SimFleet.this.work == null ? null : SimFleet.this.work.rules);
             Net net = (address, owner) -> open(this, address, owner);
             consensusNode = null;
             if (voters.containsKey(name)) {
                 try {
-                    consensusNode = SimFleet.this.work == null ? new ConsensusNode(this, net, rules, this::store, random.nextLong())
-                        : new ConsensusNode(this, net, rules, this::store, random.nextLong(), SimFleet.this.work::register);
+                    consensusNode =
+                            SimFleet.this.work == null
+                                    ? new ConsensusNode(
+                                            this, net, rules, this::store, random.nextLong())
+                                    : new ConsensusNode(
+                                            this,
+                                            net,
+                                            rules,
+                                            this::store,
+                                            random.nextLong(),
+                                            SimFleet.this.work::register);
                 } catch (IOException e) {
                     throw new UncheckedIOException(e);
                 }
                 consensusNode.start();
                 after(Duration.ofSeconds(2), this::watch);
             }
-            Function<String, SessionLease> sessionLeases = wrong == Wrong.LEASE_FROM_ANSWER ? s -> new FromAnswer(rules.lease(), s)
-                : s -> new SessionLease(rules.lease(), s);
-            councilSession = new CouncilSession(this, net, rules, identity, () -> Long.toHexString(random.nextLong()), sessionLeases,
-                (epoch, what) -> { });
+            Function<String, SessionLease> sessionLeases =
+                    wrong == Wrong.LEASE_FROM_ANSWER
+                            ? s -> new FromAnswer(rules.lease(), s)
+                            : s -> new SessionLease(rules.lease(), s);
+            councilSession =
+                    new CouncilSession(
+                            this,
+                            net,
+                            rules,
+                            identity,
+                            () -> Long.toHexString(random.nextLong()),
+                            sessionLeases,
+                            (epoch, what) -> {});
             work = new Chores(this, rules, councilSession, this::effect);
             if (SimFleet.this.work != null) {
                 councilSession.work(SimFleet.this.work.agent(this));
@@ -169,7 +208,10 @@
             return new ConsensusStore(rows, () -> Long.toHexString(random.nextLong()));
         }
 
-        /** As the program's own: a voter whose state could not be written reads it again, once that works. */
+        /**
+         * As the program's own: a voter whose state could not be written reads it again, once that
+         * works.
+         */
         private void watch() {
             if (consensusNode.phase() == ConsensusNode.Phase.BROKEN && !rows.full) {
                 readAgain();
@@ -204,12 +246,20 @@
             byte[] row = rows.all(RowStore.Table.META).get(3L);
             if (row != null) {
                 Map<String, Object> t = Cbor.map(java.util.Arrays.copyOfRange(row, 4, row.length));
-                byte[] body = Cbor.write(MessageCodec.message("t", "term", MessageCodec.number(t, "term"), "voted", ""));
+                byte[] body =
+                        Cbor.write(
+                                MessageCodec.message(
+                                        "t", "term", MessageCodec.number(t, "term"), "voted", ""));
                 java.util.zip.CRC32C sum = new java.util.zip.CRC32C();
                 sum.update(body, 0, body.length);
                 try {
-                    rows.put(RowStore.Table.META, 3, java.nio.ByteBuffer.allocate(4 + body.length).putInt((int) sum.getValue())
-                        .put(body).array());
+                    rows.put(
+                            RowStore.Table.META,
+                            3,
+                            java.nio.ByteBuffer.allocate(4 + body.length)
+                                    .putInt((int) sum.getValue())
+                                    .put(body)
+                                    .array());
                     rows.flush();
                 } catch (IOException e) {
                     throw new UncheckedIOException(e);
@@ -233,19 +283,22 @@
         /** Runs the task on this process's thread, unless the process has ended by then. */
         void task(long when, Runnable task) {
             int mine = life;
-            at(when, () -> {
-                if (mine == life) {
-                    if (paused) {
-                        waiting.add(() -> {
-                            if (mine == life) {
+            at(
+                    when,
+                    () -> {
+                        if (mine == life) {
+                            if (paused) {
+                                waiting.add(
+                                        () -> {
+                                            if (mine == life) {
+                                                task.run();
+                                            }
+                                        });
+                            } else {
                                 task.run();
                             }
-                        });
-                    } else {
-                        task.run();
-                    }
-                }
-            });
+                        }
+                    });
         }
 
         @Override
@@ -274,7 +327,8 @@
         }
 
         /** The clock is read, and then anything may happen before the effect is out. */
-        private void effect(FleetRules.Chore chore, long epoch, long turn, Duration until, Runner.Ended ended) {
+        private void effect(
+                FleetRules.Chore chore, long epoch, long turn, Duration until, Runner.Ended ended) {
             if (now().compareTo(until) >= 0) {
                 ended.ended("not begun: no lease");
                 return;
@@ -283,20 +337,24 @@
                 pauseFor(LEASE.toMillis() * (1 + random.nextInt(3)));
             }
             int mine = life;
-            Runnable out = () -> {
-                long way = 200_000 + random.nextInt(2_000_000);
-                if (held.contains(name + ">member") || random.nextInt(60) == 0) {
-                    way += LEASE.toNanos() * (1 + random.nextInt(2));
-                }
-                at(now + way, () -> {
-                    String outcome = receiver.effect(chore.duty(), epoch, turn, name);
-                    if (mine == life && !held.contains("member>" + name)) {
-                        task(now + 500_000, () -> ended.ended(outcome));
-                    } else if (mine == life) {
-                        task(now + 2_000_000_000L, () -> ended.ended("unknown"));
-                    }
-                });
-            };
+            Runnable out =
+                    () -> {
+                        long way = 200_000 + random.nextInt(2_000_000);
+                        if (held.contains(name + ">member") || random.nextInt(60) == 0) {
+                            way += LEASE.toNanos() * (1 + random.nextInt(2));
+                        }
+                        at(
+                                now + way,
+                                () -> {
+                                    String outcome =
+                                            receiver.effect(chore.duty(), epoch, turn, name);
+                                    if (mine == life && !held.contains("member>" + name)) {
+                                        task(now + 500_000, () -> ended.ended(outcome));
+                                    } else if (mine == life) {
+                                        task(now + 2_000_000_000L, () -> ended.ended("unknown"));
+                                    }
+                                });
+                    };
             // A pause that begins here stands between the check and the effect.
             task(now, out);
         }
@@ -306,11 +364,13 @@
                 paused = true;
                 faults++;
                 int mine = life;
-                at(now + ms * 1_000_000, () -> {
-                    if (mine == life && paused) {
-                        resume();
-                    }
-                });
+                at(
+                        now + ms * 1_000_000,
+                        () -> {
+                            if (mine == life && paused) {
+                                resume();
+                            }
+                        });
             }
         }
     }
@@ -343,13 +403,28 @@
             }
             accepted++;
             if (epoch < highest.getOrDefault(duty, 0L)) {
-                breaks("late effect accepted: " + duty + " epoch " + epoch + " of " + who + " after "
-                    + highest.get(duty));
+                breaks(
+                        "late effect accepted: "
+                                + duty
+                                + " epoch "
+                                + epoch
+                                + " of "
+                                + who
+                                + " after "
+                                + highest.get(duty));
             }
             highest.merge(duty, epoch, Math::max);
             String before = turns.put(duty + "#" + turn, who);
             if (before != null) {
-                breaks("turn run twice: " + duty + " turn " + turn + " by " + before + " and " + who);
+                breaks(
+                        "turn run twice: "
+                                + duty
+                                + " turn "
+                                + turn
+                                + " by "
+                                + before
+                                + " and "
+                                + who);
             }
             String owner = epochs.putIfAbsent(epoch, who + " " + duty);
             if (owner != null && !owner.equals(who + " " + duty)) {
@@ -379,20 +454,25 @@
             this.from = from;
             this.to = to;
             near = new End(from, owner, this);
-            near.send0(() -> {
-                Proc p = procs.get(to);
-                if (p == null || !p.alive || p.consensusNode == null) {
-                    from.task(now + 300_000, () -> near.ends("refused"));
-                    return;
-                }
-                far = new End(p, p.consensusNode.guest(), this);
-                p.task(now, () -> far.owner.up(far));
-                far.send0(() -> from.task(now, () -> {
-                    if (open) {
-                        owner.up(near);
-                    }
-                }));
-            });
+            near.send0(
+                    () -> {
+                        Proc p = procs.get(to);
+                        if (p == null || !p.alive || p.consensusNode == null) {
+                            from.task(now + 300_000, () -> near.ends("refused"));
+                            return;
+                        }
+                        far = new End(p, p.consensusNode.guest(), this);
+                        p.task(now, () -> far.owner.up(far));
+                        far.send0(
+                                () ->
+                                        from.task(
+                                                now,
+                                                () -> {
+                                                    if (open) {
+                                                        owner.up(near);
+                                                    }
+                                                }));
+                    });
         }
 
         void processEnds(Proc p) {
@@ -461,16 +541,19 @@
             bytes += text.length + 4;
             if (!closed && pipe.open) {
                 watch(message, this == pipe.near ? pipe.to : pipe.from.name);
-                send0(() -> {
-                    End to = other();
-                    if (pipe.open && to != null && !to.closed) {
-                        to.proc.task(now, () -> {
-                            if (!to.closed && to.proc.life == to.life) {
-                                to.owner.message(to, Cbor.map(text));
+                send0(
+                        () -> {
+                            End to = other();
+                            if (pipe.open && to != null && !to.closed) {
+                                to.proc.task(
+                                        now,
+                                        () -> {
+                                            if (!to.closed && to.proc.life == to.life) {
+                                                to.owner.message(to, Cbor.map(text));
+                                            }
+                                        });
                             }
                         });
-                    }
-                });
             }
         }
 
@@ -503,7 +586,10 @@
         if (MessageCodec.text(message, "k").equals("raft")) {
             Object m = MessageCodec.message(cast(message.get("m")));
             if (m instanceof VoteRequest r) {
-                vote((String) r.getSender().getId(), r.getTerm(), ((MessageCodec.Endpoint) r.getSender()).name());
+                vote(
+                        (String) r.getSender().getId(),
+                        r.getTerm(),
+                        ((MessageCodec.Endpoint) r.getSender()).name());
             } else if (m instanceof VoteResponse r && r.isGranted()) {
                 vote((String) r.getSender().getId(), r.getTerm(), to);
                 if (onVote != null) {
@@ -523,25 +609,32 @@
     }
 
     /**
-     * A voter votes, and its candidate is gone before anybody hears of the term; the voter starts again and is asked for the
-     * same term by the leader of before.
+     * A voter votes, and its candidate is gone before anybody hears of the term; the voter starts
+     * again and is asked for the same term by the leader of before.
      */
     void voteAndStartAgain() {
         procs.values().forEach(Proc::start);
         play(8000);
-        Proc leader = procs.values().stream().filter(p -> p.consensusNode != null && p.consensusNode.leads()).findFirst().orElseThrow();
+        Proc leader =
+                procs.values().stream()
+                        .filter(p -> p.consensusNode != null && p.consensusNode.leads())
+                        .findFirst()
+                        .orElseThrow();
         leader.kill();
-        onVote = (voter, candidate) -> {
-            onVote = null;
-            at(now, () -> {
-                procs.get(candidate).kill();
-                procs.get(voter).kill();
-                faults += 3;
-                at(now + 100_000_000, procs.get(voter)::start);
-                at(now + 100_000_000, leader::start);
-                at(now + 20_000_000_000L, procs.get(candidate)::start);
-            });
-        };
+        onVote =
+                (voter, candidate) -> {
+                    onVote = null;
+                    at(
+                            now,
+                            () -> {
+                                procs.get(candidate).kill();
+                                procs.get(voter).kill();
+                                faults += 3;
+                                at(now + 100_000_000, procs.get(voter)::start);
+                                at(now + 100_000_000, leader::start);
+                                at(now + 20_000_000_000L, procs.get(candidate)::start);
+                            });
+                };
         play(40_000);
     }
 
@@ -556,7 +649,10 @@
         held.add(from + ">" + to);
     }
 
-    /** All directions are open again; of what was held, some connections break and the others deliver late. */
+    /**
+     * All directions are open again; of what was held, some connections break and the others
+     * deliver late.
+     */
     void heal() {
         held.clear();
         for (Pipe p : List.copyOf(pipes)) {
@@ -585,7 +681,15 @@
                     SessionLease.Held h = t.known(c.duty());
                     if (h != null && t.mayAct(c.duty(), h.epoch(), p.now())) {
                         if (one != null) {
-                            breaks("two may act: " + c.duty() + ": " + one + " and " + p.name + " epoch " + h.epoch());
+                            breaks(
+                                    "two may act: "
+                                            + c.duty()
+                                            + ": "
+                                            + one
+                                            + " and "
+                                            + p.name
+                                            + " epoch "
+                                            + h.epoch());
                         }
                         one = p.name + " epoch " + h.epoch();
                     }
@@ -599,7 +703,11 @@
         Map<String, String> owners = new TreeMap<>();
         ConsensusNode best = null;
         for (Proc p : procs.values()) {
-            if (p.alive && p.consensusNode != null && (best == null || p.consensusNode.register().revision() > best.register().revision())) {
+            if (p.alive
+                    && p.consensusNode != null
+                    && (best == null
+                            || p.consensusNode.register().revision()
+                                    > best.register().revision())) {
                 best = p.consensusNode;
             }
         }
@@ -609,7 +717,10 @@
         return owners;
     }
 
-    /** A short history: a start, faults for a while, an end without faults in which all must be well again. */
+    /**
+     * A short history: a start, faults for a while, an end without faults in which all must be well
+     * again.
+     */
     void history(int seconds) {
         procs.values().forEach(p -> at(now + random.nextInt(500) * 1_000_000L, p::start));
         play(8000);
@@ -636,11 +747,12 @@
         if (work != null) {
             work.end();
         }
-        owners().forEach((d, o) -> {
-            if (o.isEmpty()) {
-                breaks("no owner at the end: " + d);
-            }
-        });
+        owners().forEach(
+                        (d, o) -> {
+                            if (o.isEmpty()) {
+                                breaks("no owner at the end: " + d);
+                            }
+                        });
         if (owners().size() < chores.size()) {
             breaks("only " + owners().size() + " duties known at the end");
         }
@@ -651,7 +763,8 @@
     }
 
     private int lostNow() {
-        return (int) procs.values().stream().filter(p -> p.consensusNode != null && !p.alive).count();
+        return (int)
+                procs.values().stream().filter(p -> p.consensusNode != null && !p.alive).count();
     }
 
     private void fault() {
@@ -670,11 +783,13 @@
             case 2, 3 -> {
                 p.kill();
                 int mine = p.life;
-                at(now + (200L + random.nextInt(6000)) * 1_000_000, () -> {
-                    if (!p.alive && p.life == mine) {
-                        p.start();
-                    }
-                });
+                at(
+                        now + (200L + random.nextInt(6000)) * 1_000_000,
+                        () -> {
+                            if (!p.alive && p.life == mine) {
+                                p.start();
+                            }
+                        });
             }
             case 4 -> {
                 for (Proc q : procs.values()) {
@@ -688,23 +803,29 @@
                 java.util.Collections.shuffle(half, random);
                 List<Proc> one = half.subList(0, half.size() / 2);
                 List<Proc> other = half.subList(half.size() / 2, half.size());
-                one.forEach(a -> other.forEach(b -> {
-                    hold(a.name, b.name);
-                    hold(b.name, a.name);
-                }));
+                one.forEach(
+                        a ->
+                                other.forEach(
+                                        b -> {
+                                            hold(a.name, b.name);
+                                            hold(b.name, a.name);
+                                        }));
             }
             case 7 -> hold(p.name, "member");
             case 8 -> hold("member", p.name);
             case 9 -> {
-                // Voters lose their state one at a time, and only while the rest are there: more is more than it bears.
+                // Voters lose their state one at a time, and only while the rest are there: more is
+                // more than it bears.
                 if (p.consensusNode != null && lostNow() == 0 && p.alive && allIn()) {
                     p.kill();
                     p.loseState();
-                    at(now + 1_000_000_000L, () -> {
-                        if (!p.alive) {
-                            p.start();
-                        }
-                    });
+                    at(
+                            now + 1_000_000_000L,
+                            () -> {
+                                if (!p.alive) {
+                                    p.start();
+                                }
+                            });
                 }
             }
             default -> heal();
@@ -712,10 +833,28 @@
     }
 
     private boolean allIn() {
-        // One that has been let in and is not settled yet does not count: its loss and another one's are two.
-        boolean settled = procs.values().stream().anyMatch(p -> p.alive && p.consensusNode != null && p.consensusNode.leads()
-            && ((List<?>) p.consensusNode.status().get("voters")).size() == voters.size());
-        return settled && voters.keySet().stream().allMatch(v -> procs.get(v).alive && procs.get(v).consensusNode != null
-            && procs.get(v).consensusNode.phase() == ConsensusNode.Phase.IN);
+        // One that has been let in and is not settled yet does not count: its loss and another
+        // one's are two.
+        boolean settled =
+                procs.values().stream()
+                        .anyMatch(
+                                p ->
+                                        p.alive
+                                                && p.consensusNode != null
+                                                && p.consensusNode.leads()
+                                                && ((List<?>)
+                                                                        p.consensusNode
+                                                                                .status()
+                                                                                .get("voters"))
+                                                                .size()
+                                                        == voters.size());
+        return settled
+                && voters.keySet().stream()
+                        .allMatch(
+                                v ->
+                                        procs.get(v).alive
+                                                && procs.get(v).consensusNode != null
+                                                && procs.get(v).consensusNode.phase()
+                                                        == ConsensusNode.Phase.IN);
     }
 }
--- a/src/test/java/wingroad/fleet/SimFleetTest.java
+++ b/src/test/java/wingroad/fleet/SimFleetTest.java
@@ -26,11 +26,17 @@
     @Test
     void noShortHistoryBreaksARule() {
         AtomicInteger late = new AtomicInteger();
-        List<String> broken = IntStream.range(0, 200).parallel().boxed().flatMap(seed -> {
-            SimFleet f = history(seed, Wrong.NONE);
-            late.addAndGet(f.lateRefused);
-            return f.broken.stream().map(b -> "seed " + seed + ": " + b);
-        }).toList();
+        List<String> broken =
+                IntStream.range(0, 200)
+                        .parallel()
+                        .boxed()
+                        .flatMap(
+                                seed -> {
+                                    SimFleet f = history(seed, Wrong.NONE);
+                                    late.addAndGet(f.lateRefused);
+                                    return f.broken.stream().map(b -> "seed " + seed + ": " + b);
+                                })
+                        .toList();
         assertThat(broken).isEmpty();
         assertThat(late.get()).as("late effects that came to the fence").isPositive();
     }
@@ -65,8 +71,9 @@
     }
 
     /**
-     * Guards against the engine (0.7) losing its way: a voter that polled for an election and then heard its old leader again
-     * in the same term takes no notice when that leader falls silent later. Where its log is the newest, nobody else can lead.
+     * Guards against the engine (0.7) losing its way: a voter that polled for an election and then
+     * heard its old leader again in the same term takes no notice when that leader falls silent
+     * later. Where its log is the newest, nobody else can lead.
      */
     @Test
     void aVoterThatPolledInVainStillMissesItsLeader() {
@@ -74,8 +81,13 @@
             SimFleet f = new SimFleet(seed, 3, 3, 2, Wrong.NONE);
             f.procs.values().forEach(SimFleet.Proc::start);
             f.play(8000);
-            SimFleet.Proc leader = f.procs.values().stream().filter(p -> p.consensusNode.leads()).findFirst().orElseThrow();
-            List<SimFleet.Proc> others = f.procs.values().stream().filter(p -> p != leader).toList();
+            SimFleet.Proc leader =
+                    f.procs.values().stream()
+                            .filter(p -> p.consensusNode.leads())
+                            .findFirst()
+                            .orElseThrow();
+            List<SimFleet.Proc> others =
+                    f.procs.values().stream().filter(p -> p != leader).toList();
             SimFleet.Proc polls = others.get(0);
             f.hold(leader.name, polls.name);
             f.play(2200);
@@ -96,22 +108,39 @@
         }
     }
 
-    /** Guards against a planned stop whose word is lost with its voter: the duties would wait for beats, or for the lease. */
+    /**
+     * Guards against a planned stop whose word is lost with its voter: the duties would wait for
+     * beats, or for the lease.
+     */
     @Test
     void aPlannedStopIsSettledThoughItsVoterIsStopped() {
         for (int seed = 0; seed < 5; seed++) {
             SimFleet f = new SimFleet(seed, 6, 3, 12, Duration.ofSeconds(60), Wrong.NONE);
             f.procs.values().forEach(SimFleet.Proc::start);
             f.play(10_000);
-            SimFleet.Proc leaver = f.procs.values().stream().filter(p -> p.consensusNode == null && f.owners().values().stream().anyMatch(o ->
-                o.startsWith(p.name + "/")) && !f.procs.get(p.councilSession.by()).consensusNode.leads()).findFirst().orElse(null);
+            SimFleet.Proc leaver =
+                    f.procs.values().stream()
+                            .filter(
+                                    p ->
+                                            p.consensusNode == null
+                                                    && f.owners().values().stream()
+                                                            .anyMatch(
+                                                                    o -> o.startsWith(p.name + "/"))
+                                                    && !f.procs
+                                                            .get(p.councilSession.by())
+                                                            .consensusNode
+                                                            .leads())
+                            .findFirst()
+                            .orElse(null);
             if (leaver == null) {
                 continue;
             }
             f.procs.get(leaver.councilSession.by()).paused = true;
-            leaver.task(f.now, () -> leaver.councilSession.leave(() -> { }));
+            leaver.task(f.now, () -> leaver.councilSession.leave(() -> {}));
             f.play(450);
-            assertThat(f.owners().values()).as("seed " + seed).noneMatch(o -> o.startsWith(leaver.name + "/") || o.isEmpty());
+            assertThat(f.owners().values())
+                    .as("seed " + seed)
+                    .noneMatch(o -> o.startsWith(leaver.name + "/") || o.isEmpty());
         }
     }
 
--- a/src/test/java/wingroad/fleet/SimWork.java
+++ b/src/test/java/wingroad/fleet/SimWork.java
@@ -25,8 +25,9 @@
 import wingroad.work.WorkRules;
 
 /**
- * Work on machines in virtual time: the program's plan, view and conductor on the played fleet, played members with a ledger, operators
- * that ask at random times, and a checker that knows the truth.
+ * Work on machines in virtual time: the program's plan, view and conductor on the played fleet,
+ * played members with a ledger, operators that ask at random times, and a checker that knows the
+ * truth.
  */
 final class SimWork {
     private static final Duration EXPIRY = Duration.ofSeconds(2);
@@ -39,8 +40,10 @@
     private final Map<String, Member> members = new TreeMap<>();
     private final Map<Integer, List<Member>> byGroup = new HashMap<>();
     private final Map<String, List<Member>> byMachine = new HashMap<>();
+
     /** What is settled, by the furthest register: machine to stage; and how far that is. */
     private Map<String, Stage> settled = Map.of();
+
     private long furthest = -1;
     private final Set<String> wanted = new TreeSet<>();
     private final Map<String, Long> outAt = new HashMap<>();
@@ -68,7 +71,9 @@
         }
     }
 
-    /** Machines in three zones; each holds a member of some groups, the first ones a driver as well. */
+    /**
+     * Machines in three zones; each holds a member of some groups, the first ones a driver as well.
+     */
     SimWork(SimFleet fleet, int machines, int groups, int atOnce) {
         this.fleet = fleet;
         this.random = new Random(fleet.random.nextLong());
@@ -95,8 +100,19 @@
             List<String> drivers = i < 3 ? List.of(SimFleet.name(i * 2)) : List.of();
             all.put("m" + i, new Machine("m" + i, "z" + i % 3, List.copyOf(parts.get(i)), drivers));
         }
-        rules = new WorkRules(all, atOnce, WorkRules.Lost.STEADY, Duration.ofSeconds(60), Duration.ofSeconds(1), 0.3,
-            Duration.ofMillis(500), 0, GRACE.plus(EXPIRY), Duration.ofSeconds(1), GRACE);
+        rules =
+                new WorkRules(
+                        all,
+                        atOnce,
+                        WorkRules.Lost.STEADY,
+                        Duration.ofSeconds(60),
+                        Duration.ofSeconds(1),
+                        0.3,
+                        Duration.ofMillis(500),
+                        0,
+                        GRACE.plus(EXPIRY),
+                        Duration.ofSeconds(1),
+                        GRACE);
     }
 
     // ---- what is settled ----
@@ -122,7 +138,13 @@
             boolean force = !order || super.inForce(op);
             String result = super.apply(op);
             if (order && !force && result.isEmpty()) {
-                fleet.breaks("a late order was taken: " + op.duty() + " to " + op.to() + " under " + op.epoch());
+                fleet.breaks(
+                        "a late order was taken: "
+                                + op.duty()
+                                + " to "
+                                + op.to()
+                                + " under "
+                                + op.epoch());
             }
             if (revision() > furthest) {
                 furthest = revision();
@@ -150,26 +172,40 @@
     private void look(Register r) {
         Map<String, Stage> now = new TreeMap<>();
         r.plan().entries().forEach(e -> now.put(e.machine(), e.stage()));
-        now.forEach((m, s) -> {
-            if (s != settled.get(m)) {
-                fleet.line("#", m + " " + s + " revision " + r.plan().revision());
-            }
-            if (s == Stage.OUT && settled.get(m) != Stage.OUT) {
-                out++;
-                outAt.put(m, fleet.now);
-                byMachine.getOrDefault(m, List.of()).stream().filter(x -> x.open > 0).forEach(x ->
-                    fleet.breaks(m + " was told to be out with " + x.open + " txns at " + x.uid));
-            }
-        });
+        now.forEach(
+                (m, s) -> {
+                    if (s != settled.get(m)) {
+                        fleet.line("#", m + " " + s + " revision " + r.plan().revision());
+                    }
+                    if (s == Stage.OUT && settled.get(m) != Stage.OUT) {
+                        out++;
+                        outAt.put(m, fleet.now);
+                        byMachine.getOrDefault(m, List.of()).stream()
+                                .filter(x -> x.open > 0)
+                                .forEach(
+                                        x ->
+                                                fleet.breaks(
+                                                        m
+                                                                + " was told to be out with "
+                                                                + x.open
+                                                                + " txns at "
+                                                                + x.uid));
+                    }
+                });
         settled.keySet().stream().filter(m -> !now.containsKey(m)).forEach(m -> in++);
         settled = now;
-        List<String> away = now.entrySet().stream().filter(e -> e.getValue() != Stage.ASKED).map(Map.Entry::getKey).toList();
+        List<String> away =
+                now.entrySet().stream()
+                        .filter(e -> e.getValue() != Stage.ASKED)
+                        .map(Map.Entry::getKey)
+                        .toList();
         for (String a : away) {
             for (String b : away) {
                 if (a.compareTo(b) < 0) {
                     Machine x = rules.machines().get(a);
                     Machine y = rules.machines().get(b);
-                    if (!x.zone().equals(y.zone()) || x.groups().stream().anyMatch(y.groups()::contains)) {
+                    if (!x.zone().equals(y.zone())
+                            || x.groups().stream().anyMatch(y.groups()::contains)) {
                         fleet.breaks("away together: " + a + " and " + b);
                     }
                 }
@@ -232,7 +268,9 @@
             boolean current = view.current(proc.now());
             if (current != was) {
                 was = current;
-                fleet.line(proc.name, "view " + (current ? "current" : "ended") + " at " + view.revision());
+                fleet.line(
+                        proc.name,
+                        "view " + (current ? "current" : "ended") + " at " + view.revision());
             }
             if (current) {
                 knows = view.revision();
@@ -251,22 +289,29 @@
             Set<String> clear = new TreeSet<>();
             Map<Integer, String> believes = new TreeMap<>();
             if (view.current(proc.now())) {
-                leftSince.forEach((m, since) -> {
-                    boolean none = byMachine.getOrDefault(m, List.of()).stream().noneMatch(x -> open.getOrDefault(x.uid, 0) > 0);
-                    if (none && proc.now().minus(since).compareTo(GRACE) > 0) {
-                        clear.add(m);
-                    }
-                });
+                leftSince.forEach(
+                        (m, since) -> {
+                            boolean none =
+                                    byMachine.getOrDefault(m, List.of()).stream()
+                                            .noneMatch(x -> open.getOrDefault(x.uid, 0) > 0);
+                            if (none && proc.now().minus(since).compareTo(GRACE) > 0) {
+                                clear.add(m);
+                            }
+                        });
             }
             for (Plan.Entry e : planCopy.entries()) {
-                for (int g : e.stage().announced() ? planCopy.machines().get(e.machine()).groups() : Set.<Integer>of()) {
+                for (int g :
+                        e.stage().announced()
+                                ? planCopy.machines().get(e.machine()).groups()
+                                : Set.<Integer>of()) {
                     String primary = observations.primary(g, proc.now());
                     if (primary != null) {
                         believes.put(g, primary);
                     }
                 }
             }
-            proc.councilSession.report(new Report(knows, clear, believes, served, harmed, Map.of()));
+            proc.councilSession.report(
+                    new Report(knows, clear, believes, served, harmed, Map.of()));
         }
 
         private void look() {
@@ -282,22 +327,46 @@
                 if (!planCopy.lines().equals(rules.lines())) {
                     proc.councilSession.order(epoch, s -> Op.workMachines(s, epoch, rules.lines()));
                 } else {
-                    members.values().forEach(m -> {
-                        if (m.up && !fleet.held.contains("member>" + proc.name)) {
-                            observations.said(m.uid, m.primary, Duration.ofMillis(30), now);
-                        } else {
-                            observations.failed(m.uid, now);
-                        }
-                    });
+                    members.values()
+                            .forEach(
+                                    m -> {
+                                        if (m.up && !fleet.held.contains("member>" + proc.name)) {
+                                            observations.said(
+                                                    m.uid, m.primary, Duration.ofMillis(30), now);
+                                        } else {
+                                            observations.failed(m.uid, now);
+                                        }
+                                    });
                     long mine = epoch;
-                    for (Conductor.Step x : conductor.next(planCopy, observations, proc.wall(), now)) {
-                        Runnable order = () -> proc.councilSession.order(mine, s -> Op.workStep(s, mine, x.machine(), x.to(), x.stageAt(),
-                            x.why()));
+                    for (Conductor.Step x :
+                            conductor.next(planCopy, observations, proc.wall(), now)) {
+                        Runnable order =
+                                () ->
+                                        proc.councilSession.order(
+                                                mine,
+                                                s ->
+                                                        Op.workStep(
+                                                                s,
+                                                                mine,
+                                                                x.machine(),
+                                                                x.to(),
+                                                                x.stageAt(),
+                                                                x.why()));
                         if (random.nextInt(4) == 0) {
-                            // As one that is held up on its way, or wakes up late and does not look at its lease again.
+                            // As one that is held up on its way, or wakes up late and does not look
+                            // at its lease again.
                             String session = proc.councilSession.sessionLease().session();
-                            fleet.at(fleet.now + random.nextInt(8_000) * 1_000_000L, () -> late(Op.workStep(session, mine, x.machine(),
-                                x.to(), x.stageAt(), x.why())));
+                            fleet.at(
+                                    fleet.now + random.nextInt(8_000) * 1_000_000L,
+                                    () ->
+                                            late(
+                                                    Op.workStep(
+                                                            session,
+                                                            mine,
+                                                            x.machine(),
+                                                            x.to(),
+                                                            x.stageAt(),
+                                                            x.why())));
                         }
                         order.run();
                     }
@@ -310,10 +379,15 @@
         private void send() {
             int g = random.nextInt(members.size() / 3);
             Duration now = proc.now();
-            List<Member> fit = byGroup.get(g).stream().filter(m -> m.up).filter(m -> {
-                View.State s = view.state(m.uid, () -> true, now);
-                return s == View.State.AS_LISTED || s == View.State.COLD;
-            }).toList();
+            List<Member> fit =
+                    byGroup.get(g).stream()
+                            .filter(m -> m.up)
+                            .filter(
+                                    m -> {
+                                        View.State s = view.state(m.uid, () -> true, now);
+                                        return s == View.State.AS_LISTED || s == View.State.COLD;
+                                    })
+                            .toList();
             if (fit.isEmpty()) {
                 harmed++;
                 declined++;
@@ -329,27 +403,42 @@
             txns++;
             m.open++;
             if (settled.get(m.machine) == Stage.OUT) {
-                fleet.breaks("a txn of " + proc.name + " at " + m.uid + " on " + m.machine + ", out since "
-                    + (fleet.now - outAt.get(m.machine)) / 1_000_000 + " ms");
+                fleet.breaks(
+                        "a txn of "
+                                + proc.name
+                                + " at "
+                                + m.uid
+                                + " on "
+                                + m.machine
+                                + ", out since "
+                                + (fleet.now - outAt.get(m.machine)) / 1_000_000
+                                + " ms");
             }
             long took = random.nextInt(30) == 0 ? 1500 : 2 + random.nextInt(20);
-            fleet.at(fleet.now + took * 1_000_000, () -> {
-                m.open--;
-                open.merge(m.uid, -1, Integer::sum);
-                served++;
-                observations.said(m.uid, m.primary, Duration.ofMillis(30), proc.now());
-            });
+            fleet.at(
+                    fleet.now + took * 1_000_000,
+                    () -> {
+                        m.open--;
+                        open.merge(m.uid, -1, Integer::sum);
+                        served++;
+                        observations.said(m.uid, m.primary, Duration.ofMillis(30), proc.now());
+                    });
         }
     }
 
     private void late(Op op) {
-        fleet.procs.values().stream().filter(p -> p.alive && p.consensusNode != null && p.consensusNode.leads()).findFirst().ifPresent(p ->
-            p.task(fleet.now, () -> p.consensusNode.inject(op)));
+        fleet.procs.values().stream()
+                .filter(p -> p.alive && p.consensusNode != null && p.consensusNode.leads())
+                .findFirst()
+                .ifPresent(p -> p.task(fleet.now, () -> p.consensusNode.inject(op)));
     }
 
     // ---- operators and members ----
 
-    /** Operators ask now and then, members fail and come back, primaries are moved where the plan wants that. */
+    /**
+     * Operators ask now and then, members fail and come back, primaries are moved where the plan
+     * wants that.
+     */
     void play(int seconds) {
         for (int s = 3; s < seconds; s++) {
             fleet.at(fleet.now + s * 1_000_000_000L, this::second);
@@ -366,7 +455,9 @@
         }
         if (!quiet && random.nextInt(20) == 0) {
             operator(Op.workWord("hold", Plan.ALL, "hold " + asked++));
-            fleet.at(fleet.now + 3_000_000_000L, () -> operator(Op.workWord("go", Plan.ALL, "go " + asked++)));
+            fleet.at(
+                    fleet.now + 3_000_000_000L,
+                    () -> operator(Op.workWord("go", Plan.ALL, "go " + asked++)));
         }
         if (!quiet && random.nextInt(12) == 0) {
             List<Member> all = new ArrayList<>(members.values());
@@ -377,20 +468,40 @@
         serveMachines();
     }
 
-    /** An operator knows of a process that has ended for good, with its state: there is another one of its name now. */
+    /**
+     * An operator knows of a process that has ended for good, with its state: there is another one
+     * of its name now.
+     */
     private void tellGone() {
-        fleet.procs.values().stream().filter(p -> p.alive && p.consensusNode != null).forEach(p -> p.consensusNode.register().plan().astray()
-            .forEach(a -> {
-                if (!fleet.procs.get(a.name()).identity.equals(a.identity())) {
-                    operator(Op.workWord("gone", a.known(), "gone " + asked++));
-                }
-            }));
+        fleet.procs.values().stream()
+                .filter(p -> p.alive && p.consensusNode != null)
+                .forEach(
+                        p ->
+                                p.consensusNode
+                                        .register()
+                                        .plan()
+                                        .astray()
+                                        .forEach(
+                                                a -> {
+                                                    if (!fleet.procs
+                                                            .get(a.name())
+                                                            .identity
+                                                            .equals(a.identity())) {
+                                                        operator(
+                                                                Op.workWord(
+                                                                        "gone",
+                                                                        a.known(),
+                                                                        "gone " + asked++));
+                                                    }
+                                                }));
     }
 
     /** Everything there is, at once. */
     void askAll() {
         quiet = true;
-        rules.machines().keySet().forEach(m -> operator(Op.workAsk(m, "test", 0, 0, List.of(), "ask " + asked++)));
+        rules.machines()
+                .keySet()
+                .forEach(m -> operator(Op.workAsk(m, "test", 0, 0, List.of(), "ask " + asked++)));
     }
 
     int asksSettled() {
@@ -399,25 +510,33 @@
 
     private void serveMachines() {
         tellGone();
-        settled.forEach((m, s) -> {
-            if (s == Stage.OUT && fleet.now - outAt.get(m) > 2_000_000_000L) {
-                operator(Op.workWord("done", m, "done " + asked++));
-            }
-            if (s == Stage.PLANNED) {
-                for (Member x : byMachine.getOrDefault(m, List.of())) {
-                    if (x.primary) {
-                        byGroup.get(x.group).stream().filter(y -> y != x && y.up).findFirst().ifPresent(y -> {
-                            x.primary = false;
-                            y.primary = true;
-                        });
+        settled.forEach(
+                (m, s) -> {
+                    if (s == Stage.OUT && fleet.now - outAt.get(m) > 2_000_000_000L) {
+                        operator(Op.workWord("done", m, "done " + asked++));
                     }
-                }
-            }
-        });
+                    if (s == Stage.PLANNED) {
+                        for (Member x : byMachine.getOrDefault(m, List.of())) {
+                            if (x.primary) {
+                                byGroup.get(x.group).stream()
+                                        .filter(y -> y != x && y.up)
+                                        .findFirst()
+                                        .ifPresent(
+                                                y -> {
+                                                    x.primary = false;
+                                                    y.primary = true;
+                                                });
+                            }
+                        }
+                    }
+                });
     }
 
     private void operator(Op op) {
-        List<Proc> voters = fleet.procs.values().stream().filter(p -> p.alive && !p.paused && p.consensusNode != null).toList();
+        List<Proc> voters =
+                fleet.procs.values().stream()
+                        .filter(p -> p.alive && !p.paused && p.consensusNode != null)
+                        .toList();
         if (!voters.isEmpty()) {
             Proc p = voters.get(random.nextInt(voters.size()));
             p.task(fleet.now, () -> p.consensusNode.inject(op.at(p.wall())));
@@ -437,9 +556,29 @@
 
     void end() {
         if (!settled.isEmpty()) {
-            String waits = fleet.procs.values().stream().filter(p -> p.alive && p.consensusNode != null && p.consensusNode.register().revision()
-                == furthest).findFirst().map(p -> p.consensusNode.register().plan()).map(p -> p.entries().stream().map(e -> e.machine() + " "
-                + e.stage() + " waits " + p.waitsFor(e)).toList().toString()).orElse("");
+            String waits =
+                    fleet.procs.values().stream()
+                            .filter(
+                                    p ->
+                                            p.alive
+                                                    && p.consensusNode != null
+                                                    && p.consensusNode.register().revision()
+                                                            == furthest)
+                            .findFirst()
+                            .map(p -> p.consensusNode.register().plan())
+                            .map(
+                                    p ->
+                                            p.entries().stream()
+                                                    .map(
+                                                            e ->
+                                                                    e.machine()
+                                                                            + " "
+                                                                            + e.stage()
+                                                                            + " waits "
+                                                                            + p.waitsFor(e))
+                                                    .toList()
+                                                    .toString())
+                            .orElse("");
             fleet.breaks("left on the way at the end: " + settled + " " + waits);
         }
     }
--- a/src/test/java/wingroad/fleet/SimWorkTest.java
+++ b/src/test/java/wingroad/fleet/SimWorkTest.java
@@ -16,18 +16,26 @@
     @Test
     void noShortHistoryBreaksARule() {
         AtomicInteger out = new AtomicInteger();
-        List<String> broken = IntStream.range(0, 60).parallel().boxed().flatMap(seed -> {
-            SimFleet f = WorkSim.play(seed, Wrong.NONE);
-            out.addAndGet(f.work.out);
-            return f.broken.stream().map(b -> "seed " + seed + ": " + b);
-        }).toList();
+        List<String> broken =
+                IntStream.range(0, 60)
+                        .parallel()
+                        .boxed()
+                        .flatMap(
+                                seed -> {
+                                    SimFleet f = WorkSim.play(seed, Wrong.NONE);
+                                    out.addAndGet(f.work.out);
+                                    return f.broken.stream().map(b -> "seed " + seed + ": " + b);
+                                })
+                        .toList();
         assertThat(broken).isEmpty();
         assertThat(out.get()).as("machines that were out").isGreaterThan(60);
     }
 
     @ParameterizedTest
     @CsvSource({
-        "NO_LEASE_ON_VIEW, a txn of", "OUT_BY_MAJORITY, was told to be out with", "ORDER_WITHOUT_EPOCH, a late order was taken",
+        "NO_LEASE_ON_VIEW, a txn of",
+        "OUT_BY_MAJORITY, was told to be out with",
+        "ORDER_WITHOUT_EPOCH, a late order was taken",
     })
     void theCheckerFinds(Wrong wrong, String what) {
         List<String> broken = new ArrayList<>();
--- a/src/test/java/wingroad/kdl/KdlTest.java
+++ b/src/test/java/wingroad/kdl/KdlTest.java
@@ -22,7 +22,10 @@
 
     @Test
     void nodesHaveNamesArgumentsPropertiesAndChildren() {
-        Node n = nodes("/- kdl-version 2\n(t)name 1 (u8)2 a=x b=#null {\n  child; other 3\n}\n// end").get(0);
+        Node n =
+                nodes(
+                                "/- kdl-version 2\n(t)name 1 (u8)2 a=x b=#null {\n  child; other 3\n}\n// end")
+                        .get(0);
         assertThat(n.type()).isEqualTo("t");
         assertThat(n.arguments()).extracting(Value::it).containsExactly(1L, 2L);
         assertThat(n.arguments()).extracting(Value::type).containsExactly(null, "u8");
@@ -34,7 +37,10 @@
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', textBlock = """
+    @CsvSource(
+            delimiter = '|',
+            textBlock =
+                    """
         1_000        | 1000
         -0x1F        | -31
         0o17         | 15
@@ -66,7 +72,10 @@
 
     @Test
     void whatIsCommentedOutIsNotThere() {
-        Node n = nodes("a /* x /* y */ z */ 1 /- 2 /-k=3 \\ // goes on\n 4 /-{ b } {\n /- c 1 {\n  d\n }\n e\n}\n/- f").get(0);
+        Node n =
+                nodes(
+                                "a /* x /* y */ z */ 1 /- 2 /-k=3 \\ // goes on\n 4 /-{ b } {\n /- c 1 {\n  d\n }\n e\n}\n/- f")
+                        .get(0);
         assertThat(n.arguments()).extracting(Value::it).containsExactly(1L, 4L);
         assertThat(n.properties()).isEmpty();
         assertThat(n.children()).extracting(Node::name).containsExactly("e");
@@ -81,7 +90,10 @@
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', textBlock = """
+    @CsvSource(
+            delimiter = '|',
+            textBlock =
+                    """
         a =1             | 1:3: found '=', expected
         a { b            | 1:6: found the end of the text, expected
         a }              | 1:3: found '}', expected
@@ -103,26 +115,34 @@
 
     @Test
     void aMultiLineStringIsHeldToItsIndent() {
-        assertThat(KdlReader.read("a \"\"\"\n  x\n y\n  \"\"\"").problems()).singleElement()
-            .satisfies(p -> assertThat(p.line()).isEqualTo(3));
+        assertThat(KdlReader.read("a \"\"\"\n  x\n y\n  \"\"\"").problems())
+                .singleElement()
+                .satisfies(p -> assertThat(p.line()).isEqualTo(3));
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"{", "/*", "\"", "#", "a(", "\\", "(", "a {b;", "/-"})
     void whatIsAbsurdIsRefusedAndEndsNothing(String part) {
-        assertThat(KdlReader.read(part.repeat(5000)).problems()).isNotEmpty().hasSizeLessThanOrEqualTo(50);
+        assertThat(KdlReader.read(part.repeat(5000)).problems())
+                .isNotEmpty()
+                .hasSizeLessThanOrEqualTo(50);
     }
 
     @Test
     void whateverIsReadIsWrittenSoThatItReadsTheSame() {
         Random random = new Random(9);
-        String[] words = {"a", "b c", "1", "\"", "\\", "\n", "true", "-1", "é", "#", "x=y", "\u0007", ""};
+        String[] words = {
+            "a", "b c", "1", "\"", "\\", "\n", "true", "-1", "é", "#", "x=y", "\u0007", ""
+        };
         for (int i = 0; i < 300; i++) {
             StringBuilder text = new StringBuilder();
             for (int n = random.nextInt(5); n >= 0; n--) {
-                text.append(KdlWriter.string(words[random.nextInt(words.length)])).append(" 1.5 -7 #null ")
-                    .append(KdlWriter.string(words[random.nextInt(words.length)])).append("=")
-                    .append(KdlWriter.string(words[random.nextInt(words.length)])).append(" { k #true }\n");
+                text.append(KdlWriter.string(words[random.nextInt(words.length)]))
+                        .append(" 1.5 -7 #null ")
+                        .append(KdlWriter.string(words[random.nextInt(words.length)]))
+                        .append("=")
+                        .append(KdlWriter.string(words[random.nextInt(words.length)]))
+                        .append(" { k #true }\n");
             }
             String once = KdlWriter.write(nodes(text.toString()));
             assertThat(KdlWriter.write(nodes(once))).isEqualTo(once);
--- a/src/test/java/wingroad/operator/OperatorFileTest.java
+++ b/src/test/java/wingroad/operator/OperatorFileTest.java
@@ -33,7 +33,9 @@
 
     @Test
     void theDoorIsRead() {
-        FairQueueSettings rules = door("""
+        FairQueueSettings rules =
+                door(
+                        """
             tenant-from comment tenant
             tenant-from startup user
             tenant-from address
@@ -42,16 +44,24 @@
             tenant shop weight=7
             tenant "10.0.0.9" cap=0.1
             """);
-        assertThat(rules.sources()).containsExactly(new Source(Place.COMMENT, "tenant"), new Source(Place.STARTUP, "user"),
-            new Source(Place.ADDRESS, null));
+        assertThat(rules.sources())
+                .containsExactly(
+                        new Source(Place.COMMENT, "tenant"),
+                        new Source(Place.STARTUP, "user"),
+                        new Source(Place.ADDRESS, null));
         assertThat(rules.namesPerAddress()).isEqualTo(3);
         assertThat(rules.mostWaiting()).isEqualTo(100);
         assertThat(rules.others()).isEqualTo(new Tenant(0.5, 0.25));
-        assertThat(rules.tenants()).containsEntry("shop", new Tenant(7, 1)).containsEntry("10.0.0.9", new Tenant(1, 0.1));
+        assertThat(rules.tenants())
+                .containsEntry("shop", new Tenant(7, 1))
+                .containsEntry("10.0.0.9", new Tenant(1, 0.1));
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', textBlock = """
+    @CsvSource(
+            delimiter = '|',
+            textBlock =
+                    """
         tenant-from commnt x         | 2:13: found 'commnt', expected a place, one of comment, startup, address
         tenant-from comment          | 2:1: 'tenant-from' needs the name of the value in the comment
         tenant-from startup password | 2:21: found 'password', expected a startup parameter, one of user
@@ -75,19 +85,26 @@
     void whatIsWrongIsToldWithItsPlaceAndWhatWasExpected(String line, String begins) {
         OperatorFile.Read read = OperatorFile.read("door {\n" + line + "\n}");
         assertThat(read.file()).isNull();
-        assertThat(read.problems()).first().extracting(Problem::toString).asString().startsWith(begins);
+        assertThat(read.problems())
+                .first()
+                .extracting(Problem::toString)
+                .asString()
+                .startsWith(begins);
     }
 
     @Test
     void allThatIsWrongIsToldInItsOrder() {
-        assertThat(OperatorFile.read("door {\n others weight=0\n nothing\n}\nnobody").problems()).extracting(Problem::line)
-            .containsExactly(2, 3, 5);
+        assertThat(OperatorFile.read("door {\n others weight=0\n nothing\n}\nnobody").problems())
+                .extracting(Problem::line)
+                .containsExactly(2, 3, 5);
     }
 
     @Test
     void whatIsPrintedIsReadAsTheSame() {
-        OperatorFile file = OperatorFile.read("door {\n tenant-from comment t\n tenant \"a b\" weight=0.3\n tenant c cap=0.5\n}")
-            .file();
+        OperatorFile file =
+                OperatorFile.read(
+                                "door {\n tenant-from comment t\n tenant \"a b\" weight=0.3\n tenant c cap=0.5\n}")
+                        .file();
         assertThat(OperatorFile.read(file.print()).file()).isEqualTo(file);
         assertThat(file.print()).contains("names-per-address 8", "others weight=1 cap=1");
     }
@@ -108,7 +125,8 @@
 
     @Test
     void aFleetIsCheckedAndPrintedAsItStands() {
-        String file = """
+        String file =
+                """
             fleet "graz" {
                 driver "d1"
                 listen "127.0.0.1:7401"
@@ -126,7 +144,8 @@
 
     @Test
     void whatIsWrongWithAFleetIsTold() {
-        String file = """
+        String file =
+                """
             fleet "graz" {
                 voter "d1" "10.0.0.1:7401"
                 voter "d2" "127.0.0.1:7402"
@@ -135,19 +154,33 @@
                 chore "purge" group=7 statement="SELECT f({epoch})"
             }
             """;
-        assertThat(OperatorFile.read(file).problems().stream().map(Object::toString).toList().toString()).contains(
-            "needs state", "expected 1, 3 or 5", "trusted-network", "lease lasts", "needs {epoch}", "listed already",
-            "needs every");
+        assertThat(
+                        OperatorFile.read(file).problems().stream()
+                                .map(Object::toString)
+                                .toList()
+                                .toString())
+                .contains(
+                        "needs state",
+                        "expected 1, 3 or 5",
+                        "trusted-network",
+                        "lease lasts",
+                        "needs {epoch}",
+                        "listed already",
+                        "needs every");
     }
 
     private static String work(String within) {
         return "fleet \"graz\" {\n driver \"d1\"\n listen \"127.0.0.1:7401\"\n voter \"d1\" \"127.0.0.1:7401\"\n state \"/tmp/x\"\n work {\n"
-            + within + "\n }\n}\n";
+                + within
+                + "\n }\n}\n";
     }
 
     @Test
     void workIsPrintedAsItStands() {
-        OperatorFile.Read read = OperatorFile.read(work("""
+        OperatorFile.Read read =
+                OperatorFile.read(
+                        work(
+                                """
             at-once 3
             lost-view "strict" horizon=90
             watch 2.5
@@ -156,21 +189,39 @@
             """));
         assertThat(read.problems()).isEmpty();
         assertThat(read.file().fleet().duties()).containsExactly("conductor");
-        assertThat(read.file().fleet().work().lines()).containsExactly("3 STRICT", "r1 a db-1*#7,db-2#8 d1", "r2 b db-3#7 ");
-        assertThat(OperatorFile.read(read.file().print()).file().fleet()).isEqualTo(read.file().fleet());
+        assertThat(read.file().fleet().work().lines())
+                .containsExactly("3 STRICT", "r1 a db-1*#7,db-2#8 d1", "r2 b db-3#7 ");
+        assertThat(OperatorFile.read(read.file().print()).file().fleet())
+                .isEqualTo(read.file().fleet());
     }
 
     @Test
     void whatIsWrongWithWorkIsTold() {
-        assertThat(OperatorFile.read(work("""
+        assertThat(
+                        OperatorFile.read(
+                                        work(
+                                                """
             at-once 0
             lost-view "never"
             machine "r 1" zone="a" { member "db-1" group=7 }
             machine "r2" { member "db-1" group=7; member "db-2" }
             machine "r3" zone="c"
             machine "r3" zone="c" { driver "d9" }
-            """)).problems().stream().map(Object::toString).toList().toString()).contains("from 1 to 64", "one of strict, steady, serve",
-            "is no name", "needs zone", "'db-1' is on", "a member needs group", "holds members or drivers", "listed already");
+            """))
+                                .problems()
+                                .stream()
+                                .map(Object::toString)
+                                .toList()
+                                .toString())
+                .contains(
+                        "from 1 to 64",
+                        "one of strict, steady, serve",
+                        "is no name",
+                        "needs zone",
+                        "'db-1' is on",
+                        "a member needs group",
+                        "holds members or drivers",
+                        "listed already");
         assertThat(OperatorFile.read(work("")).problems().toString()).contains("needs machines");
     }
 }
--- a/src/test/java/wingroad/protocol/ClientInputTest.java
+++ b/src/test/java/wingroad/protocol/ClientInputTest.java
@@ -23,7 +23,7 @@
         ClientInput input = new ClientInput();
         List<ClientInput.Message> all = new ArrayList<>();
         ByteBuffer seen = ByteBuffer.wrap(bytes);
-        for (int end = Math.min(piece, bytes.length);; end = Math.min(end + piece, bytes.length)) {
+        for (int end = Math.min(piece, bytes.length); ; end = Math.min(end + piece, bytes.length)) {
             seen.limit(end);
             for (var m = input.next(seen); m != null; m = input.next(seen)) {
                 all.add(m);
@@ -41,18 +41,34 @@
     @ValueSource(ints = {1, 2, 3, 7, 1000})
     void commandsAreCutOutWhereverTheBytesAreSplit(int piece) {
         byte[] tls = ByteBuffer.allocate(8).putInt(8).putInt(80877103).array();
-        byte[] bytes = joined(tls, STARTUP, message('Q', text(read("x1"))), message('Q', text("")),
-            message('P', text("s")), message('S'), message('X'));
+        byte[] bytes =
+                joined(
+                        tls,
+                        STARTUP,
+                        message('Q', text(read("x1"))),
+                        message('Q', text("")),
+                        message('P', text("s")),
+                        message('S'),
+                        message('X'));
         List<ClientInput.Message> all = in(bytes, piece);
-        assertThat(all).extracting(ClientInput.Message::kind).containsExactly(Kind.ENCRYPTION, Kind.STARTUP,
-            Kind.QUERY, Kind.QUERY, Kind.EXTENDED, Kind.SYNC, Kind.TERMINATE);
+        assertThat(all)
+                .extracting(ClientInput.Message::kind)
+                .containsExactly(
+                        Kind.ENCRYPTION,
+                        Kind.STARTUP,
+                        Kind.QUERY,
+                        Kind.QUERY,
+                        Kind.EXTENDED,
+                        Kind.SYNC,
+                        Kind.TERMINATE);
         assertThat(new String(all.get(2).bytes(), StandardCharsets.UTF_8)).isEqualTo(read("x1"));
     }
 
     @Test
     void startupsThatMakeNoSenseBreakTheStreamAtOnce() {
         assertThat(in(new byte[] {0, 0, 0, 3, 0, 0}, 1).get(0).kind()).isEqualTo(Kind.BROKEN);
-        assertThat(in(new byte[] {'G', 'E', 'T', ' ', '/', 0, 0, 0}, 1).get(0).kind()).isEqualTo(Kind.BROKEN);
+        assertThat(in(new byte[] {'G', 'E', 'T', ' ', '/', 0, 0, 0}, 1).get(0).kind())
+                .isEqualTo(Kind.BROKEN);
         byte[] old = ByteBuffer.allocate(8).putInt(100).putInt(2 << 16).array();
         assertThat(in(old, 8).get(0).why()).isEqualTo("unsupported protocol");
         byte[] cancel = ByteBuffer.allocate(16).putInt(16).putInt(80877102).array();
@@ -64,10 +80,19 @@
 
     @Test
     void commandsThatMakeNoSenseBreakTheStreamAtOnce() {
-        for (byte[] bad : new byte[][] {{'Q', 0, 0, 0, 3}, {'Q', 127, 0, 0, 0}, {'Q', -1, 0, 0, 0}, {7},
-            {'Q', 0, 0, 0, 5, 'x'}, {'Q', 0, 0, 0, 4}, {'p', 0, 0, 0, 4}}) {
-            assertThat(in(joined(STARTUP, bad), 1)).extracting(ClientInput.Message::kind)
-                .containsExactly(Kind.STARTUP, Kind.BROKEN);
+        for (byte[] bad :
+                new byte[][] {
+                    {'Q', 0, 0, 0, 3},
+                    {'Q', 127, 0, 0, 0},
+                    {'Q', -1, 0, 0, 0},
+                    {7},
+                    {'Q', 0, 0, 0, 5, 'x'},
+                    {'Q', 0, 0, 0, 4},
+                    {'p', 0, 0, 0, 4}
+                }) {
+            assertThat(in(joined(STARTUP, bad), 1))
+                    .extracting(ClientInput.Message::kind)
+                    .containsExactly(Kind.STARTUP, Kind.BROKEN);
         }
     }
 }
--- a/src/test/java/wingroad/protocol/HttpReplyTest.java
+++ b/src/test/java/wingroad/protocol/HttpReplyTest.java
@@ -16,7 +16,7 @@
     private State take(String text, int piece) {
         ByteBuffer all = ByteBuffer.wrap(text.getBytes(StandardCharsets.UTF_8));
         State state = State.WAITING;
-        for (int end = 0; end < all.capacity() && state == State.WAITING;) {
+        for (int end = 0; end < all.capacity() && state == State.WAITING; ) {
             end = Math.min(end + piece, all.capacity());
             all.limit(end);
             state = reply.take(all);
@@ -31,7 +31,8 @@
     @ParameterizedTest
     @ValueSource(ints = {1, 3, 1000})
     void aBodyOfStatedLengthIsTakenWhole(int piece) {
-        assertThat(take("HTTP/1.1 200 OK\r\nContent-Length: 5\r\nX: y\r\n\r\nhello", piece)).isEqualTo(State.WHOLE);
+        assertThat(take("HTTP/1.1 200 OK\r\nContent-Length: 5\r\nX: y\r\n\r\nhello", piece))
+                .isEqualTo(State.WHOLE);
         assertThat(reply.status()).isEqualTo(200);
         assertThat(body()).isEqualTo("hello");
         assertThat(reply.closes()).isFalse();
@@ -40,8 +41,11 @@
     @ParameterizedTest
     @ValueSource(ints = {1, 3, 1000})
     void aBodyInChunksIsTakenWhole(int piece) {
-        assertThat(take("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3;x=y\r\nhel\r\n2\r\nlo\r\n0\r\nT: x\r\n\r\n",
-            piece)).isEqualTo(State.WHOLE);
+        assertThat(
+                        take(
+                                "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3;x=y\r\nhel\r\n2\r\nlo\r\n0\r\nT: x\r\n\r\n",
+                                piece))
+                .isEqualTo(State.WHOLE);
         assertThat(body()).isEqualTo("hello");
     }
 
@@ -51,15 +55,24 @@
         assertThat(reply.end()).isEqualTo(State.WHOLE);
         assertThat(body()).isEqualTo("hello");
         HttpReply cut = new HttpReply();
-        cut.take(ByteBuffer.wrap("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhello".getBytes(StandardCharsets.UTF_8)));
+        cut.take(
+                ByteBuffer.wrap(
+                        "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhello"
+                                .getBytes(StandardCharsets.UTF_8)));
         assertThat(cut.end()).isEqualTo(State.BROKEN);
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"hello\r\n", "HTTP/2 200\r\n", "HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n",
-        "HTTP/1.1 200 OK\r\nContent-Length: 99999999999\r\n\r\n", "HTTP/1.1 200 OK\r\nno colon\r\n\r\n",
-        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
-        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nabc\r\n"})
+    @ValueSource(
+            strings = {
+                "hello\r\n",
+                "HTTP/2 200\r\n",
+                "HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n",
+                "HTTP/1.1 200 OK\r\nContent-Length: 99999999999\r\n\r\n",
+                "HTTP/1.1 200 OK\r\nno colon\r\n\r\n",
+                "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
+                "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nabc\r\n"
+            })
     void whatMakesNoSenseIsBroken(String text) {
         assertThat(take(text, 1)).isEqualTo(State.BROKEN);
         assertThat(reply.why()).isNotEmpty();
@@ -69,32 +82,58 @@
     void linesAndBodiesWithoutEndAreBroken() {
         assertThat(take("HTTP/1.1 200 " + "x".repeat(100_000), 1000)).isEqualTo(State.BROKEN);
         HttpReply long1 = new HttpReply();
-        assertThat(long1.take(ByteBuffer.wrap("HTTP/1.1 200 OK\r\n\r\n".getBytes(StandardCharsets.UTF_8))))
-            .isEqualTo(State.WAITING);
-        assertThat(long1.take(ByteBuffer.wrap(new byte[HttpReply.MOST_BODY + 1]))).isEqualTo(State.BROKEN);
+        assertThat(
+                        long1.take(
+                                ByteBuffer.wrap(
+                                        "HTTP/1.1 200 OK\r\n\r\n"
+                                                .getBytes(StandardCharsets.UTF_8))))
+                .isEqualTo(State.WAITING);
+        assertThat(long1.take(ByteBuffer.wrap(new byte[HttpReply.MOST_BODY + 1])))
+                .isEqualTo(State.BROKEN);
     }
 
     @Test
     void aListIsReadAndABrokenOneIsNone() {
-        MemberList list = MemberList.parse(("{\"rev\":4,\"all\":false,\"targets\":[" + entry("s-1", 5433, "draining")
-            + "],\"more\":{}}").getBytes(StandardCharsets.UTF_8)).list();
+        MemberList list =
+                MemberList.parse(
+                                ("{\"rev\":4,\"all\":false,\"targets\":["
+                                                + entry("s-1", 5433, "draining")
+                                                + "],\"more\":{}}")
+                                        .getBytes(StandardCharsets.UTF_8))
+                        .list();
         assertThat(list.version()).isEqualTo(4);
         assertThat(list.whole()).isFalse();
         assertThat(list.entries().get(0).draining()).isTrue();
         assertThat(list.entries().get(0).port()).isEqualTo(5433);
-        for (String bad : new String[] {"", "[]", "{", "{\"rev\":1}", "{\"rev\":1,\"targets\":[3]}", "nope",
-            "{\"rev\":1,\"targets\":[{\"uid\":\"a\",\"endpoint\":\"nowhere\"}]}",
-            "{\"rev\":1,\"targets\":[{\"uid\":\"a\",\"endpoint\":\"some.host:80\"}]}",
-            "{\"rev\":1,\"targets\":[{\"uid\":\"a\",\"endpoint\":\"256.0.0.1:80\"}]}", "[".repeat(100_000)}) {
-            assertThat(MemberList.parse(bad.getBytes(StandardCharsets.UTF_8)).list()).as(bad).isNull();
+        for (String bad :
+                new String[] {
+                    "",
+                    "[]",
+                    "{",
+                    "{\"rev\":1}",
+                    "{\"rev\":1,\"targets\":[3]}",
+                    "nope",
+                    "{\"rev\":1,\"targets\":[{\"uid\":\"a\",\"endpoint\":\"nowhere\"}]}",
+                    "{\"rev\":1,\"targets\":[{\"uid\":\"a\",\"endpoint\":\"some.host:80\"}]}",
+                    "{\"rev\":1,\"targets\":[{\"uid\":\"a\",\"endpoint\":\"256.0.0.1:80\"}]}",
+                    "[".repeat(100_000)
+                }) {
+            assertThat(MemberList.parse(bad.getBytes(StandardCharsets.UTF_8)).list())
+                    .as(bad)
+                    .isNull();
         }
     }
 
-    /** Guards the thread against an answer that goes on for ever with what is none yet, or no more. */
+    /**
+     * Guards the thread against an answer that goes on for ever with what is none yet, or no more.
+     */
     @Test
     void interimAnswersAndTrailersHaveAnEnd() {
-        for (String[] endless : new String[][] {{"", "HTTP/1.1 100 Continue\r\n\r\n"},
-            {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n", "a: b\r\n"}}) {
+        for (String[] endless :
+                new String[][] {
+                    {"", "HTTP/1.1 100 Continue\r\n\r\n"},
+                    {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n", "a: b\r\n"}
+                }) {
             HttpReply r = new HttpReply();
             r.take(ByteBuffer.wrap(endless[0].getBytes(StandardCharsets.US_ASCII)));
             HttpReply.State s = HttpReply.State.WAITING;
--- a/src/test/java/wingroad/protocol/MemberInputTest.java
+++ b/src/test/java/wingroad/protocol/MemberInputTest.java
@@ -27,7 +27,7 @@
         input.clear();
         ByteBuffer seen = ByteBuffer.wrap(joined(parts));
         State state = State.WAITING;
-        for (int end = 0; end < seen.capacity() && state == State.WAITING;) {
+        for (int end = 0; end < seen.capacity() && state == State.WAITING; ) {
             end = Math.min(end + piece, seen.capacity());
             seen.limit(end);
             state = input.take(seen);
@@ -39,22 +39,38 @@
     @ValueSource(ints = {1, 2, 5, 1000})
     void aRowIsTakenWholeWithWhatTheMemberSaysOfItself(int piece) {
         byte[] notice = message('N', text("Mnothing"), new byte[1]);
-        assertThat(take(piece, notice, message('T', DESCRIPTION), ROW, message('C', text("SELECT 1")),
-            parameter("part", "replica"), parameter("caught_up_to", "17"), READY)).isEqualTo(State.WHOLE);
+        assertThat(
+                        take(
+                                piece,
+                                notice,
+                                message('T', DESCRIPTION),
+                                ROW,
+                                message('C', text("SELECT 1")),
+                                parameter("part", "replica"),
+                                parameter("caught_up_to", "17"),
+                                READY))
+                .isEqualTo(State.WHOLE);
         assertThat(input.served()).isTrue();
         assertThat(input.value()).isEqualTo("val");
         assertThat(input.parameter("part")).isEqualTo("replica");
         assertThat(input.parameter("caught_up_to")).isEqualTo("17");
-        assertThat(input.row()).startsWith(message('T', DESCRIPTION)).endsWith(message('C', text("SELECT 1")))
-            .hasSize(message('T', DESCRIPTION).length + ROW.length + message('C', text("SELECT 1")).length);
+        assertThat(input.row())
+                .startsWith(message('T', DESCRIPTION))
+                .endsWith(message('C', text("SELECT 1")))
+                .hasSize(
+                        message('T', DESCRIPTION).length
+                                + ROW.length
+                                + message('C', text("SELECT 1")).length);
     }
 
     @Test
     void anErrorIsKnownByItsCodeAndAFatalOneNeedsNoReady() {
-        assertThat(take(3, message('E', text("SERROR"), text("C25006"), new byte[1]), READY)).isEqualTo(State.WHOLE);
+        assertThat(take(3, message('E', text("SERROR"), text("C25006"), new byte[1]), READY))
+                .isEqualTo(State.WHOLE);
         assertThat(input.error()).isEqualTo("25006");
         assertThat(input.fatal()).isFalse();
-        assertThat(take(3, message('E', text("SFATAL"), text("C53300"), new byte[1]))).isEqualTo(State.WHOLE);
+        assertThat(take(3, message('E', text("SFATAL"), text("C53300"), new byte[1])))
+                .isEqualTo(State.WHOLE);
         assertThat(input.fatal()).isTrue();
     }
 
@@ -69,20 +85,33 @@
     void whatComesOutOfTurnBreaksTheStream() {
         byte[] done = message('C', text("SELECT 1"));
         byte[] described = message('T', DESCRIPTION);
-        byte[][][] bad = {{ROW}, {described, described}, {described, ROW, ROW}, {described, ROW, done, done}, {READY},
-            {message('T', new byte[] {0, 2}), ROW}, {message('R', new byte[4])}, {message('?')},
-            {{'D', 0, 0, 0, 1}}, {{'D', 100, 0, 0, 0}}, {described, message('D', new byte[] {0, 1, 0, 0, 0, 9, 'x'})},
-            {done, message('E', text("CXX000"), new byte[1])}};
+        byte[][][] bad = {
+            {ROW},
+            {described, described},
+            {described, ROW, ROW},
+            {described, ROW, done, done},
+            {READY},
+            {message('T', new byte[] {0, 2}), ROW},
+            {message('R', new byte[4])},
+            {message('?')},
+            {{'D', 0, 0, 0, 1}},
+            {{'D', 100, 0, 0, 0}},
+            {described, message('D', new byte[] {0, 1, 0, 0, 0, 9, 'x'})},
+            {done, message('E', text("CXX000"), new byte[1])}
+        };
         for (byte[][] parts : bad) {
             assertThat(take(1, parts)).isEqualTo(State.BROKEN);
             assertThat(input.served() && input.why() == null).isFalse();
-            assertThat(input.take(ByteBuffer.wrap(READY))).as("it stays broken").isEqualTo(State.BROKEN);
+            assertThat(input.take(ByteBuffer.wrap(READY)))
+                    .as("it stays broken")
+                    .isEqualTo(State.BROKEN);
         }
     }
 
     @Test
     void malformedFiguresCountAsAbsent() {
-        assertThat(Gauges.parse("x0=17.5,x1=,busy=abc,=3,rif=-2,q=1e400,zz")).isEqualTo(Map.of("x0", 17.5, "rif", -2.0));
+        assertThat(Gauges.parse("x0=17.5,x1=,busy=abc,=3,rif=-2,q=1e400,zz"))
+                .isEqualTo(Map.of("x0", 17.5, "rif", -2.0));
         assertThat(Gauges.number("NaN")).isNull();
         assertThat(Gauges.number("Infinity")).isNull();
         assertThat(Gauges.number(null)).isNull();
--- a/src/test/java/wingroad/rig/FencedMember.java
+++ b/src/test/java/wingroad/rig/FencedMember.java
@@ -17,23 +17,24 @@
 import wingroad.Fixtures.StandInMember;
 
 /**
- * A stand-in member with the fence that docs/operators/fleet.md has as SQL, and a ledger of what came. A chore's statement is
- * {@code SELECT fenced_NAME({epoch})}.
+ * A stand-in member with the fence that docs/operators/fleet.md has as SQL, and a ledger of what
+ * came. A chore's statement is {@code SELECT fenced_NAME({epoch})}.
  */
 public final class FencedMember implements AutoCloseable {
-    private static final Pattern CHORE = Pattern.compile("(?s)/\\* id=chore-([^,]*)-([0-9]+)-([0-9]+),.*"
-        + "SELECT fenced_\\w+\\(([0-9]+)\\).*");
+    private static final Pattern CHORE =
+            Pattern.compile(
+                    "(?s)/\\* id=chore-([^,]*)-([0-9]+)-([0-9]+),.*"
+                            + "SELECT fenced_\\w+\\(([0-9]+)\\).*");
     private static final long PATIENCE_S = 40;
 
     private static final Pattern CLIENT = Pattern.compile("/\\* id=([^,]*),");
 
     /** One client's txn that came; {@code end} is when it was answered, 0 while it is not. */
-    public record Txn(long at, String id, AtomicLong end) {
-    }
+    public record Txn(long at, String id, AtomicLong end) {}
 
     /** One chore's statement that came. */
-    public record Entry(long at, String chore, long epoch, long turn, boolean accepted, boolean late) {
-    }
+    public record Entry(
+            long at, String chore, long epoch, long turn, boolean accepted, boolean late) {}
 
     public final String uid;
     public final int group;
@@ -79,7 +80,8 @@
 
     private void client(String sql, Session s) throws IOException {
         Matcher id = CLIENT.matcher(sql);
-        Txn txn = new Txn(System.currentTimeMillis(), id.find() ? id.group(1) : "", new AtomicLong());
+        Txn txn =
+                new Txn(System.currentTimeMillis(), id.find() ? id.group(1) : "", new AtomicLong());
         synchronized (this) {
             txns.add(txn);
             warmth(txn.at);
@@ -92,7 +94,9 @@
         }
     }
 
-    /** What a cold member has got in the span in which it falls, as a part of what it bears then. */
+    /**
+     * What a cold member has got in the span in which it falls, as a part of what it bears then.
+     */
     private void warmth(long now) {
         if (bears == null || now - coldSince >= bears.coldMs) {
             return;
@@ -103,7 +107,10 @@
             got++;
         }
         double warm = bears.share + (1 - bears.share) * (now - coldSince) / bears.coldMs;
-        peak = Math.max(peak, got / (bears.perSecond * bears.fallMs / 1000.0 * bears.multiple * warm));
+        peak =
+                Math.max(
+                        peak,
+                        got / (bears.perSecond * bears.fallMs / 1000.0 * bears.multiple * warm));
     }
 
     private void work(String sql, Session s) throws IOException {
@@ -150,12 +157,12 @@
      * What it bears after a start.
      *
      * @param perSecond txns a second that it serves when warm
-     * @param coldMs    how long it is cold
-     * @param share     its part of that at the start
-     * @param multiple  so many times what it can do then makes it fall, within the span
+     * @param coldMs how long it is cold
+     * @param share its part of that at the start
+     * @param multiple so many times what it can do then makes it fall, within the span
      */
-    public record Bears(double perSecond, long coldMs, double share, double multiple, long fallMs) {
-    }
+    public record Bears(
+            double perSecond, long coldMs, double share, double multiple, long fallMs) {}
 
     /** It has started now and is cold; it works on so many txns at a time. */
     public synchronized void starts(Bears what, int atATime) {
@@ -244,9 +251,10 @@
     }
 
     /** The first entry from this index on that is as wanted. */
-    public synchronized Entry await(int from, java.util.function.Predicate<Entry> wanted) throws InterruptedException {
+    public synchronized Entry await(int from, java.util.function.Predicate<Entry> wanted)
+            throws InterruptedException {
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_S);
-        for (int i = from;; i++) {
+        for (int i = from; ; i++) {
             while (i >= ledger.size()) {
                 long left = end - System.nanoTime();
                 if (left <= 0) {
--- a/src/test/java/wingroad/rig/Load.java
+++ b/src/test/java/wingroad/rig/Load.java
@@ -11,18 +11,22 @@
 import wingroad.Fixtures.Client;
 
 /**
- * Clients of all drivers that live: a txn after the other, every fifth a write. What is broken off while its driver is
- * left alone counts as lost.
+ * Clients of all drivers that live: a txn after the other, every fifth a write. What is broken off
+ * while its driver is left alone counts as lost.
  */
 public final class Load implements AutoCloseable {
     public final AtomicLong sent = new AtomicLong();
     public final AtomicLong committed = new AtomicLong();
     public final AtomicLong refused = new AtomicLong();
     public final AtomicLong lost = new AtomicLong();
+
     /** What was heard by the first that were refused, and when. */
-    public final java.util.Queue<String> refusals = new java.util.concurrent.ConcurrentLinkedQueue<>();
+    public final java.util.Queue<String> refusals =
+            new java.util.concurrent.ConcurrentLinkedQueue<>();
+
     /** Drivers that are not left alone: what fails there is not counted. */
     public final Set<String> away = ConcurrentHashMap.newKeySet();
+
     private final Rig rig;
     private final List<Integer> groups;
     private final long everyMs;
@@ -68,7 +72,11 @@
                 }
                 String id = client + "-" + now + "-" + n;
                 String group = "cluster=" + groups.get(n % groups.size());
-                List<String> heard = c.ask((n % 5 == 4 ? Fixtures.write(id) : Fixtures.read(id)).replace("cluster=7", group)).heard();
+                List<String> heard =
+                        c.ask(
+                                        (n % 5 == 4 ? Fixtures.write(id) : Fixtures.read(id))
+                                                .replace("cluster=7", group))
+                                .heard();
                 if (alone && !away.contains(d.name) && d.starts == now) {
                     sent.incrementAndGet();
                     if (heard.contains("row value")) {
@@ -85,7 +93,12 @@
                     c = null;
                 }
             } catch (IOException e) {
-                if (c != null && alone && !away.contains(d.name) && d.starts == now && d.alive() && !over) {
+                if (c != null
+                        && alone
+                        && !away.contains(d.name)
+                        && d.starts == now
+                        && d.alive()
+                        && !over) {
                     sent.incrementAndGet();
                     lost.incrementAndGet();
                 }
--- a/src/test/java/wingroad/rig/Peer.java
+++ b/src/test/java/wingroad/rig/Peer.java
@@ -12,8 +12,8 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * The far end of one connection, driven by the test's own thread: it reads, writes, trickles, ends its side and resets when
- * the test says so, and at no other time. What is waited for is bounded.
+ * The far end of one connection, driven by the test's own thread: it reads, writes, trickles, ends
+ * its side and resets when the test says so, and at no other time. What is waited for is bounded.
  */
 public final class Peer implements AutoCloseable {
     private static final int PATIENCE_MS = 20_000;
@@ -123,7 +123,9 @@
     public String awaitEnd() throws IOException {
         ByteArrayOutputStream all = new ByteArrayOutputStream();
         try {
-            for (int b = socket.getInputStream().read(); b >= 0; b = socket.getInputStream().read()) {
+            for (int b = socket.getInputStream().read();
+                    b >= 0;
+                    b = socket.getInputStream().read()) {
                 all.write(b);
             }
         } catch (SocketException reset) {
--- a/src/test/java/wingroad/rig/Relays.java
+++ b/src/test/java/wingroad/rig/Relays.java
@@ -18,8 +18,9 @@
 import java.util.concurrent.CountDownLatch;
 
 /**
- * Every link of the rig: a port for each, and one thread that passes on what comes, or holds it, slows it, breaks it off in
- * mid-message. What is held is not lost: it comes late, also where its sender has gone meanwhile.
+ * Every link of the rig: a port for each, and one thread that passes on what comes, or holds it,
+ * slows it, breaks it off in mid-message. What is held is not lost: it comes late, also where its
+ * sender has gone meanwhile.
  */
 public final class Relays implements AutoCloseable {
     private static final int PIECE = 16 * 1024;
@@ -27,10 +28,14 @@
 
     /** Which way bytes go: from whoever connected, or back. */
     public enum Way {
-        FORTH, BACK
+        FORTH,
+        BACK
     }
 
-    /** Sees what goes by, on the relays' thread; true holds this connection's way from these bytes on. */
+    /**
+     * Sees what goes by, on the relays' thread; true holds this connection's way from these bytes
+     * on.
+     */
     public interface Tap {
         boolean sees(Connection link, Way way, ByteBuffer bytes, Object connection);
     }
@@ -87,13 +92,14 @@
     public Connection link(String from, String to) throws IOException {
         Connection l = new Connection(from, to);
         links.put(from + ">" + to, l);
-        sync(() -> {
-            try {
-                l.door.register(selector, SelectionKey.OP_ACCEPT, l);
-            } catch (IOException e) {
-                throw new IllegalStateException(e);
-            }
-        });
+        sync(
+                () -> {
+                    try {
+                        l.door.register(selector, SelectionKey.OP_ACCEPT, l);
+                    } catch (IOException e) {
+                        throw new IllegalStateException(e);
+                    }
+                });
         return l;
     }
 
@@ -107,17 +113,18 @@
 
     /** Holds what goes this way, or lets it go on, on what is connected and on what will be. */
     public void hold(Connection l, Way way, boolean held) {
-        sync(() -> {
-            if (way == Way.FORTH) {
-                l.heldForth = held;
-            } else {
-                l.heldBack = held;
-            }
-            for (Pair p : List.copyOf(l.pairs)) {
-                p.turn(way).held = held;
-                p.turn(way).flush();
-            }
-        });
+        sync(
+                () -> {
+                    if (way == Way.FORTH) {
+                        l.heldForth = held;
+                    } else {
+                        l.heldBack = held;
+                    }
+                    for (Pair p : List.copyOf(l.pairs)) {
+                        p.turn(way).held = held;
+                        p.turn(way).flush();
+                    }
+                });
     }
 
     /** All that goes over the link takes this much longer. */
@@ -127,33 +134,39 @@
 
     /** Ends what is connected now, in the middle of what is held where something is. */
     public void breakOff(Connection l) {
-        sync(() -> List.copyOf(l.pairs).forEach(p -> {
-            for (Turn t : List.of(p.forth, p.back)) {
-                t.held = false;
-                t.half();
-            }
-            p.end();
-        }));
+        sync(
+                () ->
+                        List.copyOf(l.pairs)
+                                .forEach(
+                                        p -> {
+                                            for (Turn t : List.of(p.forth, p.back)) {
+                                                t.held = false;
+                                                t.half();
+                                            }
+                                            p.end();
+                                        }));
     }
 
     /** Lets one held connection go on, the one a tap has held. */
     public void letGo(Object connection) {
-        sync(() -> {
-            Turn t = (Turn) connection;
-            t.held = t.pair.link.held(t.way);
-            t.flush();
-        });
+        sync(
+                () -> {
+                    Turn t = (Turn) connection;
+                    t.held = t.pair.link.held(t.way);
+                    t.flush();
+                });
     }
 
     private void sync(Runnable task) {
         CountDownLatch done = new CountDownLatch(1);
-        tasks.add(() -> {
-            try {
-                task.run();
-            } finally {
-                done.countDown();
-            }
-        });
+        tasks.add(
+                () -> {
+                    try {
+                        task.run();
+                    } finally {
+                        done.countDown();
+                    }
+                });
         selector.wakeup();
         try {
             done.await();
@@ -207,8 +220,9 @@
         private void interest(SocketChannel c, Turn reads, Turn writes) {
             SelectionKey k = c.keyFor(selector);
             if (k != null && k.isValid() && c.isConnected()) {
-                k.interestOps((reads.ended || reads.waiting > MOST_HELD ? 0 : SelectionKey.OP_READ)
-                    | (writes.blocked ? SelectionKey.OP_WRITE : 0));
+                k.interestOps(
+                        (reads.ended || reads.waiting > MOST_HELD ? 0 : SelectionKey.OP_READ)
+                                | (writes.blocked ? SelectionKey.OP_WRITE : 0));
             }
         }
     }
@@ -225,6 +239,7 @@
         boolean held;
         boolean ended;
         boolean blocked;
+
         /** Whoever it goes to is gone, while the other way still holds something. */
         boolean dead;
 
@@ -262,7 +277,10 @@
         void flush() {
             blocked = false;
             try {
-                while (!held && out.isConnected() && !queue.isEmpty() && due.peek() <= System.nanoTime()) {
+                while (!held
+                        && out.isConnected()
+                        && !queue.isEmpty()
+                        && due.peek() <= System.nanoTime()) {
                     ByteBuffer b = queue.peek();
                     waiting -= out.write(b);
                     if (b.hasRemaining()) {
@@ -273,7 +291,8 @@
                     due.poll();
                 }
                 if (ended && queue.isEmpty() && !held && out.isConnected()) {
-                    // The other side's own end comes behind all that it had sent; half-open connections are not needed here.
+                    // The other side's own end comes behind all that it had sent; half-open
+                    // connections are not needed here.
                     pair.end();
                     return;
                 }
--- a/src/test/java/wingroad/rig/Rig.java
+++ b/src/test/java/wingroad/rig/Rig.java
@@ -20,9 +20,9 @@
 import wingroad.Fixtures.StandInDiscovery;
 
 /**
- * Several real processes of the program on loopback, each with its own operator's file, state folder and log. Every link
- * between two of them, and to members and discovery, is one of the relays'. Nothing waits for time: all waits are on lines
- * of logs or on what members saw.
+ * Several real processes of the program on loopback, each with its own operator's file, state
+ * folder and log. Every link between two of them, and to members and discovery, is one of the
+ * relays'. Nothing waits for time: all waits are on lines of logs or on what members saw.
  */
 public final class Rig implements AutoCloseable {
     private static final long PATIENCE_S = Integer.getInteger("rig.patience", 40);
@@ -33,15 +33,19 @@
     public final StandInDiscovery discovery = new StandInDiscovery();
     private final Path dir;
     private final List<String> voters = new ArrayList<>();
+
     /** Those that may be let in as voters: no file names them, and all reach them by one link. */
     private final List<String> spare = new ArrayList<>();
+
     /** Members that no driver knows from its start. */
     public final List<String> later = new ArrayList<>();
+
     private final String fleet;
     private final String settings;
 
     /**
-     * @param fleet what stands in each operator's file beside names, addresses and state, or null for drivers without a fleet
+     * @param fleet what stands in each operator's file beside names, addresses and state, or null
+     *     for drivers without a fleet
      */
     public Rig(Path dir, int count, int voting, String fleet, String settings) throws IOException {
         this.dir = dir;
@@ -72,7 +76,10 @@
         }
     }
 
-    /** What discovery tells: all members, those in the map under their own state. Links are the drivers' own, as known at the start. */
+    /**
+     * What discovery tells: all members, those in the map under their own state. Links are the
+     * drivers' own, as known at the start.
+     */
     public void tellList(Map<String, String> states) throws IOException {
         StringBuilder all = new StringBuilder();
         for (FencedMember m : members.values()) {
@@ -85,7 +92,8 @@
     }
 
     /** Adds a member; all drivers know it from their start. */
-    public FencedMember member(String uid, int group, boolean primary, boolean fenced) throws IOException {
+    public FencedMember member(String uid, int group, boolean primary, boolean fenced)
+            throws IOException {
         FencedMember m = new FencedMember(uid, group, primary, fenced);
         members.put(uid, m);
         for (Driver d : drivers.values()) {
@@ -95,8 +103,7 @@
     }
 
     /** One line of a process's log. */
-    public record Line(long at, String text) {
-    }
+    public record Line(long at, String text) {}
 
     /** One process and what it left. */
     public final class Driver {
@@ -106,10 +113,16 @@
         private final List<Line> log = new ArrayList<>();
         private int port;
         public boolean stopped;
+
         /** The name that it gives itself in the fleet. */
         public String as;
-        /** How large a file of its may grow, in KB; 0 for any size: what is beyond is like a full disk. */
+
+        /**
+         * How large a file of its may grow, in KB; 0 for any size: what is beyond is like a full
+         * disk.
+         */
         public int largestFileKb;
+
         public int starts;
 
         private Driver(String name) throws IOException {
@@ -119,7 +132,10 @@
             relays.link(name, "discovery").leadTo(discovery.port());
         }
 
-        /** Takes it away from the fleet's file that all share: what stands there for this driver alone, or null. */
+        /**
+         * Takes it away from the fleet's file that all share: what stands there for this driver
+         * alone, or null.
+         */
         public String rules = fleet;
 
         public Path state() {
@@ -147,19 +163,47 @@
                 }
                 known.append(known.length() == 0 ? "" : ",").append(entry(name, m, "ready"));
             }
-            Path config = Files.writeString(home.resolve("config.json"), "{\"name\":\"" + name
-                + "\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:" + relays.between(name, "discovery").port()
-                + "\",\"seed\":\"" + Integer.toHexString(name.hashCode()) + "\",\"limits\":{\"cores\":1.0,\"memory_mb\":192,"
-                + "\"sockets\":1024},\"known\":{\"rev\":0,\"all\":true,\"targets\":[" + known + "]},\"settings\":" + settings
-                + "}");
-            List<String> command = new ArrayList<>(List.of("java", "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1",
-                "-XX:-UsePerfData", "-Xshare:auto", "-Xms32m", "-Xmx48m", "-Xss256k", "-jar", "target/wingroad.jar",
-                "serve"));
+            Path config =
+                    Files.writeString(
+                            home.resolve("config.json"),
+                            "{\"name\":\""
+                                    + name
+                                    + "\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:"
+                                    + relays.between(name, "discovery").port()
+                                    + "\",\"seed\":\""
+                                    + Integer.toHexString(name.hashCode())
+                                    + "\",\"limits\":{\"cores\":1.0,\"memory_mb\":192,"
+                                    + "\"sockets\":1024},\"known\":{\"rev\":0,\"all\":true,\"targets\":["
+                                    + known
+                                    + "]},\"settings\":"
+                                    + settings
+                                    + "}");
+            List<String> command =
+                    new ArrayList<>(
+                            List.of(
+                                    "java",
+                                    "-XX:+UseSerialGC",
+                                    "-XX:TieredStopAtLevel=1",
+                                    "-XX:-UsePerfData",
+                                    "-Xshare:auto",
+                                    "-Xms32m",
+                                    "-Xmx48m",
+                                    "-Xss256k",
+                                    "-jar",
+                                    "target/wingroad.jar",
+                                    "serve"));
             if (fleet != null) {
                 command.addAll(List.of("--operator", operator().toString()));
             }
             if (largestFileKb > 0) {
-                command = List.of("bash", "-c", "ulimit -f " + largestFileKb + "; exec " + String.join(" ", command));
+                command =
+                        List.of(
+                                "bash",
+                                "-c",
+                                "ulimit -f "
+                                        + largestFileKb
+                                        + "; exec "
+                                        + String.join(" ", command));
             }
             ProcessBuilder b = new ProcessBuilder(command).redirectErrorStream(true);
             b.environment().put("LB_CONFIG", config.toString());
@@ -179,15 +223,19 @@
         public Path operator() throws IOException {
             StringBuilder f = new StringBuilder("fleet \"rig\" {\n    driver \"" + as + "\"\n");
             for (String v : voters) {
-                f.append("    voter \"").append(v).append("\" \"127.0.0.1:").append(relays.between(name, v).port())
-                    .append("\"\n");
+                f.append("    voter \"")
+                        .append(v)
+                        .append("\" \"127.0.0.1:")
+                        .append(relays.between(name, v).port())
+                        .append("\"\n");
             }
             if (voters.contains(name) || spare.contains(name)) {
                 f.append("    listen \"127.0.0.1:0\"\n");
             }
             f.append("    state \"").append(state()).append("\"\n").append(rules).append("}\n");
             Path file = home.resolve("operator.kdl");
-            // Asked for by tests while processes start: one that reads it meanwhile must not find it cut off.
+            // Asked for by tests while processes start: one that reads it meanwhile must not find
+            // it cut off.
             if (!Files.exists(file) || !Files.readString(file).contentEquals(f)) {
                 Path next = Files.writeString(home.resolve("operator.kdl.next"), f.toString());
                 Files.move(next, file, StandardCopyOption.ATOMIC_MOVE);
@@ -197,15 +245,22 @@
 
         private void read(Process from) {
             try (BufferedReader in = from.inputReader(StandardCharsets.UTF_8);
-                 PrintStream file = new PrintStream(new FileOutputStream(home.resolve("log").toFile(), true), true,
-                     StandardCharsets.UTF_8)) {
+                    PrintStream file =
+                            new PrintStream(
+                                    new FileOutputStream(home.resolve("log").toFile(), true),
+                                    true,
+                                    StandardCharsets.UTF_8)) {
                 for (String line = in.readLine(); line != null; line = in.readLine()) {
                     file.println(line);
                     if (line.contains(" serves ")) {
-                        port = Integer.parseInt(line.replaceAll(".* serves [^ ]*:([0-9]+),.*", "$1"));
+                        port =
+                                Integer.parseInt(
+                                        line.replaceAll(".* serves [^ ]*:([0-9]+),.*", "$1"));
                     }
                     if (line.contains("listens at ")) {
-                        int at = Integer.parseInt(line.replaceAll(".*listens at [^ ]*:([0-9]+).*", "$1"));
+                        int at =
+                                Integer.parseInt(
+                                        line.replaceAll(".*listens at [^ ]*:([0-9]+).*", "$1"));
                         for (Relays.Connection l : relays.all()) {
                             if (l.to.equals(name)) {
                                 l.leadTo(at);
@@ -234,7 +289,11 @@
         /** When the first line with these words came, in Unix milliseconds; 0 where none did. */
         public long when(String words) {
             synchronized (log) {
-                return log.stream().filter(l -> l.text.contains(words)).mapToLong(Line::at).findFirst().orElse(0);
+                return log.stream()
+                        .filter(l -> l.text.contains(words))
+                        .mapToLong(Line::at)
+                        .findFirst()
+                        .orElse(0);
             }
         }
 
@@ -251,8 +310,10 @@
                     }
                     long left = end - System.nanoTime();
                     if (left <= 0 || !alive() && at == log.size()) {
-                        throw new AssertionError(name + " never said it; its log:\n" + String.join("\n", log.stream()
-                            .map(Line::text).toList()));
+                        throw new AssertionError(
+                                name
+                                        + " never said it; its log:\n"
+                                        + String.join("\n", log.stream().map(Line::text).toList()));
                     }
                     log.wait(Math.max(1, Math.min(200, left / 1_000_000)));
                 }
@@ -271,7 +332,9 @@
 
         private void signal(String which) throws IOException {
             try {
-                new ProcessBuilder("kill", "-" + which, Long.toString(process.pid())).start().waitFor();
+                new ProcessBuilder("kill", "-" + which, Long.toString(process.pid()))
+                        .start()
+                        .waitFor();
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
@@ -314,17 +377,23 @@
         }
     }
 
-    /** A member's entry in discovery's list, by one driver's link: discovery tells all the same address. */
+    /**
+     * A member's entry in discovery's list, by one driver's link: discovery tells all the same
+     * address.
+     */
     public String entry(String driver, FencedMember m, String state) throws IOException {
-        return Fixtures.entry(m.uid, relays.between(driver, m.uid).port(), state).replace("\"pod_group\":7",
-            "\"pod_group\":" + m.group);
+        return Fixtures.entry(m.uid, relays.between(driver, m.uid).port(), state)
+                .replace("\"pod_group\":7", "\"pod_group\":" + m.group);
     }
 
     public Driver driver(String name) {
         return drivers.get(name);
     }
 
-    /** This driver listens, though no file names it as a voter; returns the address at which all reach it. */
+    /**
+     * This driver listens, though no file names it as a voter; returns the address at which all
+     * reach it.
+     */
     public String spare(String name) throws IOException {
         spare.add(name);
         return "127.0.0.1:" + relays.link("all", name).port();
@@ -333,7 +402,13 @@
     /** What each process has said since its last start. */
     public String logs() {
         StringBuilder all = new StringBuilder();
-        drivers.values().forEach(d -> all.append(d.name).append(":\n").append(String.join("\n", d.log())).append('\n'));
+        drivers.values()
+                .forEach(
+                        d ->
+                                all.append(d.name)
+                                        .append(":\n")
+                                        .append(String.join("\n", d.log()))
+                                        .append('\n'));
         return all.toString();
     }
 
@@ -350,7 +425,8 @@
     /** Cuts a driver off from the voters and the voters from it, or heals that. */
     public void cutFromCouncil(String driver, boolean cut) {
         for (Relays.Connection l : relays.all()) {
-            if (!l.from.equals(l.to) && (l.from.equals(driver) && voters.contains(l.to) || l.to.equals(driver))) {
+            if (!l.from.equals(l.to)
+                    && (l.from.equals(driver) && voters.contains(l.to) || l.to.equals(driver))) {
                 relays.hold(l, Relays.Way.FORTH, cut);
                 relays.hold(l, Relays.Way.BACK, cut);
             }
--- a/src/test/java/wingroad/rig/RigTest.java
+++ b/src/test/java/wingroad/rig/RigTest.java
@@ -11,10 +11,12 @@
 
 /** What the rig owes the processes that it starts. */
 class RigTest {
-    @TempDir
-    Path dir;
+    @TempDir Path dir;
 
-    /** Guards against a driver that starts while a test asks for its file, finds it empty and runs without a fleet. */
+    /**
+     * Guards against a driver that starts while a test asks for its file, finds it empty and runs
+     * without a fleet.
+     */
     @Test
     void anOperatorsFileIsNeverWrittenWhereAProcessMayReadIt() throws Exception {
         try (Rig rig = new Rig(dir, 1, 1, "    lease-ms 3000\n", Fixtures.SETTINGS)) {
--- a/src/test/java/wingroad/rig/SlowDisk.java
+++ b/src/test/java/wingroad/rig/SlowDisk.java
@@ -9,8 +9,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Makes a voter's disk slow or hang: it holds the write lock of the voter's database from outside, so that the voter's writes
- * wait as they do for a disk that is busy.
+ * Makes a voter's disk slow or hang: it holds the write lock of the voter's database from outside,
+ * so that the voter's writes wait as they do for a disk that is busy.
  */
 public final class SlowDisk implements AutoCloseable {
     private final Connection db;
--- a/src/test/java/wingroad/routing/TxnRouterTest.java
+++ b/src/test/java/wingroad/routing/TxnRouterTest.java
@@ -36,9 +36,11 @@
         g.txn(11, "b", WRITE, 3000);
         g.decisions(11);
         g.says(20, 2, Role.PRIMARY, 18);
-        assertThat(of(Kind.SUBMIT, g.decisions(20))).extracting(Decision::txn, Decision::member)
-            .containsExactly(org.assertj.core.api.Assertions.tuple("a", 2L),
-                org.assertj.core.api.Assertions.tuple("b", 2L));
+        assertThat(of(Kind.SUBMIT, g.decisions(20)))
+                .extracting(Decision::txn, Decision::member)
+                .containsExactly(
+                        org.assertj.core.api.Assertions.tuple("a", 2L),
+                        org.assertj.core.api.Assertions.tuple("b", 2L));
     }
 
     @Test
@@ -50,7 +52,9 @@
         g.decisions(20);
         g.says(30, 2, Role.PRIMARY, 28);
         g.decisions(30);
-        assertThat(of(Kind.PROBE, g.decisions(135))).extracting(Decision::member).containsExactly(2L);
+        assertThat(of(Kind.PROBE, g.decisions(135)))
+                .extracting(Decision::member)
+                .containsExactly(2L);
     }
 
     @Test
@@ -116,7 +120,9 @@
         g.ends(20, "a", 0, 1, End.MISSED, Role.REPLICA);
         assertThat(of(Kind.SUBMIT, g.decisions(20))).isEmpty();
         g.says(40, 2, Role.PRIMARY, 38);
-        assertThat(of(Kind.SUBMIT, g.decisions(40))).extracting(Decision::member).containsExactly(2L);
+        assertThat(of(Kind.SUBMIT, g.decisions(40)))
+                .extracting(Decision::member)
+                .containsExactly(2L);
     }
 
     @Test
@@ -128,7 +134,11 @@
 
     @Test
     void referencedIsNotRepeatedPastItsWindow() {
-        Fixtures g = new Fixtures().type(WRITE, "referenced", "update", 600, 9000).group(1, 2).roles(5, 2);
+        Fixtures g =
+                new Fixtures()
+                        .type(WRITE, "referenced", "update", 600, 9000)
+                        .group(1, 2)
+                        .roles(5, 2);
         g.txn(10, "a", WRITE, 9000);
         g.decisions(10);
         g.ends(4500, "a", 0, 1, End.TIMED_OUT, Role.UNKNOWN);
@@ -148,8 +158,12 @@
 
     @Test
     void aReadFromASilentReplicaIsTriedElsewhere() {
-        Fixtures g = new Fixtures().type(READ, "repeatable", "recent", 2000, 4000)
-            .with("txn-type.0.oldest-data", at(3000)).group(1, 2, 3).roles(5, 2, 3);
+        Fixtures g =
+                new Fixtures()
+                        .type(READ, "repeatable", "recent", 2000, 4000)
+                        .with("txn-type.0.oldest-data", at(3000))
+                        .group(1, 2, 3)
+                        .roles(5, 2, 3);
         for (int i = 0; i < 4; i++) {
             g.txn(10, "r" + i, READ, 4000);
         }
@@ -160,8 +174,9 @@
                 g.ends(20, d.txn(), 0, d.member(), End.COMMITTED, Role.REPLICA);
             }
         }
-        assertThat(of(Kind.SUBMIT, g.until(1500))).isNotEmpty()
-            .allMatch(d -> d.member() != quiet && d.submission() == 1);
+        assertThat(of(Kind.SUBMIT, g.until(1500)))
+                .isNotEmpty()
+                .allMatch(d -> d.member() != quiet && d.submission() == 1);
     }
 
     @Test
@@ -181,25 +196,36 @@
         assertThat(of(Kind.SUBMIT, all)).isEmpty();
         assertThat(of(Kind.PROBE, all)).extracting(Decision::member).contains(2L);
         g.says(1010, 2, Role.REPLICA, 990);
-        assertThat(of(Kind.SUBMIT, g.decisions(1010))).extracting(Decision::member).containsExactly(2L);
+        assertThat(of(Kind.SUBMIT, g.decisions(1010)))
+                .extracting(Decision::member)
+                .containsExactly(2L);
     }
 
     @Test
     void aReplicaThatFallsBehindUnderSlowAnswersGetsLess() {
-        // Guards against replicas that swing about the bound: crowded, idle until caught up, crowded again.
+        // Guards against replicas that swing about the bound: crowded, idle until caught up,
+        // crowded again.
         Fixtures g = new Fixtures().group(1, 2).roles(5, 2);
         for (int i = 0; i < 30; i++) {
             long now = 10 + 50 * i;
             g.txn(now, "r" + i, READ, 2000);
             g.decisions(now);
-            g.router.submissionEnded(at(now + 40), "r" + i, 0, 2, End.COMMITTED, at(400), true, Role.REPLICA,
-                at(now + 40 - 260 - i));
+            g.router.submissionEnded(
+                    at(now + 40),
+                    "r" + i,
+                    0,
+                    2,
+                    End.COMMITTED,
+                    at(400),
+                    true,
+                    Role.REPLICA,
+                    at(now + 40 - 260 - i));
         }
         for (int i = 0; i < 8; i++) {
             g.txn(1600, "x" + i, READ, 2000);
         }
         assertThat(of(Kind.SUBMIT, g.decisions(1600)).stream().filter(d -> d.member() == 2))
-            .hasSizeBetween(1, 5);
+                .hasSizeBetween(1, 5);
     }
 
     @Test
@@ -210,7 +236,9 @@
         g.ends(500, "a", 0, 1, End.COMMITTED, Role.PRIMARY);
         g.says(510, 2, Role.PRIMARY, 300);
         g.txn(520, "b", WRITE, 3000);
-        assertThat(of(Kind.SUBMIT, g.decisions(520))).extracting(Decision::member).containsExactly(1L);
+        assertThat(of(Kind.SUBMIT, g.decisions(520)))
+                .extracting(Decision::member)
+                .containsExactly(1L);
     }
 
     @Test
@@ -226,7 +254,9 @@
         g.says(710, 1, Role.PRIMARY, 709);
         assertThat(of(Kind.SUBMIT, g.decisions(710))).isEmpty();
         g.ends(720, "w0", 0, 1, End.COMMITTED, Role.PRIMARY);
-        assertThat(of(Kind.SUBMIT, g.decisions(720))).extracting(Decision::txn).containsExactly("late");
+        assertThat(of(Kind.SUBMIT, g.decisions(720)))
+                .extracting(Decision::txn)
+                .containsExactly("late");
     }
 
     @Test
@@ -256,7 +286,8 @@
 
     @Test
     void aColdMemberIsHeldToABudgetEvenIfItMissesQuickly() {
-        // Guards the fail-back rule: quick misses keep nothing out, so a limit on work out is no bound; and
+        // Guards the fail-back rule: quick misses keep nothing out, so a limit on work out is no
+        // bound; and
         // what each driver may send at once would add up over many of them.
         Fixtures g = new Fixtures().with("members-check", "hold").group(1).roles(5);
         g.router.listStarts(at(6), false);
@@ -282,7 +313,9 @@
         g.txn(10, "a", READ, 2000);
         g.decisions(10);
         g.ends(15, "a", 0, 2, End.RESET, Role.UNKNOWN);
-        assertThat(of(Kind.SUBMIT, g.decisions(15))).extracting(Decision::member).containsExactly(2L);
+        assertThat(of(Kind.SUBMIT, g.decisions(15)))
+                .extracting(Decision::member)
+                .containsExactly(2L);
     }
 
     @Test
@@ -297,7 +330,8 @@
     @Test
     void furtherSubmissionsStopWhenNoneSucceed() {
         // Staff's way: how often further ones are made follows how many recent ones succeeded.
-        Fixtures g = new Fixtures().with("members-check", "hold").group(1, 2, 3, 4).roles(5, 2, 3, 4);
+        Fixtures g =
+                new Fixtures().with("members-check", "hold").group(1, 2, 3, 4).roles(5, 2, 3, 4);
         int further = 0;
         for (int i = 0; i < 40; i++) {
             g.txn(10 + i, "r" + i, READ, 2000);
@@ -311,8 +345,13 @@
 
     @Test
     void aReadThatNothingCanTakeIsDeclinedWhileARetryCanStillBeInTime() {
-        // Guards against retries that come too late to be worth anything and are served all the same.
-        Fixtures g = new Fixtures().with("may-advise-come-back", true).with("longest-come-back", at(500)).group(1);
+        // Guards against retries that come too late to be worth anything and are served all the
+        // same.
+        Fixtures g =
+                new Fixtures()
+                        .with("may-advise-come-back", true)
+                        .with("longest-come-back", at(500))
+                        .group(1);
         g.txn(10, "r", READ, 2000);
         List<Decision> declined = of(Kind.DECLINE, g.until(400));
         assertThat(declined).extracting(Decision::txn).containsExactly("r");
@@ -322,7 +361,11 @@
     @Test
     void aSureMissIsNotTried() {
         // Guards against wasting a submission on a replica that was just heard to be far behind.
-        Fixtures g = new Fixtures().with("members-check", "hold").with("members-hold-for", at(20)).group(1, 2);
+        Fixtures g =
+                new Fixtures()
+                        .with("members-check", "hold")
+                        .with("members-hold-for", at(20))
+                        .group(1, 2);
         g.says(3000, 1, Role.REPLICA, 1000);
         g.says(3000, 2, Role.REPLICA, 1000);
         g.txn(3001, "r", READ, 2000);
@@ -331,13 +374,21 @@
 
     @Test
     void referencedHeldByAFormerPrimaryMovesToTheNewOne() {
-        Fixtures g = new Fixtures().type(WRITE, "referenced", "update", 600, 9000).group(1, 2).roles(5, 2);
+        Fixtures g =
+                new Fixtures()
+                        .type(WRITE, "referenced", "update", 600, 9000)
+                        .group(1, 2)
+                        .roles(5, 2);
         g.txn(10, "a", WRITE, 9000);
         g.decisions(10);
         g.says(500, 2, Role.PRIMARY, 499);
-        assertThat(of(Kind.CANCEL, g.decisions(500))).extracting(Decision::txn).containsExactly("a");
+        assertThat(of(Kind.CANCEL, g.decisions(500)))
+                .extracting(Decision::txn)
+                .containsExactly("a");
         g.ends(505, "a", 0, 1, End.CANCELLED, Role.UNKNOWN);
-        assertThat(of(Kind.SUBMIT, g.decisions(505))).extracting(Decision::member).containsExactly(2L);
+        assertThat(of(Kind.SUBMIT, g.decisions(505)))
+                .extracting(Decision::member)
+                .containsExactly(2L);
     }
 
     @Test
@@ -359,8 +410,16 @@
             g.says(i, 3, Role.REPLICA, i);
             for (Decision d : of(Kind.SUBMIT, g.decisions(i))) {
                 sent++;
-                g.router.submissionEnded(at(i), d.txn(), d.submission(), d.member(), End.COMMITTED, at(900),
-                    true, Role.REPLICA, at(i));
+                g.router.submissionEnded(
+                        at(i),
+                        d.txn(),
+                        d.submission(),
+                        d.member(),
+                        End.COMMITTED,
+                        at(900),
+                        true,
+                        Role.REPLICA,
+                        at(i));
             }
         }
         assertThat(sent).isBetween(3, 20);
@@ -368,7 +427,8 @@
 
     @Test
     void aSearchAsksAgainOnlyWhileWritesAreHeld() {
-        // Guards a group against the probes of many drivers that wait for nothing, just as its primary comes.
+        // Guards a group against the probes of many drivers that wait for nothing, just as its
+        // primary comes.
         Fixtures g = new Fixtures().group(1, 2).roles(5, 2);
         g.says(100, 1, Role.REPLICA, 100);
         assertThat(of(Kind.PROBE, g.decisions(100))).hasSize(2);
@@ -391,7 +451,8 @@
 
     @Test
     void timeOutsAtACrowdedReplicaBringItsShareDown() {
-        // Guards against a replica that answers nothing in time any more and is sent as much as before.
+        // Guards against a replica that answers nothing in time any more and is sent as much as
+        // before.
         Fixtures g = new Fixtures().group(1, 2).roles(5, 2);
         int sent = 0;
         for (int i = 10; i < 6000; i += 100) {
@@ -400,8 +461,13 @@
             g.txn(i, "b" + i, READ, 2000);
             for (Decision d : of(Kind.SUBMIT, g.decisions(i))) {
                 boolean sign = d.member() != 2 || sent++ % 2 == 0;
-                g.ends(i + (sign ? 1 : 2), d.txn(), d.submission(), d.member(),
-                    sign ? End.MISSED : End.TIMED_OUT, Role.REPLICA);
+                g.ends(
+                        i + (sign ? 1 : 2),
+                        d.txn(),
+                        d.submission(),
+                        d.member(),
+                        sign ? End.MISSED : End.TIMED_OUT,
+                        Role.REPLICA);
             }
         }
         assertThat(sent).isLessThan(40);
@@ -413,7 +479,9 @@
         Fixtures g = new Fixtures().group();
         g.txn(10, "r", READ, 2000);
         g.txn(10, "w", WRITE, 3000);
-        assertThat(of(Kind.DECLINE, g.until(4000))).extracting(Decision::txn).containsExactly("r", "w");
+        assertThat(of(Kind.DECLINE, g.until(4000)))
+                .extracting(Decision::txn)
+                .containsExactly("r", "w");
     }
 
     @Test
@@ -433,7 +501,9 @@
         g.txn(10, "r", READ, 2000);
         long m = of(Kind.SUBMIT, g.decisions(10)).get(0).member();
         assertThat(g.router.mayStillGo(at(200), "r", m)).isTrue();
-        assertThat(g.router.mayStillGo(at(1100), "r", m)).as("its data is too old by then").isFalse();
+        assertThat(g.router.mayStillGo(at(1100), "r", m))
+                .as("its data is too old by then")
+                .isFalse();
         assertThat(g.router.mayStillGo(at(1100), "r", 1)).as("the primary's never is").isTrue();
         g.router.listStarts(at(300), false);
         g.listed(300, m, true, null);
@@ -447,7 +517,9 @@
     void aMemberThatIsGoneIsLetGoOnceItHoldsNothing() {
         Fixtures g = new Fixtures().group(1, 2).roles(5, 2);
         g.txn(10, "r", READ, 2000);
-        assertThat(of(Kind.SUBMIT, g.decisions(10))).extracting(Decision::member).containsExactly(2L);
+        assertThat(of(Kind.SUBMIT, g.decisions(10)))
+                .extracting(Decision::member)
+                .containsExactly(2L);
         gone(g, 20);
         assertThat(g.router.knows(2)).isTrue();
         g.ends(30, "r", 0, 2, End.COMMITTED, Role.REPLICA);
@@ -458,7 +530,9 @@
         g.router.listEnds(at(50));
         g.says(60, 2, Role.REPLICA, 60);
         g.txn(70, "s", READ, 2000);
-        assertThat(of(Kind.SUBMIT, g.decisions(70))).extracting(Decision::member).doesNotContain(2L);
+        assertThat(of(Kind.SUBMIT, g.decisions(70)))
+                .extracting(Decision::member)
+                .doesNotContain(2L);
     }
 
     private static void gone(Fixtures g, long now) {
@@ -481,22 +555,30 @@
 
     @Test
     void sessionsWhoseLastWriteIsLongAgoAreHeldToTheLatestOfThoseTogether() {
-        Fixtures g = new Fixtures().with("session-marks", "router").type(READ, "repeatable", "own-writes", 600, 2000);
+        Fixtures g =
+                new Fixtures()
+                        .with("session-marks", "router")
+                        .type(READ, "repeatable", "own-writes", 600, 2000);
         g.group(1, 2).roles(5, 2);
         committed(g, 100, "w", 5);
         committed(g, 70_000, "x", 6);
         g.says(70_010, 2, Role.REPLICA, 90);
         // Its own write is no longer known, so it must see what any of that time wrote.
         g.router.txnArrived(at(70_020), "r", READ, 7, at(2000), 99, null, false, at(0));
-        assertThat(of(Kind.SUBMIT, g.decisions(70_020))).extracting(Decision::member).doesNotContain(2L);
+        assertThat(of(Kind.SUBMIT, g.decisions(70_020)))
+                .extracting(Decision::member)
+                .doesNotContain(2L);
         g.says(70_030, 2, Role.REPLICA, 200);
-        assertThat(of(Kind.SUBMIT, g.decisions(70_030))).extracting(Decision::member).doesNotContain(1L);
+        assertThat(of(Kind.SUBMIT, g.decisions(70_030)))
+                .extracting(Decision::member)
+                .doesNotContain(1L);
     }
 
     private static void committed(Fixtures g, long now, String id, long session) {
         g.router.txnArrived(at(now), id, WRITE, 7, at(3000), session, null, false, at(0));
         g.decisions(now);
-        g.router.submissionEnded(at(now + 5), id, 0, 1, End.COMMITTED, at(5), true, Role.PRIMARY, at(now));
+        g.router.submissionEnded(
+                at(now + 5), id, 0, 1, End.COMMITTED, at(5), true, Role.PRIMARY, at(now));
         g.decisions(now + 5);
     }
 
@@ -509,7 +591,8 @@
         assertThat(of(Kind.SUBMIT, g.decisions(1400))).isEmpty();
         g.txn(1410, "r", READ, 2000);
         g.txn(1410, "s", READ, 2000);
-        // One read, not more, and its answer proves the primary; the stuck write counts for nothing from then on.
+        // One read, not more, and its answer proves the primary; the stuck write counts for nothing
+        // from then on.
         List<Decision> submitted = of(Kind.SUBMIT, g.decisions(1410));
         assertThat(submitted).extracting(Decision::member).containsOnlyOnce(1L);
         String test = submitted.stream().filter(d -> d.member() == 1).findFirst().get().txn();
@@ -526,9 +609,12 @@
         g.txn(10, "w", WRITE, 3000);
         g.decisions(10);
         g.ends(20, "w", 0, 1, End.RESET, Role.UNKNOWN);
-        // Nothing is known of the replica; the primary's position is proven for 5, which the bound of 1000 allows yet.
+        // Nothing is known of the replica; the primary's position is proven for 5, which the bound
+        // of 1000 allows yet.
         g.txn(30, "r", READ, 2000);
-        assertThat(of(Kind.SUBMIT, g.decisions(30))).extracting(Decision::member).containsExactly(1L);
+        assertThat(of(Kind.SUBMIT, g.decisions(30)))
+                .extracting(Decision::member)
+                .containsExactly(1L);
         g.txn(1100, "late", READ, 2000);
         assertThat(of(Kind.SUBMIT, g.decisions(1100))).isEmpty();
     }
@@ -545,7 +631,9 @@
         g.txn(30, "next", WRITE, 3000);
         assertThat(of(Kind.SUBMIT, g.decisions(30))).isEmpty();
         g.says(40, 1, Role.PRIMARY, 38);
-        assertThat(of(Kind.SUBMIT, g.decisions(40))).extracting(Decision::txn).containsExactly("next");
+        assertThat(of(Kind.SUBMIT, g.decisions(40)))
+                .extracting(Decision::txn)
+                .containsExactly("next");
     }
 
     @Test
@@ -553,30 +641,46 @@
         Fixtures g = new Fixtures().group(1, 2).roles(5, 2);
         g.txn(10, "r", READ, 2000);
         g.decisions(10);
-        g.router.submissionEnded(at(200), "r", 0, 2, End.UNREACHABLE, at(190), false, Role.UNKNOWN, null);
-        assertThat(of(Kind.SUBMIT, g.decisions(200))).extracting(Decision::member).containsExactly(2L);
+        g.router.submissionEnded(
+                at(200), "r", 0, 2, End.UNREACHABLE, at(190), false, Role.UNKNOWN, null);
+        assertThat(of(Kind.SUBMIT, g.decisions(200)))
+                .extracting(Decision::member)
+                .containsExactly(2L);
     }
 
     @Test
     void timeAtTheDoorCountsAsTheTxnsOwn() {
-        // Nobody can serve either of them: each is given up at half of its SLA time, counted from its arrival.
+        // Nobody can serve either of them: each is given up at half of its SLA time, counted from
+        // its arrival.
         Fixtures g = new Fixtures().group(1);
         g.router.txnArrived(at(1000), "waited", READ, 7, at(1800), -1, null, false, at(200));
         g.router.txnArrived(at(1000), "fresh", READ, 7, at(2000), -1, null, false, at(0));
-        assertThat(of(Kind.DECLINE, g.until(1150))).extracting(Decision::txn).containsExactly("waited");
-        assertThat(of(Kind.DECLINE, g.until(1299))).extracting(Decision::txn).containsExactly("fresh");
+        assertThat(of(Kind.DECLINE, g.until(1150)))
+                .extracting(Decision::txn)
+                .containsExactly("waited");
+        assertThat(of(Kind.DECLINE, g.until(1299)))
+                .extracting(Decision::txn)
+                .containsExactly("fresh");
     }
 
-    /** Guards against a read, held among the writes, that goes where a write could: bidhannagar-ledger's big-2 broke the rule. */
+    /**
+     * Guards against a read, held among the writes, that goes where a write could:
+     * bidhannagar-ledger's big-2 broke the rule.
+     */
     @Test
     void aReadThatMustBeCurrentGoesToThePrimaryAlone() {
         Fixtures g = new Fixtures().type(WRITE, "repeatable", "latest", 600, 2000).group(1, 2);
         g.says(4000, 1, Role.PRIMARY, 3000);
         g.txn(4010, "r", WRITE, 2000);
-        assertThat(of(Kind.SUBMIT, g.decisions(4010))).extracting(Decision::member).containsExactly(1L);
+        assertThat(of(Kind.SUBMIT, g.decisions(4010)))
+                .extracting(Decision::member)
+                .containsExactly(1L);
     }
 
-    /** Guards against a primary that all drivers together keep behind its txns' expiry, each with one out. */
+    /**
+     * Guards against a primary that all drivers together keep behind its txns' expiry, each with
+     * one out.
+     */
     @Test
     void writesSentToACrowdedPrimaryFollowThoseAnsweredInTime() {
         Fixtures g = new Fixtures().group(1, 2).roles(5, 2);
@@ -585,31 +689,48 @@
             g.txn(i, "w" + i, WRITE, 3000);
             for (Decision d : of(Kind.SUBMIT, g.decisions(i))) {
                 sent++;
-                g.router.submissionEnded(at(i), d.txn(), d.submission(), d.member(), End.COMMITTED, at(2500),
-                    true, Role.PRIMARY, at(i));
+                g.router.submissionEnded(
+                        at(i),
+                        d.txn(),
+                        d.submission(),
+                        d.member(),
+                        End.COMMITTED,
+                        at(2500),
+                        true,
+                        Role.PRIMARY,
+                        at(i));
             }
         }
         assertThat(sent).isBetween(3, 20);
     }
 
     private static void turnedAway(Fixtures g, long now, String id, int submission, long member) {
-        g.router.submissionEnded(at(now), id, submission, member, End.UNREACHABLE, at(0), false, Role.UNKNOWN, null);
+        g.router.submissionEnded(
+                at(now), id, submission, member, End.UNREACHABLE, at(0), false, Role.UNKNOWN, null);
     }
 
-    /** Guards against writes held in a search of all because a primary that lives takes no further connection. */
+    /**
+     * Guards against writes held in a search of all because a primary that lives takes no further
+     * connection.
+     */
     @Test
     void aPrimaryThatTurnsAConnectionAwayAtOnceIsAskedAloneAndKept() {
         Fixtures g = new Fixtures().group(1, 2, 3).roles(5, 2, 3);
         g.txn(10, "w", WRITE, 3000);
         g.decisions(10);
         turnedAway(g, 11, "w", 0, 1);
-        assertThat(of(Kind.PROBE, g.decisions(11))).extracting(Decision::member).containsExactly(1L);
+        assertThat(of(Kind.PROBE, g.decisions(11)))
+                .extracting(Decision::member)
+                .containsExactly(1L);
         g.says(13, 1, Role.PRIMARY, 5);
         assertThat(of(Kind.SUBMIT, g.until(400))).extracting(Decision::member).containsExactly(1L);
         assertThat(g.log).noneMatch(line -> line.contains("search"));
     }
 
-    /** Guards against taking a dead primary, which refuses connections as quickly, for a crowded one. */
+    /**
+     * Guards against taking a dead primary, which refuses connections as quickly, for a crowded
+     * one.
+     */
     @Test
     void aPrimaryThatTurnsAConnectionAwayAndAnswersNoProbeIsSearchedFor() {
         Fixtures g = new Fixtures().group(1, 2, 3).roles(5, 2, 3);
@@ -618,7 +739,9 @@
         turnedAway(g, 11, "w", 0, 1);
         g.decisions(11);
         g.router.probeEnded(at(13), 1, false, at(2));
-        assertThat(of(Kind.PROBE, g.decisions(13))).extracting(Decision::member).containsExactly(1L, 2L, 3L);
+        assertThat(of(Kind.PROBE, g.decisions(13)))
+                .extracting(Decision::member)
+                .containsExactly(1L, 2L, 3L);
     }
 
     /** Guards against a limit of two that counts as low where two drivers share the member. */
@@ -634,7 +757,8 @@
             g.txn(10, id, READ, 2000);
         }
         g.decisions(10);
-        g.router.submissionEnded(at(710), "a", 0, 2, End.COMMITTED, at(700), true, Role.REPLICA, at(710));
+        g.router.submissionEnded(
+                at(710), "a", 0, 2, End.COMMITTED, at(700), true, Role.REPLICA, at(710));
         int sent = 0;
         for (int i = 711; i < 717; i++) {
             g.txn(i, "d" + i, READ, 2000);
@@ -647,7 +771,9 @@
         return sent;
     }
 
-    /** Guards against hundreds of drivers whose probes at rest cost a primary more than their txns. */
+    /**
+     * Guards against hundreds of drivers whose probes at rest cost a primary more than their txns.
+     */
     @Test
     void atRestManyDriversProbeAPrimaryLessOftenEach() {
         Fixtures few = new Fixtures().with("drivers", 8.0).group(1, 2).roles(5, 2);
@@ -656,7 +782,9 @@
         Fixtures many = new Fixtures().with("drivers", 250.0).group(1, 2).roles(5, 2);
         many.decisions(5);
         assertThat(of(Kind.PROBE, many.until(24_000))).isEmpty();
-        assertThat(of(Kind.PROBE, many.until(26_000))).extracting(Decision::member).containsExactly(1L);
+        assertThat(of(Kind.PROBE, many.until(26_000)))
+                .extracting(Decision::member)
+                .containsExactly(1L);
     }
 
     @Test
@@ -671,19 +799,27 @@
         assertThat(of(Kind.PROBE, g.until(135))).extracting(Decision::member).doesNotContain(2L);
     }
 
-    /** Guards against a replica that hundreds of drivers each find out by reads of their own, though it says it itself. */
+    /**
+     * Guards against a replica that hundreds of drivers each find out by reads of their own, though
+     * it says it itself.
+     */
     @Test
     void aMemberThatReportsMoreWaitingThanItAnswersInTimeGetsNothing() {
         Fixtures g = new Fixtures().with("drivers", 250.0).group(1, 2).roles(5, 2);
         g.router.reported(at(8), 2, Role.REPLICA, at(8), Double.NaN, 20, 0.3);
         g.txn(10, "r", READ, 2000);
-        assertThat(of(Kind.SUBMIT, g.decisions(10))).extracting(Decision::member).doesNotContain(2L);
+        assertThat(of(Kind.SUBMIT, g.decisions(10)))
+                .extracting(Decision::member)
+                .doesNotContain(2L);
         g.router.reported(at(20), 2, Role.REPLICA, at(20), Double.NaN, 0, 0.3);
         g.txn(21, "s", READ, 2000);
         assertThat(of(Kind.SUBMIT, g.decisions(21))).extracting(Decision::member).contains(2L);
     }
 
-    /** Guards against idle connections that keep other drivers out where members take few: tallinn-logs, if2aaf1. */
+    /**
+     * Guards against idle connections that keep other drivers out where members take few:
+     * tallinn-logs, if2aaf1.
+     */
     @Test
     void whereConnectionsAreRefusedOneThatIsNoLongerNeededIsReleased() {
         Fixtures g = new Fixtures().group(1, 2, 3).roles(5, 2, 3);
@@ -701,22 +837,36 @@
         g.txn(400, "d", READ, 2000);
         Decision last = of(Kind.SUBMIT, g.decisions(400)).get(0);
         g.ends(410, "d", 0, last.member(), End.COMMITTED, Role.REPLICA);
-        assertThat(of(Kind.RELEASE, g.decisions(410))).extracting(Decision::member).containsExactly(last.member());
+        assertThat(of(Kind.RELEASE, g.decisions(410)))
+                .extracting(Decision::member)
+                .containsExactly(last.member());
     }
 
-    /** Guards against a crowd that never ends, since each of many drivers tries it with a read now and then. */
+    /**
+     * Guards against a crowd that never ends, since each of many drivers tries it with a read now
+     * and then.
+     */
     @Test
     void aLowMemberNotHeardOfLatelyIsAskedBeforeAReadGoesThere() {
-        Fixtures g = new Fixtures().with("drivers", 250.0).type(READ, "repeatable", "loose", 600, 2000).group(1, 2).roles(5, 2);
+        Fixtures g =
+                new Fixtures()
+                        .with("drivers", 250.0)
+                        .type(READ, "repeatable", "loose", 600, 2000)
+                        .group(1, 2)
+                        .roles(5, 2);
         g.router.reported(at(8), 2, Role.REPLICA, at(8), Double.NaN, 0, 0.3);
         g.txn(10, "a", READ, 2000);
         g.decisions(10);
-        g.router.submissionEnded(at(700), "a", 0, 2, End.TIMED_OUT, at(690), false, Role.UNKNOWN, null);
+        g.router.submissionEnded(
+                at(700), "a", 0, 2, End.TIMED_OUT, at(690), false, Role.UNKNOWN, null);
         g.router.txnLapsed(at(701), "a");
-        // Work for it is saved up slowly; until there is enough, nothing is sent and nobody is asked.
+        // Work for it is saved up slowly; until there is enough, nothing is sent and nobody is
+        // asked.
         List<Decision> all = List.of();
         long now = 1000;
-        for (; now < 200_000 && of(Kind.PROBE, all).stream().noneMatch(d -> d.member() == 2); now += 1000) {
+        for (;
+                now < 200_000 && of(Kind.PROBE, all).stream().noneMatch(d -> d.member() == 2);
+                now += 1000) {
             assertThat(of(Kind.SUBMIT, all)).extracting(Decision::member).doesNotContain(2L);
             g.txn(now, "b" + now, READ, 2000);
             all = g.decisions(now);
@@ -731,18 +881,30 @@
         assertThat(of(Kind.SUBMIT, g.decisions(now))).extracting(Decision::member).contains(2L);
     }
 
-    /** Guards against a current read that reaches a former primary, since its connection took time to open. */
+    /**
+     * Guards against a current read that reaches a former primary, since its connection took time
+     * to open.
+     */
     @Test
     void aReadThatMustBeCurrentIsNotSentToWhatIsNoLongerThePrimary() {
-        Fixtures g = new Fixtures().type(READ, "repeatable", "latest", 600, 2000).group(1, 2).roles(5, 2);
+        Fixtures g =
+                new Fixtures()
+                        .type(READ, "repeatable", "latest", 600, 2000)
+                        .group(1, 2)
+                        .roles(5, 2);
         g.txn(10, "r", READ, 2000);
-        assertThat(of(Kind.SUBMIT, g.decisions(10))).extracting(Decision::member).containsExactly(1L);
+        assertThat(of(Kind.SUBMIT, g.decisions(10)))
+                .extracting(Decision::member)
+                .containsExactly(1L);
         assertThat(g.router.mayStillGo(at(20), "r", 1)).isTrue();
         g.says(30, 2, Role.PRIMARY, 28);
         assertThat(g.router.mayStillGo(at(40), "r", 1)).isFalse();
     }
 
-    /** Guards against writes held for as long as hundreds of drivers take to come by, for a crowd that is over. */
+    /**
+     * Guards against writes held for as long as hundreds of drivers take to come by, for a crowd
+     * that is over.
+     */
     @Test
     void aCrowdedPrimaryIsAskedAgainWhileWritesWaitAndUsedOnceItReportsLittle() {
         Fixtures g = new Fixtures().with("drivers", 250.0).group(1, 2).roles(5, 2);
@@ -752,32 +914,52 @@
         assertThat(of(Kind.PROBE, g.until(700))).extracting(Decision::member).containsExactly(1L);
         g.router.reported(at(702), 1, Role.PRIMARY, at(702), Double.NaN, 0, 0.3);
         g.router.probeEnded(at(702), 1, true, at(1));
-        assertThat(of(Kind.SUBMIT, g.decisions(702))).extracting(Decision::member).containsExactly(1L);
+        assertThat(of(Kind.SUBMIT, g.decisions(702)))
+                .extracting(Decision::member)
+                .containsExactly(1L);
     }
 
     // ---- narrow moments ----
 
-    /** Guards rule 2: a window that counts from the first attempt may end while the repeat's connection opens. */
+    /**
+     * Guards rule 2: a window that counts from the first attempt may end while the repeat's
+     * connection opens.
+     */
     @Test
     void aRepeatIsNotSentOnceItsWindowIsOver() {
-        Fixtures g = new Fixtures().type(WRITE, "referenced", "update", 600, 3000).with("txn-type.1.window", at(300))
-            .group(1, 2).roles(5, 2);
+        Fixtures g =
+                new Fixtures()
+                        .type(WRITE, "referenced", "update", 600, 3000)
+                        .with("txn-type.1.window", at(300))
+                        .group(1, 2)
+                        .roles(5, 2);
         g.txn(10, "w", WRITE, 3000);
         assertThat(of(Kind.SUBMIT, g.decisions(10))).hasSize(1);
-        assertThat(g.router.mayStillGo(at(400), "w", 1)).as("the first attempt is bound by no window").isTrue();
+        assertThat(g.router.mayStillGo(at(400), "w", 1))
+                .as("the first attempt is bound by no window")
+                .isTrue();
         g.ends(200, "w", 0, 1, End.ERROR, Role.PRIMARY);
         g.says(205, 1, Role.PRIMARY, 205);
-        assertThat(of(Kind.SUBMIT, g.decisions(206))).extracting(Decision::submission).containsExactly(1);
+        assertThat(of(Kind.SUBMIT, g.decisions(206)))
+                .extracting(Decision::submission)
+                .containsExactly(1);
         assertThat(g.router.mayStillGo(at(290), "w", 1)).isTrue();
         assertThat(g.router.mayStillGo(at(310), "w", 1)).isFalse();
         g.ends(310, "w", 1, 1, End.MOOT, Role.UNKNOWN);
-        assertThat(g.decisions(311)).extracting(Decision::kind).contains(Kind.ROLL_BACK).doesNotContain(Kind.SUBMIT);
+        assertThat(g.decisions(311))
+                .extracting(Decision::kind)
+                .contains(Kind.ROLL_BACK)
+                .doesNotContain(Kind.SUBMIT);
     }
 
     @Test
     void aRepeatableReadGoesAgainWhateverTheWindow() {
-        Fixtures g = new Fixtures().type(READ, "repeatable", "loose", 600, 2000).with("txn-type.0.window", at(100)).group(1, 2, 3)
-            .roles(5, 2, 3);
+        Fixtures g =
+                new Fixtures()
+                        .type(READ, "repeatable", "loose", 600, 2000)
+                        .with("txn-type.0.window", at(100))
+                        .group(1, 2, 3)
+                        .roles(5, 2, 3);
         g.txn(10, "r", READ, 2000);
         long first = of(Kind.SUBMIT, g.decisions(10)).get(0).member();
         g.ends(50, "r", 0, first, End.RESET, Role.UNKNOWN);
@@ -785,23 +967,36 @@
         assertThat(g.router.mayStillGo(at(400), "r", again.member())).isTrue();
     }
 
-    /** Guards against a write that reaches a former primary, since its connection took time to open. */
+    /**
+     * Guards against a write that reaches a former primary, since its connection took time to open.
+     */
     @Test
     void aWriteIsNotSentToWhatIsNoLongerThePrimary() {
         Fixtures g = new Fixtures().group(1, 2).roles(5, 2);
         g.txn(10, "w", WRITE, 3000);
-        assertThat(of(Kind.SUBMIT, g.decisions(10))).extracting(Decision::member).containsExactly(1L);
+        assertThat(of(Kind.SUBMIT, g.decisions(10)))
+                .extracting(Decision::member)
+                .containsExactly(1L);
         assertThat(g.router.mayStillGo(at(20), "w", 1)).isTrue();
         g.says(30, 2, Role.PRIMARY, 28);
         assertThat(g.router.mayStillGo(at(40), "w", 1)).isFalse();
         g.ends(40, "w", 0, 1, End.MOOT, Role.UNKNOWN);
-        assertThat(of(Kind.SUBMIT, g.decisions(40))).extracting(Decision::member).containsExactly(2L);
+        assertThat(of(Kind.SUBMIT, g.decisions(40)))
+                .extracting(Decision::member)
+                .containsExactly(2L);
     }
 
-    /** Guards against txns that wait longer than the process lives: the kill would find them without an answer. */
+    /**
+     * Guards against txns that wait longer than the process lives: the kill would find them without
+     * an answer.
+     */
     @Test
     void whereTheHostEndsAllThatIsOpenHasItsAnswerByThen() {
-        Fixtures g = new Fixtures().type(WRITE, "once-only", "update", 600, 60_000).group(1, 2).roles(5, 2);
+        Fixtures g =
+                new Fixtures()
+                        .type(WRITE, "once-only", "update", 600, 60_000)
+                        .group(1, 2)
+                        .roles(5, 2);
         g.txn(10, "out", WRITE, 60_000);
         assertThat(of(Kind.SUBMIT, g.decisions(10))).hasSize(1);
         g.router.reported(at(20), 1, Role.REPLICA, at(20), Double.NaN, Double.NaN, Double.NaN);
@@ -809,16 +1004,27 @@
         g.txn(30, "short", WRITE, 500);
         assertThat(of(Kind.SUBMIT, g.until(40))).isEmpty();
         g.router.endBy(at(50), at(3000));
-        assertThat(g.until(2900)).extracting(Decision::txn).doesNotContain("out", "held").contains("short");
+        assertThat(g.until(2900))
+                .extracting(Decision::txn)
+                .doesNotContain("out", "held")
+                .contains("short");
         List<Decision> last = g.until(3000);
         assertThat(of(Kind.ROLL_BACK, last)).extracting(Decision::txn).containsExactly("out");
         assertThat(of(Kind.DECLINE, last)).extracting(Decision::txn).containsExactly("held");
     }
 
-    /** Guards against a module that asks for the list without end, where the settings name no time to ask within. */
+    /**
+     * Guards against a module that asks for the list without end, where the settings name no time
+     * to ask within.
+     */
     @Test
     void aFailedCallWhereListsArePushedAsksForNothing() {
-        Fixtures g = new Fixtures().with("ask-within", Duration.ZERO).with("member-list", "push").group(1, 2).roles(5, 2);
+        Fixtures g =
+                new Fixtures()
+                        .with("ask-within", Duration.ZERO)
+                        .with("member-list", "push")
+                        .group(1, 2)
+                        .roles(5, 2);
         g.decisions(10);
         g.router.listFailed(at(20));
         for (long now = 20; now < 40; now++) {
@@ -827,7 +1033,10 @@
         }
     }
 
-    /** The primary moves while its confirmation is on its way: what was true before counts for nothing. */
+    /**
+     * The primary moves while its confirmation is on its way: what was true before counts for
+     * nothing.
+     */
     @Test
     void aConfirmationThatIsOlderThanTheNewPrimarysIsNone() {
         Fixtures g = new Fixtures().group(1, 2, 3).roles(5, 2, 3);
@@ -836,14 +1045,20 @@
         g.ends(20, "w", 0, 1, End.MISSED, Role.REPLICA);
         g.decisions(20);
         g.says(60, 2, Role.PRIMARY, 55);
-        assertThat(of(Kind.SUBMIT, g.decisions(60))).extracting(Decision::member).containsExactly(2L);
+        assertThat(of(Kind.SUBMIT, g.decisions(60)))
+                .extracting(Decision::member)
+                .containsExactly(2L);
         // The former one's word from before, late.
         g.says(70, 1, Role.PRIMARY, 15);
         g.txn(71, "x", WRITE, 3000);
-        assertThat(of(Kind.SUBMIT, g.decisions(71))).extracting(Decision::member).containsExactly(2L);
+        assertThat(of(Kind.SUBMIT, g.decisions(71)))
+                .extracting(Decision::member)
+                .containsExactly(2L);
     }
 
-    /** Two probes confirm the same primary, or two claim to be it: each held write goes out once. */
+    /**
+     * Two probes confirm the same primary, or two claim to be it: each held write goes out once.
+     */
     @Test
     void writesThatAreWokenTwiceGoOutOnce() {
         Fixtures g = new Fixtures().group(1, 2, 3).roles(5, 2, 3);
@@ -852,12 +1067,17 @@
         assertThat(of(Kind.SUBMIT, g.decisions(10))).isEmpty();
         g.says(30, 2, Role.PRIMARY, 28);
         g.says(30, 2, Role.PRIMARY, 29);
-        assertThat(of(Kind.SUBMIT, g.decisions(30))).extracting(Decision::member).containsExactly(2L);
+        assertThat(of(Kind.SUBMIT, g.decisions(30)))
+                .extracting(Decision::member)
+                .containsExactly(2L);
         g.says(31, 3, Role.PRIMARY, 30);
         assertThat(of(Kind.SUBMIT, g.until(200))).extracting(Decision::txn).doesNotContain("w");
     }
 
-    /** The search ends as its last held write leaves: nobody is sent on, and the next write finds the primary. */
+    /**
+     * The search ends as its last held write leaves: nobody is sent on, and the next write finds
+     * the primary.
+     */
     @Test
     void aSearchWhoseLastWriteHasLeftEndsWithoutIt() {
         Fixtures g = new Fixtures().group(1, 2).roles(5, 2);
@@ -868,51 +1088,79 @@
         g.says(30, 2, Role.PRIMARY, 28);
         assertThat(of(Kind.SUBMIT, g.decisions(30))).isEmpty();
         g.txn(31, "next", WRITE, 3000);
-        assertThat(of(Kind.SUBMIT, g.decisions(31))).extracting(Decision::txn).containsExactly("next");
+        assertThat(of(Kind.SUBMIT, g.decisions(31)))
+                .extracting(Decision::txn)
+                .containsExactly("next");
     }
 
-    /** A time-out, a cancel and the client's leaving in each order, and the answer behind them: never a second end. */
+    /**
+     * A time-out, a cancel and the client's leaving in each order, and the answer behind them:
+     * never a second end.
+     */
     @Test
     void whateverEndsFirstNothingFollowsTheClientsLeaving() {
-        for (End late : new End[] {End.COMMITTED, End.TIMED_OUT, End.CANCELLED, End.RESET, End.MOOT, End.ERROR}) {
+        for (End late :
+                new End[] {
+                    End.COMMITTED, End.TIMED_OUT, End.CANCELLED, End.RESET, End.MOOT, End.ERROR
+                }) {
             Fixtures g = new Fixtures().group(1, 2, 3).roles(5, 2, 3);
             g.txn(10, "r", READ, 2000);
             Decision first = of(Kind.SUBMIT, g.decisions(10)).get(0);
             g.router.txnLapsed(at(20), "r");
             assertThat(of(Kind.CANCEL, g.decisions(20))).hasSize(1);
             assertThat(g.router.mayStillGo(at(21), "r", first.member())).isFalse();
-            g.router.submissionEnded(at(30), "r", 0, first.member(), late, at(20), false, Role.UNKNOWN, null);
-            assertThat(g.until(3000)).as(late.name()).extracting(Decision::kind)
-                .doesNotContain(Kind.SUBMIT, Kind.DECLINE, Kind.ROLL_BACK, Kind.CANCEL);
+            g.router.submissionEnded(
+                    at(30), "r", 0, first.member(), late, at(20), false, Role.UNKNOWN, null);
+            assertThat(g.until(3000))
+                    .as(late.name())
+                    .extracting(Decision::kind)
+                    .doesNotContain(Kind.SUBMIT, Kind.DECLINE, Kind.ROLL_BACK, Kind.CANCEL);
         }
     }
 
-    /** Guards rule 5: what has said that it is a replica proves its data, whatever it was, and whatever it says it by. */
+    /**
+     * Guards rule 5: what has said that it is a replica proves its data, whatever it was, and
+     * whatever it says it by.
+     */
     @Test
     void aSilentPrimaryThatHasSaidItIsAReplicaIsAskedNoMore() {
-        Fixtures g = new Fixtures().type(READ, "repeatable", "recent", 600, 3000).with("txn-type.0.oldest-data", at(1000))
-            .group(1, 2, 3).roles(5, 2, 3);
+        Fixtures g =
+                new Fixtures()
+                        .type(READ, "repeatable", "recent", 600, 3000)
+                        .with("txn-type.0.oldest-data", at(1000))
+                        .group(1, 2, 3)
+                        .roles(5, 2, 3);
         g.txn(10, "w", WRITE, 5000);
         assertThat(of(Kind.SUBMIT, g.decisions(10))).hasSize(1);
-        // It answers none of what it holds: writes are held, and a repeatable read asks it all the same.
+        // It answers none of what it holds: writes are held, and a repeatable read asks it all the
+        // same.
         g.until(1900);
         g.txn(1900, "v", WRITE, 5000);
         g.txn(1900, "r", READ, 3000);
-        assertThat(of(Kind.SUBMIT, g.decisions(1900))).extracting(Decision::txn, Decision::member)
-            .containsExactly(Tuple.tuple("r", 1L));
+        assertThat(of(Kind.SUBMIT, g.decisions(1900)))
+                .extracting(Decision::txn, Decision::member)
+                .containsExactly(Tuple.tuple("r", 1L));
         g.ends(1950, "r", 0, 1, End.RESET, Role.UNKNOWN);
-        // Back from its pause it is a replica, with data from before; its write has not answered yet.
+        // Back from its pause it is a replica, with data from before; its write has not answered
+        // yet.
         g.says(2000, 1, Role.REPLICA, 20);
         g.txn(2001, "s", READ, 3000);
         assertThat(of(Kind.SUBMIT, g.until(2010))).extracting(Decision::member).doesNotContain(1L);
     }
 
-    /** Its word is dated by its position, which may lie before its own last claim: it counts all the same. */
+    /**
+     * Its word is dated by its position, which may lie before its own last claim: it counts all the
+     * same.
+     */
     @Test
     void aPrimaryThatSaysItIsAReplicaAtAnOldPositionProvesItsData() {
         for (String reads : new String[] {"recent", "latest"}) {
-            Fixtures g = new Fixtures().type(READ, "repeatable", reads, 600, 3000).with("txn-type.0.oldest-data", at(1000))
-                .group(1).roles(5);
+            Fixtures g =
+                    new Fixtures()
+                            .type(READ, "repeatable", reads, 600, 3000)
+                            .with("txn-type.0.oldest-data", at(1000))
+                            .group(1)
+                            .roles(5);
             g.says(100, 1, Role.PRIMARY, 100);
             g.txn(110, "r", READ, 3000);
             assertThat(of(Kind.SUBMIT, g.decisions(110))).as(reads).hasSize(1);
@@ -922,7 +1170,10 @@
             g.txn(2001, "s", READ, 3000);
             assertThat(of(Kind.SUBMIT, g.until(2010))).as(reads).isEmpty();
             g.says(2050, 1, Role.PRIMARY, 2045);
-            assertThat(of(Kind.SUBMIT, g.until(2060))).as(reads).extracting(Decision::txn).containsExactly("s");
+            assertThat(of(Kind.SUBMIT, g.until(2060)))
+                    .as(reads)
+                    .extracting(Decision::txn)
+                    .containsExactly("s");
         }
     }
 
@@ -930,8 +1181,12 @@
     @Test
     void aReadForAPrimaryThatSaysItIsAReplicaWhileItsConnectionOpensIsNotSent() {
         for (String reads : new String[] {"recent", "latest"}) {
-            Fixtures g = new Fixtures().type(READ, "repeatable", reads, 600, 3000).with("txn-type.0.oldest-data", at(1000))
-                .group(1).roles(5);
+            Fixtures g =
+                    new Fixtures()
+                            .type(READ, "repeatable", reads, 600, 3000)
+                            .with("txn-type.0.oldest-data", at(1000))
+                            .group(1)
+                            .roles(5);
             g.says(2000, 1, Role.PRIMARY, 2000);
             g.txn(2010, "r", READ, 3000);
             assertThat(of(Kind.SUBMIT, g.decisions(2010))).hasSize(1);
@@ -941,11 +1196,17 @@
         }
     }
 
-    /** Guards rule 4 where most of a kind start at once: what is left of it must not be shared out among few. */
+    /**
+     * Guards rule 4 where most of a kind start at once: what is left of it must not be shared out
+     * among few.
+     */
     @Test
     void manyThatStartAtOnceEachGetNoMoreThanTheirWarmPartBears() {
-        Fixtures g = new Fixtures().type(READ, "repeatable", "loose", 600, 2000).group(1, 2, 3, 4, 5, 6, 7, 8, 9, 10)
-            .roles(5, 2, 3, 4, 5, 6, 7, 8, 9, 10);
+        Fixtures g =
+                new Fixtures()
+                        .type(READ, "repeatable", "loose", 600, 2000)
+                        .group(1, 2, 3, 4, 5, 6, 7, 8, 9, 10)
+                        .roles(5, 2, 3, 4, 5, 6, 7, 8, 9, 10);
         // 200 reads in a second, each answered at once: some 22 a replica.
         int[] perMember = new int[11];
         for (int ms = 10; ms < 6000; ms += 5) {
--- a/src/test/java/wingroad/state/WheelTest.java
+++ b/src/test/java/wingroad/state/WheelTest.java
@@ -12,14 +12,20 @@
     private static final long SLOT = 1 << 22;
     private final Wheel wheel = new Wheel();
 
-    /** Against a list of all that is set: nothing early, nothing more than a slot late, nothing twice, nothing lost. */
+    /**
+     * Against a list of all that is set: nothing early, nothing more than a slot late, nothing
+     * twice, nothing lost.
+     */
     @Test
     void whatIsDueComesOutOnceAndAtItsTime() {
         Random random = new Random(4);
         List<Wheel.Timer> set = new ArrayList<>();
         long now = 0;
         for (int i = 0; i < 30_000; i++) {
-            now += random.nextInt(100) == 0 ? random.nextInt(2_000_000_000) : random.nextInt(3_000_000);
+            now +=
+                    random.nextInt(100) == 0
+                            ? random.nextInt(2_000_000_000)
+                            : random.nextInt(3_000_000);
             for (Wheel.Timer t = wheel.poll(now); t != null; t = wheel.poll(now)) {
                 assertThat(set.remove(t)).isTrue();
                 assertThat(t.due()).isLessThanOrEqualTo(now);
@@ -34,7 +40,12 @@
                 wheel.cancel(gone);
             } else {
                 Wheel.Timer t = new Wheel.Timer();
-                wheel.set(t, now + (random.nextInt(20) == 0 ? 20_000_000_000L : random.nextInt(500_000_000)));
+                wheel.set(
+                        t,
+                        now
+                                + (random.nextInt(20) == 0
+                                        ? 20_000_000_000L
+                                        : random.nextInt(500_000_000)));
                 set.add(t);
             }
             long next = wheel.nextDue();
@@ -42,7 +53,9 @@
             if (first < 0) {
                 assertThat(next).isEqualTo(-1);
             } else {
-                assertThat(next).isLessThanOrEqualTo(Math.max(first, now) + 2 * SLOT).isGreaterThan(now - SLOT);
+                assertThat(next)
+                        .isLessThanOrEqualTo(Math.max(first, now) + 2 * SLOT)
+                        .isGreaterThan(now - SLOT);
             }
         }
     }
--- a/src/test/java/wingroad/terms/TermsCheckTest.java
+++ b/src/test/java/wingroad/terms/TermsCheckTest.java
@@ -15,7 +15,8 @@
 import wingroad.protocol.Json;
 
 class TermsCheckTest {
-    private static final String PUSHED = """
+    private static final String PUSHED =
+            """
         {"balancers": 12, "granularity": 5, "discovery": "push",
          "grades": [{"name": "a", "aim": 500, "deadline": 1000, "semantics": "repeatable"},
                     {"name": "b", "aim": 900, "deadline": 4000, "semantics": "by_key", "group": "cell", "window": 3000}],
@@ -23,7 +24,8 @@
                          "stamps": true, "write-marks": "router"},
          "report": {"source": "piggyback", "names": ["x0", "x1", "q"]},
          "limits": {"peers": true, "probes": true, "retry-after": true}, "rules": {"drain-grace": 250}}""";
-    private static final String ASKED = """
+    private static final String ASKED =
+            """
         {"balancers": 3, "granularity": 5, "discovery": "ask",
          "grades": [{"name": "a", "aim": 500, "deadline": 1000, "semantics": "repeatable"},
                     {"name": "b", "aim": 900, "deadline": 4000, "semantics": "once"}],
@@ -45,35 +47,46 @@
     void bothShapesAndTheExampleCanBeUsed() throws IOException {
         assertThat(TermsCheck.problems(settings(PUSHED))).isEmpty();
         assertThat(TermsCheck.problems(settings(ASKED))).isEmpty();
-        Map<String, Object> example = Json.object(Files.readAllBytes(Path.of("examples/config.json")), "the example");
-        assertThat(TermsCheck.problems(Json.object(example.get("settings"), "its settings"))).isEmpty();
+        Map<String, Object> example =
+                Json.object(Files.readAllBytes(Path.of("examples/config.json")), "the example");
+        assertThat(TermsCheck.problems(Json.object(example.get("settings"), "its settings")))
+                .isEmpty();
     }
 
     @Test
     void whatIsAbsentTakesItsDefaultAndWhatIsNotReadIsSkipped() {
-        Map<String, Object> few = new HashMap<>(settings("""
+        Map<String, Object> few =
+                new HashMap<>(
+                        settings(
+                                """
             {"grades": [{"name": "a"}], "something-new": {"x": [1]}}"""));
         assertThat(TermsCheck.problems(few)).isEmpty();
-        assertThat(Terms.of(few)).containsEntry("drivers", 1.0).containsEntry("may-advise-come-back", false);
+        assertThat(Terms.of(few))
+                .containsEntry("drivers", 1.0)
+                .containsEntry("may-advise-come-back", false);
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', quoteCharacter = '`', value = {
-        "\"balancers\": 12 | \"balancers\": 0 | balancers",
-        "\"balancers\": 12 | \"balancers\": \"many\" | balancers",
-        "\"peers\": true | \"peers\": 1 | limits.peers",
-        "\"delayed\" | \"soon\" | family-info.role-in-list",
-        "\"retry-after\": true | \"retry-after\": \"no\" | limits.retry-after",
-        "\"own_writes\" | \"newest\" | family-info.consistency[0]",
-        "\"consistency\": [\"own_writes\", | \"consistency\": [ | family-info.consistency",
-        "\"window\": 3000 | \"window\": 0 | grades[1].window",
-        "\"aim\": 900 | \"aim\": 9000 | grades[1].deadline",
-        "\"drain-grace\": 250 | \"drain-grace\": 5 | rules.drain-grace",
-        "\"own_writes\" | \"recent\" | family-info.oldest-data[0]",
-        "\"discovery\": \"push\" | \"discovery\": \"ask\" | rules.ask-within",
-        "\"checks\": \"silent\" | \"checks\": \"hold\" | family-info.holds-for",
-        "\"checks\": \"silent\" | \"checks\": \"silent\", \"holds-for\": 40 | family-info.holds-for",
-        "\"source\": \"piggyback\" | \"source\": \"answers\" | report.source"})
+    @CsvSource(
+            delimiter = '|',
+            quoteCharacter = '`',
+            value = {
+                "\"balancers\": 12 | \"balancers\": 0 | balancers",
+                "\"balancers\": 12 | \"balancers\": \"many\" | balancers",
+                "\"peers\": true | \"peers\": 1 | limits.peers",
+                "\"delayed\" | \"soon\" | family-info.role-in-list",
+                "\"retry-after\": true | \"retry-after\": \"no\" | limits.retry-after",
+                "\"own_writes\" | \"newest\" | family-info.consistency[0]",
+                "\"consistency\": [\"own_writes\", | \"consistency\": [ | family-info.consistency",
+                "\"window\": 3000 | \"window\": 0 | grades[1].window",
+                "\"aim\": 900 | \"aim\": 9000 | grades[1].deadline",
+                "\"drain-grace\": 250 | \"drain-grace\": 5 | rules.drain-grace",
+                "\"own_writes\" | \"recent\" | family-info.oldest-data[0]",
+                "\"discovery\": \"push\" | \"discovery\": \"ask\" | rules.ask-within",
+                "\"checks\": \"silent\" | \"checks\": \"hold\" | family-info.holds-for",
+                "\"checks\": \"silent\" | \"checks\": \"silent\", \"holds-for\": 40 | family-info.holds-for",
+                "\"source\": \"piggyback\" | \"source\": \"answers\" | report.source"
+            })
     void aWrongValueOrAMixOfShapesIsRefusedByItsKey(String here, String instead, String key) {
         assertThat(PUSHED).contains(here);
         List<String> problems = TermsCheck.problems(settings(PUSHED.replace(here, instead)));
@@ -82,15 +95,20 @@
 
     @Test
     void reportsByProbesNeedProbes() {
-        assertThat(TermsCheck.problems(settings(ASKED.replace("\"probes\": true", "\"probes\": false"))))
-            .containsExactly("limits.probes: needed where report.source is pull");
+        assertThat(
+                        TermsCheck.problems(
+                                settings(ASKED.replace("\"probes\": true", "\"probes\": false"))))
+                .containsExactly("limits.probes: needed where report.source is pull");
     }
 
     @Test
     void readsOfAStatedAgeNeedAProofOfAge() {
-        String mute = ASKED.replace("\"stamps\": true", "\"stamps\": false").replace("\"hold\", \"holds-for\": 40", "\"silent\"")
-            .replace("[\"x0\", \"x1\"]", "[\"x1\"]");
-        assertThat(TermsCheck.problems(settings(mute))).containsExactly(
-            "family-info.stamps: members neither check nor tell a position, so no replica may be read");
+        String mute =
+                ASKED.replace("\"stamps\": true", "\"stamps\": false")
+                        .replace("\"hold\", \"holds-for\": 40", "\"silent\"")
+                        .replace("[\"x0\", \"x1\"]", "[\"x1\"]");
+        assertThat(TermsCheck.problems(settings(mute)))
+                .containsExactly(
+                        "family-info.stamps: members neither check nor tell a position, so no replica may be read");
     }
 }
--- a/src/test/java/wingroad/transport/ConnectionTest.java
+++ b/src/test/java/wingroad/transport/ConnectionTest.java
@@ -62,16 +62,23 @@
         return open(to, first, 64, 1 << 20);
     }
 
-    private EventLoop open(ServerSocket to, byte[] first, int bound, long mostHeld) throws Exception {
+    private EventLoop open(ServerSocket to, byte[] first, int bound, long mostHeld)
+            throws Exception {
         EventLoop loop = new EventLoop(10, mostHeld, bug -> heard.add("bug " + bug));
         Connection[] link = new Connection[1];
-        loop.run(() -> {
-            try {
-                link[0] = Connection.open(loop, (InetSocketAddress) to.getLocalSocketAddress(), owner(link, first), bound);
-            } catch (java.io.IOException e) {
-                heard.add("bug " + e);
-            }
-        });
+        loop.run(
+                () -> {
+                    try {
+                        link[0] =
+                                Connection.open(
+                                        loop,
+                                        (InetSocketAddress) to.getLocalSocketAddress(),
+                                        owner(link, first),
+                                        bound);
+                    } catch (java.io.IOException e) {
+                        heard.add("bug " + e);
+                    }
+                });
         return loop;
     }
 
--- a/src/test/java/wingroad/work/ConductorTest.java
+++ b/src/test/java/wingroad/work/ConductorTest.java
@@ -10,7 +10,10 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 
-/** The conductor on a plan that settles what it proposes, and on members that say of themselves what a test says. */
+/**
+ * The conductor on a plan that settles what it proposes, and on members that say of themselves what
+ * a test says.
+ */
 class ConductorTest {
     private final WorkRules rules = rules(2, 0);
     private final Plan plan = new Plan();
@@ -28,12 +31,23 @@
 
     private static WorkRules rules(int atOnce, double room) {
         Map<String, Machine> machines = new TreeMap<>();
-        for (String line : List.of("A a p1#1 ", "B b p2#1 d2", "C c p3#1 d3", "D b q2#2 ", "E c q3#2 d1")) {
+        for (String line :
+                List.of("A a p1#1 ", "B b p2#1 d2", "C c p3#1 d3", "D b q2#2 ", "E c q3#2 d1")) {
             Machine m = Machine.of(line);
             machines.put(m.name(), m);
         }
-        return new WorkRules(machines, atOnce, WorkRules.Lost.STEADY, Duration.ofSeconds(60), Duration.ofSeconds(1), 0.05,
-            Duration.ofMillis(500), room, Duration.ofSeconds(5), Duration.ofSeconds(2), Duration.ofSeconds(1));
+        return new WorkRules(
+                machines,
+                atOnce,
+                WorkRules.Lost.STEADY,
+                Duration.ofSeconds(60),
+                Duration.ofSeconds(1),
+                0.05,
+                Duration.ofMillis(500),
+                room,
+                Duration.ofSeconds(5),
+                Duration.ofSeconds(2),
+                Duration.ofSeconds(1));
     }
 
     ConductorTest() {
@@ -53,20 +67,36 @@
         assertThat(plan.ask(machine, machine, "", 5000, 0, List.of(), plan.revision())).isEmpty();
     }
 
-    /** A quarter of a second: members answer, all drivers confirm, steps are settled; what was proposed. */
+    /**
+     * A quarter of a second: members answer, all drivers confirm, steps are settled; what was
+     * proposed.
+     */
     private List<String> turn() {
         now = now.plusMillis(250);
         served += 100;
         for (String u : List.of("p1", "p2", "p3", "q1", "q2", "q3")) {
             if (!silent.containsKey(u)) {
-                observations.said(u, u.equals(primary) || u.equals("q1"), Duration.ofMillis(lag.getOrDefault(u, 20L)), now);
+                observations.said(
+                        u,
+                        u.equals(primary) || u.equals("q1"),
+                        Duration.ofMillis(lag.getOrDefault(u, 20L)),
+                        now);
             }
         }
         Set<String> clear = new java.util.TreeSet<>();
         plan.entries().stream().filter(e -> says).forEach(e -> clear.add(e.machine()));
         for (String d : List.of("d1", "d2", "d3")) {
             Map<Integer, String> believes = Map.of(1, primary);
-            plan.reports(List.of(new Report(plan.revision(), clear, believes, served, harmed, Map.of(1, busy)).line(d + "/a")));
+            plan.reports(
+                    List.of(
+                            new Report(
+                                            plan.revision(),
+                                            clear,
+                                            believes,
+                                            served,
+                                            harmed,
+                                            Map.of(1, busy))
+                                    .line(d + "/a")));
         }
         planCopy.news(plan.news(0));
         planCopy.fleet(plan.sums(), List.of("d1", "d2", "d3"));
@@ -119,7 +149,8 @@
         turns(20);
         assertThat(at("A")).isEqualTo(Stage.PLANNED);
         assertThat(waits("A")).isEqualTo("the primary of group 1 is here: to be moved to p2 or p3");
-        // Guards against a note that stays though it names others now: only measured figures do not count as news.
+        // Guards against a note that stays though it names others now: only measured figures do not
+        // count as news.
         silent.put("p3", true);
         turns(16);
         assertThat(waits("A")).isEqualTo("group 1: p3 is not fit");
@@ -167,7 +198,8 @@
         conductor = new Conductor(rules(2, 10), List.of("d1", "d2", "d3"));
         ask("B");
         for (int i = 0; i < 12; i++) {
-            // Twenty txns at a time, three drivers together: two members have room for twenty, four fifths of it to be used.
+            // Twenty txns at a time, three drivers together: two members have room for twenty, four
+            // fifths of it to be used.
             busy += 250 * 20 / 3;
             turn();
         }
@@ -254,11 +286,13 @@
 
     @Test
     void oneThatCanNoMoreKeepItsTimeIsTold() {
-        assertThat(plan.ask("A", "A", "", 0, now.toMillis() + 5000, List.of(), now.toMillis())).isEmpty();
+        assertThat(plan.ask("A", "A", "", 0, now.toMillis() + 5000, List.of(), now.toMillis()))
+                .isEmpty();
         turns(12);
         assertThat(conductor.pages()).isEmpty();
         turns(6);
-        assertThat(conductor.pages().get("A")).startsWith("PAGE: wanted out before 1970-01-01T00:01:45Z and still planned");
+        assertThat(conductor.pages().get("A"))
+                .startsWith("PAGE: wanted out before 1970-01-01T00:01:45Z and still planned");
         turns(6);
         assertThat(conductor.pages()).isEmpty();
     }
@@ -270,10 +304,12 @@
             turn();
         }
         lag.put("p3", 5000L);
-        // The machine is clear at once in these tests: what is behind must be seen before that, so nobody says so.
+        // The machine is clear at once in these tests: what is behind must be seen before that, so
+        // nobody says so.
         says = false;
         turns(6);
         assertThat(at("B")).isEqualTo(Stage.ASKED);
-        assertThat(plan.history()).anyMatch(h -> h.contains("put back: group 1: p3 is 5000 ms behind on the log"));
+        assertThat(plan.history())
+                .anyMatch(h -> h.contains("put back: group 1: p3 is 5000 ms behind on the log"));
     }
 }
