--- a/src/test/java/wingroad/work/PlanTest.java
+++ b/src/test/java/wingroad/work/PlanTest.java
@@ -22,7 +22,13 @@
     }
 
     private String inventory(String limits) {
-        return plan.inventory(List.of(limits, "A1 a p1#1,q1#2 ", "A2 a p2#1 ", "A3 a q2#2 d2", "B1 b p3#1,q3#2 d9"));
+        return plan.inventory(
+                List.of(
+                        limits,
+                        "A1 a p1#1,q1#2 ",
+                        "A2 a p2#1 ",
+                        "A3 a q2#2 d2",
+                        "B1 b p3#1,q3#2 d9"));
     }
 
     private String ask(String machine, String... after) {
@@ -34,7 +40,10 @@
     }
 
     private void report(String driver, long knows, String... clear) {
-        plan.reports(List.of(new Report(knows, Set.of(clear), Map.of(), 0, 0, Map.of()).line(driver + "/a")));
+        plan.reports(
+                List.of(
+                        new Report(knows, Set.of(clear), Map.of(), 0, 0, Map.of())
+                                .line(driver + "/a")));
     }
 
     private void allKnow(String... clear) {
@@ -158,7 +167,8 @@
         long before = plan.entry("A2").stageAt;
         out("A2");
         assertThat(plan.step("A2", "PLANNED", before, "late", true, 0)).contains("moved on");
-        assertThat(plan.step("A2", "IN", plan.entry("A2").stageAt, "early", true, 0)).isEqualTo("it does not return");
+        assertThat(plan.step("A2", "IN", plan.entry("A2").stageAt, "early", true, 0))
+                .isEqualTo("it does not return");
     }
 
     @Test
@@ -169,7 +179,8 @@
         step("A3", "DRAINING");
         allKnow("A3");
         assertThat(plan.leaves("d2")).isTrue();
-        assertThat(plan.step("A3", "OUT", plan.entry("A3").stageAt, "", false, 0)).isEqualTo("a driver on it has a duty");
+        assertThat(plan.step("A3", "OUT", plan.entry("A3").stageAt, "", false, 0))
+                .isEqualTo("a driver on it has a duty");
     }
 
     @Test
@@ -196,7 +207,8 @@
     void aMachineOnItsWayKeepsWhatTheFileSaidOfIt() {
         ask("A2");
         step("A2", "PLANNED");
-        assertThat(plan.inventory(List.of("1 STEADY", "A2 b p2#1 ", "B1 b p3#1 "))).contains("on its way");
+        assertThat(plan.inventory(List.of("1 STEADY", "A2 b p2#1 ", "B1 b p3#1 ")))
+                .contains("on its way");
         plan.word("cancel", "A2", 0);
         assertThat(plan.inventory(List.of("1 STEADY", "A2 b p2#1 ", "B1 b p3#1 "))).isEmpty();
     }
@@ -223,33 +235,69 @@
         plan.word("cancel", "A3", 0);
         out("A2");
         p.news(plan.news(seen));
-        assertThat(p.entries()).extracting(e -> e.machine() + " " + e.stage()).containsExactly("A2 OUT");
+        assertThat(p.entries())
+                .extracting(e -> e.machine() + " " + e.stage())
+                .containsExactly("A2 OUT");
         assertThat(p.revision()).isEqualTo(plan.revision());
     }
 
     @Test
     void strayDriversAreCountedByTheVotersClocksSlowly() {
-        WorkRules rules = new WorkRules(Map.of(), 1, WorkRules.Lost.STEADY, Duration.ofSeconds(60), Duration.ofSeconds(1), 0.1,
-            Duration.ofSeconds(1), 0, Duration.ofSeconds(10), Duration.ZERO, Duration.ZERO);
+        WorkRules rules =
+                new WorkRules(
+                        Map.of(),
+                        1,
+                        WorkRules.Lost.STEADY,
+                        Duration.ofSeconds(60),
+                        Duration.ofSeconds(1),
+                        0.1,
+                        Duration.ofSeconds(1),
+                        0,
+                        Duration.ofSeconds(10),
+                        Duration.ZERO,
+                        Duration.ZERO);
         LostDrivers lostDrivers = new LostDrivers(rules, 0.1);
         plan.ended("d1/a", false);
         plan.ended("d2/a", true);
         lostDrivers.look(plan, Duration.ofSeconds(100));
         assertThat(lostDrivers.stopped(plan, Duration.ofSeconds(112))).isEmpty();
-        assertThat(lostDrivers.stopped(plan, Duration.ofMillis(112_300))).extracting(LostDrivers.Stopped::level).containsExactly(1L, 1L);
+        assertThat(lostDrivers.stopped(plan, Duration.ofMillis(112_300)))
+                .extracting(LostDrivers.Stopped::level)
+                .containsExactly(1L, 1L);
         // One that has said that it ends has ended for certain, some time later.
-        assertThat(lostDrivers.stopped(plan, Duration.ofSeconds(130))).extracting(s -> s.identity() + s.level()).contains("i22", "i11");
+        assertThat(lostDrivers.stopped(plan, Duration.ofSeconds(130)))
+                .extracting(s -> s.identity() + s.level())
+                .contains("i22", "i11");
         inventory("2 STRICT");
-        assertThat(lostDrivers.stopped(plan, Duration.ofSeconds(190))).extracting(LostDrivers.Stopped::level).containsExactly(2L, 2L);
+        assertThat(lostDrivers.stopped(plan, Duration.ofSeconds(190)))
+                .extracting(LostDrivers.Stopped::level)
+                .containsExactly(2L, 2L);
         inventory("2 SERVE");
-        assertThat(lostDrivers.stopped(plan, Duration.ofSeconds(190))).extracting(s -> s.identity() + s.level()).containsExactly("i22");
+        assertThat(lostDrivers.stopped(plan, Duration.ofSeconds(190)))
+                .extracting(s -> s.identity() + s.level())
+                .containsExactly("i22");
     }
 
     @ParameterizedTest
-    @CsvSource({"db-1, A", "db-17, B", "db-171, B", "db-2, C", "db, ''", "db-3, C", "web-1, ''", "db-25, D", "db-2x, C"})
+    @CsvSource({
+        "db-1, A",
+        "db-17, B",
+        "db-171, B",
+        "db-2, C",
+        "db, ''",
+        "db-3, C",
+        "web-1, ''",
+        "db-25, D",
+        "db-2x, C"
+    })
     void aMemberIsHeldByWhoNamesItOrTheLongestOfItsBeginnings(String uid, String machine) {
-        Holders h = new Holders(List.of(Machine.of("A a db-1#1 "), Machine.of("B b db-17*#1 "), Machine.of("C c db-*#2 "),
-            Machine.of("D c db-25*#2 ")));
+        Holders h =
+                new Holders(
+                        List.of(
+                                Machine.of("A a db-1#1 "),
+                                Machine.of("B b db-17*#1 "),
+                                Machine.of("C c db-*#2 "),
+                                Machine.of("D c db-25*#2 ")));
         assertThat(h.of(uid) == null ? "" : h.of(uid).name()).isEqualTo(machine);
     }
 }
--- a/src/test/java/wingroad/work/ViewTest.java
+++ b/src/test/java/wingroad/work/ViewTest.java
@@ -14,8 +14,18 @@
     private static final Duration LEASE_ENDS = Duration.ofSeconds(10);
 
     private static WorkRules rules(WorkRules.Lost lost) {
-        return new WorkRules(Map.of("A", Machine.of("A a m1#7 "), "B", Machine.of("B b m2#7 ")), 1, lost, Duration.ofSeconds(60),
-            Duration.ofSeconds(1), 0.1, Duration.ofSeconds(1), 0, Duration.ofSeconds(5), Duration.ZERO, Duration.ofSeconds(1));
+        return new WorkRules(
+                Map.of("A", Machine.of("A a m1#7 "), "B", Machine.of("B b m2#7 ")),
+                1,
+                lost,
+                Duration.ofSeconds(60),
+                Duration.ofSeconds(1),
+                0.1,
+                Duration.ofSeconds(1),
+                0,
+                Duration.ofSeconds(5),
+                Duration.ZERO,
+                Duration.ofSeconds(1));
     }
 
     private static PlanCopy planCopy(WorkRules rules, Stage stage) {
@@ -25,9 +35,14 @@
         plan.ask("A", "A", "", 0, 0, List.of(), 0);
         for (Stage s : List.of(Stage.PLANNED, Stage.DRAINING, Stage.OUT, Stage.RETURNING)) {
             if (stage.compareTo(s) >= 0) {
-                plan.reports(List.of(new Report(plan.revision(), Set.of("A"), Map.of(), 0, 0, Map.of()).line("d1/a")));
-                String not = s == Stage.RETURNING ? plan.word("done", "A", 0)
-                    : plan.step("A", s.name(), plan.entry("A").stageAt, "", true, 0);
+                plan.reports(
+                        List.of(
+                                new Report(plan.revision(), Set.of("A"), Map.of(), 0, 0, Map.of())
+                                        .line("d1/a")));
+                String not =
+                        s == Stage.RETURNING
+                                ? plan.word("done", "A", 0)
+                                : plan.step("A", s.name(), plan.entry("A").stageAt, "", true, 0);
                 assertThat(not).isEmpty();
             }
         }
@@ -64,26 +79,39 @@
         "SERVE,  OUT,       11, false, GONE,      AS_LISTED",
         "SERVE,  RETURNING, 11, false, COLD,      AS_LISTED",
     })
-    void byStageAndView(WorkRules.Lost lost, Stage stage, long at, boolean others, View.State planned, View.State other) {
+    void byStageAndView(
+            WorkRules.Lost lost,
+            Stage stage,
+            long at,
+            boolean others,
+            View.State planned,
+            View.State other) {
         View view = new View(rules(lost), Duration.ZERO, Duration.ofSeconds(3));
         view.told(planCopy(rules(lost), stage), Duration.ofSeconds(1));
         view.leased(LEASE_ENDS);
         assertThat(view.state("m1", () -> others, Duration.ofSeconds(at))).isEqualTo(planned);
         assertThat(view.state("m2", () -> others, Duration.ofSeconds(at))).isEqualTo(other);
-        assertThat(view.state("elsewhere", () -> others, Duration.ofSeconds(at))).isEqualTo(View.State.AS_LISTED);
+        assertThat(view.state("elsewhere", () -> others, Duration.ofSeconds(at)))
+                .isEqualTo(View.State.AS_LISTED);
     }
 
     @ParameterizedTest
     @CsvSource({
-        "STEADY, 1, GONE", "STEADY, 9999, GONE", "STRICT, 9999, GONE", "SERVE, 2, GONE", "SERVE, 3, AS_LISTED",
+        "STEADY, 1, GONE",
+        "STEADY, 9999, GONE",
+        "STRICT, 9999, GONE",
+        "SERVE, 2, GONE",
+        "SERVE, 3, AS_LISTED",
     })
     void beforeAnythingIsKnown(WorkRules.Lost lost, long at, View.State state) {
         View view = new View(rules(lost), Duration.ZERO, Duration.ofSeconds(3));
         assertThat(view.state("m1", () -> true, Duration.ofSeconds(at))).isEqualTo(state);
-        // A voter that has just started tells what it knew when it ended: without a lease that is nothing.
+        // A voter that has just started tells what it knew when it ended: without a lease that is
+        // nothing.
         view.told(planCopy(rules(lost), Stage.ASKED), Duration.ZERO);
         assertThat(view.state("m1", () -> true, Duration.ofSeconds(at))).isEqualTo(state);
-        assertThat(view.state("elsewhere", () -> true, Duration.ofSeconds(at))).isEqualTo(View.State.AS_LISTED);
+        assertThat(view.state("elsewhere", () -> true, Duration.ofSeconds(at)))
+                .isEqualTo(View.State.AS_LISTED);
     }
 
     @ParameterizedTest
--- a/src/test/java/wingroad/work/WorkIT.java
+++ b/src/test/java/wingroad/work/WorkIT.java
@@ -31,7 +31,8 @@
 /** Machines taken out by several real processes, with faults between them. */
 @Execution(ExecutionMode.CONCURRENT)
 class WorkIT {
-    private static final String RULES = """
+    private static final String RULES =
+            """
             lease-ms 3000
             drift 0.02
             work {
@@ -44,11 +45,17 @@
                 machine "C" zone="c" { member "m3" group=7; driver "d1"; }
             }
         """;
-    private static final String SETTINGS = Fixtures.SETTINGS.replace("\"cold\":16000", "\"cold\":1000");
+    private static final String SETTINGS =
+            Fixtures.SETTINGS.replace("\"cold\":16000", "\"cold\":1000");
+
     /** The same with a txn type that may take a quarter of a minute. */
-    private static final String LONG = SETTINGS.replace("\"grades\":[", "\"grades\":[{\"name\":\"long\",\"aim\":15000,"
-        + "\"deadline\":20000,\"semantics\":\"repeatable\",\"worth\":1,\"window\":5000},")
-        .replace("\"consistency\":[", "\"consistency\":[\"recent\",").replace("\"oldest-data\":[", "\"oldest-data\":[1500,");
+    private static final String LONG =
+            SETTINGS.replace(
+                            "\"grades\":[",
+                            "\"grades\":[{\"name\":\"long\",\"aim\":15000,"
+                                    + "\"deadline\":20000,\"semantics\":\"repeatable\",\"worth\":1,\"window\":5000},")
+                    .replace("\"consistency\":[", "\"consistency\":[\"recent\",")
+                    .replace("\"oldest-data\":[", "\"oldest-data\":[1500,");
 
     @TempDir(cleanup = CleanupMode.ON_SUCCESS)
     Path dir;
@@ -114,7 +121,9 @@
         return ask(c -> c.workAsk(machine, "kernel", 0, 0, List.of(), id));
     }
 
-    private String wantAs(String machine, String why, long forMs, long before, List<String> after, String id) throws IOException {
+    private String wantAs(
+            String machine, String why, long forMs, long before, List<String> after, String id)
+            throws IOException {
         return ask(c -> c.workAsk(machine, why, forMs, before, after, id));
     }
 
@@ -151,11 +160,14 @@
     }
 
     private static boolean astray(Map<?, ?> work, String driver) {
-        return ((List<?>) work.get("astray")).stream().anyMatch(a -> a.toString().startsWith(driver + "/"));
+        return ((List<?>) work.get("astray"))
+                .stream().anyMatch(a -> a.toString().startsWith(driver + "/"));
     }
 
     private static boolean at(Map<?, ?> work, String machine, String stage) {
-        return entry(work, machine).map(e -> stage.equals(e.get("stage"))).orElse(stage.equals("in"));
+        return entry(work, machine)
+                .map(e -> stage.equals(e.get("stage")))
+                .orElse(stage.equals("in"));
     }
 
     private static java.util.Optional<Map<?, ?>> entry(Map<?, ?> work, String machine) {
@@ -173,7 +185,9 @@
 
     /** Nothing of a client has come to the member since then, though clients were served. */
     private static void nothingSince(FencedMember m, long when) {
-        assertThat(m.txns()).as("txns at " + m.uid + " after it was told to be out").noneMatch(t -> t.at() > when);
+        assertThat(m.txns())
+                .as("txns at " + m.uid + " after it was told to be out")
+                .noneMatch(t -> t.at() > when);
     }
 
     /** So many txns more are served. */
@@ -181,7 +195,9 @@
         long from = load.committed.get();
         long end = System.nanoTime() + 40_000_000_000L;
         while (load.committed.get() < from + more) {
-            assertThat(System.nanoTime()).as("served " + (load.committed.get() - from)).isLessThan(end);
+            assertThat(System.nanoTime())
+                    .as("served " + (load.committed.get() - from))
+                    .isLessThan(end);
             TimeUnit.MILLISECONDS.sleep(20);
         }
     }
@@ -235,19 +251,27 @@
         Rig.Driver first = conductor();
         BlockingQueue<Object> held = new LinkedBlockingQueue<>();
         for (String v : rig.voters()) {
-            // Its own voter is reached by a link as well: what it says goes through the rig in any case.
-            rig.relays.between(first.name, v).tap((link, way, bytes, connection) -> {
-                String text = StandardCharsets.ISO_8859_1.decode(bytes).toString();
-                return way == Relays.Way.FORTH && text.contains("WORK_STEP") && text.contains("OUT") && held.isEmpty()
-                    && held.add(connection);
-            });
+            // Its own voter is reached by a link as well: what it says goes through the rig in any
+            // case.
+            rig.relays
+                    .between(first.name, v)
+                    .tap(
+                            (link, way, bytes, connection) -> {
+                                String text = StandardCharsets.ISO_8859_1.decode(bytes).toString();
+                                return way == Relays.Way.FORTH
+                                        && text.contains("WORK_STEP")
+                                        && text.contains("OUT")
+                                        && held.isEmpty()
+                                        && held.add(connection);
+                            });
         }
         load.away.add(first.name);
         assertThat(want("B")).isEmpty();
         Object order = held.poll(30, TimeUnit.SECONDS);
         assertThat(order).as("its order").isNotNull();
         long epoch = conducts();
-        // A voter lets go of a connection that is silent for a lease: the successor has to be there before.
+        // A voter lets go of a connection that is silent for a lease: the successor has to be there
+        // before.
         first.kill();
         first.start();
         while (conducts() <= epoch) {
@@ -288,15 +312,20 @@
     @Test
     void oneCutOffBehindItsWordLeavesTheMachineAloneAndServesOn() throws Exception {
         start(RULES);
-        Rig.Driver cut = rig.driver("d2").name.equals(conductor().name) ? rig.driver("d3") : rig.driver("d2");
-        // The plan is known there, and then the wire is cut: what drains has to wait for its view to end.
+        Rig.Driver cut =
+                rig.driver("d2").name.equals(conductor().name)
+                        ? rig.driver("d3")
+                        : rig.driver("d2");
+        // The plan is known there, and then the wire is cut: what drains has to wait for its view
+        // to end.
         assertThat(want("B")).isEmpty();
         int from = cut.lines();
         awaitWork(w -> !at(w, "B", "asked") && !at(w, "B", "planned"));
         rig.cutFromCouncil(cut.name, true);
         awaitStage("B", "out");
         long out = System.currentTimeMillis();
-        assertThat(cut.log().subList(from, cut.lines())).anyMatch(l -> l.contains("view of the plan has ended"));
+        assertThat(cut.log().subList(from, cut.lines()))
+                .anyMatch(l -> l.contains("view of the plan has ended"));
         serve(200);
         nothingSince(m2, out);
         try (Client c = new Client(cut.port())) {
@@ -313,12 +342,24 @@
     @Test
     void oneCutOffBeforeItEverHeardIsWaitedFor() throws Exception {
         start(RULES);
-        Rig.Driver cut = rig.driver("d2").name.equals(conductor().name) ? rig.driver("d3") : rig.driver("d2");
+        Rig.Driver cut =
+                rig.driver("d2").name.equals(conductor().name)
+                        ? rig.driver("d3")
+                        : rig.driver("d2");
         rig.cutFromCouncil(cut.name, true);
         cut.await("view of the plan has ended");
         awaitWork(w -> astray(w, cut.name));
         assertThat(want("B")).isEmpty();
-        awaitWork(w -> entry(w, "B").filter(e -> e.get("waits").toString().contains(cut.name + " (without a session)")).isPresent());
+        awaitWork(
+                w ->
+                        entry(w, "B")
+                                .filter(
+                                        e ->
+                                                e.get("waits")
+                                                        .toString()
+                                                        .contains(
+                                                                cut.name + " (without a session)"))
+                                .isPresent());
         serve(200);
         assertThat(at(work(), "B", "planned")).isTrue();
         rig.cutFromCouncil(cut.name, false);
@@ -336,7 +377,15 @@
         dead.kill();
         awaitWork(w -> astray(w, "d4"));
         assertThat(want("C")).isEmpty();
-        awaitWork(w -> entry(w, "C").filter(e -> e.get("waits").toString().contains("d4 (without a session)")).isPresent());
+        awaitWork(
+                w ->
+                        entry(w, "C")
+                                .filter(
+                                        e ->
+                                                e.get("waits")
+                                                        .toString()
+                                                        .contains("d4 (without a session)"))
+                                .isPresent());
         assertThat(word("gone", "d4")).isEmpty();
         awaitStage("C", "out");
         long out = System.currentTimeMillis();
@@ -352,8 +401,13 @@
 
     @Test
     void withStrictViewsTheCouncilGoesOnAfterAHorizon() throws Exception {
-        start(RULES.replace("watch 0.5", "watch 0.5\n                lost-view \"strict\" horizon=5"));
-        Rig.Driver cut = rig.driver("d2").name.equals(conductor().name) ? rig.driver("d3") : rig.driver("d2");
+        start(
+                RULES.replace(
+                        "watch 0.5", "watch 0.5\n                lost-view \"strict\" horizon=5"));
+        Rig.Driver cut =
+                rig.driver("d2").name.equals(conductor().name)
+                        ? rig.driver("d3")
+                        : rig.driver("d2");
         load.away.add(cut.name);
         rig.cutFromCouncil(cut.name, true);
         cut.await("view of the plan has ended");
@@ -388,7 +442,15 @@
         start(RULES, LONG);
         List<Client> slow = slowReads();
         assertThat(want("B")).isEmpty();
-        awaitWork(w -> entry(w, "B").filter(e -> e.get("waits").toString().contains("to leave it: [d3]")).isPresent());
+        awaitWork(
+                w ->
+                        entry(w, "B")
+                                .filter(
+                                        e ->
+                                                e.get("waits")
+                                                        .toString()
+                                                        .contains("to leave it: [d3]"))
+                                .isPresent());
         serve(100);
         assertThat(at(work(), "B", "draining")).isTrue();
         for (Rig.Driver d : rig.drivers.values()) {
@@ -414,17 +476,28 @@
     @Test
     void twoOperatorsAtOnceNeverTakeTwoOfAGroup() throws Exception {
         start(RULES);
-        List<String> answers = List.of("B", "C").parallelStream().map(m -> {
-            try {
-                return want(m);
-            } catch (IOException e) {
-                return e.toString();
-            }
-        }).toList();
+        List<String> answers =
+                List.of("B", "C").parallelStream()
+                        .map(
+                                m -> {
+                                    try {
+                                        return want(m);
+                                    } catch (IOException e) {
+                                        return e.toString();
+                                    }
+                                })
+                        .toList();
         assertThat(answers).containsOnly("");
-        String one = awaitWork(w -> at(w, "B", "out") || at(w, "C", "out")) == null ? "" : at(work(), "B", "out") ? "B" : "C";
+        String one =
+                awaitWork(w -> at(w, "B", "out") || at(w, "C", "out")) == null
+                        ? ""
+                        : at(work(), "B", "out") ? "B" : "C";
         String other = one.equals("B") ? "C" : "B";
-        awaitWork(w -> entry(w, other).filter(e -> e.get("waits").toString().startsWith("zone")).isPresent());
+        awaitWork(
+                w ->
+                        entry(w, other)
+                                .filter(e -> e.get("waits").toString().startsWith("zone"))
+                                .isPresent());
         serve(100);
         assertThat(at(work(), other, "asked")).isTrue();
         assertThat(word("done", one)).isEmpty();
@@ -437,8 +510,16 @@
     void aMachineWithThePrimaryWaitsUntilItHasMovedAndEverybodyKnows() throws Exception {
         start(RULES);
         assertThat(want("A")).isEmpty();
-        awaitWork(w -> entry(w, "A").filter(e -> e.get("waits").toString().contains("the primary of group 7 is here: to be moved to"))
-            .isPresent());
+        awaitWork(
+                w ->
+                        entry(w, "A")
+                                .filter(
+                                        e ->
+                                                e.get("waits")
+                                                        .toString()
+                                                        .contains(
+                                                                "the primary of group 7 is here: to be moved to"))
+                                .isPresent());
         serve(200);
         assertThat(at(work(), "A", "planned")).isTrue();
         m1.primary(false);
@@ -454,9 +535,13 @@
 
     @Test
     void aReleaseThatRestartsAllWhileOneIsOutSendsNothingThere() throws Exception {
-        // A driver lets clients in after a lease at the latest, and declines them where it knows no plan by then; a read is declined
-        // that can't be in time. Neither is what this is about, so that a slow machine must not bring them about.
-        start(RULES.replace("lease-ms 3000", "lease-ms 20000"), SETTINGS.replace("\"aim\":750", "\"aim\":3000"));
+        // A driver lets clients in after a lease at the latest, and declines them where it knows no
+        // plan by then; a read is declined
+        // that can't be in time. Neither is what this is about, so that a slow machine must not
+        // bring them about.
+        start(
+                RULES.replace("lease-ms 3000", "lease-ms 20000"),
+                SETTINGS.replace("\"aim\":750", "\"aim\":3000"));
         assertThat(want("B")).isEmpty();
         awaitStage("B", "out");
         long out = System.currentTimeMillis();
@@ -465,7 +550,8 @@
             d.terminate();
             d.awaitEnd();
             d.start();
-            // Clients come as soon as it listens: nobody is declined for a plan that is not known yet.
+            // Clients come as soon as it listens: nobody is declined for a plan that is not known
+            // yet.
             d.await(" serves ");
             load.away.remove(d.name);
         }
@@ -489,8 +575,16 @@
             rig.relays.between(d.name, "m3").leadTo(0);
             rig.relays.breakOff(rig.relays.between(d.name, "m3"));
         }
-        awaitWork(w -> entry(w, "B").filter(e -> e.get("waits").toString().contains("PAGE: wanted back: group 7: m3 is not fit"))
-            .isPresent());
+        awaitWork(
+                w ->
+                        entry(w, "B")
+                                .filter(
+                                        e ->
+                                                e.get("waits")
+                                                        .toString()
+                                                        .contains(
+                                                                "PAGE: wanted back: group 7: m3 is not fit"))
+                                .isPresent());
         assertThat(want("A")).isEmpty();
         assertThat(word("done", "B")).isEmpty();
         awaitStage("B", "in");
@@ -527,14 +621,24 @@
         assertThat(wantAs("B", "", 1000, 0, List.of(), "same")).isEmpty();
         assertThat(wantAs("B", "", 1000, 0, List.of(), "same")).isEmpty();
         // Out for longer than was asked: told, not assumed to be back.
-        awaitWork(w -> entry(w, "B").filter(e -> e.get("waits").toString().contains("PAGE: out for longer than 1 s")).isPresent());
+        awaitWork(
+                w ->
+                        entry(w, "B")
+                                .filter(
+                                        e ->
+                                                e.get("waits")
+                                                        .toString()
+                                                        .contains("PAGE: out for longer than 1 s"))
+                                .isPresent());
         assertThat(word("cancel", "B")).contains("brings it back");
     }
 
     @Test
     void aDriverOnAMachineThatDrainsHandsItsDutiesOver() throws Exception {
-        start(RULES.replace("driver \"d4\";", "driver \"d1\"; driver \"d4\";").replace("member \"m3\" group=7; driver \"d1\";",
-            "member \"m3\" group=7;"));
+        start(
+                RULES.replace("driver \"d4\";", "driver \"d1\"; driver \"d4\";")
+                        .replace(
+                                "member \"m3\" group=7; driver \"d1\";", "member \"m3\" group=7;"));
         assertThat(want("B")).isEmpty();
         awaitStage("B", "out");
         assertThat(List.of("d1", "d4")).doesNotContain(conductor().name);
@@ -557,13 +661,22 @@
         }
         serve(200);
         nothingSince(m2, out);
-        // The plan has it back, and discovery says that it drains: it is not back before both say so.
+        // The plan has it back, and discovery says that it drains: it is not back before both say
+        // so.
         rig.tellList(Map.of("m2b", "gone", "m2", "draining"));
         for (Rig.Driver d : rig.drivers.values()) {
             d.await("list 3 ");
         }
         assertThat(word("done", "B")).isEmpty();
-        awaitWork(w -> entry(w, "B").filter(e -> e.get("waits").toString().contains("m2 has not answered")).isPresent());
+        awaitWork(
+                w ->
+                        entry(w, "B")
+                                .filter(
+                                        e ->
+                                                e.get("waits")
+                                                        .toString()
+                                                        .contains("m2 has not answered"))
+                                .isPresent());
         serve(100);
         nothingSince(m2, out);
         rig.tellList(Map.of("m2b", "gone"));
@@ -598,7 +711,11 @@
         awaitStage("B", "draining");
         rig.reachable(m1, false);
         awaitStage("B", "asked");
-        awaitWork(w -> entry(w, "B").filter(e -> e.get("waits").toString().contains("m1 is not fit")).isPresent());
+        awaitWork(
+                w ->
+                        entry(w, "B")
+                                .filter(e -> e.get("waits").toString().contains("m1 is not fit"))
+                                .isPresent());
         m1.primary(false);
         m2.primary(true);
         try (Client c = new Client(rig.driver("d1").port())) {
@@ -642,8 +759,15 @@
 
     /** What a call prints, and its exit status last. */
     private List<String> call(String... words) throws Exception {
-        List<String> command = new ArrayList<>(List.of("java", "-Xshare:auto", "-XX:TieredStopAtLevel=1", "-jar", "target/wingroad.jar",
-            "work"));
+        List<String> command =
+                new ArrayList<>(
+                        List.of(
+                                "java",
+                                "-Xshare:auto",
+                                "-XX:TieredStopAtLevel=1",
+                                "-jar",
+                                "target/wingroad.jar",
+                                "work"));
         command.addAll(List.of(words));
         command.addAll(List.of("--operator", rig.driver("d1").operator().toString()));
         Process p = new ProcessBuilder(command).redirectErrorStream(true).start();
@@ -655,13 +779,17 @@
     @Test
     void operatorsAskByTheCommandLine() throws Exception {
         start(RULES);
-        assertThat(call("ask", "B", "Z", "--for", "20m", "--why", "kernel")).containsExactly("B: settled",
-            "Z: refused: there is no machine 'Z'", "exit 1");
+        assertThat(call("ask", "B", "Z", "--for", "20m", "--why", "kernel"))
+                .containsExactly("B: settled", "Z: refused: there is no machine 'Z'", "exit 1");
         awaitStage("B", "out");
-        assertThat(call("plan")).anyMatch(l -> l.matches(" +B +out +kernel; waits: work on it")).contains("exit 0");
-        assertThat(call("show", "B")).anyMatch(l -> l.contains("members [m2*#7], drivers [d4]")).anyMatch(l -> l.endsWith(
-            "B out: nothing of anybody's is there"));
-        assertThat(call("done", "B", "--json")).containsExactly("{\"machine\":\"B\",\"settled\":true,\"why\":\"\"}", "exit 0");
+        assertThat(call("plan"))
+                .anyMatch(l -> l.matches(" +B +out +kernel; waits: work on it"))
+                .contains("exit 0");
+        assertThat(call("show", "B"))
+                .anyMatch(l -> l.contains("members [m2*#7], drivers [d4]"))
+                .anyMatch(l -> l.endsWith("B out: nothing of anybody's is there"));
+        assertThat(call("done", "B", "--json"))
+                .containsExactly("{\"machine\":\"B\",\"settled\":true,\"why\":\"\"}", "exit 0");
         awaitStage("B", "in");
         assertThat(call("hold")).contains("exit 2");
         assertThat(call("ask", "B", "--for", "soon")).contains("exit 2");
