--- a/src/main/java/wingroad/driver/AttemptProgress.java
+++ b/src/main/java/wingroad/driver/AttemptProgress.java
@@ -13,17 +13,17 @@
     ANSWERING;
 
     /** The end of an attempt whose connection was refused, never came up, or broke. */
-    End lost() {
+    End endIfLost() {
         return mayHaveRun() ? End.RESET : End.UNREACHABLE;
     }
 
     /** The end of an attempt that is not waited for any longer. */
-    End timedOut() {
+    End endIfTimedOut() {
         return this == NOT_CONNECTED ? End.UNREACHABLE : End.TIMED_OUT;
     }
 
     /** The end of an attempt that is called off. A write that is out may still go through. */
-    End calledOff() {
+    End endIfCancelled() {
         return this == NOT_CONNECTED ? End.MOOT : End.CANCELLED;
     }
 
--- a/src/main/java/wingroad/driver/ChoreExecutor.java
+++ b/src/main/java/wingroad/driver/ChoreExecutor.java
@@ -19,120 +19,120 @@
  */
 final class ChoreExecutor implements Runner {
     /** What a chore is worth beside the least of the clients' types. */
-    private static final double WORTH = 0.01;
+    private static final double VALUE_FACTOR = 0.01;
 
     /** A statement that can't end before its lease has so little left is not begun. */
-    private static final Duration LEAST = Duration.ofMillis(20);
+    private static final Duration MIN_TIME_LEFT = Duration.ofMillis(20);
 
     private final EventLoop loop;
-    private final Exchange exchange;
-    private final int type;
-    private final Duration expiry;
-    private volatile Consumer<Runnable> answers;
+    private final TxnDispatcher dispatcher;
+    private final int choreTypeIndex;
+    private final Duration longestExpiry;
+    private volatile Consumer<Runnable> fleetThread;
 
-    ChoreExecutor(EventLoop loop, Exchange exchange, Map<String, Object> terms) {
+    ChoreExecutor(EventLoop loop, TxnDispatcher dispatcher, Map<String, Object> terms) {
         this.loop = loop;
-        this.exchange = exchange;
+        this.dispatcher = dispatcher;
         TxnType[] types = TxnType.all(terms);
-        type = types.length;
-        expiry = expiry(types);
+        choreTypeIndex = types.length;
+        longestExpiry = longestExpiry(types);
     }
 
     /** How to get back onto the fleet's thread. */
-    void answerOn(Consumer<Runnable> thread) {
-        answers = thread;
+    void setFleetThread(Consumer<Runnable> executor) {
+        fleetThread = executor;
     }
 
-    private static Duration expiry(TxnType[] types) {
+    private static Duration longestExpiry(TxnType[] types) {
         Duration longest = Duration.ofSeconds(1);
-        for (TxnType t : types) {
-            longest = t.expiry().compareTo(longest) > 0 ? t.expiry() : longest;
+        for (TxnType type : types) {
+            longest = type.expiry().compareTo(longest) > 0 ? type.expiry() : longest;
         }
         return longest;
     }
 
     /** The fleet's rules with what the deployment's terms say of work on machines. */
-    static FleetRules settled(FleetRules rules, Map<String, Object> terms) {
+    static FleetRules withDeploymentTerms(FleetRules rules, Map<String, Object> terms) {
         return rules.with(
                 rules.work()
                         .in(
-                                expiry(TxnType.all(terms)),
+                                longestExpiry(TxnType.all(terms)),
                                 (Duration) terms.get("cold"),
                                 (Duration) terms.get("drain-grace")));
     }
 
     /** The terms with one more txn type behind the clients' own, whose numbers stay. */
-    static Map<String, Object> withType(Map<String, Object> terms) {
+    static Map<String, Object> withChoreType(Map<String, Object> terms) {
         TxnType[] types = TxnType.all(terms);
-        Map<String, Object> more = new HashMap<>(terms);
-        String t = "txn-type." + types.length + ".";
-        double least = 1;
-        for (TxnType o : types) {
-            least = Math.min(least, o.value());
+        Map<String, Object> extended = new HashMap<>(terms);
+        String prefix = "txn-type." + types.length + ".";
+        double leastValue = 1;
+        for (TxnType type : types) {
+            leastValue = Math.min(leastValue, type.value());
         }
-        more.put("txn-types", types.length + 1.0);
-        more.put(t + "sla-time", expiry(types));
-        more.put(t + "expiry", expiry(types));
-        more.put(t + "value", least * WORTH);
-        more.put(t + "late-share", 0.0);
-        more.put(t + "repeat", "once-only");
-        more.put(t + "repeats-dropped-by", "all");
-        more.put(t + "window", Duration.ZERO);
-        more.put(t + "reads", "update");
-        more.put(t + "oldest-data", Duration.ZERO);
-        return more;
+        extended.put("txn-types", types.length + 1.0);
+        extended.put(prefix + "sla-time", longestExpiry(types));
+        extended.put(prefix + "expiry", longestExpiry(types));
+        extended.put(prefix + "value", leastValue * VALUE_FACTOR);
+        extended.put(prefix + "late-share", 0.0);
+        extended.put(prefix + "repeat", "once-only");
+        extended.put(prefix + "repeats-dropped-by", "all");
+        extended.put(prefix + "window", Duration.ZERO);
+        extended.put(prefix + "reads", "update");
+        extended.put(prefix + "oldest-data", Duration.ZERO);
+        return extended;
     }
 
     @Override
-    public void run(Chore chore, long epoch, long turn, Duration until, Ended ended) {
-        loop.run(() -> begin(chore, epoch, turn, until, ended));
+    public void run(Chore chore, long epoch, long turn, Duration leaseEnd, Ended callback) {
+        loop.run(() -> submit(chore, epoch, turn, leaseEnd, callback));
     }
 
-    private void begin(Chore chore, long epoch, long turn, Duration until, Ended ended) {
+    private void submit(Chore chore, long epoch, long turn, Duration leaseEnd, Ended callback) {
         // The clock is read here, behind all waiting; what comes after this is the fence's to
         // catch.
-        Duration left = until.minus(Duration.ofNanos(System.nanoTime()));
-        left = left.compareTo(expiry) < 0 ? left : expiry;
-        if (left.compareTo(LEAST) < 0) {
-            tell(ended, "not begun: the lease ends");
+        Duration timeLeft = leaseEnd.minus(Duration.ofNanos(System.nanoTime()));
+        timeLeft = timeLeft.compareTo(longestExpiry) < 0 ? timeLeft : longestExpiry;
+        if (timeLeft.compareTo(MIN_TIME_LEFT) < 0) {
+            report(callback, "not begun: the lease ends");
             return;
         }
         String txn =
-                exchange.ownArrived(
-                        statement(chore, epoch, turn, left),
-                        type,
-                        new Exchange.TxnCallback() {
+                dispatcher.ownTxnArrived(
+                        statement(chore, epoch, turn, timeLeft),
+                        choreTypeIndex,
+                        new TxnDispatcher.TxnCallback() {
                             @Override
                             public void committed(byte[] row) {
-                                tell(ended, "ran");
+                                report(callback, "ran");
                             }
 
                             @Override
                             public void declined(Duration comeBack) {
-                                tell(ended, "declined, never ran");
+                                report(callback, "declined, never ran");
                             }
 
                             @Override
                             public void rolledBack() {
-                                tell(ended, "refused or broken off: has run or not");
+                                report(callback, "refused or broken off: has run or not");
                             }
                         });
         if (txn == null) {
-            tell(ended, "not taken, never ran");
+            report(callback, "not taken, never ran");
         }
     }
 
-    private void tell(Ended ended, String outcome) {
-        answers.accept(() -> ended.ended(outcome));
+    private void report(Ended callback, String outcome) {
+        fleetThread.accept(() -> callback.ended(outcome));
     }
 
-    static Statement statement(Chore chore, long epoch, long turn, Duration left) {
+    static Statement statement(Chore chore, long epoch, long turn, Duration timeLeft) {
         String id = "chore-" + chore.name() + "-" + epoch + "-" + turn;
         String head = "/* id=" + id + ",c=chore,d=";
-        String ms = Long.toString(left.toMillis());
+        String timeLeftMs = Long.toString(timeLeft.toMillis());
         String text =
                 head
-                        + ms
+                        + timeLeftMs
                         + ",cluster="
                         + chore.group()
                         + " */ "
@@ -141,7 +141,7 @@
         return new Statement(
                 id,
                 "chore",
-                left.toMillis(),
+                timeLeft.toMillis(),
                 chore.group(),
                 null,
                 false,
@@ -149,6 +149,6 @@
                 id,
                 text.getBytes(StandardCharsets.UTF_8),
                 head.length(),
-                head.length() + ms.length());
+                head.length() + timeLeftMs.length());
     }
 }
--- a/src/main/java/wingroad/driver/ClientConnection.java
+++ b/src/main/java/wingroad/driver/ClientConnection.java
@@ -10,71 +10,71 @@
 
 /**
  * One client's connection. Its commands are taken one after the other, each when the last is
- * answered. What it may take of the driver is bounded in bytes and in time; {@link #overdue} says
- * when its time is over.
+ * answered. What it may take of the driver is bounded in bytes and in time; {@link #checkTimeouts}
+ * says when its time is over.
  */
-final class ClientConnection implements Connection.Owner, Exchange.TxnCallback {
+final class ClientConnection implements Connection.Owner, TxnDispatcher.TxnCallback {
     /**
      * A client is to be told within 3 s of its connecting; half of that leaves a second for the
      * end, see LINGER.
      */
-    private static final Duration START_TIME = Duration.ofMillis(1500);
+    private static final Duration STARTUP_TIMEOUT = Duration.ofMillis(1500);
 
     /**
      * A command that has begun comes whole at once, or its client is stuck: the largest takes some
      * ms.
      */
-    private static final Duration COMMAND_TIME = Duration.ofMillis(1500);
+    private static final Duration COMMAND_TIMEOUT = Duration.ofMillis(1500);
 
     /**
      * A connection without a request may be closed after 2 s; those that ask once and stay must not
      * add up.
      */
-    private static final Duration IDLE_TIME = Duration.ofMillis(2200);
+    private static final Duration IDLE_TIMEOUT = Duration.ofMillis(2200);
 
     /**
      * A client that reads nothing at all for so long has gone, or never will; one that is slow may
      * take its time.
      */
-    private static final Duration WRITE_TIME = Duration.ofSeconds(3);
+    private static final Duration WRITE_TIMEOUT = Duration.ofSeconds(3);
 
     /** So long a client that was told the end has to read it and to end its own side. */
-    private static final Duration LINGER = Duration.ofSeconds(1);
+    private static final Duration LINGER_TIMEOUT = Duration.ofSeconds(1);
 
     /** What a client that was told the end may still send before it is no longer read. */
-    private static final int MOST_THROWN_AWAY = 64 * 1024;
+    private static final int MAX_DISCARDED_BYTES = 64 * 1024;
 
     /**
      * How many messages that come to nothing it may send between two queries: one batch of a
      * client's library at the most.
      */
-    private static final int MOST_SKIPPED = 256;
+    private static final int MAX_SKIPPED_MESSAGE_COUNT = 256;
 
     /**
      * After each command that could not be served the next one waits, twice as long each time, and
      * then it is over.
      */
-    private static final Duration FIRST_PAUSE = Duration.ofMillis(10);
+    private static final Duration FIRST_ERROR_DELAY = Duration.ofMillis(10);
 
-    private static final int MOST_WRONG = 8;
+    private static final int MAX_REJECTED_COMMAND_COUNT = 8;
 
-    private final Clients side;
+    private final ClientFrontend frontend;
     private final ClientInput input = new ClientInput();
     private Connection connection;
-    private final int number;
+    private final int connectionNumber;
     private final Duration connectedAt;
 
     /** Since when it is as it is: answered, leaving. */
-    private Duration since;
+    private Duration lastProgressAt;
 
     /**
      * Since when it has not taken what it was sent, or sent a part of a command; null where neither
      * is so.
      */
-    private Duration stuckSince;
+    private Duration partialCommandSince;
 
     private boolean started;
-    private boolean asked;
+    private boolean hasQueried;
 
     /** Who it is, where that is wanted. */
     private Caller caller;
@@ -83,38 +83,38 @@
     private String txn;
 
     /** The id of its statement. */
-    private String id;
+    private String statementId;
 
     /** Its txn is being handed over. */
-    private boolean taking;
+    private boolean submitting;
 
     /** The size of its statement. */
-    private int holds;
+    private int reservedBytes;
 
     /** After an extended-query message all is skipped up to its sync. */
-    private boolean skipping;
+    private boolean skippingToSync;
 
     /** How many of its messages came to nothing since its last query. */
-    private int skipped;
+    private int skippedMessageCount;
 
     /** How many of its commands could not be served. */
-    private int wrong;
+    private int rejectedCommandCount;
 
-    private boolean pausing;
+    private boolean delayed;
 
     /** Nothing more is taken; what was answered is still written. */
-    private boolean leaving;
+    private boolean finishing;
 
-    private int thrownAway;
+    private int discardedBytes;
 
     /** How many bytes had been written when it was last looked at. */
-    private long wrote;
+    private long writtenBytesAtLastCheck;
 
-    ClientConnection(Clients side, Duration since, int number) {
-        this.side = side;
-        this.connectedAt = since;
-        this.since = since;
-        this.number = number;
+    ClientConnection(ClientFrontend frontend, Duration connectedAt, int connectionNumber) {
+        this.frontend = frontend;
+        this.connectedAt = connectedAt;
+        this.lastProgressAt = connectedAt;
+        this.connectionNumber = connectionNumber;
     }
 
     void begin(Connection connection) {
@@ -125,9 +125,9 @@
     /** It has a txn, an answer that is not written yet, or a command that was not looked at yet. */
     boolean busy() {
         return txn != null
-                || taking
+                || submitting
                 || connection.unsent()
-                || connection.unread() && stuckSince == null && !pausing && !leaving;
+                || connection.unread() && partialCommandSince == null && !delayed && !finishing;
     }
 
     /**
@@ -135,118 +135,130 @@
      * not know how far it came.
      */
     boolean inCommand() {
-        return stuckSince != null && connection.unread() && !leaving;
+        return partialCommandSince != null && connection.unread() && !finishing;
     }
 
     @Override
     public boolean takes() {
-        return leaving || txn == null && !pausing && !connection.unsent();
+        return finishing || txn == null && !delayed && !connection.unsent();
     }
 
     @Override
     public void bytes(ByteBuffer in) {
-        if (leaving) {
-            thrownAway += in.remaining();
+        if (finishing) {
+            discardedBytes += in.remaining();
             in.position(in.limit());
-            if (thrownAway > MOST_THROWN_AWAY) {
+            if (discardedBytes > MAX_DISCARDED_BYTES) {
                 connection.readNoMore();
             }
             return;
         }
         // One that does not read its answers gets no further ones: at most one waits to be written.
-        while (txn == null && !leaving && !pausing && !connection.unsent()) {
-            ClientInput.Message m = input.next(in);
-            if (m == null) {
-                boolean part = in.hasRemaining();
-                stuckSince = !part ? null : stuckSince == null ? side.now() : stuckSince;
+        while (txn == null && !finishing && !delayed && !connection.unsent()) {
+            ClientInput.Message message = input.next(in);
+            if (message == null) {
+                boolean isPartial = in.hasRemaining();
+                partialCommandSince =
+                        !isPartial
+                                ? null
+                                : partialCommandSince == null
+                                        ? frontend.now()
+                                        : partialCommandSince;
                 return;
             }
-            stuckSince = null;
-            take(m);
+            partialCommandSince = null;
+            handle(message);
         }
     }
 
-    private void take(ClientInput.Message m) {
-        switch (m.kind()) {
+    private void handle(ClientInput.Message message) {
+        switch (message.kind()) {
             case STARTUP, NEWER_STARTUP -> {
                 started = true;
-                caller = side.caller(connection.from(), m.bytes());
+                caller = frontend.caller(connection.from(), message.bytes());
                 send(
                         new ClientOutput()
-                                .welcome(m.kind() == ClientInput.Kind.NEWER_STARTUP, number));
+                                .welcome(
+                                        message.kind() == ClientInput.Kind.NEWER_STARTUP,
+                                        connectionNumber));
             }
             case ENCRYPTION -> send(new ClientOutput().noEncryption());
             case QUERY -> {
-                if (!skipping) {
-                    query(m.bytes());
+                if (!skippingToSync) {
+                    handleQuery(message.bytes());
                 }
             }
             case EXTENDED -> {
-                if (!skipping) {
-                    skipping = true;
-                    wrong("extended query", ClientOutput.UNSUPPORTED, "only simple queries", false);
+                if (!skippingToSync) {
+                    skippingToSync = true;
+                    rejectedCommandCount(
+                            "extended query",
+                            ClientOutput.UNSUPPORTED,
+                            "only simple queries",
+                            false);
                 } else {
-                    skip();
+                    skipMessage();
                 }
             }
             case SYNC -> {
-                if (m.why() == null) {
-                    skipping = false;
+                if (message.why() == null) {
+                    skippingToSync = false;
                     send(new ClientOutput().ready());
-                } else if (!skipping) {
-                    wrong("function call", ClientOutput.UNSUPPORTED, "no function calls", true);
+                } else if (!skippingToSync) {
+                    rejectedCommandCount(
+                            "function call", ClientOutput.UNSUPPORTED, "no function calls", true);
                 }
             }
             // rows for a copy that was never begun
-            case SKIP -> skip();
+            case SKIP -> skipMessage();
             case BROKEN -> {
-                side.count("client " + m.why());
-                end(ClientOutput.MALFORMED, m.why());
+                frontend.count("client " + message.why());
+                sendFatalError(ClientOutput.MALFORMED, message.why());
             }
             default -> {
-                leaving = true;
+                finishing = true;
                 close();
             }
         }
     }
 
     /** Guards the thread against a client that sends without end what nobody answers. */
-    private void skip() {
-        if (++skipped > MOST_SKIPPED) {
-            side.count("client sends what is not asked for");
-            end(ClientOutput.MALFORMED, "too much that is no query");
+    private void skipMessage() {
+        if (++skippedMessageCount > MAX_SKIPPED_MESSAGE_COUNT) {
+            frontend.count("client sends what is not asked for");
+            sendFatalError(ClientOutput.MALFORMED, "too much that is no query");
         }
     }
 
-    private void query(byte[] text) {
-        asked = true;
-        skipped = 0;
+    private void handleQuery(byte[] text) {
+        hasQueried = true;
+        skippedMessageCount = 0;
         if (isBlank(text)) {
             send(new ClientOutput().emptyQuery());
             return;
         }
-        Statement.Parsed p = Statement.parse(text);
-        String why = p.why();
-        String code = ClientOutput.MALFORMED;
-        Statement s = p.statement();
-        if (s != null) {
-            code = ClientOutput.UNKNOWN_NAME;
-            why = side.whyUnknown(s);
+        Statement.Parsed parsed = Statement.parse(text);
+        String reason = parsed.why();
+        String sqlState = ClientOutput.MALFORMED;
+        Statement statement = parsed.statement();
+        if (statement != null) {
+            sqlState = ClientOutput.UNKNOWN_NAME;
+            reason = frontend.rejectionReason(statement);
         }
-        if (why != null) {
-            wrong("client " + why, code, why, true);
+        if (reason != null) {
+            rejectedCommandCount("client " + reason, sqlState, reason, true);
             return;
         }
-        id = s.id();
-        holds = text.length;
-        side.hold(holds);
-        taking = true;
-        txn = side.arrived(s, this);
-        taking = false;
+        statementId = statement.id();
+        reservedBytes = text.length;
+        frontend.reserveBytes(reservedBytes);
+        submitting = true;
+        txn = frontend.submit(statement, this);
+        submitting = false;
         if (txn == null) {
             // Guards the txns under way at the descriptor limit: one that is not let in would wait
             // unseen.
-            side.count("client declined for descriptors");
+            frontend.count("client declined for descriptors");
             declined(null);
         }
     }
@@ -256,21 +268,22 @@
      * they are turned away: one that goes on so is asked to wait, longer each time, and at last is
      * let go.
      */
-    private void wrong(String counted, String code, String text, boolean ready) {
-        side.count(counted);
-        if (++wrong >= MOST_WRONG) {
-            end(code, text);
+    private void rejectedCommandCount(
+            String counter, String sqlState, String text, boolean withReady) {
+        frontend.count(counter);
+        if (++rejectedCommandCount >= MAX_REJECTED_COMMAND_COUNT) {
+            sendFatalError(sqlState, text);
             return;
         }
-        pausing = true;
-        side.after(
-                FIRST_PAUSE.multipliedBy(1L << wrong - 1),
+        delayed = true;
+        frontend.after(
+                FIRST_ERROR_DELAY.multipliedBy(1L << rejectedCommandCount - 1),
                 () -> {
-                    pausing = false;
+                    delayed = false;
                     connection.offerAgain();
                 });
-        ClientOutput out = new ClientOutput().error(false, code, text, null);
-        send(ready ? out.ready() : out);
+        ClientOutput output = new ClientOutput().error(false, sqlState, text, null);
+        send(withReady ? output.ready() : output);
     }
 
     private static boolean isBlank(byte[] text) {
@@ -284,68 +297,72 @@
 
     @Override
     public void committed(byte[] row) {
-        settled();
+        txnEnded();
         connection.send(ClientOutput.row(row));
     }
 
     @Override
-    public void declined(Duration comeBack) {
-        side.count("DECLINED");
-        String wait = comeBack == null ? null : Long.toString(Math.max(1, comeBack.toMillis()));
-        answer(new ClientOutput().error(false, ClientOutput.DECLINED, "declined", wait).ready());
+    public void declined(Duration retryAfter) {
+        frontend.count("DECLINED");
+        String retryAfterMs =
+                retryAfter == null ? null : Long.toString(Math.max(1, retryAfter.toMillis()));
+        sendFinalAnswer(
+                new ClientOutput()
+                        .error(false, ClientOutput.DECLINED, "declined", retryAfterMs)
+                        .ready());
     }
 
     @Override
     public void rolledBack() {
-        side.count("ROLLED BACK");
-        answer(
+        frontend.count("ROLLED BACK");
+        sendFinalAnswer(
                 new ClientOutput()
                         .error(false, ClientOutput.ROLLED_BACK, "rolled back", null)
                         .ready());
     }
 
-    private void answer(ClientOutput out) {
-        settled();
-        send(out);
+    private void sendFinalAnswer(ClientOutput output) {
+        txnEnded();
+        send(output);
     }
 
-    private void settled() {
+    private void txnEnded() {
         txn = null;
-        since = side.now();
-        side.hold(-holds);
-        holds = 0;
+        lastProgressAt = frontend.now();
+        frontend.reserveBytes(-reservedBytes);
+        reservedBytes = 0;
     }
 
-    private void send(ClientOutput out) {
-        since = side.now();
-        connection.send(out.bytes());
+    private void send(ClientOutput output) {
+        lastProgressAt = frontend.now();
+        connection.send(output.bytes());
     }
 
     @Override
     public void written() {
-        if (leaving) {
+        if (finishing) {
             return;
         }
         if (connection.unread()) {
             connection.offerAgain();
-        } else if (txn == null && asked) {
-            side.idles(this);
-            if (side.closing()) {
-                leave();
+        } else if (txn == null && hasQueried) {
+            frontend.becameIdle(this);
+            if (frontend.closing()) {
+                finish();
             }
         }
     }
 
     /** The last word: an error after which nothing more is taken. */
-    private void end(String code, String text) {
-        send(new ClientOutput().error(true, code, text, null));
-        leave();
+    private void sendFatalError(String sqlState, String text) {
+        send(new ClientOutput().error(true, sqlState, text, null));
+        finish();
     }
 
     /** Takes nothing more; the client sees the end after the last answer. */
-    void leave() {
-        leaving = true;
-        since = side.now();
+    void finish() {
+        finishing = true;
+        lastProgressAt = frontend.now();
         connection.finish();
     }
 
@@ -353,48 +370,50 @@
      * Called now and then: ends what has taken too long. A txn has its own time, which the module
      * keeps.
      */
-    void overdue(Duration now) {
-        if (wrote != connection.wrote()) {
-            wrote = connection.wrote();
-            since = now;
+    void checkTimeouts(Duration now) {
+        if (writtenBytesAtLastCheck != connection.wrote()) {
+            writtenBytesAtLastCheck = connection.wrote();
+            lastProgressAt = now;
         }
         if (connection.unsent()
-                ? past(since, WRITE_TIME, now)
-                : leaving && past(since, LINGER, now)) {
+                ? hasElapsed(lastProgressAt, WRITE_TIMEOUT, now)
+                : finishing && hasElapsed(lastProgressAt, LINGER_TIMEOUT, now)) {
             close();
-        } else if (leaving || busy() || pausing) {
+        } else if (finishing || busy() || delayed) {
             return;
-        } else if (!started && past(connectedAt, START_TIME, now)) {
-            side.count("client silent");
-            end(ClientOutput.MALFORMED, "no startup message in time");
-        } else if (stuckSince != null && past(stuckSince, COMMAND_TIME, now)) {
-            side.count("client stuck in a command");
-            end(ClientOutput.MALFORMED, "no whole command in time");
-        } else if (past(since, IDLE_TIME, now) && !side.mayIdle()) {
-            leave();
+        } else if (!started && hasElapsed(connectedAt, STARTUP_TIMEOUT, now)) {
+            frontend.count("client silent");
+            sendFatalError(ClientOutput.MALFORMED, "no startup message in time");
+        } else if (partialCommandSince != null
+                && hasElapsed(partialCommandSince, COMMAND_TIMEOUT, now)) {
+            frontend.count("client stuck in a command");
+            sendFatalError(ClientOutput.MALFORMED, "no whole command in time");
+        } else if (hasElapsed(lastProgressAt, IDLE_TIMEOUT, now) && !frontend.mayStayIdle()) {
+            finish();
         }
     }
 
-    private static boolean past(Duration from, Duration time, Duration now) {
-        return now.minus(from).compareTo(time) > 0;
+    private static boolean hasElapsed(Duration start, Duration limit, Duration now) {
+        return now.minus(start).compareTo(limit) > 0;
     }
 
     /** It has had a query at least; one that has not may be about to ask. */
-    boolean asked() {
-        return asked;
+    boolean hasQueried() {
+        return hasQueried;
     }
 
     Caller caller() {
         return caller;
     }
 
-    boolean leaving() {
-        return leaving;
+    boolean finishing() {
+        return finishing;
     }
 
     /** It was told the end, or has said nothing for longer than the given time. */
-    boolean ofNoUse(Duration now, Duration time) {
-        return leaving && !connection.unsent() || !started && past(connectedAt, time, now);
+    boolean isDispensable(Duration now, Duration silentLimit) {
+        return finishing && !connection.unsent()
+                || !started && hasElapsed(connectedAt, silentLimit, now);
     }
 
     void close() {
@@ -404,19 +423,19 @@
 
     @Override
     public void full() {
-        if (txn == null && !leaving) {
+        if (txn == null && !finishing) {
             // Nothing of it was sent on: trying again is harmless.
-            side.count("client turned away for memory");
-            end(ClientOutput.DECLINED, "no memory for this now");
+            frontend.count("client turned away for memory");
+            sendFatalError(ClientOutput.DECLINED, "no memory for this now");
         }
     }
 
     @Override
-    public void ended(int unwritten, boolean orderly, String how) {
+    public void ended(int unwritten, boolean orderly, String reason) {
         if (txn != null) {
-            side.lapsed(txn, id);
-            settled();
+            frontend.abandon(txn, statementId);
+            txnEnded();
         }
-        side.left(this);
+        frontend.connectionClosed(this);
     }
 }
--- a/src/main/java/wingroad/driver/Configuration.java
+++ b/src/main/java/wingroad/driver/Configuration.java
@@ -21,23 +21,23 @@
         InetSocketAddress listen,
         InetSocketAddress discovery,
         long seed,
-        int descriptors,
-        long memory,
-        MemberList known,
+        int descriptorLimit,
+        long memoryBytes,
+        MemberList knownMembers,
         Map<String, Object> settings) {
-    private static final int USUAL_DESCRIPTORS = 1024;
-    private static final int USUAL_MEMORY_MB = 192;
-    private static final int LEAST_LIMIT = 16;
+    private static final int DEFAULT_DESCRIPTOR_LIMIT = 1024;
+    private static final int DEFAULT_MEMORY_MB = 192;
+    private static final int MIN_LIMIT = 16;
 
     /** Far more than a list of all members takes; a file without end must not fill the memory. */
-    private static final int LONGEST = 4 << 20;
+    private static final int MAX_FILE_BYTES = 4 << 20;
 
     /** What is told is missing or broken. */
-    static final class Refused extends Exception {
+    static final class InvalidConfigurationException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        Refused(String why) {
-            super(why);
+        InvalidConfigurationException(String reason) {
+            super(reason);
         }
     }
 
@@ -45,45 +45,47 @@
      * From the file that LB_CONFIG names; the other variables count where the file has no such
      * value.
      */
-    static Configuration read(Map<String, String> env) throws Refused {
+    static Configuration read(Map<String, String> env) throws InvalidConfigurationException {
         String file = env.get("LB_CONFIG");
         if (file == null || file.isEmpty()) {
-            throw new Refused("LB_CONFIG names no configuration");
+            throw new InvalidConfigurationException("LB_CONFIG names no configuration");
         }
         byte[] text;
         try (InputStream in = Files.newInputStream(Path.of(file))) {
-            text = in.readNBytes(LONGEST);
+            text = in.readNBytes(MAX_FILE_BYTES);
         } catch (IOException | RuntimeException e) {
-            throw new Refused("the configuration can't be read: " + e);
+            throw new InvalidConfigurationException("the configuration can't be read: " + e);
         }
         try {
-            Map<String, Object> all = Json.object(text, "the configuration");
+            Map<String, Object> root = Json.object(text, "the configuration");
             Map<String, Object> limits =
-                    all.get("limits") == null
+                    root.get("limits") == null
                             ? Map.of()
-                            : Json.object(all.get("limits"), "'limits'");
-            int descriptors = (int) limit(limits, "sockets", USUAL_DESCRIPTORS);
-            long memory = limit(limits, "memory_mb", USUAL_MEMORY_MB);
-            Map<String, Object> settings = Json.object(Json.need(all, "settings"), "'settings'");
+                            : Json.object(root.get("limits"), "'limits'");
+            int descriptorLimit = (int) limit(limits, "sockets", DEFAULT_DESCRIPTOR_LIMIT);
+            long memoryMb = limit(limits, "memory_mb", DEFAULT_MEMORY_MB);
+            Map<String, Object> settings = Json.object(Json.need(root, "settings"), "'settings'");
             List<String> problems = TermsCheck.problems(settings);
             if (!problems.isEmpty()) {
-                throw new Refused("the settings can't be used: " + String.join("; ", problems));
+                throw new InvalidConfigurationException(
+                        "the settings can't be used: " + String.join("; ", problems));
             }
             return new Configuration(
-                    word(all, "name", env.getOrDefault("LB_NAME", "driver")),
-                    address(word(all, "listen", env.get("LB_LISTEN")), "listen"),
-                    address(word(all, "discovery", env.get("LB_DISCOVERY")), "discovery"),
-                    seed(all.get("seed")),
-                    descriptors,
-                    memory << 20,
-                    all.get("known") == null
+                    stringValue(root, "name", env.getOrDefault("LB_NAME", "driver")),
+                    address(stringValue(root, "listen", env.get("LB_LISTEN")), "listen"),
+                    address(stringValue(root, "discovery", env.get("LB_DISCOVERY")), "discovery"),
+                    seed(root.get("seed")),
+                    descriptorLimit,
+                    memoryMb << 20,
+                    root.get("known") == null
                             ? new MemberList(0, true, List.of())
-                            : MemberList.of(Json.object(all.get("known"), "'known'")),
+                            : MemberList.of(Json.object(root.get("known"), "'known'")),
                     settings);
         } catch (IOException e) {
-            throw new Refused("the configuration is no JSON: " + file);
+            throw new InvalidConfigurationException("the configuration is no JSON: " + file);
         } catch (Json.Malformed e) {
-            throw new Refused("the configuration is broken: " + e.getMessage());
+            throw new InvalidConfigurationException(
+                    "the configuration is broken: " + e.getMessage());
         }
     }
 
@@ -91,47 +93,51 @@
      * Whether the other one differs in nothing that counts while the program runs, apart from
      * discovery's address.
      */
-    boolean sameButForDiscovery(Configuration other) {
+    boolean equalsExceptDiscovery(Configuration other) {
         return listen.equals(other.listen)
-                && descriptors == other.descriptors
-                && memory == other.memory
+                && descriptorLimit == other.descriptorLimit
+                && memoryBytes == other.memoryBytes
                 && settings.equals(other.settings);
     }
 
     /** A limit with which it can run at all. */
-    private static long limit(Map<String, Object> limits, String name, int usual) throws Refused {
-        double most = Json.number(limits, name, usual).doubleValue();
-        if (!(most >= LEAST_LIMIT && most <= Integer.MAX_VALUE)) {
-            throw new Refused(
+    private static long limit(Map<String, Object> limits, String name, int defaultValue)
+            throws InvalidConfigurationException {
+        double value = Json.number(limits, name, defaultValue).doubleValue();
+        if (!(value >= MIN_LIMIT && value <= Integer.MAX_VALUE)) {
+            throw new InvalidConfigurationException(
                     "the configuration is broken: limits."
                             + name
                             + ": a number of "
-                            + LEAST_LIMIT
+                            + MIN_LIMIT
                             + " at the least is needed, not "
                             + limits.get(name));
         }
-        return (long) most;
+        return (long) value;
     }
 
-    private static String word(Map<String, Object> all, String name, String otherwise) {
-        return all.get(name) instanceof String s ? s : otherwise;
+    private static String stringValue(Map<String, Object> root, String name, String defaultValue) {
+        return root.get(name) instanceof String s ? s : defaultValue;
     }
 
     private static long seed(Object seed) {
-        if (seed instanceof Number n) {
-            return n.longValue();
+        if (seed instanceof Number number) {
+            return number.longValue();
         }
-        String s = seed instanceof String text ? text : "";
-        return s.matches("[0-9a-fA-F]{1,16}") ? Long.parseUnsignedLong(s, 16) : s.hashCode();
+        String digits = seed instanceof String text ? text : "";
+        return digits.matches("[0-9a-fA-F]{1,16}")
+                ? Long.parseUnsignedLong(digits, 16)
+                : digits.hashCode();
     }
 
-    private static InetSocketAddress address(String text, String what) throws Refused {
+    private static InetSocketAddress address(String text, String key)
+            throws InvalidConfigurationException {
         int colon = text == null ? -1 : text.lastIndexOf(':');
         if (colon <= 0
                 || !text.substring(colon + 1).matches("[0-9]{1,5}")
                 || Integer.parseInt(text.substring(colon + 1)) > 0xffff
                 || !MemberList.isLiteral(text.substring(0, colon))) {
-            throw new Refused("'" + what + "' is no address: " + text);
+            throw new InvalidConfigurationException("'" + key + "' is no address: " + text);
         }
         return new InetSocketAddress(
                 text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
@@ -141,14 +147,14 @@
      * The names that the settings list under this word; their places are the numbers that the
      * module uses.
      */
-    List<String> names(String list) {
+    List<String> names(String key) {
         List<String> names = new ArrayList<>();
-        if (settings.get(list) instanceof List<?> l) {
-            for (Object o : l) {
+        if (settings.get(key) instanceof List<?> entries) {
+            for (Object entry : entries) {
                 names.add(
-                        o instanceof Map<?, ?> m
-                                ? String.valueOf(m.get("name"))
-                                : String.valueOf(o));
+                        entry instanceof Map<?, ?> table
+                                ? String.valueOf(table.get("name"))
+                                : String.valueOf(entry));
             }
         }
         return names;
--- a/src/main/java/wingroad/driver/Counters.java
+++ b/src/main/java/wingroad/driver/Counters.java
@@ -5,26 +5,29 @@
 
 /** Counts what is too frequent for a line each. */
 final class Counters {
-    private static final int MOST_KINDS = 100;
+    private static final int MAX_NAME_COUNT = 100;
 
     private final Map<String, Integer> counts = new TreeMap<>();
 
-    void count(String what) {
-        if (counts.size() < MOST_KINDS || counts.containsKey(what)) {
-            counts.merge(what, 1, Integer::sum);
+    void count(String name) {
+        if (counts.size() < MAX_NAME_COUNT || counts.containsKey(name)) {
+            counts.merge(name, 1, Integer::sum);
         }
     }
 
     /** What was counted since the last time, or null for nothing. */
-    String take() {
+    String takeSummary() {
         if (counts.isEmpty()) {
             return null;
         }
-        StringBuilder all = new StringBuilder();
+        StringBuilder summary = new StringBuilder();
         counts.forEach(
-                (what, n) ->
-                        all.append(all.isEmpty() ? "" : ", ").append(what).append(' ').append(n));
+                (name, count) ->
+                        summary.append(summary.isEmpty() ? "" : ", ")
+                                .append(name)
+                                .append(' ')
+                                .append(count));
         counts.clear();
-        return all.toString();
+        return summary.toString();
     }
 }
--- a/src/main/java/wingroad/driver/Driver.java
+++ b/src/main/java/wingroad/driver/Driver.java
@@ -31,7 +31,7 @@
 /** The program on sockets: puts its parts together, and takes them down when it is told to stop. */
 public final class Driver {
     /** After the word to stop, clients may still come for most of this. */
-    private static final Duration STILL_COMING = Duration.ofMillis(700);
+    private static final Duration ACCEPT_AFTER_STOP = Duration.ofMillis(700);
 
     /**
      * The kill comes no earlier than the longest expiry, counted as this where it is longer, and
@@ -39,7 +39,7 @@
      * they may have nowhere else to go, as when the drivers are restarted one after the other. The
      * other half is left to what is then still open.
      */
-    private static final Duration MOST_COUNTED = Duration.ofSeconds(3);
+    private static final Duration MAX_COUNTED_EXPIRY = Duration.ofSeconds(3);
 
     private static final Duration KILL_MARGIN = Duration.ofMillis(100);
 
@@ -47,15 +47,15 @@
      * Before it leaves, those that were told the end have so long at the least to take their answer
      * and end their side.
      */
-    private static final Duration PARTING = Duration.ofMillis(50);
+    private static final Duration MIN_CLIENT_CLOSE_TIME = Duration.ofMillis(50);
 
-    private static final Duration TALLY_EVERY = Duration.ofSeconds(5);
-    private static final Duration STEP = Duration.ofMillis(5);
+    private static final Duration COUNTERS_LOG_INTERVAL = Duration.ofSeconds(5);
+    private static final Duration SHUTDOWN_CHECK_INTERVAL = Duration.ofMillis(5);
 
     private final Clock clock = new Clock();
     private final Counters counters = new Counters();
     private final Set<Integer> groups = new HashSet<>();
-    private final CountDownLatch done = new CountDownLatch(1);
+    private final CountDownLatch stopped = new CountDownLatch(1);
     private final Log log;
     private final Map<String, String> env;
     private Configuration configuration;
@@ -63,104 +63,113 @@
     /** The operator's own file, or null: all that it could switch on is off. */
     private Path operatorPath;
 
-    private OperatorFile operator;
-    private FairQueues door;
+    private OperatorFile operatorFile;
+    private FairQueues fairQueues;
 
     /** The driver's part in the fleet, or null. */
-    private FleetPart fleet;
+    private FleetAgent fleetAgent;
 
     /** The plan of work on machines at this driver, or null. */
-    private final WorkAgent work;
+    private final WorkAgent workAgent;
 
-    private final List<String> zones;
-    private final List<String> kinds;
+    private final List<String> zoneNames;
+    private final List<String> kindNames;
 
     /** The list comes only when the module asks for it. */
-    private final boolean asked;
+    private final boolean pullMode;
 
     private final EventLoop loop;
-    private final Exchange exchange;
-    private final Members members;
-    private final Clients clients;
-    private final Discovery discovery;
+    private final TxnDispatcher dispatcher;
+    private final MemberPools memberPools;
+    private final ClientFrontend clientFrontend;
+    private final DiscoveryClient discoveryClient;
 
     /** What the first txns run through has been played. */
-    private boolean rehearsed;
+    private boolean warmedUp;
 
     /** The first call for the list has its answer, or has none. */
-    private boolean listTried;
+    private boolean firstFetchDone;
 
     /** The door has been opened: clients may have been let in. */
     private boolean serving;
 
     /** The word that there is another configuration came before the door was open. */
-    private boolean reloadAsked;
+    private boolean reloadRequested;
 
-    private Duration stoppedAt;
-    private Duration leavesBy;
+    private Duration stopRequestedAt;
+    private Duration exitDeadline;
 
     /** All that are connected have been told the end. */
-    private boolean parting;
+    private boolean clientsFinished;
 
-    private Driver(Map<String, String> env, Configuration c, PrintStream out, OperatorFile operator)
+    private Driver(
+            Map<String, String> env,
+            Configuration configuration,
+            PrintStream out,
+            OperatorFile operatorFile)
             throws IOException {
         this.env = env;
-        configuration = c;
+        configuration = configuration;
         log = new Log(clock, out);
-        zones = c.names("azs");
-        kinds = c.names("shapes");
-        Map<String, Object> terms = Terms.of(c.settings());
-        asked = "ask".equals(terms.get("member-list"));
+        zoneNames = configuration.names("azs");
+        kindNames = configuration.names("shapes");
+        Map<String, Object> terms = Terms.of(configuration.settings());
+        pullMode = "ask".equals(terms.get("member-list"));
         // The rest is for what the program itself holds open: its archive, its polling, its log.
         // A quarter of the heap may be in flight, an eighth of all memory at most: a statement is
         // copied on its way.
         loop =
                 new EventLoop(
-                        c.descriptors() - Math.min(24, c.descriptors() / 4),
-                        Math.min(c.memory() / 8, Runtime.getRuntime().maxMemory() / 4),
-                        log::fault);
+                        configuration.descriptorLimit()
+                                - Math.min(24, configuration.descriptorLimit() / 4),
+                        Math.min(
+                                configuration.memoryBytes() / 8,
+                                Runtime.getRuntime().maxMemory() / 4),
+                        log::error);
         Router router =
                 new TxnRouter(
-                        operator == null || operator.fleet() == null
+                        operatorFile == null || operatorFile.fleet() == null
                                 ? terms
-                                : ChoreExecutor.withType(terms),
-                        c.seed(),
-                        log::line);
-        exchange =
-                new Exchange(
-                        loop, clock, router, (Duration) terms.get("connect-time-out"), log::fault);
-        clients =
-                new Clients(
+                                : ChoreExecutor.withChoreType(terms),
+                        configuration.seed(),
+                        log::info);
+        dispatcher =
+                new TxnDispatcher(
+                        loop, clock, router, (Duration) terms.get("connect-time-out"), log::error);
+        clientFrontend =
+                new ClientFrontend(
                         loop,
-                        exchange,
+                        dispatcher,
                         counters,
-                        c.names("grades"),
+                        configuration.names("grades"),
                         terms,
-                        g -> groups.isEmpty() || groups.contains(g));
-        members = new Members(loop, clock, counters, terms, exchange);
-        discovery =
-                new Discovery(
+                        group -> groups.isEmpty() || groups.contains(group));
+        memberPools = new MemberPools(loop, clock, counters, terms, dispatcher);
+        discoveryClient =
+                new DiscoveryClient(
                         loop,
-                        c.discovery(),
-                        c.known().version(),
+                        configuration.discovery(),
+                        configuration.knownMembers().version(),
                         counters,
-                        asked,
-                        this::found,
-                        () -> exchange.router().listFailed(clock.now()));
-        exchange.meet(members, discovery, clients::closeOneIdle);
-        work =
-                operator == null || operator.fleet() == null || operator.fleet().work() == null
+                        pullMode,
+                        this::listFound,
+                        () -> dispatcher.router().listFailed(clock.now()));
+        dispatcher.attach(memberPools, discoveryClient, clientFrontend::closeIdleConnection);
+        workAgent =
+                operatorFile == null
+                                || operatorFile.fleet() == null
+                                || operatorFile.fleet().work() == null
                         ? null
                         : new WorkAgent(
                                 loop,
                                 clock,
-                                ChoreExecutor.settled(operator.fleet(), terms),
+                                ChoreExecutor.withDeploymentTerms(operatorFile.fleet(), terms),
                                 TxnType.all(terms),
-                                members,
-                                this::tell,
-                                log::line);
-        if (work != null) {
-            exchange.watch(work);
+                                memberPools,
+                                this::applyAndLogList,
+                                log::info);
+        if (workAgent != null) {
+            dispatcher.watch(workAgent);
         }
     }
 
@@ -175,33 +184,33 @@
             PrintStream out,
             PrintStream err,
             Path operatorPath,
-            OperatorFile operator) {
+            OperatorFile operatorFile) {
         try {
             // Without a handler of its own the signal would end the program: it is there before the
             // configuration is read.
-            AtomicBoolean early = new AtomicBoolean();
-            AtomicReference<Driver> begun = new AtomicReference<>();
+            AtomicBoolean reloadBeforeStart = new AtomicBoolean();
+            AtomicReference<Driver> started = new AtomicReference<>();
             Signal.handle(
                     new Signal("HUP"),
                     signal -> {
-                        early.set(true);
-                        if (begun.get() != null) {
-                            begun.get().loop.run(begun.get()::reload);
+                        reloadBeforeStart.set(true);
+                        if (started.get() != null) {
+                            started.get().loop.run(started.get()::reload);
                         }
                     });
-            Configuration c = Configuration.read(env);
-            Driver driver = new Driver(env, c, out, operator);
+            Configuration configuration = Configuration.read(env);
+            Driver driver = new Driver(env, configuration, out, operatorFile);
             driver.operatorPath = operatorPath;
-            driver.operator = operator;
+            driver.operatorFile = operatorFile;
             // In this order: a signal that comes between the two is heard twice, and none is
             // missed.
-            begun.set(driver);
-            if (early.get()) {
+            started.set(driver);
+            if (reloadBeforeStart.get()) {
                 driver.loop.run(driver::reload);
             }
             driver.start();
             return 0;
-        } catch (Configuration.Refused e) {
+        } catch (Configuration.InvalidConfigurationException e) {
             err.println("wingroad: " + e.getMessage());
         } catch (IOException | RuntimeException e) {
             err.println("wingroad: can't start: " + e.getMessage());
@@ -212,8 +221,8 @@
     /** Reads the configuration as a start would and serves nobody; returns the exit status. */
     public static int check(Map<String, String> env, PrintStream out, PrintStream err) {
         try {
-            Configuration c = Configuration.read(env);
-            Map<String, Object> terms = Terms.of(c.settings());
+            Configuration configuration = Configuration.read(env);
+            Map<String, Object> terms = Terms.of(configuration.settings());
             out.println(
                     "list "
                             + terms.get("member-list")
@@ -224,9 +233,9 @@
                             + ", drivers "
                             + ((Double) terms.get("drivers")).longValue()
                             + ", txn types "
-                            + c.names("grades").size());
+                            + configuration.names("grades").size());
             return 0;
-        } catch (Configuration.Refused e) {
+        } catch (Configuration.InvalidConfigurationException e) {
             err.println("wingroad: " + e.getMessage());
             return 2;
         }
@@ -238,59 +247,61 @@
      */
     public static int rehearse(Map<String, String> env, PrintStream err) {
         try {
-            Configuration c = Configuration.read(env);
-            CountDownLatch over = new CountDownLatch(1);
-            WarmUp.play(
+            Configuration configuration = Configuration.read(env);
+            CountDownLatch finished = new CountDownLatch(1);
+            WarmUp.run(
                     new EventLoop(1, Runtime.getRuntime().maxMemory(), Throwable::printStackTrace),
-                    c.names("grades"),
-                    Terms.of(c.settings()),
-                    over::countDown);
-            over.await();
+                    configuration.names("grades"),
+                    Terms.of(configuration.settings()),
+                    finished::countDown);
+            finished.await();
             return 0;
-        } catch (Configuration.Refused | IOException | InterruptedException e) {
+        } catch (Configuration.InvalidConfigurationException
+                | IOException
+                | InterruptedException e) {
             err.println("wingroad: " + e.getMessage());
             return 2;
         }
     }
 
     private void start() throws IOException {
-        Runtime.getRuntime().addShutdownHook(new Thread(this::stopped, "stop"));
-        CompletableFuture<Void> begun = new CompletableFuture<>();
+        Runtime.getRuntime().addShutdownHook(new Thread(this::stop, "stop"));
+        CompletableFuture<Void> ready = new CompletableFuture<>();
         // What discovery's agent has counts as told from the process's first moment: it is asked
         // before anybody is let in.
         loop.run(
                 () -> {
-                    takeIn(
-                            work == null
-                                    ? configuration.known()
-                                    : work.effective(configuration.known()));
-                    if (asked) {
-                        listTried = true;
+                    applyList(
+                            workAgent == null
+                                    ? configuration.knownMembers()
+                                    : workAgent.effective(configuration.knownMembers()));
+                    if (pullMode) {
+                        firstFetchDone = true;
                     } else {
-                        discovery.follow();
-                        discovery.fetch(
+                        discoveryClient.watch();
+                        discoveryClient.fetch(
                                 () -> {
-                                    listTried = true;
-                                    serveOnceReady(begun);
+                                    firstFetchDone = true;
+                                    serveOnceReady(ready);
                                 });
                     }
                 });
-        WarmUp.play(
+        WarmUp.run(
                 loop,
                 configuration.names("grades"),
                 Terms.of(configuration.settings()),
                 () -> {
-                    rehearsed = true;
-                    serveOnceReady(begun);
+                    warmedUp = true;
+                    serveOnceReady(ready);
                 });
         try {
-            begun.join();
+            ready.join();
         } catch (CompletionException e) {
-            done.countDown();
+            stopped.countDown();
             throw new IOException(configuration.listen() + ": " + e.getCause().getMessage());
         }
-        loop.after(TALLY_EVERY, this::report);
-        if (operator != null && operator.fleet() != null) {
+        loop.after(COUNTERS_LOG_INTERVAL, this::logCounters);
+        if (operatorFile != null && operatorFile.fleet() != null) {
             loop.run(this::joinFleet);
         }
     }
@@ -299,43 +310,43 @@
      * Opens the door, unless the word to stop came before: then nobody is let in, and the process
      * is on its way out.
      */
-    private void serveOnceReady(CompletableFuture<Void> begun) {
-        if (!rehearsed || !listTried || begun.isDone()) {
+    private void serveOnceReady(CompletableFuture<Void> ready) {
+        if (!warmedUp || !firstFetchDone || ready.isDone()) {
             return;
         }
         try {
-            if (stoppedAt == null) {
+            if (stopRequestedAt == null) {
                 serve();
             }
-            begun.complete(null);
+            ready.complete(null);
         } catch (IOException | RuntimeException e) {
-            begun.completeExceptionally(e);
+            ready.completeExceptionally(e);
         }
     }
 
     private void serve() throws IOException {
-        openDoor();
-        if (work == null) {
-            clients.listen(configuration.listen());
+        enableFairQueues();
+        if (workAgent == null) {
+            clientFrontend.listen(configuration.listen());
         } else {
             // Until the plan is known there is next to nobody to send to: clients wait a moment, or
             // go elsewhere.
-            clients.bind(configuration.listen());
-            work.whenKnown(clients::letIn);
+            clientFrontend.bind(configuration.listen());
+            workAgent.whenKnown(clientFrontend::startAccepting);
         }
-        InetSocketAddress at = clients.at();
-        log.line(
+        InetSocketAddress address = clientFrontend.localAddress();
+        log.info(
                 configuration.name()
                         + " serves "
-                        + at.getHostString()
+                        + address.getHostString()
                         + ":"
-                        + at.getPort()
+                        + address.getPort()
                         + ", knows "
-                        + members.count()
+                        + memberPools.memberCount()
                         + " members, descriptors for "
                         + loop.mostChannels());
         serving = true;
-        if (reloadAsked) {
+        if (reloadRequested) {
             reload();
         }
     }
@@ -344,61 +355,61 @@
     private void joinFleet() {
         try {
             FleetRules rules =
-                    work == null
-                            ? operator.fleet()
-                            : ChoreExecutor.settled(
-                                    operator.fleet(), Terms.of(configuration.settings()));
-            fleet =
-                    FleetPart.begin(
+                    workAgent == null
+                            ? operatorFile.fleet()
+                            : ChoreExecutor.withDeploymentTerms(
+                                    operatorFile.fleet(), Terms.of(configuration.settings()));
+            fleetAgent =
+                    FleetAgent.start(
                             rules,
                             loop,
                             clock,
-                            exchange,
-                            discovery,
+                            dispatcher,
+                            discoveryClient,
                             configuration,
-                            !asked,
-                            this::learn,
-                            work,
+                            !pullMode,
+                            this::listLearnt,
+                            workAgent,
                             log);
         } catch (IOException e) {
-            log.line("fleet: can't begin: " + e.getMessage());
+            log.info("fleet: can't begin: " + e.getMessage());
         }
     }
 
-    private void openDoor() {
-        if (door == null && operator != null && operator.door() != null) {
-            door =
+    private void enableFairQueues() {
+        if (fairQueues == null && operatorFile != null && operatorFile.door() != null) {
+            fairQueues =
                     new FairQueues(
                             Terms.of(configuration.settings()),
-                            operator.door(),
+                            operatorFile.door(),
                             configuration.seed(),
-                            log::line);
-            exchange.passBy(door);
-            clients.tellWhoAsks(operator.door());
-            log.line(
+                            log::info);
+            dispatcher.useFairQueues(fairQueues);
+            clientFrontend.identifyCallers(operatorFile.door());
+            log.info(
                     "door: "
-                            + operator.door().tenants().size()
+                            + operatorFile.door().tenants().size()
                             + " tenants listed, "
-                            + operator.door().mostWaiting()
+                            + operatorFile.door().mostWaiting()
                             + " txns may wait");
         }
     }
 
-    private void found(MemberList list) {
-        learn(list);
-        if (fleet != null) {
-            fleet.found(list);
+    private void listFound(MemberList list) {
+        listLearnt(list);
+        if (fleetAgent != null) {
+            fleetAgent.listFound(list);
         }
     }
 
-    private void learn(MemberList list) {
-        tell(work == null ? list : work.effective(list));
+    private void listLearnt(MemberList list) {
+        applyAndLogList(workAgent == null ? list : workAgent.effective(list));
     }
 
-    private void tell(MemberList list) {
-        takeIn(list);
+    private void applyAndLogList(MemberList list) {
+        applyList(list);
         if (!list.entries().isEmpty()) {
-            log.line(
+            log.info(
                     "list "
                             + list.version()
                             + (list.whole() ? " whole, " : " changes ")
@@ -407,26 +418,26 @@
     }
 
     /** Tells the module a list as it counts. */
-    private void takeIn(MemberList list) {
+    private void applyList(MemberList list) {
         Duration now = clock.now();
-        Router router = exchange.router();
+        Router router = dispatcher.router();
         router.listStarts(now, list.whole());
-        for (MemberList.Entry e : list.entries()) {
-            groups.add(e.group());
+        for (MemberList.Entry entry : list.entries()) {
+            groups.add(entry.group());
             router.listed(
                     now,
-                    members.listed(e),
-                    e.group(),
-                    Math.max(0, zones.indexOf(e.zone())),
-                    Math.max(0, kinds.indexOf(e.kind())),
-                    e.weight(),
-                    e.primary(),
-                    e.draining(),
-                    e.gone(),
-                    e.startedAt() > 0 ? clock.at(e.startedAt()) : null);
+                    memberPools.updateMember(entry),
+                    entry.group(),
+                    Math.max(0, zoneNames.indexOf(entry.zone())),
+                    Math.max(0, kindNames.indexOf(entry.kind())),
+                    entry.weight(),
+                    entry.primary(),
+                    entry.draining(),
+                    entry.gone(),
+                    entry.startedAt() > 0 ? clock.fromUnixMs(entry.startedAt()) : null);
         }
         router.listEnds(now);
-        members.forget(router::knows);
+        memberPools.removeUnknown(router::knows);
     }
 
     /**
@@ -435,21 +446,21 @@
      */
     private void reload() {
         if (!serving) {
-            reloadAsked = true;
+            reloadRequested = true;
             return;
         }
-        reloadOperator();
+        reloadOperatorFile();
         reloadConfiguration();
     }
 
     /** What is broken leaves the old file in force, with one line that tells the first fault. */
-    private void reloadOperator() {
+    private void reloadOperatorFile() {
         if (operatorPath == null) {
             return;
         }
         OperatorFile.Read read = OperatorFile.read(operatorPath);
         if (read.file() == null) {
-            log.line(
+            log.info(
                     "operator's file not taken, the old one stays: "
                             + read.problems().get(0)
                             + (read.problems().size() > 1
@@ -457,134 +468,142 @@
                                     : ""));
             return;
         }
-        if (read.file().door() == null && door != null) {
-            log.line(
-                    "operator's file not taken, the old one stays: the door closes only with the next start");
+        if (read.file().door() == null && fairQueues != null) {
+            log.info(
+                    "operator's file not taken, the old one stays: the door closes only with the"
+                            + " next start");
             return;
         }
-        if (!Objects.equals(read.file().fleet(), operator.fleet())) {
-            log.line("operator's file: what is new of the fleet counts from the next start");
+        if (!Objects.equals(read.file().fleet(), operatorFile.fleet())) {
+            log.info("operator's file: what is new of the fleet counts from the next start");
         }
-        operator = new OperatorFile(read.file().door(), operator.fleet());
-        if (door == null) {
-            openDoor();
+        operatorFile = new OperatorFile(read.file().door(), operatorFile.fleet());
+        if (fairQueues == null) {
+            enableFairQueues();
         } else {
-            door.rules(clock.now(), operator.door());
-            clients.tellWhoAsks(operator.door());
+            fairQueues.rules(clock.now(), operatorFile.door());
+            clientFrontend.identifyCallers(operatorFile.door());
         }
-        log.line(
+        log.info(
                 "operator's file taken"
-                        + (door == null
+                        + (fairQueues == null
                                 ? ""
                                 : ", "
-                                        + operator.door().tenants().size()
+                                        + operatorFile.door().tenants().size()
                                         + " tenants listed, waiting "
-                                        + door.waiting()));
+                                        + fairQueues.waiting()));
     }
 
     private void reloadConfiguration() {
         Configuration next;
         try {
             next = Configuration.read(env);
-        } catch (Configuration.Refused e) {
-            log.line("configuration not taken, the old one stays: " + e.getMessage());
+        } catch (Configuration.InvalidConfigurationException e) {
+            log.info("configuration not taken, the old one stays: " + e.getMessage());
             return;
         }
-        log.line(
+        log.info(
                 "configuration taken: discovery at "
                         + next.discovery()
-                        + (next.sameButForDiscovery(configuration)
+                        + (next.equalsExceptDiscovery(configuration)
                                 ? ""
                                 : "; what else is new in it counts from the next start"));
         configuration = next;
-        discovery.turnTo(next.discovery());
+        discoveryClient.setAddress(next.discovery());
     }
 
-    private void report() {
-        String counted = counters.take();
-        if (counted != null) {
-            log.line(
+    private void logCounters() {
+        String summary = counters.takeSummary();
+        if (summary != null) {
+            log.info(
                     "counted "
-                            + counted
+                            + summary
                             + "; clients "
-                            + clients.connections()
+                            + clientFrontend.connections()
                             + ", members "
-                            + members.connections()
+                            + memberPools.connectionCount()
                             + ", open "
-                            + exchange.openTxns());
+                            + dispatcher.openTxnCount());
         }
-        String fair = door == null ? null : door.report();
-        if (fair != null) {
-            log.line(fair);
+        String queueReport = fairQueues == null ? null : fairQueues.report();
+        if (queueReport != null) {
+            log.info(queueReport);
         }
-        loop.after(TALLY_EVERY, this::report);
+        loop.after(COUNTERS_LOG_INTERVAL, this::logCounters);
     }
 
     /** The word to stop has come. The process ends when this returns. */
-    private void stopped() {
-        if (done.getCount() > 0) {
+    private void stop() {
+        if (stopped.getCount() > 0) {
             loop.run(
                     () -> {
-                        stoppedAt = clock.now();
-                        log.line("told to stop, open " + exchange.openTxns());
+                        stopRequestedAt = clock.now();
+                        log.info("told to stop, open " + dispatcher.openTxnCount());
                         if (!serving) {
-                            done.countDown();
+                            stopped.countDown();
                             return;
                         }
-                        Duration serves = min(clients.longestWait(), MOST_COUNTED);
-                        leavesBy = stoppedAt.plus(serves).plus(STILL_COMING).minus(KILL_MARGIN);
-                        exchange.endBy(leavesBy.minus(PARTING));
-                        clients.idleMayStay();
-                        if (fleet != null) {
-                            fleet.leave(
+                        Duration serveTime =
+                                min(clientFrontend.longestExpiry(), MAX_COUNTED_EXPIRY);
+                        exitDeadline =
+                                stopRequestedAt
+                                        .plus(serveTime)
+                                        .plus(ACCEPT_AFTER_STOP)
+                                        .minus(KILL_MARGIN);
+                        dispatcher.answerDeadline(exitDeadline.minus(MIN_CLIENT_CLOSE_TIME));
+                        clientFrontend.keepIdleOpen();
+                        if (fleetAgent != null) {
+                            fleetAgent.leave(
                                     () ->
                                             loop.run(
                                                     () ->
-                                                            log.line(
+                                                            log.info(
                                                                     "fleet: left after "
                                                                             + clock.now()
                                                                                     .minus(
-                                                                                            stoppedAt)
+                                                                                            stopRequestedAt)
                                                                                     .toMillis()
                                                                             + " ms")));
                         }
-                        loop.after(serves.plus(STILL_COMING.dividedBy(2)), clients::beginClosing);
-                        leaveWhenDone();
+                        loop.after(
+                                serveTime.plus(ACCEPT_AFTER_STOP.dividedBy(2)),
+                                clientFrontend::beginClosing);
+                        exitWhenDone();
                     });
         }
         try {
-            done.await();
+            stopped.await();
             log.flush();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    private void leaveWhenDone() {
+    private void exitWhenDone() {
         Duration now = clock.now();
-        boolean shut = now.minus(stoppedAt).compareTo(STILL_COMING) >= 0;
-        if (shut) {
-            clients.stopListening();
+        boolean acceptOver = now.minus(stopRequestedAt).compareTo(ACCEPT_AFTER_STOP) >= 0;
+        if (acceptOver) {
+            clientFrontend.stopListening();
         }
-        boolean late = now.compareTo(leavesBy.minus(PARTING)) > 0;
-        if (!parting
-                && shut
-                && clients.closing()
-                && exchange.openTxns() == 0
-                && (clients.idle() || late)) {
-            parting = true;
-            clients.endAll();
+        boolean deadlineNear = now.compareTo(exitDeadline.minus(MIN_CLIENT_CLOSE_TIME)) > 0;
+        if (!clientsFinished
+                && acceptOver
+                && clientFrontend.closing()
+                && dispatcher.openTxnCount() == 0
+                && (clientFrontend.isIdle() || deadlineNear)) {
+            clientsFinished = true;
+            clientFrontend.finishAll();
         }
-        if (parting
-                && exchange.openTxns() == 0
-                && (clients.connections() == 0 || now.compareTo(leavesBy) > 0)) {
-            log.line("stops after " + clock.now().minus(stoppedAt).toMillis() + " ms");
-            if (fleet != null) {
-                fleet.close();
+        if (clientsFinished
+                && dispatcher.openTxnCount() == 0
+                && (clientFrontend.connections() == 0 || now.compareTo(exitDeadline) > 0)) {
+            log.info("stops after " + clock.now().minus(stopRequestedAt).toMillis() + " ms");
+            if (fleetAgent != null) {
+                fleetAgent.close();
             }
-            done.countDown();
+            stopped.countDown();
         } else {
-            loop.after(STEP, this::leaveWhenDone);
+            loop.after(SHUTDOWN_CHECK_INTERVAL, this::exitWhenDone);
         }
     }
 }
--- a/src/main/java/wingroad/driver/Log.java
+++ b/src/main/java/wingroad/driver/Log.java
@@ -10,46 +10,46 @@
  * One line a report. A thread of its own writes, so that a slow reader holds up nothing but lines.
  */
 final class Log {
-    private static final int MOST_WAITING = 1000;
+    private static final int MAX_QUEUED_LINES = 1000;
 
     private final Clock clock;
-    private final BlockingQueue<String> lines = new ArrayBlockingQueue<>(MOST_WAITING);
-    private final AtomicLong dropped = new AtomicLong();
+    private final BlockingQueue<String> lines = new ArrayBlockingQueue<>(MAX_QUEUED_LINES);
+    private final AtomicLong droppedCount = new AtomicLong();
 
     Log(Clock clock, PrintStream out) {
         this.clock = clock;
-        Thread writer = new Thread(() -> write(out), "log");
+        Thread writer = new Thread(() -> writeLines(out), "log");
         writer.setDaemon(true);
         writer.start();
     }
 
-    void line(String text) {
-        String at = clock.wall(clock.now()).truncatedTo(ChronoUnit.MILLIS).toString();
-        if (!lines.offer(at + " " + text)) {
-            dropped.incrementAndGet();
+    void info(String text) {
+        String timestamp = clock.wallTime(clock.now()).truncatedTo(ChronoUnit.MILLIS).toString();
+        if (!lines.offer(timestamp + " " + text)) {
+            droppedCount.incrementAndGet();
         }
     }
 
     /** A fault in the code: its name and the places it came by. */
-    void fault(Throwable bug) {
-        StringBuilder at = new StringBuilder("fault " + bug);
-        StackTraceElement[] places = bug.getStackTrace();
-        for (int i = 0; i < places.length && i < 6; i++) {
-            at.append(" < ")
-                    .append(places[i].getFileName())
+    void error(Throwable error) {
+        StringBuilder line = new StringBuilder("fault " + error);
+        StackTraceElement[] frames = error.getStackTrace();
+        for (int i = 0; i < frames.length && i < 6; i++) {
+            line.append(" < ")
+                    .append(frames[i].getFileName())
                     .append(':')
-                    .append(places[i].getLineNumber());
+                    .append(frames[i].getLineNumber());
         }
-        line(at.toString());
+        info(line.toString());
     }
 
-    private void write(PrintStream out) {
+    private void writeLines(PrintStream out) {
         try {
             while (true) {
                 out.println(lines.take());
-                long missing = dropped.getAndSet(0);
-                if (missing > 0) {
-                    out.println("log: " + missing + " lines dropped");
+                long droppedLines = droppedCount.getAndSet(0);
+                if (droppedLines > 0) {
+                    out.println("log: " + droppedLines + " lines dropped");
                 }
                 out.flush();
             }
--- a/src/main/java/wingroad/driver/MemberConnection.java
+++ b/src/main/java/wingroad/driver/MemberConnection.java
@@ -4,7 +4,7 @@
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
 import java.time.Duration;
-import wingroad.driver.Exchange.MemberRequest;
+import wingroad.driver.TxnDispatcher.MemberRequest;
 import wingroad.protocol.MemberInput;
 import wingroad.protocol.MemberOutput;
 import wingroad.state.Submission.End;
@@ -13,59 +13,65 @@
 
 /** One connection to a member. It carries one request at a time; whatever is in doubt closes it. */
 final class MemberConnection implements Connection.Owner {
-    private enum Stage {
+    private enum State {
         CONNECTING,
-        STARTING,
-        RESTING,
+        STARTING_UP,
+        REUSE_DELAYED,
         IDLE,
-        SENT,
+        AWAITING_RESPONSE,
         CLOSED
     }
 
-    private final Members side;
-    private final Members.MemberPool pool;
-    private final InetSocketAddress to;
+    private final MemberPools pools;
+    private final MemberPools.MemberPool pool;
+    private final InetSocketAddress address;
     private final EventLoop loop;
     private final MemberInput input = new MemberInput();
     private Connection connection;
-    private Stage stage = Stage.CONNECTING;
+    private State state = State.CONNECTING;
     private MemberRequest request;
 
     /** Since when it carries its request, or stands idle. */
-    private Duration since;
+    private Duration requestOrIdleSince;
 
     /** Whether the request's last byte is known to be written. */
     private boolean written;
 
     /** Its request is not wanted any more; that is told in a moment. */
-    private boolean calledOff;
+    private boolean cancelled;
 
-    private EventLoop.Timer startTimer;
+    private EventLoop.Timer connectTimer;
     private EventLoop.Timer requestTimer;
     private EventLoop.Timer idleTimer;
 
     private MemberConnection(
-            Members side, Members.MemberPool pool, InetSocketAddress to, EventLoop loop) {
-        this.side = side;
+            MemberPools pools,
+            MemberPools.MemberPool pool,
+            InetSocketAddress address,
+            EventLoop loop) {
+        this.pools = pools;
         this.pool = pool;
-        this.to = to;
+        this.address = address;
         this.loop = loop;
     }
 
     /** Opens one for a request, which waits until the member has let it in. */
     static MemberConnection open(
-            Members side,
-            Members.MemberPool pool,
-            InetSocketAddress to,
+            MemberPools pools,
+            MemberPools.MemberPool pool,
+            InetSocketAddress address,
             EventLoop loop,
-            Duration wait,
-            MemberRequest first)
+            Duration connectTimeout,
+            MemberRequest firstRequest)
             throws IOException {
-        MemberConnection m = new MemberConnection(side, pool, to, loop);
-        m.connection = Connection.open(loop, to, m, MemberInput.MOST + 1024);
-        m.startTimer = loop.after(wait, () -> m.giveUp("not up in time", End.UNREACHABLE));
-        m.takeOn(first);
-        return m;
+        MemberConnection opened = new MemberConnection(pools, pool, address, loop);
+        opened.connection = Connection.open(loop, address, opened, MemberInput.MOST + 1024);
+        opened.connectTimer =
+                loop.after(
+                        connectTimeout,
+                        () -> opened.abandonRequest("not up in time", End.UNREACHABLE));
+        opened.assign(firstRequest);
+        return opened;
     }
 
     MemberRequest request() {
@@ -73,74 +79,74 @@
     }
 
     Duration idleSince() {
-        return since;
+        return requestOrIdleSince;
     }
 
-    private void takeOn(MemberRequest e) {
-        request = e;
-        calledOff = false;
-        since = side.now();
+    private void assign(MemberRequest newRequest) {
+        request = newRequest;
+        cancelled = false;
+        requestOrIdleSince = pools.now();
         requestTimer =
                 loop.after(
-                        e.until().minus(since),
-                        () -> giveUp("no answer in time", progress().timedOut()));
+                        newRequest.deadline().minus(requestOrIdleSince),
+                        () -> abandonRequest("no answer in time", progress().endIfTimedOut()));
     }
 
     /** Carries a request over a connection that stands idle, or once it has rested. */
-    void dispatch(MemberRequest e) {
+    void dispatch(MemberRequest newRequest) {
         idleTimer.cancel();
-        takeOn(e);
-        if (stage == Stage.IDLE) {
-            sendOut();
+        assign(newRequest);
+        if (state == State.IDLE) {
+            sendRequest();
         }
     }
 
-    boolean rested() {
-        return stage == Stage.IDLE;
+    boolean isReusable() {
+        return state == State.IDLE;
     }
 
     /**
      * Nothing came behind its last answer: what comes from now on belongs to what is sent from now
      * on.
      */
-    void hasRested() {
-        if (stage == Stage.RESTING) {
-            stage = Stage.IDLE;
+    void reuseDelayElapsed() {
+        if (state == State.REUSE_DELAYED) {
+            state = State.IDLE;
             if (request != null) {
-                sendIfStillToGo();
+                sendIfStillWanted();
             }
         }
     }
 
-    private void sendOut() {
-        stage = Stage.SENT;
+    private void sendRequest() {
+        state = State.AWAITING_RESPONSE;
         written = false;
-        long left = Math.max(1, request.until().minus(side.now()).toMillis());
+        long timeLeftMs = Math.max(1, request.deadline().minus(pools.now()).toMillis());
         connection.send(
-                request.probe()
+                request.isProbe()
                         ? MemberOutput.gauges()
-                        : MemberOutput.query(request.statement().withLeft(left)));
+                        : MemberOutput.query(request.statement().withLeft(timeLeftMs)));
     }
 
     @Override
     public void up() {
-        stage = Stage.STARTING;
+        state = State.STARTING_UP;
         connection.send(MemberOutput.startup());
     }
 
     @Override
     public void written() {
-        written = stage == Stage.SENT;
+        written = state == State.AWAITING_RESPONSE;
     }
 
     @Override
     public void bytes(ByteBuffer in) {
-        while (stage != Stage.CLOSED) {
-            if (stage == Stage.IDLE || stage == Stage.RESTING) {
+        while (state != State.CLOSED) {
+            if (state == State.IDLE || state == State.REUSE_DELAYED) {
                 if (in.hasRemaining()) {
-                    drop(
+                    failProtocol(
                             "speaks unasked "
-                                    + (stage == Stage.IDLE ? "at rest" : "behind an answer"));
+                                    + (state == State.IDLE ? "at rest" : "behind an answer"));
                 }
                 return;
             }
@@ -148,82 +154,82 @@
                 case WAITING -> {
                     return;
                 }
-                case WHOLE -> answered();
+                case WHOLE -> responseReceived();
                 default -> {
-                    drop(input.why());
+                    failProtocol(input.why());
                     return;
                 }
             }
         }
     }
 
-    private void answered() {
-        boolean over = input.fatal();
-        if (stage == Stage.STARTING && input.error() == null) {
-            startTimer.cancel();
+    private void responseReceived() {
+        boolean fatal = input.fatal();
+        if (state == State.STARTING_UP && input.error() == null) {
+            connectTimer.cancel();
             input.clear();
-            sendIfStillToGo();
+            sendIfStillWanted();
             return;
         }
-        if (stage == Stage.STARTING) {
-            drop("lets nobody in");
+        if (state == State.STARTING_UP) {
+            failProtocol("lets nobody in");
             return;
         }
-        MemberRequest e = request;
-        Duration took = side.now().minus(since);
+        MemberRequest answeredRequest = request;
+        Duration elapsed = pools.now().minus(requestOrIdleSince);
         requestTimer.cancel();
         request = null;
-        Answer answer = answer(e);
+        MemberResponse response = parseResponse(answeredRequest);
         input.clear();
         // Whoever answers has read its query, even where the word that it was written is still on
         // its way here:
         // on one core the answer may well come first.
-        if (over) {
-            shut();
+        if (fatal) {
+            closeConnection();
         } else {
-            idle();
+            becomeIdle();
         }
-        side.answered(e, answer, took);
+        pools.requestAnswered(answeredRequest, response, elapsed);
     }
 
     /** A connection may have taken its time to open, or to rest. */
-    private void sendIfStillToGo() {
-        if (!calledOff && pool.isAt(to) && side.mayStillGo(request)) {
-            sendOut();
+    private void sendIfStillWanted() {
+        if (!cancelled && pool.isCurrentAddress(address) && pools.mayDispatch(request)) {
+            sendRequest();
         } else {
-            MemberRequest late = request;
+            MemberRequest unwanted = request;
             requestTimer.cancel();
             request = null;
-            idle();
-            side.failed(late, End.MOOT, Duration.ZERO, "no longer to be sent");
+            becomeIdle();
+            pools.requestFailed(unwanted, End.MOOT, Duration.ZERO, "no longer to be sent");
         }
     }
 
     /** What was answered; whatever it says, the request has its end. */
-    private Answer answer(MemberRequest e) {
+    private MemberResponse parseResponse(MemberRequest answeredRequest) {
         try {
-            return new Answer(input, side.clock(), e.probe());
-        } catch (RuntimeException bug) {
-            side.fault(bug);
-            return Answer.SPOILT;
+            return new MemberResponse(input, pools.clock(), answeredRequest.isProbe());
+        } catch (RuntimeException error) {
+            pools.reportError(error);
+            return MemberResponse.UNREADABLE;
         }
     }
 
     /** It may be used again, unless its member has moved or gone while it was at work. */
-    private void idle() {
-        stage = Stage.RESTING;
-        if (!pool.isAt(to)) {
+    private void becomeIdle() {
+        state = State.REUSE_DELAYED;
+        if (!pool.isCurrentAddress(address)) {
             close();
             return;
         }
-        since = side.now();
-        idleTimer = loop.after(side.idleTime(), this::close);
-        pool.idle(this);
-        side.rests(this);
+        requestOrIdleSince = pools.now();
+        idleTimer = loop.after(pools.idleTimeout(), this::close);
+        pool.idleConnections(this);
+        pools.delayReuse(this);
     }
 
     private AttemptProgress progress() {
-        if (stage != Stage.SENT) {
+        if (state != State.AWAITING_RESPONSE) {
             return AttemptProgress.NOT_CONNECTED;
         }
         return input.begun()
@@ -233,101 +239,114 @@
 
     @Override
     public void full() {
-        drop("no memory for its answer");
+        failProtocol("no memory for its answer");
     }
 
     @Override
-    public void ended(int unwritten, boolean orderly, String how) {
+    public void ended(int unwritten, boolean orderly, String reason) {
         AttemptProgress progress = progress();
         if (progress == AttemptProgress.PARTLY_WRITTEN && unwritten == 0) {
             progress = AttemptProgress.WRITTEN;
         }
-        lose(progress, how);
+        connectionLost(progress, reason);
     }
 
     /** The stream makes no sense any more: what was asked on it ends as what is proven. */
-    private void drop(String how) {
+    private void failProtocol(String reason) {
         // Whoever answers has read: a write that seems to be out may be through.
-        lose(
+        connectionLost(
                 progress() == AttemptProgress.NOT_CONNECTED
                         ? AttemptProgress.NOT_CONNECTED
                         : AttemptProgress.ANSWERING,
-                how);
+                reason);
     }
 
-    private void lose(AttemptProgress progress, String how) {
-        Stage was = stage;
-        MemberRequest e = request;
-        shut();
-        if (was == Stage.CLOSED) {
+    private void connectionLost(AttemptProgress progress, String reason) {
+        State stateBefore = state;
+        MemberRequest lostRequest = request;
+        closeConnection();
+        if (stateBefore == State.CLOSED) {
             return;
         }
-        if (was == Stage.RESTING && e != null) {
+        if (stateBefore == State.REUSE_DELAYED && lostRequest != null) {
             // Nothing of it was sent, and the member is there: no fault of the txn's path.
-            side.failed(e, End.MOOT, Duration.ZERO, how);
-        } else if (was == Stage.SENT && input.why() != null) {
+            pools.requestFailed(lostRequest, End.MOOT, Duration.ZERO, reason);
+        } else if (stateBefore == State.AWAITING_RESPONSE && input.why() != null) {
             // It speaks, but nonsense: that is an error of its, which may have run, and no broken
             // connection.
-            side.failed(e, End.ERROR, side.now().minus(since), how);
-        } else if (was == Stage.SENT && (input.served() || input.error() != null)) {
+            pools.requestFailed(
+                    lostRequest, End.ERROR, pools.now().minus(requestOrIdleSince), reason);
+        } else if (stateBefore == State.AWAITING_RESPONSE
+                && (input.served() || input.error() != null)) {
             // The answer itself was whole; only the word that the member is ready is missing.
-            side.answered(e, answer(e), side.now().minus(since));
-        } else if (e != null) {
-            boolean turnedAway = was == Stage.STARTING && Answer.TURNED_AWAY.equals(input.error());
-            side.failed(
-                    e,
-                    turnedAway ? End.FULL : movedAway(was) ? End.MOOT : progress.lost(),
-                    side.now().minus(since),
-                    how);
+            pools.requestAnswered(
+                    lostRequest, parseResponse(lostRequest), pools.now().minus(requestOrIdleSince));
+        } else if (lostRequest != null) {
+            boolean rejectedAsFull =
+                    stateBefore == State.STARTING_UP
+                            && MemberResponse.SQLSTATE_TOO_MANY_CONNECTIONS.equals(input.error());
+            pools.requestFailed(
+                    lostRequest,
+                    rejectedAsFull
+                            ? End.FULL
+                            : memberMoved(stateBefore) ? End.MOOT : progress.endIfLost(),
+                    pools.now().minus(requestOrIdleSince),
+                    reason);
         }
     }
 
-    private void giveUp(String how, End end) {
-        if (stage != Stage.CLOSED) {
-            MemberRequest e = request;
-            Stage was = stage;
-            shut();
-            if (e != null) {
-                side.failed(e, movedAway(was) ? End.MOOT : end, side.now().minus(since), how);
+    private void abandonRequest(String reason, End end) {
+        if (state != State.CLOSED) {
+            MemberRequest abandoned = request;
+            State stateBefore = state;
+            closeConnection();
+            if (abandoned != null) {
+                pools.requestFailed(
+                        abandoned,
+                        memberMoved(stateBefore) ? End.MOOT : end,
+                        pools.now().minus(requestOrIdleSince),
+                        reason);
             }
         }
     }
 
     /** It never came up, where its member is no longer: no fault of the member's. */
-    private boolean movedAway(Stage was) {
-        return (was == Stage.CONNECTING || was == Stage.STARTING) && !pool.isAt(to);
+    private boolean memberMoved(State stateBefore) {
+        return (stateBefore == State.CONNECTING || stateBefore == State.STARTING_UP)
+                && !pool.isCurrentAddress(address);
     }
 
     /**
      * Guards against sending what is given up, should the connection come up before the end is
      * told.
      */
-    void toBeCalledOff() {
-        calledOff = true;
+    void markCancelled() {
+        cancelled = true;
     }
 
     /** Stops waiting for its request. */
-    void callOff() {
-        giveUp("called off", progress().calledOff());
+    void cancel() {
+        abandonRequest("called off", progress().endIfCancelled());
     }
 
     /** Closes one that stands idle. */
     void close() {
-        if (stage == Stage.IDLE || stage == Stage.RESTING) {
+        if (state == State.IDLE || state == State.REUSE_DELAYED) {
             connection.send(MemberOutput.terminate());
         }
-        shut();
+        closeConnection();
     }
 
-    private void shut() {
-        stage = Stage.CLOSED;
+    private void closeConnection() {
+        state = State.CLOSED;
         request = null;
-        for (EventLoop.Timer t : new EventLoop.Timer[] {startTimer, requestTimer, idleTimer}) {
-            if (t != null) {
-                t.cancel();
+        for (EventLoop.Timer timer :
+                new EventLoop.Timer[] {connectTimer, requestTimer, idleTimer}) {
+            if (timer != null) {
+                timer.cancel();
             }
         }
         connection.close();
-        pool.closed(this);
+        pool.remove(this);
     }
 }
--- a/src/main/java/wingroad/driver/ListRelay.java
+++ b/src/main/java/wingroad/driver/MemberListRelay.java
@@ -16,74 +16,74 @@
 /**
  * Discovery asked by one driver for all: hands on what the owner finds, takes what is handed on,
  * and follows discovery itself whenever {@link RelayHealth} does not go by the owner. On the loop's
- * thread, but for {@link #message}.
+ * thread, but for {@link #messageReceived}.
  */
-final class ListRelay {
+final class MemberListRelay {
     private final EventLoop loop;
     private final Clock clock;
-    private final Discovery discovery;
-    private final Consumer<MemberList> learn;
+    private final DiscoveryClient discovery;
+    private final Consumer<MemberList> onList;
     private final Consumer<String> log;
-    private final Duration look;
+    private final Duration checkInterval;
     private final RelayHealth relayHealth;
     private Fleet fleet;
     private long version;
-    private boolean goesBy;
+    private boolean followsOwner;
 
-    ListRelay(
+    MemberListRelay(
             EventLoop loop,
             Clock clock,
-            Discovery discovery,
+            DiscoveryClient discovery,
             FleetRules rules,
-            long known,
-            Consumer<MemberList> learn,
+            long knownVersion,
+            Consumer<MemberList> onList,
             Consumer<String> log) {
         this.loop = loop;
         this.clock = clock;
         this.discovery = discovery;
-        this.learn = learn;
+        this.onList = onList;
         this.log = log;
-        look = rules.lease().beat().dividedBy(2);
+        checkInterval = rules.lease().beat().dividedBy(2);
         // Three of the owner's words may be lost; as long may it be behind what is known here.
         relayHealth =
                 new RelayHealth(
                         rules.lease().beat().multipliedBy(3),
                         rules.lease().beat().multipliedBy(3),
                         rules.listCheck());
-        version = known;
-        relayHealth.found(known, clock.now());
+        version = knownVersion;
+        relayHealth.found(knownVersion, clock.now());
     }
 
-    void begin(Fleet with) {
-        fleet = with;
-        look();
+    void start(Fleet joinedFleet) {
+        fleet = joinedFleet;
+        checkInterval();
     }
 
     /** A list that this driver has found by itself. */
-    void found(MemberList list) {
+    void listFound(MemberList list) {
         relayHealth.found(list.version(), clock.now());
         if (list.version() > version) {
-            hand(version, list);
+            publish(version, list);
             version = list.version();
         }
     }
 
-    private void hand(long since, MemberList list) {
+    private void publish(long since, MemberList list) {
         if (fleet != null) {
             List<Object> entries = new ArrayList<>();
-            for (Entry e : list.entries()) {
+            for (Entry entry : list.entries()) {
                 entries.add(
                         List.of(
-                                e.uid(),
-                                e.host(),
-                                e.port(),
-                                e.zone(),
-                                e.kind(),
-                                e.group(),
-                                e.state(),
-                                e.weight(),
-                                e.startedAt(),
-                                e.primary()));
+                                entry.uid(),
+                                entry.host(),
+                                entry.port(),
+                                entry.zone(),
+                                entry.kind(),
+                                entry.group(),
+                                entry.state(),
+                                entry.weight(),
+                                entry.startedAt(),
+                                entry.primary()));
             }
             fleet.publish(
                     FleetRules.LIST,
@@ -99,77 +99,77 @@
         }
     }
 
-    private void look() {
+    private void checkInterval() {
         Duration now = clock.now();
-        boolean by = relayHealth.goesByOwner(now);
-        if (by != goesBy) {
-            goesBy = by;
+        boolean ownerUsable = relayHealth.goesByOwner(now);
+        if (ownerUsable != followsOwner) {
+            followsOwner = ownerUsable;
             log.accept(
-                    by
+                    ownerUsable
                             ? "list: goes by the owner, holds " + version
                             : "list: asks discovery itself, holds " + version);
         }
-        if (by) {
-            discovery.followNoMore();
+        if (ownerUsable) {
+            discovery.stopWatch();
             if (relayHealth.checkDue(now)) {
                 relayHealth.checks(now);
                 discovery.fetch();
             }
         } else {
-            discovery.follow();
+            discovery.watch();
         }
         if (fleet != null) {
             // That nothing is new is news as well: only so is a silent owner told from a quiet day.
             fleet.publish(
                     FleetRules.LIST, Map.of("since", version, "rev", version, "whole", false));
         }
-        loop.after(look, this::look);
+        loop.after(checkInterval, this::checkInterval);
     }
 
     /** What the owner has handed on, on the fleet's thread. */
-    void message(long epoch, Map<String, Object> m) {
+    void messageReceived(long epoch, Map<String, Object> message) {
         loop.run(
                 () -> {
                     try {
-                        told(epoch, m);
+                        ownerMessage(epoch, message);
                     } catch (Json.Malformed | ClassCastException | IndexOutOfBoundsException e) {
                         log.accept("list: not taken: " + e.getMessage());
                     }
                 });
     }
 
-    private void told(long epoch, Map<String, Object> m) {
-        long rev = Json.number(m, "rev").longValue();
-        boolean whole = Boolean.TRUE.equals(m.get("whole"));
+    private void ownerMessage(long epoch, Map<String, Object> message) {
+        long revision = Json.number(message, "rev").longValue();
+        boolean whole = Boolean.TRUE.equals(message.get("whole"));
         List<Entry> entries = new ArrayList<>();
-        if (m.get("news") instanceof List<?> news) {
-            for (Object o : news) {
-                List<?> l = (List<?>) o;
+        if (message.get("news") instanceof List<?> news) {
+            for (Object item : news) {
+                List<?> fields = (List<?>) item;
                 entries.add(
                         new Entry(
-                                (String) l.get(0),
-                                (String) l.get(1),
-                                ((Number) l.get(2)).intValue(),
-                                (String) l.get(3),
-                                (String) l.get(4),
-                                ((Number) l.get(5)).intValue(),
-                                (String) l.get(6),
-                                ((Number) l.get(7)).doubleValue(),
-                                ((Number) l.get(8)).doubleValue(),
-                                (Boolean) l.get(9)));
+                                (String) fields.get(0),
+                                (String) fields.get(1),
+                                ((Number) fields.get(2)).intValue(),
+                                (String) fields.get(3),
+                                (String) fields.get(4),
+                                ((Number) fields.get(5)).intValue(),
+                                (String) fields.get(6),
+                                ((Number) fields.get(7)).doubleValue(),
+                                ((Number) fields.get(8)).doubleValue(),
+                                (Boolean) fields.get(9)));
             }
         }
         switch (relayHealth.told(
                 epoch,
-                Json.number(m, "since").longValue(),
-                rev,
+                Json.number(message, "since").longValue(),
+                revision,
                 whole,
-                m.containsKey("news"),
+                message.containsKey("news"),
                 clock.now())) {
             case TAKE -> {
-                version = rev;
-                discovery.holds(rev);
-                learn.accept(new MemberList(rev, whole, entries));
+                version = revision;
+                discovery.heldVersion(revision);
+                onList.accept(new MemberList(revision, whole, entries));
             }
             case ASK -> discovery.fetch();
             default -> {
--- a/src/main/java/wingroad/driver/Results.java
+++ b/src/main/java/wingroad/driver/MemberTransportListener.java
@@ -1,23 +1,29 @@
 package wingroad.driver;
 
 import java.time.Duration;
-import wingroad.driver.Exchange.MemberRequest;
+import wingroad.driver.TxnDispatcher.MemberRequest;
 import wingroad.state.Submission.End;
 
 /** What the member side tells of the errands that it was given, and what it asks for. */
-interface Results {
+interface MemberTransportListener {
     /** A submission has ended; {@code row} is what the client gets where it is committed. */
-    void ended(MemberRequest e, End end, Duration took, Exchange.MemberStatus status, byte[] row);
+    void submissionEnded(
+            MemberRequest request,
+            End end,
+            Duration elapsed,
+            TxnDispatcher.MemberStatus status,
+            byte[] row);
 
     /** A probe has ended; {@code report} is null where it found nothing. */
-    void probed(long member, boolean answered, Duration took, Exchange.Report report);
+    void probeEnded(
+            long member, boolean answered, Duration elapsed, TxnDispatcher.MemberReport report);
 
     /** Whether a request that waited for its connection is still to be sent. */
-    boolean mayStillGo(MemberRequest e);
+    boolean mayDispatch(MemberRequest request);
 
     /** Asks for a connection to be closed elsewhere; false where there is none to close. */
-    boolean makeRoom();
+    boolean closeIdleClient();
 
     /** A member that was asked for the plan of work's sake has answered, or not. */
-    void roleProbed(long member, boolean answered, Exchange.Report report);
+    void roleProbeEnded(long member, boolean answered, TxnDispatcher.MemberReport report);
 }
--- a/src/main/java/wingroad/driver/WarmUp.java
+++ b/src/main/java/wingroad/driver/WarmUp.java
@@ -22,70 +22,72 @@
  */
 final class WarmUp {
     /** By then what every txn runs through has been compiled; more of it gained nothing. */
-    private static final int TXNS = 2000;
+    private static final int TXN_COUNT = 2000;
 
     /** Whatever the machine, a start is not held up for longer. */
-    private static final Duration MOST = Duration.ofMillis(1000);
+    private static final Duration MAX_DURATION = Duration.ofMillis(1000);
 
-    private static final int AT_ONCE = 8;
-    private static final int MEMBERS = 3;
+    private static final int CONCURRENT_TXN_COUNT = 8;
+    private static final int MEMBER_COUNT = 3;
 
     private final EventLoop loop;
     private final Clock clock = new Clock();
-    private final List<String> types;
+    private final List<String> typeNames;
     private final Map<String, Object> terms;
-    private final Exchange exchange;
-    private final Runnable then;
-    private final byte[] answer;
-    private final Duration from;
-    private int begun;
-    private int ended;
-    private boolean over;
-
-    /** Plays on the loop's thread, as does {@code then}, which is run once it is over. */
-    static void play(EventLoop loop, List<String> types, Map<String, Object> terms, Runnable then) {
-        WarmUp r = new WarmUp(loop, types, terms, then);
-        loop.run(r::begin);
+    private final TxnDispatcher dispatcher;
+    private final Runnable onDone;
+    private final byte[] memberResponse;
+    private final Duration startedAt;
+    private int startedTxnCount;
+    private int endedTxnCount;
+    private boolean finished;
+
+    /** Plays on the loop's thread, as does {@code onDone}, which is run once it is over. */
+    static void run(
+            EventLoop loop, List<String> typeNames, Map<String, Object> terms, Runnable onDone) {
+        WarmUp warmUp = new WarmUp(loop, typeNames, terms, onDone);
+        loop.run(warmUp::start);
     }
 
-    private WarmUp(EventLoop loop, List<String> types, Map<String, Object> terms, Runnable then) {
+    private WarmUp(
+            EventLoop loop, List<String> typeNames, Map<String, Object> terms, Runnable onDone) {
         this.loop = loop;
-        this.types = types;
+        this.typeNames = typeNames;
         this.terms = terms;
-        this.then = then;
-        this.from = clock.now();
-        exchange =
-                new Exchange(
+        this.onDone = onDone;
+        this.startedAt = clock.now();
+        dispatcher =
+                new TxnDispatcher(
                         loop,
                         clock,
                         new TxnRouter(terms, 1, line -> {}),
                         Duration.ofMillis(250),
                         this::failed);
-        exchange.meet(
-                new Exchange.MemberTransport() {
+        dispatcher.attach(
+                new TxnDispatcher.MemberTransport() {
                     @Override
-                    public void dispatch(Exchange.MemberRequest e) {
-                        loop.run(() -> answer(e));
+                    public void dispatch(TxnDispatcher.MemberRequest e) {
+                        loop.run(() -> memberResponse(e));
                     }
 
                     @Override
-                    public void callOff(String txn, int submission) {
+                    public void cancel(String txn, int submission) {
                         // its answer is on the way already
                     }
 
                     @Override
-                    public void release(long member) {
+                    public void closeIdleConnections(long member) {
                         // no connection is held here
                     }
 
                     @Override
-                    public boolean giveWay() {
+                    public boolean closeSpareConnection() {
                         return false;
                     }
                 },
-                new Exchange.Lists() {
+                new TxnDispatcher.MemberListSource() {
                     @Override
-                    public void follow() {
+                    public void watch() {
                         // there is no list but the one made up here
                     }
 
@@ -95,18 +97,18 @@
                     }
                 },
                 () -> false);
-        ByteArrayOutputStream all = new ByteArrayOutputStream();
-        message(all, 'T', "\0\1v\0\0\0\0\0\0\0\0\0\0\21\0\0\0\0\0\0\0\1");
-        message(all, 'D', "\0\1\0\0\0\2ab");
-        message(all, 'C', "SELECT 1\0");
-        message(all, 'S', "gauges\0x0=1,x1=0,held=1,busy=0.5\0");
-        message(all, 'Z', "I");
-        answer = all.toByteArray();
+        ByteArrayOutputStream messages = new ByteArrayOutputStream();
+        message(messages, 'T', "\0\1v\0\0\0\0\0\0\0\0\0\0\21\0\0\0\0\0\0\0\1");
+        message(messages, 'D', "\0\1\0\0\0\2ab");
+        message(messages, 'C', "SELECT 1\0");
+        message(messages, 'S', "gauges\0x0=1,x1=0,held=1,busy=0.5\0");
+        message(messages, 'Z', "I");
+        memberResponse = messages.toByteArray();
     }
 
-    private static void message(ByteArrayOutputStream all, char type, String body) {
+    private static void message(ByteArrayOutputStream messages, char type, String body) {
         byte[] bytes = body.getBytes(StandardCharsets.ISO_8859_1);
-        all.writeBytes(
+        messages.writeBytes(
                 ByteBuffer.allocate(5 + bytes.length)
                         .put((byte) type)
                         .putInt(4 + bytes.length)
@@ -114,102 +116,110 @@
                         .array());
     }
 
-    private void begin() {
+    private void start() {
         Duration now = clock.now();
-        exchange.router().listStarts(now, true);
-        for (long m = 1; m <= MEMBERS; m++) {
-            exchange.router().listed(now, m, 0, 0, 0, 1, m == 1, false, false, null);
+        dispatcher.router().listStarts(now, true);
+        for (long member = 1; member <= MEMBER_COUNT; member++) {
+            dispatcher.router().listed(now, member, 0, 0, 0, 1, member == 1, false, false, null);
         }
-        exchange.router().listEnds(now);
-        for (int i = 0; i < AT_ONCE; i++) {
-            next();
+        dispatcher.router().listEnds(now);
+        for (int i = 0; i < CONCURRENT_TXN_COUNT; i++) {
+            startNextTxn();
         }
     }
 
-    private void next() {
-        if (over) {
+    private void startNextTxn() {
+        if (finished) {
             return;
         }
-        if (types.isEmpty() || ended >= TXNS || clock.now().minus(from).compareTo(MOST) > 0) {
-            over = true;
-            then.run();
+        if (typeNames.isEmpty()
+                || endedTxnCount >= TXN_COUNT
+                || clock.now().minus(startedAt).compareTo(MAX_DURATION) > 0) {
+            finished = true;
+            onDone.run();
             return;
         }
-        if (begun >= TXNS) {
+        if (startedTxnCount >= TXN_COUNT) {
             return;
         }
-        int type = begun++ % types.size();
-        boolean writes = "update".equals(terms.get("txn-type." + type + ".reads"));
+        int typeIndex = startedTxnCount++ % typeNames.size();
+        boolean writes = "update".equals(terms.get("txn-type." + typeIndex + ".reads"));
         String comment =
-                "/* id=rehearsal" + begun + ",c=" + types.get(type) + ",d=3000,cluster=0 */ ";
-        ByteBuffer in =
+                "/* id=rehearsal"
+                        + startedTxnCount
+                        + ",c="
+                        + typeNames.get(typeIndex)
+                        + ",d=3000,cluster=0 */ ";
+        ByteBuffer encodedQuery =
                 MemberOutput.query(
                         (comment
                                         + (writes
-                                                ? "INSERT INTO records (k, v) VALUES ('ab', '\\x00') RETURNING v"
+                                                ? "INSERT INTO records (k, v) VALUES ('ab',"
+                                                        + " '\\x00') RETURNING v"
                                                 : "SELECT v FROM records WHERE k = 'ab'"))
                                 .getBytes(StandardCharsets.ISO_8859_1));
         ClientInput input = new ClientInput();
         input.next(MemberOutput.startup());
-        Statement s = Statement.parse(input.next(in).bytes()).statement();
-        exchange.arrived(
-                s,
-                type,
+        Statement statement = Statement.parse(input.next(encodedQuery).bytes()).statement();
+        dispatcher.txnArrived(
+                statement,
+                typeIndex,
                 -1,
-                new Exchange.TxnCallback() {
+                new TxnDispatcher.TxnCallback() {
                     @Override
                     public void committed(byte[] row) {
                         ClientOutput.row(row);
-                        answered();
+                        txnEnded();
                     }
 
                     @Override
                     public void declined(Duration comeBack) {
-                        answered();
+                        txnEnded();
                     }
 
                     @Override
                     public void rolledBack() {
-                        answered();
+                        txnEnded();
                     }
                 });
     }
 
-    private void answered() {
-        ended++;
-        loop.run(this::next);
+    private void txnEnded() {
+        endedTxnCount++;
+        loop.run(this::startNextTxn);
     }
 
-    private void answer(Exchange.MemberRequest e) {
-        MemberInput in = new MemberInput();
-        in.clear();
-        in.take(ByteBuffer.wrap(answer));
-        Answer a = new Answer(in, clock, false);
-        Exchange.MemberStatus status =
-                new Exchange.MemberStatus(
-                        e.member() == 1
+    private void memberResponse(TxnDispatcher.MemberRequest request) {
+        MemberInput input = new MemberInput();
+        input.clear();
+        input.take(ByteBuffer.wrap(memberResponse));
+        MemberResponse response = new MemberResponse(input, clock, false);
+        TxnDispatcher.MemberStatus status =
+                new TxnDispatcher.MemberStatus(
+                        request.member() == 1
                                 ? wingroad.state.Member.Role.PRIMARY
                                 : wingroad.state.Member.Role.REPLICA,
                         clock.now(),
-                        a.status.report());
-        if (e.probe()) {
-            exchange.probed(
-                    e.member(),
+                        response.status.report());
+        if (request.isProbe()) {
+            dispatcher.probeEnded(
+                    request.member(),
                     true,
                     Duration.ofMillis(1),
-                    new Exchange.Report(status.role(), clock.now(), 1, 0, 0));
+                    new TxnDispatcher.MemberReport(status.role(), clock.now(), 1, 0, 0));
         } else {
-            MemberOutput.query(e.statement().withLeft(2000));
-            exchange.ended(e, End.COMMITTED, Duration.ofMillis(10), status, a.row);
+            MemberOutput.query(request.statement().withLeft(2000));
+            dispatcher.submissionEnded(
+                    request, End.COMMITTED, Duration.ofMillis(10), status, response.row);
         }
     }
 
     /** A fault here is no reason not to serve. */
-    private void failed(Throwable bug) {
-        loop.bug(bug);
-        if (!over) {
-            over = true;
-            loop.run(then);
+    private void failed(Throwable error) {
+        loop.bug(error);
+        if (!finished) {
+            finished = true;
+            loop.run(onDone);
         }
     }
 }
--- a/src/main/java/wingroad/driver/WorkAgent.java
+++ b/src/main/java/wingroad/driver/WorkAgent.java
@@ -34,42 +34,42 @@
  * plan's, says of itself what is still at machines that drain, and conducts where that is its duty.
  * On the loop's thread, but for the calls of {@link Worker}.
  */
-final class WorkAgent implements Worker, Exchange.Watcher {
+final class WorkAgent implements Worker, TxnDispatcher.Observer {
     /** What is seen of members counts for a lease; within it the conductor asks this often. */
-    private static final int ASKS = 3;
+    private static final int PROBES_PER_LEASE = 3;
 
     private final EventLoop loop;
     private final Clock clock;
     private final WorkRules rules;
     private final Collection<String> voters;
     private final TxnType[] types;
-    private final Members members;
-    private final Consumer<MemberList> learn;
+    private final MemberPools members;
+    private final Consumer<MemberList> onList;
     private final Consumer<String> log;
     private final Duration lease;
-    private final Duration look;
-    private final Duration askEvery;
+    private final Duration checkInterval;
+    private final Duration probeInterval;
     private final View view;
     private final PlanCopy planCopy = new PlanCopy();
     private final MemberObservations observations;
 
     /** Discovery's list as it is known, and what the module was told last of each member. */
-    private final Map<String, Entry> listed = new TreeMap<>();
+    private final Map<String, Entry> discoveredEntries = new TreeMap<>();
 
-    private final Map<String, Entry> told = new TreeMap<>();
-    private final Map<String, Duration> leftSince = new TreeMap<>();
-    private final Map<String, Stage> stages = new TreeMap<>();
-    private final Map<Integer, Long> busy = new TreeMap<>();
-    private final Map<String, Duration> askedAt = new TreeMap<>();
+    private final Map<String, Entry> effectiveEntries = new TreeMap<>();
+    private final Map<String, Duration> drainingSince = new TreeMap<>();
+    private final Map<String, Stage> loggedStages = new TreeMap<>();
+    private final Map<Integer, Long> busyMsByGroup = new TreeMap<>();
+    private final Map<String, Duration> probedAt = new TreeMap<>();
     private Fleet fleet;
-    private Runnable onKnown;
-    private Duration nextAt;
+    private Runnable onPlanKnown;
+    private Duration nextRelistAt;
     private long epoch;
     private Conductor conductor;
-    private long conducts;
-    private long knows;
-    private long served;
-    private long harmed;
+    private long conductorEpoch;
+    private long knownRevision;
+    private long servedCount;
+    private long harmedCount;
     private boolean wasCurrent;
 
     WorkAgent(
@@ -77,8 +77,8 @@
             Clock clock,
             FleetRules fleet,
             TxnType[] types,
-            Members members,
-            Consumer<MemberList> learn,
+            MemberPools members,
+            Consumer<MemberList> onList,
             Consumer<String> log) {
         this.loop = loop;
         this.clock = clock;
@@ -86,14 +86,14 @@
         this.voters = fleet.voters().keySet();
         this.types = types;
         this.members = members;
-        this.learn = learn;
+        this.onList = onList;
         this.log = log;
         lease = fleet.lease().held();
-        look = fleet.lease().beat().dividedBy(2);
-        askEvery = fleet.lease().held().dividedBy(ASKS);
+        checkInterval = fleet.lease().beat().dividedBy(2);
+        probeInterval = fleet.lease().held().dividedBy(PROBES_PER_LEASE);
         view = new View(rules, now(), fleet.lease().held());
         observations = new MemberObservations(fleet.lease().held());
-        nextAt = view.next(now());
+        nextRelistAt = view.next(now());
     }
 
     /** The same clock as the fleet's: its leases are spans on it. */
@@ -103,21 +103,21 @@
 
     /** Runs the task once the plan is known, or after a lease all the same. */
     void whenKnown(Runnable task) {
-        onKnown = task;
-        loop.after(lease, this::known);
+        onPlanKnown = task;
+        loop.after(lease, this::planKnown);
     }
 
-    private void known() {
-        if (onKnown != null) {
-            Runnable task = onKnown;
-            onKnown = null;
+    private void planKnown() {
+        if (onPlanKnown != null) {
+            Runnable task = onPlanKnown;
+            onPlanKnown = null;
             task.run();
         }
     }
 
-    void begin(Fleet with) {
-        fleet = with;
-        lookAgain();
+    void start(Fleet joinedFleet) {
+        fleet = joinedFleet;
+        checkPeriodically();
     }
 
     // ---- lists ----
@@ -126,85 +126,91 @@
     MemberList effective(MemberList list) {
         if (list.whole()) {
             Set<String> named = new TreeSet<>();
-            list.entries().forEach(e -> named.add(e.uid()));
-            for (String uid : List.copyOf(listed.keySet())) {
+            list.entries().forEach(entry -> named.add(entry.uid()));
+            for (String uid : List.copyOf(discoveredEntries.keySet())) {
                 if (!named.contains(uid)) {
-                    listed.remove(uid);
-                    told.remove(uid);
+                    discoveredEntries.remove(uid);
+                    effectiveEntries.remove(uid);
                     observations.listed(uid, 0, true, false);
                 }
             }
         }
-        for (Entry e : list.entries()) {
-            observations.listed(e.uid(), e.group(), e.gone(), !e.draining());
-            if (e.gone()) {
-                listed.remove(e.uid());
+        for (Entry entry : list.entries()) {
+            observations.listed(entry.uid(), entry.group(), entry.gone(), !entry.draining());
+            if (entry.gone()) {
+                discoveredEntries.remove(entry.uid());
             } else {
-                listed.put(e.uid(), e);
+                discoveredEntries.put(entry.uid(), entry);
             }
         }
         List<Entry> entries = new ArrayList<>();
         Duration now = now();
-        for (Entry e : list.entries()) {
-            Entry as = e.gone() ? e : effective(e, now);
-            entries.add(as);
-            if (e.gone()) {
-                told.remove(e.uid());
+        for (Entry entry : list.entries()) {
+            Entry effectiveEntry = entry.gone() ? entry : effective(entry, now);
+            entries.add(effectiveEntry);
+            if (entry.gone()) {
+                effectiveEntries.remove(entry.uid());
             } else {
-                told.put(e.uid(), as);
+                effectiveEntries.put(entry.uid(), effectiveEntry);
             }
         }
         return new MemberList(list.version(), list.whole(), entries);
     }
 
-    private Entry effective(Entry e, Duration now) {
-        View.State s = view.state(e.uid(), () -> others(e), now);
-        return switch (s) {
-            case AS_LISTED -> e;
-            case DRAINING -> with(e, "draining", e.startedAt());
-            case GONE -> with(e, "gone", e.startedAt());
+    private Entry effective(Entry entry, Duration now) {
+        View.State state = view.state(entry.uid(), () -> groupHasOtherMember(entry), now);
+        return switch (state) {
+            case AS_LISTED -> entry;
+            case DRAINING -> withState(entry, "draining", entry.startedAt());
+            case GONE -> withState(entry, "gone", entry.startedAt());
             case COLD -> {
-                Duration since = view.returningSince(e.uid());
-                double at =
-                        since == null
-                                ? e.startedAt()
-                                : System.currentTimeMillis() - now.minus(since).toMillis();
+                Duration returnedAt = view.returningSince(entry.uid());
+                double startedAtUnixMs =
+                        returnedAt == null
+                                ? entry.startedAt()
+                                : System.currentTimeMillis() - now.minus(returnedAt).toMillis();
                 // The module's figures are to stay where they are from one list to the next.
-                Entry was = told.get(e.uid());
-                boolean same = was != null && Math.abs(was.startedAt() - at) < 1000;
-                yield with(e, e.state(), Math.max(e.startedAt(), same ? was.startedAt() : at));
+                Entry previous = effectiveEntries.get(entry.uid());
+                boolean isSteady =
+                        previous != null && Math.abs(previous.startedAt() - startedAtUnixMs) < 1000;
+                yield withState(
+                        entry,
+                        entry.state(),
+                        Math.max(
+                                entry.startedAt(),
+                                isSteady ? previous.startedAt() : startedAtUnixMs));
             }
         };
     }
 
-    private static Entry with(Entry e, String state, double startedAt) {
+    private static Entry withState(Entry entry, String state, double startedAt) {
         return new Entry(
-                e.uid(),
-                e.host(),
-                e.port(),
-                e.zone(),
-                e.kind(),
-                e.group(),
+                entry.uid(),
+                entry.host(),
+                entry.port(),
+                entry.zone(),
+                entry.kind(),
+                entry.group(),
                 state,
-                e.weight(),
+                entry.weight(),
                 startedAt,
-                e.primary());
+                entry.primary());
     }
 
     /** Whether its group has another listed member that no plan concerns. */
-    private boolean others(Entry e) {
-        return listed.values().stream()
+    private boolean groupHasOtherMember(Entry entry) {
+        return discoveredEntries.values().stream()
                 .anyMatch(
-                        o ->
-                                o.group() == e.group()
-                                        && !o.uid().equals(e.uid())
-                                        && !o.draining()
+                        other ->
+                                other.group() == entry.group()
+                                        && !other.uid().equals(entry.uid())
+                                        && !other.draining()
                                         && (view.planCopy() == null
-                                                || view.planCopy().holder(o.uid()) == null
+                                                || view.planCopy().holder(other.uid()) == null
                                                 || view.planCopy()
                                                                 .entry(
                                                                         view.planCopy()
-                                                                                .holder(o.uid())
+                                                                                .holder(other.uid())
                                                                                 .name())
                                                         == null));
     }
@@ -215,17 +221,17 @@
     private void relist() {
         Duration now = now();
         List<Entry> changed = new ArrayList<>();
-        for (Entry e : listed.values()) {
-            Entry as = effective(e, now);
-            if (!as.equals(told.get(e.uid()))) {
-                told.put(e.uid(), as);
-                changed.add(as);
+        for (Entry entry : discoveredEntries.values()) {
+            Entry effectiveEntry = effective(entry, now);
+            if (!effectiveEntry.equals(effectiveEntries.get(entry.uid()))) {
+                effectiveEntries.put(entry.uid(), effectiveEntry);
+                changed.add(effectiveEntry);
             }
         }
         if (!changed.isEmpty()) {
-            learn.accept(new MemberList(0, false, changed));
+            onList.accept(new MemberList(0, false, changed));
         }
-        nextAt = view.next(now);
+        nextRelistAt = view.next(now);
         boolean current = view.current(now);
         if (current != wasCurrent) {
             wasCurrent = current;
@@ -239,34 +245,36 @@
                             : "work: the view of the plan has ended at revision "
                                     + view.revision()
                                     + ": "
-                                    + stages.values().stream().filter(Stage::announced).count()
+                                    + loggedStages.values().stream()
+                                            .filter(Stage::announced)
+                                            .count()
                                     + " announced machines are left alone");
         }
         if (current) {
-            knows = view.revision();
-            left(now);
-            known();
+            knownRevision = view.revision();
+            updateDrainingSince(now);
+            planKnown();
         }
     }
 
-    private void left(Duration now) {
-        Set<String> leaving = new TreeSet<>();
-        view.leaving().forEach(e -> leaving.add(e.machine()));
-        leftSince.keySet().retainAll(leaving);
-        leaving.forEach(m -> leftSince.putIfAbsent(m, now));
+    private void updateDrainingSince(Duration now) {
+        Set<String> drainingMachines = new TreeSet<>();
+        view.leaving().forEach(e -> drainingMachines.add(e.machine()));
+        drainingSince.keySet().retainAll(drainingMachines);
+        drainingMachines.forEach(machine -> drainingSince.putIfAbsent(machine, now));
     }
 
     // ---- the exchange ----
 
     @Override
-    public void look() {
-        if (nextAt != null && now().compareTo(nextAt) >= 0) {
+    public void beforeRouting() {
+        if (nextRelistAt != null && now().compareTo(nextRelistAt) >= 0) {
             relist();
         }
     }
 
     @Override
-    public void told(long member, Member.Role role, Duration position) {
+    public void onMemberStatus(long member, Member.Role role, Duration position) {
         String uid = members.uid(member);
         if (uid != null) {
             boolean primary = role == Member.Role.PRIMARY;
@@ -279,7 +287,7 @@
     }
 
     @Override
-    public void failed(long member) {
+    public void onMemberFailure(long member) {
         String uid = members.uid(member);
         if (uid != null) {
             observations.failed(uid, now());
@@ -287,67 +295,70 @@
     }
 
     @Override
-    public void took(long member, Duration took) {
-        Entry e = listed.get(members.uid(member));
-        if (e != null) {
-            busy.merge(e.group(), took.toMillis(), Long::sum);
+    public void onSubmissionEnd(long member, Duration elapsed) {
+        Entry entry = discoveredEntries.get(members.uid(member));
+        if (entry != null) {
+            busyMsByGroup.merge(entry.group(), elapsed.toMillis(), Long::sum);
         }
     }
 
     @Override
-    public void answered(int type, Duration after, boolean committed) {
-        if (committed && (type >= types.length || after.compareTo(types[type].slaTime()) <= 0)) {
-            served++;
+    public void onTxnEnd(int typeIndex, Duration sinceArrival, boolean committed) {
+        if (committed
+                && (typeIndex >= types.length
+                        || sinceArrival.compareTo(types[typeIndex].slaTime()) <= 0)) {
+            servedCount++;
         } else {
-            harmed++;
+            harmedCount++;
         }
     }
 
     // ---- the fleet ----
 
     @Override
-    public void plan(Map<String, Object> news, List<?> sums, List<?> live) {
+    public void plan(Map<String, Object> changes, List<?> figures, List<?> liveDrivers) {
         loop.run(
                 () -> {
-                    boolean grown = planCopy.news(news);
-                    if (sums != null) {
-                        planCopy.fleet(sums, live);
+                    boolean isNewer = planCopy.news(changes);
+                    if (figures != null) {
+                        planCopy.fleet(figures, liveDrivers);
                     }
-                    if (grown || view.planCopy() == null) {
+                    if (isNewer || view.planCopy() == null) {
                         view.told(planCopy, now());
-                        tellStages();
+                        logStageChanges();
                         relist();
-                        report();
+                        sendReport();
                     }
                 });
     }
 
-    private void tellStages() {
-        Map<String, Stage> now = new LinkedHashMap<>();
-        planCopy.entries().forEach(e -> now.put(e.machine(), e.stage()));
-        now.forEach(
-                (m, s) -> {
-                    if (stages.get(m) != s) {
+    private void logStageChanges() {
+        Map<String, Stage> current = new LinkedHashMap<>();
+        planCopy.entries()
+                .forEach(planEntry -> current.put(planEntry.machine(), planEntry.stage()));
+        current.forEach(
+                (machine, stage) -> {
+                    if (loggedStages.get(machine) != stage) {
                         log.accept(
                                 "work: "
-                                        + m
+                                        + machine
                                         + " "
-                                        + s.name().toLowerCase(java.util.Locale.ROOT)
+                                        + stage.name().toLowerCase(java.util.Locale.ROOT)
                                         + ", revision "
                                         + planCopy.revision());
                     }
                 });
-        stages.keySet().stream()
-                .filter(m -> !now.containsKey(m))
+        loggedStages.keySet().stream()
+                .filter(machine -> !current.containsKey(machine))
                 .forEach(
-                        m ->
+                        machine ->
                                 log.accept(
                                         "work: "
-                                                + m
+                                                + machine
                                                 + " in, or no more asked for, revision "
                                                 + planCopy.revision()));
-        stages.clear();
-        stages.putAll(now);
+        loggedStages.clear();
+        loggedStages.putAll(current);
     }
 
     @Override
@@ -362,56 +373,66 @@
                     }
                     if (view.current(now()) != wasCurrent) {
                         relist();
-                        report();
+                        sendReport();
                     } else {
-                        nextAt = view.next(now());
+                        nextRelistAt = view.next(now());
                     }
                 });
     }
 
-    private void lookAgain() {
-        look();
-        report();
+    private void checkPeriodically() {
+        beforeRouting();
+        sendReport();
         conduct();
-        loop.after(look, this::lookAgain);
+        loop.after(checkInterval, this::checkPeriodically);
     }
 
     /** What this driver says of itself. */
-    private void report() {
+    private void sendReport() {
         if (fleet == null || !view.known()) {
             return;
         }
         Duration now = now();
-        Set<String> clear = new TreeSet<>();
-        Map<Integer, String> believes = new TreeMap<>();
-        Map<Integer, Long> use = new TreeMap<>();
+        Set<String> clearedMachines = new TreeSet<>();
+        Map<Integer, String> believedPrimaries = new TreeMap<>();
+        Map<Integer, Long> busyMs = new TreeMap<>();
         if (view.current(now)) {
-            for (Map.Entry<String, Duration> l : leftSince.entrySet()) {
-                Machine m = planCopy.machines().get(l.getKey());
-                if (m != null
-                        && now.minus(l.getValue()).compareTo(rules.grace()) > 0
-                        && !members.busy(m::holds)) {
-                    clear.add(l.getKey());
+            for (Map.Entry<String, Duration> draining : drainingSince.entrySet()) {
+                Machine machine = planCopy.machines().get(draining.getKey());
+                if (machine != null
+                        && now.minus(draining.getValue()).compareTo(rules.grace()) > 0
+                        && !members.hasTxnAt(machine::holds)) {
+                    clearedMachines.add(draining.getKey());
                 }
             }
         }
-        for (int g : touched()) {
-            String primary = observations.primary(g, now);
+        for (int group : affectedGroups()) {
+            String primary = observations.primary(group, now);
             if (primary != null) {
-                believes.put(g, primary);
+                believedPrimaries.put(group, primary);
             }
-            use.put(g, busy.getOrDefault(g, 0L));
+            busyMs.put(group, busyMsByGroup.getOrDefault(group, 0L));
         }
-        fleet.report(new Report(knows, clear, believes, served, harmed, use));
+        fleet.report(
+                new Report(
+                        knownRevision,
+                        clearedMachines,
+                        believedPrimaries,
+                        servedCount,
+                        harmedCount,
+                        busyMs));
     }
 
     /** The groups that have a member on a machine that is announced. */
-    private Set<Integer> touched() {
+    private Set<Integer> affectedGroups() {
         Set<Integer> groups = new TreeSet<>();
-        for (Plan.Entry e : planCopy.entries()) {
-            Machine m = e.stage().announced() ? planCopy.machines().get(e.machine()) : null;
-            if (m != null) {
-                groups.addAll(m.groups());
+        for (Plan.Entry planEntry : planCopy.entries()) {
+            Machine machine =
+                    planEntry.stage().announced()
+                            ? planCopy.machines().get(planEntry.machine())
+                            : null;
+            if (machine != null) {
+                groups.addAll(machine.groups());
             }
         }
         return groups;
@@ -424,9 +445,9 @@
             conductor = null;
             return;
         }
-        if (conductor == null || conducts != epoch) {
+        if (conductor == null || conductorEpoch != epoch) {
             conductor = new Conductor(rules, voters);
-            conducts = epoch;
+            conductorEpoch = epoch;
             log.accept(
                     "work: conducts under epoch "
                             + epoch
@@ -440,8 +461,8 @@
         }
         List<Conductor.Step> steps =
                 conductor.next(planCopy, observations, System.currentTimeMillis(), now());
-        askMembers();
-        conductor.pages().forEach((m, text) -> log.accept("work: " + m + " " + text));
+        probeMembers();
+        conductor.pages().forEach((machine, text) -> log.accept("work: " + machine + " " + text));
         if (!steps.isEmpty()) {
             fleet.order(epoch, steps);
         }
@@ -451,20 +472,21 @@
      * A conductor with few txns of its own sees little: it asks the members of the groups concerned
      * itself.
      */
-    private void askMembers() {
+    private void probeMembers() {
         Duration now = now();
         Set<Integer> groups = conductor.groups(planCopy);
-        askedAt.keySet().retainAll(listed.keySet());
-        for (Entry e : listed.values()) {
-            Duration at = askedAt.get(e.uid());
-            Entry as = told.get(e.uid());
-            if (groups.contains(e.group())
-                    && as != null
-                    && !as.gone()
-                    && !as.draining()
-                    && (at == null || now.minus(at).compareTo(askEvery) >= 0)) {
-                askedAt.put(e.uid(), now);
-                members.ask(e.uid());
+        probedAt.keySet().retainAll(discoveredEntries.keySet());
+        for (Entry entry : discoveredEntries.values()) {
+            Duration lastProbeAt = probedAt.get(entry.uid());
+            Entry effectiveEntry = effectiveEntries.get(entry.uid());
+            if (groups.contains(entry.group())
+                    && effectiveEntry != null
+                    && !effectiveEntry.gone()
+                    && !effectiveEntry.draining()
+                    && (lastProbeAt == null
+                            || now.minus(lastProbeAt).compareTo(probeInterval) >= 0)) {
+                probedAt.put(entry.uid(), now);
+                members.probeRole(entry.uid());
             }
         }
     }
--- a/src/test/java/wingroad/driver/ClientsTest.java
+++ b/src/test/java/wingroad/driver/ClientFrontendTest.java
@@ -30,19 +30,20 @@
  * Clients that leave, send, and are told the end, at moments that the test chooses; the members are
  * the test's own.
  */
-class ClientsTest {
+class ClientFrontendTest {
     private static final long MEMBER = 1;
 
-    private final BlockingQueue<Exchange.MemberRequest> dispatched = new LinkedBlockingQueue<>();
+    private final BlockingQueue<TxnDispatcher.MemberRequest> dispatched =
+            new LinkedBlockingQueue<>();
     private final BlockingQueue<Throwable> bugs = new LinkedBlockingQueue<>();
     private final EventLoop loop = new EventLoop(200, 1 << 24, bugs::add);
     private final Clock clock = new Clock();
     private final Fixtures given = new Fixtures();
     private final TxnRouter router = new TxnRouter(given.terms, 1, line -> {});
-    private final Exchange exchange =
-            new Exchange(loop, clock, router, Duration.ofMillis(250), bugs::add);
-    private final Clients clients =
-            new Clients(
+    private final TxnDispatcher exchange =
+            new TxnDispatcher(loop, clock, router, Duration.ofMillis(250), bugs::add);
+    private final ClientFrontend clients =
+            new ClientFrontend(
                     loop,
                     exchange,
                     new Counters(),
@@ -51,39 +52,39 @@
                     g -> true);
     private int port;
 
-    ClientsTest() throws IOException {
+    ClientFrontendTest() throws IOException {
         // the loop opens its polling
     }
 
     @BeforeEach
     void listen() throws Exception {
-        exchange.meet(
-                new Exchange.MemberTransport() {
+        exchange.attach(
+                new TxnDispatcher.MemberTransport() {
                     @Override
-                    public void dispatch(Exchange.MemberRequest e) {
-                        if (!e.probe()) {
+                    public void dispatch(TxnDispatcher.MemberRequest e) {
+                        if (!e.isProbe()) {
                             dispatched.add(e);
                         }
                     }
 
                     @Override
-                    public void callOff(String txn, int submission) {
+                    public void cancel(String txn, int submission) {
                         // the test ends it, or leaves it out
                     }
 
                     @Override
-                    public void release(long member) {
+                    public void closeIdleConnections(long member) {
                         // nothing stands idle here
                     }
 
                     @Override
-                    public boolean giveWay() {
+                    public boolean closeSpareConnection() {
                         return false;
                     }
                 },
-                new Exchange.Lists() {
+                new TxnDispatcher.MemberListSource() {
                     @Override
-                    public void follow() {
+                    public void watch() {
                         // the test tells the list
                     }
 
@@ -98,7 +99,7 @@
                 () -> {
                     try {
                         clients.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-                        at.add(clients.at().getPort());
+                        at.add(clients.localAddress().getPort());
                     } catch (IOException e) {
                         bugs.add(e);
                     }
@@ -148,7 +149,7 @@
         } while (!was.take());
     }
 
-    private void commit(Exchange.MemberRequest e) {
+    private void commit(TxnDispatcher.MemberRequest e) {
         byte[] row =
                 Fixtures.joined(
                         message('T', Fixtures.DESCRIPTION),
@@ -156,11 +157,11 @@
                         message('C', text("SELECT 1")));
         loop.run(
                 () ->
-                        exchange.ended(
+                        exchange.submissionEnded(
                                 e,
                                 End.COMMITTED,
                                 Duration.ofMillis(1),
-                                new Exchange.MemberStatus(Role.PRIMARY, null, null),
+                                new TxnDispatcher.MemberStatus(Role.PRIMARY, null, null),
                                 row));
     }
 
@@ -173,7 +174,7 @@
         for (boolean resets : new boolean[] {false, true}) {
             Peer c = client();
             c.send(ask(write("w" + resets).replace("d=4000", "d=60000")));
-            until(() -> exchange.openTxns() == 1);
+            until(() -> exchange.openTxnCount() == 1);
             for (int i = 0; i < 400; i++) {
                 c.send(ask(read("r" + resets + i)));
             }
@@ -182,7 +183,7 @@
             } else {
                 c.close();
             }
-            until(() -> exchange.openTxns() == 0);
+            until(() -> exchange.openTxnCount() == 0);
             primaryFound();
             until(() -> clients.connections() == 0);
             assertThat(dispatched).isEmpty();
@@ -209,7 +210,7 @@
     void aFloodThatIsReadAheadLeavesHalfOfTheRoom() throws Exception {
         Peer c = client();
         c.send(ask(write("w").replace("d=4000", "d=60000")));
-        until(() -> exchange.openTxns() == 1);
+        until(() -> exchange.openTxnCount() == 1);
         loop.run(() -> loop.hold((1 << 23) - loop.held()));
         for (int i = 0; i < 1000; i++) {
             c.send(ask(read("r" + i)));
@@ -236,14 +237,14 @@
         for (Peer c : List.of(asked, client())) {
             byte[] whole = ask(write("half" + (c == asked)));
             c.send(java.util.Arrays.copyOf(whole, 60));
-            until(() -> !clients.idle());
+            until(() -> !clients.isIdle());
             loop.run(clients::beginClosing);
             c.send(java.util.Arrays.copyOfRange(whole, 60, whole.length));
             commit(dispatched.poll(20, TimeUnit.SECONDS));
             assertThat(c.until("Z\0\0\0\5I")).contains("done");
             assertThat(c.rest()).isEmpty();
             c.close();
-            until(clients::idle);
+            until(clients::isIdle);
         }
         until(() -> clients.connections() == 0);
     }
@@ -259,11 +260,11 @@
         // In one piece, so that all of it is read at once: what is still unread when it is told the
         // end, the client sends elsewhere.
         c.send(Fixtures.joined(ask(write("w")), ask(read("r")), ask("")));
-        Exchange.MemberRequest w = dispatched.poll(20, TimeUnit.SECONDS);
+        TxnDispatcher.MemberRequest w = dispatched.poll(20, TimeUnit.SECONDS);
         loop.run(clients::beginClosing);
         commit(w);
         assertThat(c.until("Z\0\0\0\5I")).contains("done");
-        Exchange.MemberRequest r = dispatched.poll(20, TimeUnit.SECONDS);
+        TxnDispatcher.MemberRequest r = dispatched.poll(20, TimeUnit.SECONDS);
         assertThat(r.statement().id()).isEqualTo("r");
         commit(r);
         assertThat(c.until("Z\0\0\0\5I")).contains("done");
@@ -284,7 +285,7 @@
         c.send(ask(""));
         c.until("Z\0\0\0\5I");
         Peer fresh = client();
-        loop.run(clients::endAll);
+        loop.run(clients::finishAll);
         // Taken from the listener's queue behind all others: told the same.
         Peer last = Peer.to(port);
         assertThat(last.rest()).isEmpty();
@@ -296,12 +297,12 @@
         }
         // Both stay until their clients end their side: a close over unread bytes would break the
         // connection.
-        until(() -> clients.connections() == 2 && clients.idle());
+        until(() -> clients.connections() == 2 && clients.isIdle());
         c.close();
         fresh.close();
         until(() -> clients.connections() == 0);
         assertThat(dispatched).isEmpty();
-        assertThat(exchange.openTxns()).isZero();
+        assertThat(exchange.openTxnCount()).isZero();
     }
 
     /**
@@ -313,19 +314,19 @@
         primaryFound();
         Peer c = client();
         c.send(ask(write("large")));
-        Exchange.MemberRequest e = dispatched.poll(20, TimeUnit.SECONDS);
+        TxnDispatcher.MemberRequest e = dispatched.poll(20, TimeUnit.SECONDS);
         byte[] row = new byte[32 << 20];
         loop.run(
                 () -> {
-                    exchange.ended(
+                    exchange.submissionEnded(
                             e,
                             End.COMMITTED,
                             Duration.ofMillis(1),
-                            new Exchange.MemberStatus(Role.PRIMARY, null, null),
+                            new TxnDispatcher.MemberStatus(Role.PRIMARY, null, null),
                             row);
-                    clients.endAll();
+                    clients.finishAll();
                 });
-        until(() -> exchange.openTxns() == 0 && !clients.idle());
+        until(() -> exchange.openTxnCount() == 0 && !clients.isIdle());
         assertThat(c.rest().length).isGreaterThanOrEqualTo(row.length);
         c.close();
         until(() -> clients.connections() == 0);
@@ -363,15 +364,15 @@
     void oneThatLeftComesAgainUnderTheSameIdOnlyIfNothingWentOut() throws Exception {
         Peer c = client();
         c.send(ask(write("same")));
-        until(() -> exchange.openTxns() == 1);
+        until(() -> exchange.openTxnCount() == 1);
         c.reset();
-        until(() -> exchange.openTxns() == 0);
+        until(() -> exchange.openTxnCount() == 0);
         Peer again = client().send(ask(write("same")));
-        until(() -> exchange.openTxns() == 1);
+        until(() -> exchange.openTxnCount() == 1);
         primaryFound();
         assertThat(dispatched.poll(20, TimeUnit.SECONDS).statement().id()).isEqualTo("same");
         again.reset();
-        until(() -> exchange.openTxns() == 0);
+        until(() -> exchange.openTxnCount() == 0);
         assertThat(client().send(ask(write("same"))).until("Z\0\0\0\5I")).contains("42704");
         assertThat(dispatched).isEmpty();
     }
@@ -385,13 +386,13 @@
         primaryFound();
         Peer c = client();
         c.send(ask(write("w")));
-        Exchange.MemberRequest e = dispatched.poll(20, TimeUnit.SECONDS);
+        TxnDispatcher.MemberRequest e = dispatched.poll(20, TimeUnit.SECONDS);
         BlockingQueue<Boolean> may = new LinkedBlockingQueue<>();
-        loop.run(() -> may.add(exchange.mayStillGo(e)));
+        loop.run(() -> may.add(exchange.mayDispatch(e)));
         assertThat(may.poll(20, TimeUnit.SECONDS)).isTrue();
         c.endOutput();
-        until(() -> exchange.openTxns() == 0);
-        loop.run(() -> may.add(exchange.mayStillGo(e)));
+        until(() -> exchange.openTxnCount() == 0);
+        loop.run(() -> may.add(exchange.mayDispatch(e)));
         assertThat(may.poll(20, TimeUnit.SECONDS)).isFalse();
         c.close();
     }
@@ -436,7 +437,7 @@
         Peer c = client();
         c.trickle(Fixtures.joined(ask(write("a")), ask(write("b"))));
         for (String id : new String[] {"a", "b"}) {
-            Exchange.MemberRequest e = dispatched.poll(20, TimeUnit.SECONDS);
+            TxnDispatcher.MemberRequest e = dispatched.poll(20, TimeUnit.SECONDS);
             assertThat(e.statement().id()).isEqualTo(id);
             commit(e);
             assertThat(c.until("Z\0\0\0\5I")).contains("done");
--- a/src/test/java/wingroad/driver/DiscoveryTest.java
+++ b/src/test/java/wingroad/driver/DiscoveryClientTest.java
@@ -20,13 +20,13 @@
 import wingroad.transport.EventLoop;
 
 /** The list's watch, with answers, ends and silence put between any two of its lines. */
-class DiscoveryTest {
+class DiscoveryClientTest {
     private static final String HEAD = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n";
 
     private final BlockingQueue<Object> heard = new LinkedBlockingQueue<>();
     private final EventLoop loop = loop();
     private final Peer.Listener agent = listener();
-    private final Discovery discovery = discovery(false);
+    private final DiscoveryClient discovery = discovery(false);
 
     private static EventLoop loop() {
         try {
@@ -49,8 +49,8 @@
         }
     }
 
-    private Discovery discovery(boolean asked) {
-        return new Discovery(
+    private DiscoveryClient discovery(boolean asked) {
+        return new DiscoveryClient(
                 loop, at(agent), 5, new Counters(), asked, heard::add, () -> heard.add("failed"));
     }
 
@@ -92,7 +92,7 @@
     /** Guards rule 3: half a list taken for a whole one would leave out who drains. */
     @Test
     void anAnswerWithoutALengthThatIsResetIsNotTaken() throws Exception {
-        loop.run(discovery::follow);
+        loop.run(discovery::watch);
         Peer first = agent.accept();
         assertThat(since(first)).isEqualTo(5);
         first.send(HEAD + "\r\n" + list(6, true, "ready"));
@@ -109,7 +109,7 @@
     @ValueSource(booleans = {true, false})
     void brokenOffAtAnyByteItIsAskedAgainFromTheVersionHeld(boolean reset) throws Exception {
         String whole = sized(list(6, true, "ready"));
-        loop.run(discovery::follow);
+        loop.run(discovery::watch);
         for (int at = 0; at < whole.length(); at += 7) {
             Peer call = agent.accept();
             assertThat(since(call)).isEqualTo(5);
@@ -131,7 +131,7 @@
     /** Guards rule 3: what the agent has counts as told whether or not a watch is open. */
     @Test
     void whereListsArePushedALostWatchIsOpenWithinTheShortestGrace() throws Exception {
-        loop.run(discovery::follow);
+        loop.run(discovery::watch);
         for (int i = 0; i < 6; i++) {
             Peer call = agent.accept();
             since(call);
@@ -152,8 +152,8 @@
         try (Peer.Listener gone = new Peer.Listener()) {
             nobody = gone.port();
         }
-        Discovery d =
-                new Discovery(
+        DiscoveryClient d =
+                new DiscoveryClient(
                         loop,
                         new InetSocketAddress(InetAddress.getLoopbackAddress(), nobody),
                         5,
@@ -162,8 +162,8 @@
                         heard::add,
                         () -> heard.add("failed"));
         BlockingQueue<String> counted = new LinkedBlockingQueue<>();
-        loop.run(d::follow);
-        loop.after(Duration.ofMillis(600), () -> counted.add(tally.take()));
+        loop.run(d::watch);
+        loop.after(Duration.ofMillis(600), () -> counted.add(tally.takeSummary()));
         String refused = counted.poll(20, TimeUnit.SECONDS);
         assertThat(Integer.parseInt(refused.replaceAll(".* ", ""))).isBetween(1, 7);
         assertThat(heard).isEmpty();
@@ -171,8 +171,8 @@
 
     @Test
     void whereTheListMustBeAskedForTheModuleSaysWhenToAskAgain() throws Exception {
-        Discovery d = discovery(true);
-        loop.run(d::follow);
+        DiscoveryClient d = discovery(true);
+        loop.run(d::watch);
         Peer call = agent.accept();
         assertThat(call.until("\r\n\r\n")).contains("timeout_ms=20000");
         call.reset();
@@ -186,7 +186,7 @@
      */
     @Test
     void aWatchThatFallsSilentIsOpenedAnewInTime() throws Exception {
-        loop.run(discovery::follow);
+        loop.run(discovery::watch);
         Peer first = agent.accept();
         since(first);
         first.send(sized(list(6, true, "ready")));
@@ -209,7 +209,7 @@
      */
     @Test
     void whatComesBehindAnAnswerEndsItsConnection() throws Exception {
-        loop.run(discovery::follow);
+        loop.run(discovery::watch);
         Peer first = agent.accept();
         since(first);
         first.send(sized(list(6, true, "ready")) + sized(list(6, true, "ready")));
@@ -224,7 +224,7 @@
 
     @Test
     void anIndentedListIsRead() throws Exception {
-        loop.run(discovery::follow);
+        loop.run(discovery::watch);
         Peer call = agent.accept();
         since(call);
         String indented =
@@ -248,7 +248,7 @@
      */
     @Test
     void versionsMayGoBackWithAWholeListOnly() throws Exception {
-        loop.run(discovery::follow);
+        loop.run(discovery::watch);
         Peer call = agent.accept();
         assertThat(since(call)).isEqualTo(5);
         call.send(sized(list(3, false, "ready")));
@@ -263,7 +263,7 @@
     /** A whole list that was fetched beside the watch may be overtaken by what the watch brings. */
     @Test
     void aFetchedListThatIsOlderThanTheWatchIsNotTaken() throws Exception {
-        loop.run(discovery::follow);
+        loop.run(discovery::watch);
         Peer watch = agent.accept();
         since(watch);
         loop.run(discovery::fetch);
@@ -285,7 +285,7 @@
      */
     @Test
     void whoeverWaitsForTheWholeListHearsOfItHoweverTheCallEnds() throws Exception {
-        loop.run(discovery::follow);
+        loop.run(discovery::watch);
         Peer watch = agent.accept();
         since(watch);
         watch.send(sized(list(9, true, "ready")));
@@ -325,20 +325,20 @@
      */
     @Test
     void movedInTheMiddleOfAnAnswerTheWatchGoesOnElsewhere() throws Exception {
-        loop.run(discovery::follow);
+        loop.run(discovery::watch);
         Peer old = agent.accept();
         since(old);
         String answer = sized(list(6, true, "ready"));
         old.send(answer.substring(0, answer.length() - 10));
         try (Peer.Listener next = new Peer.Listener()) {
-            loop.run(() -> discovery.turnTo(at(next)));
+            loop.run(() -> discovery.setAddress(at(next)));
             Peer moved = next.accept();
             assertThat(since(moved)).isEqualTo(5);
             old.awaitEnd();
             moved.send(sized(list(6, true, "draining")));
             assertThat(news().entries().get(0).draining()).isTrue();
             // And moved again while the news is told.
-            loop.run(() -> discovery.turnTo(at(agent)));
+            loop.run(() -> discovery.setAddress(at(agent)));
             assertThat(since(agent.accept())).isEqualTo(6);
         }
         assertThat(heard).isEmpty();
@@ -347,13 +347,13 @@
     /** Moved while it waits to ask again: it asks at the new address, and there once. */
     @Test
     void movedBetweenTwoCallsItAsksAtTheNewAddress() throws Exception {
-        loop.run(discovery::follow);
+        loop.run(discovery::watch);
         Peer call = agent.accept();
         since(call);
         try (Peer.Listener next = new Peer.Listener()) {
             call.reset();
             since(agent.accept());
-            loop.run(() -> discovery.turnTo(at(next)));
+            loop.run(() -> discovery.setAddress(at(next)));
             assertThat(since(next.accept())).isEqualTo(5);
             assertThat(next.nobodyFor(300)).isTrue();
         }
--- a/src/test/java/wingroad/driver/MembersTest.java
+++ b/src/test/java/wingroad/driver/MemberPoolsTest.java
@@ -29,21 +29,21 @@
 import wingroad.transport.EventLoop;
 
 /** How each way in which a member can answer, or not answer, ends a submission. */
-class MembersTest {
+class MemberPoolsTest {
     private static final Duration CONNECT = Duration.ofSeconds(5);
     private static final Duration LONG = Duration.ofSeconds(15);
 
     private final BlockingQueue<Ended> ends = new LinkedBlockingQueue<>();
     private final EventLoop loop = loop(900);
     private final Clock clock = new Clock();
-    private Members members = members(CONNECT);
+    private MemberPools members = members(CONNECT);
     private int submissions;
     private volatile boolean mayGo = true;
 
     /** Runs once, in the turn of the loop in which the next submission ends. */
     private volatile Runnable atItsEnd;
 
-    private record Ended(End end, Exchange.MemberStatus status, byte[] row) {}
+    private record Ended(End end, TxnDispatcher.MemberStatus status, byte[] row) {}
 
     private static EventLoop loop(int most) {
         try {
@@ -58,28 +58,29 @@
         }
     }
 
-    private Members members(Duration connectTime) {
+    private MemberPools members(Duration connectTime) {
         return members(connectTime, Duration.ofSeconds(30));
     }
 
-    private Members members(Duration connectTime, Duration idleTime) {
-        return new Members(
+    private MemberPools members(Duration connectTime, Duration idleTime) {
+        return new MemberPools(
                 loop,
                 clock,
                 new Counters(),
                 Map.of("connect-time-out", connectTime, "idle-time", idleTime),
-                new Results() {
+                new MemberTransportListener() {
                     @Override
-                    public void roleProbed(long member, boolean answered, Exchange.Report report) {
+                    public void roleProbeEnded(
+                            long member, boolean answered, TxnDispatcher.MemberReport report) {
                         // nobody plans work here
                     }
 
                     @Override
-                    public void ended(
-                            Exchange.MemberRequest e,
+                    public void submissionEnded(
+                            TxnDispatcher.MemberRequest e,
                             End end,
                             Duration took,
-                            Exchange.MemberStatus status,
+                            TxnDispatcher.MemberStatus status,
                             byte[] row) {
                         ends.add(new Ended(end, status, row));
                         Runnable then = atItsEnd;
@@ -90,23 +91,26 @@
                     }
 
                     @Override
-                    public void probed(
-                            long member, boolean answered, Duration took, Exchange.Report report) {
+                    public void probeEnded(
+                            long member,
+                            boolean answered,
+                            Duration took,
+                            TxnDispatcher.MemberReport report) {
                         ends.add(
                                 new Ended(
                                         answered ? End.COMMITTED : End.ERROR,
-                                        new Exchange.MemberStatus(
+                                        new TxnDispatcher.MemberStatus(
                                                 report.role(), report.position(), report),
                                         null));
                     }
 
                     @Override
-                    public boolean mayStillGo(Exchange.MemberRequest e) {
+                    public boolean mayDispatch(TxnDispatcher.MemberRequest e) {
                         return mayGo;
                     }
 
                     @Override
-                    public boolean makeRoom() {
+                    public boolean closeIdleClient() {
                         return false;
                     }
                 });
@@ -122,7 +126,7 @@
         loop.run(
                 () -> {
                     long id =
-                            members.listed(
+                            members.updateMember(
                                     MemberList.parse(
                                                     ("{\"rev\":1,\"all\":true,\"targets\":["
                                                                     + entry(
@@ -140,7 +144,7 @@
                                                     .getBytes(StandardCharsets.UTF_8))
                                     .statement();
                     members.dispatch(
-                            new Exchange.MemberRequest(
+                            new TxnDispatcher.MemberRequest(
                                     "t", submissions++, id, s, clock.now().plus(wait)));
                 });
     }
@@ -274,8 +278,8 @@
             BlockingQueue<Integer> left = new LinkedBlockingQueue<>();
             loop.run(
                     () -> {
-                        members.forget(id -> false);
-                        left.add(members.connections());
+                        members.removeUnknown(id -> false);
+                        left.add(members.connectionCount());
                     });
             assertThat(left.poll(20, TimeUnit.SECONDS)).isZero();
             dispatch(m.port(), LONG);
@@ -380,7 +384,7 @@
                         })) {
             dispatch(m.port(), LONG);
             m.await();
-            loop.run(() -> members.callOff("t", 0));
+            loop.run(() -> members.cancel("t", 0));
             assertThat(next().end()).isEqualTo(End.CANCELLED);
             assertThat(closed.poll(20, TimeUnit.SECONDS)).contains("id=r0");
         }
@@ -439,8 +443,8 @@
             CompletableFuture<Integer> left = new CompletableFuture<>();
             loop.run(
                     () -> {
-                        members.release(1);
-                        left.complete(members.connections());
+                        members.closeIdleConnections(1);
+                        left.complete(members.connectionCount());
                     });
             assertThat(left.get(20, TimeUnit.SECONDS)).isZero();
             dispatch(m.port(), LONG);
@@ -453,7 +457,7 @@
     private void listed(int port) {
         loop.run(
                 () ->
-                        members.listed(
+                        members.updateMember(
                                 MemberList.parse(
                                                 ("{\"rev\":1,\"all\":true,\"targets\":["
                                                                 + entry("s-moves", port, "ready")
@@ -468,7 +472,7 @@
         loop.run(
                 () ->
                         members.dispatch(
-                                new Exchange.MemberRequest(
+                                new TxnDispatcher.MemberRequest(
                                         "t",
                                         submissions,
                                         1,
@@ -549,7 +553,7 @@
             at.read(startupLength(at) - 4);
             at.send(message('R', new byte[4]), READY);
             at.until("'\0");
-            loop.run(() -> members.forget(id -> false));
+            loop.run(() -> members.removeUnknown(id -> false));
             at.send(
                     message('T', DESCRIPTION),
                     message('D', column("x")),
@@ -578,13 +582,13 @@
                         } catch (InterruptedException e) {
                             Thread.currentThread().interrupt();
                         }
-                        members.callOff("t", 0);
+                        members.cancel("t", 0);
                     });
             standing.await();
             at.send(message('R', new byte[4]), READY);
             goes.countDown();
             assertThat(next().end()).isEqualTo(End.MOOT);
-            loop.run(() -> members.forget(id -> false));
+            loop.run(() -> members.removeUnknown(id -> false));
             assertThat(at.awaitEnd()).doesNotContain("Q");
         }
     }
@@ -686,8 +690,8 @@
         }
     }
 
-    private Exchange.MemberRequest requestToTheOne() {
-        return new Exchange.MemberRequest(
+    private TxnDispatcher.MemberRequest requestToTheOne() {
+        return new TxnDispatcher.MemberRequest(
                 "t",
                 submissions,
                 1,
@@ -712,7 +716,7 @@
             assertThat(next().end()).isEqualTo(End.COMMITTED);
             loop.run(
                     () ->
-                            members.listed(
+                            members.updateMember(
                                     MemberList.parse(
                                                     ("{\"rev\":2,\"all\":false,\"targets\":["
                                                                     + entry(
