--- a/src/main/java/wingroad/driver/AttemptProgress.java
+++ b/src/main/java/wingroad/driver/AttemptProgress.java
@@ -3,8 +3,8 @@
 import wingroad.state.Submission.End;
 
 /**
- * How far an attempt had come when its connection was lost or given up: that tells whether it may
- * have run.
+ * How far a submission had come when its connection was lost or abandoned. This decides whether the
+ * member may have executed it.
  */
 enum AttemptProgress {
     NOT_CONNECTED,
@@ -12,17 +12,17 @@
     WRITTEN,
     ANSWERING;
 
-    /** The end of an attempt whose connection was refused, never came up, or broke. */
+    /** The end of a submission whose connection was refused, timed out or was lost. */
     End endIfLost() {
         return mayHaveRun() ? End.RESET : End.UNREACHABLE;
     }
 
-    /** The end of an attempt that is not waited for any longer. */
+    /** The end of a submission whose deadline has passed. */
     End endIfTimedOut() {
         return this == NOT_CONNECTED ? End.UNREACHABLE : End.TIMED_OUT;
     }
 
-    /** The end of an attempt that is called off. A write that is out may still go through. */
+    /** The end of a cancelled submission. A write that was sent may still be committed. */
     End endIfCancelled() {
         return this == NOT_CONNECTED ? End.MOOT : End.CANCELLED;
     }
--- a/src/main/java/wingroad/driver/ClientConnection.java
+++ b/src/main/java/wingroad/driver/ClientConnection.java
@@ -9,53 +9,48 @@
 import wingroad.transport.Connection;
 
 /**
- * One client's connection. Its commands are taken one after the other, each when the last is
- * answered. What it may take of the driver is bounded in bytes and in time; {@link #checkTimeouts}
- * says when its time is over.
+ * One client's connection. Its commands are processed one after the other, each once the previous
+ * one is answered. Its use of memory and time is bounded; {@link #checkTimeouts} enforces the time
+ * limits.
  */
 final class ClientConnection implements Connection.Owner, TxnDispatcher.TxnCallback {
     /**
-     * A client is to be told within 3 s of its connecting; half of that leaves a second for the
-     * end, see LINGER.
+     * How long the startup message may take. A client must be told of the end within 3 s of its
+     * connect; this leaves time for {@link #LINGER_TIMEOUT}.
      */
     private static final Duration STARTUP_TIMEOUT = Duration.ofMillis(1500);
 
     /**
-     * A command that has begun comes whole at once, or its client is stuck: the largest takes some
-     * ms.
+     * How long a command may take from its first byte to its last. The largest one takes a few
+     * milliseconds, so a client that exceeds this is stuck.
      */
     private static final Duration COMMAND_TIMEOUT = Duration.ofMillis(1500);
 
     /**
-     * A connection without a request may be closed after 2 s; those that ask once and stay must not
-     * add up.
+     * After how long an idle connection is closed; clients allow this after 2 s. Guards against an
+     * accumulation of clients that query once and stay connected.
      */
     private static final Duration IDLE_TIMEOUT = Duration.ofMillis(2200);
 
-    /**
-     * A client that reads nothing at all for so long has gone, or never will; one that is slow may
-     * take its time.
-     */
+    /** How long a client may read nothing at all; one that reads slowly is not limited. */
     private static final Duration WRITE_TIMEOUT = Duration.ofSeconds(3);
 
-    /** So long a client that was told the end has to read it and to end its own side. */
+    /** How long a client has to end its side after the output was shut down. */
     private static final Duration LINGER_TIMEOUT = Duration.ofSeconds(1);
 
-    /** What a client that was told the end may still send before it is no longer read. */
+    /** How much input is discarded after the output was shut down; then reading stops. */
     private static final int MAX_DISCARDED_BYTES = 64 * 1024;
 
     /**
-     * How many messages that come to nothing it may send between two queries: one batch of a
-     * client's library at the most.
+     * How many ignored messages a client may send between two queries; a client library's largest
+     * batch stays below it.
      */
     private static final int MAX_SKIPPED_MESSAGE_COUNT = 256;
 
-    /**
-     * After each command that could not be served the next one waits, twice as long each time, and
-     * then it is over.
-     */
+    /** The delay after the first rejected command; it doubles with each further one. */
     private static final Duration FIRST_ERROR_DELAY = Duration.ofMillis(10);
 
+    /** With this many rejected commands the connection is closed. */
     private static final int MAX_REJECTED_COMMAND_COUNT = 8;
 
     private final ClientFrontend frontend;
@@ -64,50 +59,47 @@
     private final int connectionNumber;
     private final Duration connectedAt;
 
-    /** Since when it is as it is: answered, leaving. */
+    /** When it last sent an answer, made progress in writing, or began to finish. */
     private Duration lastProgressAt;
 
-    /**
-     * Since when it has not taken what it was sent, or sent a part of a command; null where neither
-     * is so.
-     */
+    /** Since when a part of a command has been waiting for the rest; null if none is. */
     private Duration partialCommandSince;
 
     private boolean started;
     private boolean hasQueried;
 
-    /** Who it is, where that is wanted. */
+    /** Null if tenants are not told apart. */
     private Caller caller;
 
-    /** The txn that waits for its final answer, or null. */
+    /** The dispatcher's name of the txn that waits for its final answer, or null. */
     private String txn;
 
-    /** The id of its statement. */
+    /** The id of the txn's statement. */
     private String statementId;
 
-    /** Its txn is being handed over. */
+    /** A txn is being submitted to the dispatcher and has no name yet. */
     private boolean submitting;
 
-    /** The size of its statement. */
+    /** The size of the txn's statement, counted against the driver's memory limit. */
     private int reservedBytes;
 
-    /** After an extended-query message all is skipped up to its sync. */
+    /** After a rejected extended-query message, messages are ignored up to the next Sync. */
     private boolean skippingToSync;
 
-    /** How many of its messages came to nothing since its last query. */
+    /** How many messages were ignored since the last query. */
     private int skippedMessageCount;
 
-    /** How many of its commands could not be served. */
     private int rejectedCommandCount;
 
+    /** The next command is delayed after a rejected one. */
     private boolean delayed;
 
-    /** Nothing more is taken; what was answered is still written. */
+    /** No more commands are processed; pending output is still written. */
     private boolean finishing;
 
     private int discardedBytes;
 
-    /** How many bytes had been written when it was last looked at. */
+    /** How many bytes had been written at the last timeout check. */
     private long writtenBytesAtLastCheck;
 
     ClientConnection(ClientFrontend frontend, Duration connectedAt, int connectionNumber) {
@@ -122,7 +114,7 @@
         connection.begin();
     }
 
-    /** It has a txn, an answer that is not written yet, or a command that was not looked at yet. */
+    /** Whether it has a txn, unwritten output, or an unprocessed command. */
     boolean busy() {
         return txn != null
                 || submitting
@@ -131,8 +123,8 @@
     }
 
     /**
-     * A part of a command has come, and nothing else is under way: cut off now, its client would
-     * not know how far it came.
+     * Whether only a part of a command has arrived. If the connection were closed now, the client
+     * could not tell whether its command was processed.
      */
     boolean inCommand() {
         return partialCommandSince != null && connection.unread() && !finishing;
@@ -153,7 +145,7 @@
             }
             return;
         }
-        // One that does not read its answers gets no further ones: at most one waits to be written.
+        // At most one answer waits to be written: a client that does not read gets no further ones.
         while (txn == null && !finishing && !delayed && !connection.unsent()) {
             ClientInput.Message message = input.next(in);
             if (message == null) {
@@ -191,7 +183,7 @@
             case EXTENDED -> {
                 if (!skippingToSync) {
                     skippingToSync = true;
-                    rejectedCommandCount(
+                    rejectCommand(
                             "extended query",
                             ClientOutput.UNSUPPORTED,
                             "only simple queries",
@@ -205,11 +197,11 @@
                     skippingToSync = false;
                     send(new ClientOutput().ready());
                 } else if (!skippingToSync) {
-                    rejectedCommandCount(
+                    rejectCommand(
                             "function call", ClientOutput.UNSUPPORTED, "no function calls", true);
                 }
             }
-            // rows for a copy that was never begun
+            // CopyData and the like without a copy in progress
             case SKIP -> skipMessage();
             case BROKEN -> {
                 frontend.count("client " + message.why());
@@ -222,10 +214,10 @@
         }
     }
 
-    /** Guards the thread against a client that sends without end what nobody answers. */
+    /** Guards the event loop against a client that sends ignored messages without end. */
     private void skipMessage() {
         if (++skippedMessageCount > MAX_SKIPPED_MESSAGE_COUNT) {
-            frontend.count("client sends what is not asked for");
+            frontend.count("client sent too many ignored messages");
             sendFatalError(ClientOutput.MALFORMED, "too much that is no query");
         }
     }
@@ -246,7 +238,7 @@
             reason = frontend.rejectionReason(statement);
         }
         if (reason != null) {
-            rejectedCommandCount("client " + reason, sqlState, reason, true);
+            rejectCommand("client " + reason, sqlState, reason, true);
             return;
         }
         statementId = statement.id();
@@ -256,20 +248,19 @@
         txn = frontend.submit(statement, this);
         submitting = false;
         if (txn == null) {
-            // Guards the txns under way at the descriptor limit: one that is not let in would wait
-            // unseen.
-            frontend.count("client declined for descriptors");
+            // Guards the txns in progress at the descriptor limit. The client was accepted only to
+            // be declined, since it would wait in the listener's backlog without an answer.
+            frontend.count("client declined for lack of descriptors");
             declined(null);
         }
     }
 
     /**
-     * Says what is wrong with a command. Guards against clients that send the same again as soon as
-     * they are turned away: one that goes on so is asked to wait, longer each time, and at last is
-     * let go.
+     * Rejects a command with an error. Guards against clients that repeat a rejected command at
+     * once: the next command is delayed, for longer each time, and finally the connection is
+     * closed.
      */
-    private void rejectedCommandCount(
-            String counter, String sqlState, String text, boolean withReady) {
+    private void rejectCommand(String counter, String sqlState, String text, boolean withReady) {
         frontend.count(counter);
         if (++rejectedCommandCount >= MAX_REJECTED_COMMAND_COUNT) {
             sendFatalError(sqlState, text);
@@ -353,13 +344,13 @@
         }
     }
 
-    /** The last word: an error after which nothing more is taken. */
+    /** Sends a fatal error and finishes the connection. */
     private void sendFatalError(String sqlState, String text) {
         send(new ClientOutput().error(true, sqlState, text, null));
         finish();
     }
 
-    /** Takes nothing more; the client sees the end after the last answer. */
+    /** Processes no more commands; the output is shut down after the last answer. */
     void finish() {
         finishing = true;
         lastProgressAt = frontend.now();
@@ -367,8 +358,8 @@
     }
 
     /**
-     * Called now and then: ends what has taken too long. A txn has its own time, which the module
-     * keeps.
+     * Ends the connection if a time limit is exceeded; called periodically. The time limit of a txn
+     * is kept by the router.
      */
     void checkTimeouts(Duration now) {
         if (writtenBytesAtLastCheck != connection.wrote()) {
@@ -382,11 +373,11 @@
         } else if (finishing || busy() || delayed) {
             return;
         } else if (!started && hasElapsed(connectedAt, STARTUP_TIMEOUT, now)) {
-            frontend.count("client silent");
+            frontend.count("client startup timed out");
             sendFatalError(ClientOutput.MALFORMED, "no startup message in time");
         } else if (partialCommandSince != null
                 && hasElapsed(partialCommandSince, COMMAND_TIMEOUT, now)) {
-            frontend.count("client stuck in a command");
+            frontend.count("client command timed out");
             sendFatalError(ClientOutput.MALFORMED, "no whole command in time");
         } else if (hasElapsed(lastProgressAt, IDLE_TIMEOUT, now) && !frontend.mayStayIdle()) {
             finish();
@@ -397,7 +388,7 @@
         return now.minus(start).compareTo(limit) > 0;
     }
 
-    /** It has had a query at least; one that has not may be about to ask. */
+    /** Whether it has sent a query; one that has not may be about to send its first. */
     boolean hasQueried() {
         return hasQueried;
     }
@@ -410,7 +401,7 @@
         return finishing;
     }
 
-    /** It was told the end, or has said nothing for longer than the given time. */
+    /** Whether its output was shut down, or it sent no startup message within the limit. */
     boolean isDispensable(Duration now, Duration silentLimit) {
         return finishing && !connection.unsent()
                 || !started && hasElapsed(connectedAt, silentLimit, now);
@@ -424,8 +415,8 @@
     @Override
     public void full() {
         if (txn == null && !finishing) {
-            // Nothing of it was sent on: trying again is harmless.
-            frontend.count("client turned away for memory");
+            // Nothing was submitted, so a retry is safe.
+            frontend.count("client declined for lack of memory");
             sendFatalError(ClientOutput.DECLINED, "no memory for this now");
         }
     }
--- a/src/main/java/wingroad/driver/ClientFrontend.java
+++ b/src/main/java/wingroad/driver/ClientFrontend.java
@@ -19,24 +19,35 @@
 import wingroad.transport.EventLoop;
 import wingroad.transport.Listener;
 
-/** The client side: who is connected, and which txn types there are. */
+/**
+ * Accepts client connections, bounds their number, and hands their txns to the dispatcher with the
+ * txn type and group that they name.
+ */
 final class ClientFrontend {
-    /** What a client says at its start that may name its tenant, and how much of a name counts. */
+    /** The startup parameters that may name a client's tenant. */
     private static final Set<String> TENANT_PARAMETERS =
             Set.of("user", "database", "application_name");
 
+    /** Longer names of tenants are cut to this length. */
     private static final int MAX_NAME_CHARS = 128;
+
     private static final Duration TIMEOUT_CHECK_INTERVAL = Duration.ofMillis(100);
 
     /**
-     * Clients may hold a third of the descriptors; below a quarter none of them is without a
-     * connection.
+     * Clients may hold a third of the descriptors; idle connections above a quarter are closed, so
+     * that no client is left without a connection.
      */
     private static final int CLIENT_CHANNELS_DIVISOR = 4;
 
+    /** An eighth of the descriptors is reserved for members. */
+    private static final int MEMBER_RESERVE_DIVISOR = 8;
+
+    /** What a connection's input may buffer beyond the longest message. */
+    private static final int BUFFER_MARGIN_BYTES = 1024;
+
     /**
-     * Where there is no room left, one that came without a word right behind has to make it after
-     * so long.
+     * When descriptors run out, a connection that has sent no startup message for this long is
+     * closed first.
      */
     private static final Duration SILENT_CLIENT_GRACE = Duration.ofMillis(50);
 
@@ -50,22 +61,23 @@
     private final Duration longestExpiry;
     private final IntPredicate isKnownGroup;
 
-    /** In the order in which they were last answered, the one longest ago first. */
+    /** Ordered by the time of their last answer, the least recent first. */
     private final LinkedHashSet<ClientConnection> connections = new LinkedHashSet<>();
 
-    /** The ids of statements until their clients' time is over: none comes twice. */
+    /** The ids of statements with the time at which each may be used again; rejects duplicates. */
     private final Map<String, Duration> idsInUse = new HashMap<>();
 
-    /** Where tenants' names are looked for, or null: nobody asks for them. */
+    /** Says where tenants' names are found, or null if tenants are not told apart. */
     private FairQueueSettings fairQueueSettings;
 
     private Listener listener;
     private int lastConnectionNumber;
     private boolean closing;
 
-    /** All have been told the end, and whoever comes is told at once. */
+    /** {@link #finishAll} was called: a connection accepted later is finished at once. */
     private boolean allFinished;
 
+    /** Idle connections are not closed, see {@link #keepIdleConnections}. */
     private boolean keepIdleOpen;
 
     ClientFrontend(
@@ -96,18 +108,19 @@
         this.longestExpiry = longestFound;
     }
 
+    /** Binds the address and accepts clients at once. */
     void listen(InetSocketAddress address) throws IOException {
         bind(address);
         startAccepting();
     }
 
-    /** The address is taken, but whoever comes waits until {@link #startAccepting}. */
+    /** Binds the address; clients wait in the backlog until {@link #startAccepting}. */
     void bind(InetSocketAddress address) throws IOException {
         listener =
                 new Listener(
                         loop,
                         address,
-                        ClientInput.MOST + 1024,
+                        ClientInput.MOST + BUFFER_MARGIN_BYTES,
                         this::mayAccept,
                         accepted -> {
                             ClientConnection connection =
@@ -116,7 +129,7 @@
                             connections.add(connection);
                             connection.begin(accepted.apply(connection));
                             if (allFinished) {
-                                // Accepted in the moment in which all others were told the end.
+                                // Accepted while all other connections were being finished.
                                 connection.finish();
                             }
                         });
@@ -127,14 +140,14 @@
         checkTimeouts();
     }
 
-    /** From now on txns are told with who asks, as these rules say. */
+    /** Passes the caller along with each txn from now on, identified as these settings say. */
     void identifyCallers(FairQueueSettings settings) {
         fairQueueSettings = settings;
     }
 
     /**
-     * Who asks over this connection, or null where nobody wants to know. Of what it says only what
-     * may be a name is kept.
+     * The caller of a connection, with those startup parameters that may name a tenant; null if
+     * tenants are not told apart.
      */
     Caller caller(String address, byte[] startup) {
         if (fairQueueSettings == null) {
@@ -147,7 +160,7 @@
         return new Caller(address, parameters);
     }
 
-    /** The name that counts for this txn, or null: its address does. */
+    /** The tenant's name for this txn, or null if the client's address stands for it. */
     private String tenantName(Statement statement, Caller caller) {
         for (FairQueueSettings.Source source : fairQueueSettings.sources()) {
             String name =
@@ -185,17 +198,17 @@
     }
 
     /**
-     * An eighth of the descriptors is kept for members. Where only that is left, the client idle
-     * for longest goes, then a member's idle connection; where there is neither, half of it lets
-     * clients in only to be declined.
+     * Whether another client may be accepted. If only the members' reserve of descriptors is left,
+     * the longest idle client connection is closed, then an idle member connection. If there is
+     * neither, clients are accepted from half of that reserve, but only to be declined.
      */
     private boolean mayAccept() {
         return !isOutOfChannels() || loop.channelsLeft() > 0;
     }
 
-    /** No room could be made: whoever comes now would take the place of work that is under way. */
+    /** Whether only the members' reserve of descriptors is left and no connection is idle. */
     private boolean isOutOfChannels() {
-        while (loop.channelsLeft() <= loop.mostChannels() / 8) {
+        while (loop.channelsLeft() <= loop.mostChannels() / MEMBER_RESERVE_DIVISOR) {
             if (!closeIdleConnection() && !dispatcher.closeSpareMemberConnection()) {
                 return true;
             }
@@ -204,16 +217,16 @@
     }
 
     /**
-     * Closes a connection that is of no use, or else the one that has been idle for longest; false
-     * where there is none. One that has begun but not asked yet may have its first query on the
-     * way.
+     * Closes a dispensable connection, or else the longest idle one; returns false if there is
+     * none. A connection that was started but has not queried yet is kept, since its first query
+     * may be on the way.
      */
     boolean closeIdleConnection() {
         Duration now = dispatcher.now();
         ClientConnection longestIdle = null;
         for (ClientConnection connection : connections) {
             if (connection.isDispensable(now, SILENT_CLIENT_GRACE)) {
-                counters.count("useless client closed for room");
+                counters.count("unused client connection closed to free a descriptor");
                 connection.close();
                 return true;
             }
@@ -226,13 +239,15 @@
                             : longestIdle;
         }
         if (longestIdle != null) {
-            counters.count("idle client closed for room");
+            counters.count("idle client connection closed to free a descriptor");
             longestIdle.close();
         }
         return longestIdle != null;
     }
 
-    /** What of a statement this deployment does not know, or null. */
+    /**
+     * Why a statement does not fit this deployment, as the text for the client; null if it does.
+     */
     String rejectionReason(Statement statement) {
         int typeIndex = typeNames.indexOf(statement.type());
         return typeIndex < 0
@@ -244,7 +259,10 @@
                                 : idsInUse.containsKey(statement.id()) ? "an id in use" : null;
     }
 
-    /** The txn's name, or null where it is to be declined at once for want of descriptors. */
+    /**
+     * Hands a statement to the dispatcher. Returns the txn's name, or null if it must be declined
+     * at once because descriptors are exhausted.
+     */
     String submit(Statement statement, ClientConnection connection) {
         if (isOutOfChannels()) {
             return null;
@@ -256,7 +274,7 @@
         long sessionId =
                 tracksSessions && (isUpdateType[typeIndex] || readsOwnWrites[typeIndex])
                         ? statement.session()
-                        : -1;
+                        : TxnDispatcher.NO_SESSION;
         Caller caller = connection.caller();
         return caller == null || fairQueueSettings == null
                 ? dispatcher.txnArrived(statement, typeIndex, sessionId, connection)
@@ -269,14 +287,16 @@
                         tenantName(statement, caller));
     }
 
+    /** Drops the txn of a client that has disconnected. */
     void abandon(String txn, String statementId) {
-        counters.count("client left");
+        counters.count("client disconnected before its answer");
         if (dispatcher.abandon(txn)) {
-            // It may come again at once, under the same id: nothing of it has reached anybody.
+            // No member has seen it, so the client may send it again at once under the same id.
             idsInUse.remove(statementId);
         }
     }
 
+    /** The connection has taken its answer and waits for its next command. */
     void becameIdle(ClientConnection connection) {
         connections.remove(connection);
         connections.add(connection);
@@ -285,30 +305,30 @@
     }
 
     /**
-     * Guards the clients against running out of connections: they hold a part of the descriptors at
-     * most, and those that ask once and stay would fill it. Over {@link #CLIENT_CHANNELS_DIVISOR}
-     * the one idle for longest is let go.
+     * Closes the longest idle connection if clients hold more than their share of the descriptors,
+     * see {@link #CLIENT_CHANNELS_DIVISOR}. Guards against clients that query once and stay
+     * connected, which would leave no descriptors to others.
      */
     private void limitIdleConnections() {
         int queriedCount = 0;
-        ClientConnection longestFound = null;
+        ClientConnection longestIdle = null;
         for (ClientConnection connection :
                 connections.size() > loop.mostChannels() / CLIENT_CHANNELS_DIVISOR
                         ? connections
                         : List.<ClientConnection>of()) {
             queriedCount += connection.hasQueried() && !connection.finishing() ? 1 : 0;
-            longestFound =
-                    longestFound == null
+            longestIdle =
+                    longestIdle == null
                                     && connection.hasQueried()
                                     && !connection.finishing()
                                     && !connection.busy()
                                     && !connection.inCommand()
                             ? connection
-                            : longestFound;
+                            : longestIdle;
         }
-        if (longestFound != null && queriedCount > loop.mostChannels() / CLIENT_CHANNELS_DIVISOR) {
-            counters.count("idle client let go among many");
-            longestFound.finish();
+        if (longestIdle != null && queriedCount > loop.mostChannels() / CLIENT_CHANNELS_DIVISOR) {
+            counters.count("idle client connection closed over the limit");
+            longestIdle.finish();
         }
     }
 
@@ -319,6 +339,7 @@
         }
     }
 
+    /** Counts bytes against the driver's memory limit; a negative count releases them. */
     void reserveBytes(int byteCount) {
         loop.hold(byteCount);
     }
@@ -336,10 +357,10 @@
     }
 
     /**
-     * From now on none is closed for being idle: where the program is about to end, it may find no
-     * other.
+     * Stops closing idle connections by timeout. While the program is stopping, their clients may
+     * find no other driver.
      */
-    void keepIdleOpen() {
+    void keepIdleConnections() {
         keepIdleOpen = true;
     }
 
@@ -347,7 +368,7 @@
         return keepIdleOpen && !closing;
     }
 
-    /** From now on each connection ends between its txns; new ones are still let in. */
+    /** Finishes each connection once it is between txns; new ones are still accepted. */
     void beginClosing() {
         closing = true;
         for (ClientConnection connection : new ArrayList<>(connections)) {
@@ -357,15 +378,15 @@
         }
     }
 
-    /** Lets nobody in any more. */
+    /** Accepts no more clients. */
     void stopListening() {
         listener.close();
     }
 
     /**
-     * Each connection that is still open is told the end; it goes once its client has ended its
-     * side as well. Guards against an exit over bytes that nobody has read: the system would break
-     * such a connection, and with it the last answer.
+     * Shuts down the output of all open connections; each is closed once its client has ended its
+     * side as well. Guards against an exit with unread input, for which the system would reset the
+     * connection and lose the last answer.
      */
     void finishAll() {
         closing = true;
@@ -377,7 +398,7 @@
         }
     }
 
-    /** Nothing is left to be answered, written or taken. */
+    /** Whether no connection has anything to be answered, written or read. */
     boolean isIdle() {
         for (ClientConnection connection : connections) {
             if (connection.busy() || connection.inCommand()) {
@@ -387,7 +408,7 @@
         return true;
     }
 
-    int connections() {
+    int connectionCount() {
         return connections.size();
     }
 }
--- a/src/main/java/wingroad/driver/DiscoveryClient.java
+++ b/src/main/java/wingroad/driver/DiscoveryClient.java
@@ -11,31 +11,42 @@
 import wingroad.transport.EventLoop;
 
 /**
- * Asks discovery for the member list: a watch that goes on, and the whole list once. Where lists
- * are pushed, an agent of the driver's own machine answers, at no cost, and what it has counts as
- * told whether or not a watch is open: a watch that is lost is opened again by itself, and one that
- * has fallen silent is missed soon. Where the list must be asked for, each call is paid for by all
- * drivers, and the module says when there is to be another.
+ * Requests the member list from discovery over HTTP: changes by a long poll that is repeated (the
+ * watch), and the whole list by a single request (the fetch).
+ *
+ * <p>In push mode an agent on the driver's own machine responds, at no cost, and what it holds
+ * counts as told to the driver whether or not a watch is open. Therefore a lost watch is reopened
+ * here, and a silent one is detected soon. In pull mode each request loads a service that all
+ * drivers share, and the router decides when to make another.
  */
 final class DiscoveryClient implements TxnDispatcher.MemberListSource {
     /**
-     * How long a watch may wait for news. What a silent one misses counts as told 6 s after it fell
-     * silent, or 2 s after its wait where that is later: with the short wait it is missed after 3 s
-     * at most, and the new one has its answer in time.
+     * How long a watch may wait for changes in push mode. Changes that a silent watch misses count
+     * as told 6 s after it fell silent, or 2 s after the end of its wait if that is later. With
+     * this wait a silent watch is detected after 3 s at most, and the new one has its response in
+     * time.
      */
     private static final Duration LOCAL_AGENT_LONG_POLL_TIMEOUT = Duration.ofSeconds(2);
 
+    /** How long a watch may wait for changes in pull mode. */
     private static final Duration SHARED_SERVICE_LONG_POLL_TIMEOUT = Duration.ofSeconds(20);
 
     /**
-     * How long a connection may take to be up, and how much longer than its wait an answer may
-     * take.
+     * How long a connect may take, and how much later than at the end of its wait a response may
+     * arrive.
      */
     private static final Duration RESPONSE_GRACE = Duration.ofSeconds(1);
 
-    /** Half of the time within which a watch must be asked on. */
+    /**
+     * The shortest time between two requests of a watch without changes; half of the time within
+     * which a watch must be continued.
+     */
     private static final Duration MIN_WATCH_INTERVAL = Duration.ofMillis(100);
 
+    private static final int MAX_BUFFERED_BYTES = 64 * 1024;
+
+    private static final int HTTP_OK = 200;
+
     private final EventLoop loop;
     private InetSocketAddress address;
     private final Counters counters;
@@ -43,19 +54,24 @@
     private final Duration longPollTimeout;
     private final Consumer<MemberList> onList;
     private final Runnable onFailure;
+
+    /** The newest list version that is held. */
     private long version;
+
     private Request watch;
     private Request fetch;
 
-    /** A watch is to be opened, but not at once; else null. */
+    /** Set if a watch will be opened after a delay, else null. */
     private EventLoop.Timer watchTimer;
 
-    /** Who waits for the call for the whole list, or null. */
+    /** Runs once the fetch has ended; may be null. */
     private Runnable onFetchDone;
 
     /**
-     * {@code pullMode}: the list must be asked for. {@code onList} gets each list that comes;
-     * {@code failed} hears of each call that gave none and is not made again from here.
+     * @param version the list version that is held already
+     * @param pullMode lists are requested from a shared service, see the class comment
+     * @param onList receives each list
+     * @param onFailure runs after each failed request that is not repeated here
      */
     DiscoveryClient(
             EventLoop loop,
@@ -76,7 +92,7 @@
         this.onFailure = onFailure;
     }
 
-    /** Follows the changes from now on; a watch that stands goes on. */
+    /** Starts a watch at once; one that is open continues. */
     @Override
     public void watch() {
         cancelWatchTimer();
@@ -98,7 +114,7 @@
         }
     }
 
-    /** A watch that stands is given up; what is held stays held. */
+    /** Closes the watch; the held version remains. */
     void stopWatch() {
         cancelWatchTimer();
         if (watch != null) {
@@ -106,13 +122,12 @@
         }
     }
 
-    /** The newest version that is held. */
     long heldVersion() {
         return version;
     }
 
-    /** This version has been learnt elsewhere: a watch goes on from there. */
-    void heldVersion(long newer) {
+    /** Raises the held version to one learnt elsewhere; the watch continues from there. */
+    void advanceTo(long newer) {
         version = Math.max(version, newer);
     }
 
@@ -124,7 +139,7 @@
         }
     }
 
-    /** The same; {@code then} runs once the list has been told, or there is none to be had now. */
+    /** Fetches the whole list; {@code onDone} runs once it was delivered or the request failed. */
     void fetch(Runnable onDone) {
         onFetchDone = onDone;
         fetch();
@@ -139,9 +154,9 @@
     }
 
     /**
-     * Asks at another address from now on. A watch goes on there with the version that is held, so
-     * that nothing that changes is missed; a call that is out at the old address is dropped, not
-     * counted as failed, and made again.
+     * Uses another address from now on. A watch continues there from the held version, so that no
+     * change is missed. An open request to the old address is dropped without counting as failed,
+     * and repeated.
      */
     void setAddress(InetSocketAddress newAddress) {
         if (newAddress.equals(address)) {
@@ -160,6 +175,7 @@
         }
     }
 
+    /** A watch, whose connection carries one request after the other, or a fetch. */
     private final class Request implements Connection.Owner {
         private final boolean isWatch;
         private Connection connection;
@@ -168,7 +184,7 @@
         private long sentAtNanos;
         private boolean closed;
 
-        /** It has given a list on this connection. */
+        /** A list was received on this connection. */
         private boolean hasDeliveredList;
 
         Request(boolean isWatch) {
@@ -178,9 +194,9 @@
         void connect() {
             sentAtNanos = loop.now();
             try {
-                connection = Connection.open(loop, address, this, 64 * 1024);
+                connection = Connection.open(loop, address, this, MAX_BUFFERED_BYTES);
             } catch (IOException | RuntimeException failure) {
-                loop.run(() -> fail("cannot open: " + failure.getMessage()));
+                loop.run(() -> fail("cannot open connection: " + failure.getMessage()));
                 return;
             }
             startTimer(RESPONSE_GRACE);
@@ -215,19 +231,21 @@
         public void bytes(ByteBuffer in) {
             HttpReply.State state = reply.take(in);
             if (state == HttpReply.State.WHOLE) {
-                // Guards against an answer that comes twice: the second would stand for the answer
-                // to the next call.
+                // Guards against a duplicated response: the second one would be taken for the
+                // response to the next request.
                 responseReceived(reply.closes() || in.hasRemaining());
             } else if (state == HttpReply.State.BROKEN) {
                 fail(reply.why());
             }
         }
 
-        /** {@code last}: this connection is of no further use. */
+        /**
+         * @param lastOnConnection the connection can't carry another request
+         */
         private void responseReceived(boolean lastOnConnection) {
             timer.cancel();
             MemberList.Parsed parsed =
-                    reply.status() == 200
+                    reply.status() == HTTP_OK
                             ? MemberList.parse(reply.body())
                             : new MemberList.Parsed(null, "status " + reply.status());
             MemberList list = parsed.list();
@@ -236,16 +254,16 @@
                 return;
             }
             if (list.version() < version && !isWatch && watch != null) {
-                // The watch has overtaken it: what is held is newer.
+                // The watch was faster: the held version is newer.
                 close();
                 fetchDone();
                 return;
             }
             if (list.version() < version && !list.whole()) {
-                // Whoever counts anew from a lower number knows nothing of what is held: only a
-                // whole list can follow.
+                // A service that counts anew from a lower version knows nothing of the held list,
+                // so only a whole list can follow.
                 version = 0;
-                fail("changes older than what is held");
+                fail("changes older than the held version");
                 return;
             }
             boolean isNewer = list.version() > version;
@@ -257,8 +275,8 @@
                 close();
                 watchAgain(isNewer);
             } else {
-                // The next call is out before the news is told: nothing that changes falls between
-                // two calls.
+                // The next request is sent before the list is delivered, so that no change falls
+                // between two requests.
                 reply = new HttpReply();
                 if (isNewer || !answeredImmediately()) {
                     send();
@@ -273,8 +291,8 @@
         }
 
         /**
-         * Its answer or end came as soon as it was asked: it does not wait, and would be asked
-         * without a pause.
+         * Whether the response or the end came sooner than {@link #MIN_WATCH_INTERVAL}: a service
+         * that does not wait would be polled without a pause.
          */
         private boolean answeredImmediately() {
             return loop.now() - sentAtNanos < MIN_WATCH_INTERVAL.toNanos();
@@ -289,11 +307,10 @@
         }
 
         /**
-         * No answer at all: whoever is there is asked anew at once, since a call that stands costs
-         * nothing.
+         * No response arrived. A watch is reopened at once, since an open long poll costs nothing.
          */
         private void timedOut() {
-            counters.count("discovery silent");
+            counters.count("discovery response timed out");
             close();
             if (isWatch) {
                 watch();
@@ -308,8 +325,8 @@
                 counters.count("discovery " + reason);
                 close();
                 if (isWatch && (hasDeliveredList || !pullMode)) {
-                    // The connection is worn out, not discovery: what it holds counts as told, so
-                    // ask at once.
+                    // A lost connection does not mean that discovery failed. What it holds counts
+                    // as told, so the watch is reopened.
                     watchAgain(false);
                 } else {
                     onFailure.run();
@@ -322,12 +339,13 @@
 
         @Override
         public void full() {
-            fail("no memory for its answer");
+            fail("no memory for the response");
         }
 
         @Override
         public void ended(int unwritten, boolean orderly, String reason) {
-            // A reset is no end: what came before it may be half of a list that looks whole.
+            // Only an orderly close ends a response without a length: what precedes a reset may be
+            // a truncated list that looks whole.
             if (orderly && reply.end() == HttpReply.State.WHOLE) {
                 responseReceived(true);
             } else {
--- a/src/main/java/wingroad/driver/Driver.java
+++ b/src/main/java/wingroad/driver/Driver.java
@@ -28,54 +28,65 @@
 import wingroad.terms.Terms;
 import wingroad.transport.EventLoop;
 
-/** The program on sockets: puts its parts together, and takes them down when it is told to stop. */
+/**
+ * The server process: starts its parts, reloads its configuration on SIGHUP, and shuts down
+ * gracefully on SIGTERM.
+ */
 public final class Driver {
-    /** After the word to stop, clients may still come for most of this. */
+    /** How long new clients are accepted after the signal to stop; they may come for most of it. */
     private static final Duration ACCEPT_AFTER_STOP = Duration.ofMillis(700);
 
     /**
-     * The kill comes no earlier than the longest expiry, counted as this where it is longer, and
-     * STILL_COMING after the word. So long, and half of STILL_COMING, the connected are served on:
-     * they may have nowhere else to go, as when the drivers are restarted one after the other. The
-     * other half is left to what is then still open.
+     * The longest expiry that counts towards the time until the process is killed: it is killed no
+     * earlier than the longest expiry, capped at this, plus {@link #ACCEPT_AFTER_STOP} after the
+     * signal to stop. Connected clients are served for that expiry and half of {@link
+     * #ACCEPT_AFTER_STOP}, since they may have no other driver to go to, as in a rolling restart of
+     * the drivers. The other half is left to the txns that are open then.
      */
     private static final Duration MAX_COUNTED_EXPIRY = Duration.ofSeconds(3);
 
+    /** How long before the earliest kill the process exits. */
     private static final Duration KILL_MARGIN = Duration.ofMillis(100);
 
-    /**
-     * Before it leaves, those that were told the end have so long at the least to take their answer
-     * and end their side.
-     */
+    /** The least time that clients have at shutdown to read their answer and end their side. */
     private static final Duration MIN_CLIENT_CLOSE_TIME = Duration.ofMillis(50);
 
     private static final Duration COUNTERS_LOG_INTERVAL = Duration.ofSeconds(5);
     private static final Duration SHUTDOWN_CHECK_INTERVAL = Duration.ofMillis(5);
 
+    /** How many descriptors are left to the process itself; a quarter of them if that is less. */
+    private static final int MAX_PROCESS_DESCRIPTORS = 24;
+
     private final Clock clock = new Clock();
     private final Counters counters = new Counters();
+
+    /** All groups named in a list so far. */
     private final Set<Integer> groups = new HashSet<>();
+
     private final CountDownLatch stopped = new CountDownLatch(1);
     private final Log log;
     private final Map<String, String> env;
     private Configuration configuration;
 
-    /** The operator's own file, or null: all that it could switch on is off. */
+    /** The operator's file, or null if there is none; then its optional features are off. */
     private Path operatorPath;
 
+    /** What the operator's file says, or null. */
     private OperatorFile operatorFile;
+
+    /** Null if the operator's file has no door section. */
     private FairQueues fairQueues;
 
-    /** The driver's part in the fleet, or null. */
+    /** Null until the driver has joined its fleet, and if it has none. */
     private FleetAgent fleetAgent;
 
-    /** The plan of work on machines at this driver, or null. */
+    /** Applies the plan of maintenance work at this driver, or null if none is planned. */
     private final WorkAgent workAgent;
 
     private final List<String> zoneNames;
     private final List<String> kindNames;
 
-    /** The list comes only when the module asks for it. */
+    /** Lists are requested only when the router asks for one, see {@link DiscoveryClient}. */
     private final boolean pullMode;
 
     private final EventLoop loop;
@@ -84,22 +95,25 @@
     private final ClientFrontend clientFrontend;
     private final DiscoveryClient discoveryClient;
 
-    /** What the first txns run through has been played. */
+    /** {@link WarmUp} has ended. */
     private boolean warmedUp;
 
-    /** The first call for the list has its answer, or has none. */
+    /** The first fetch of the list has succeeded or failed. */
     private boolean firstFetchDone;
 
-    /** The door has been opened: clients may have been let in. */
+    /** The address is bound; clients may have been accepted. */
     private boolean serving;
 
-    /** The word that there is another configuration came before the door was open. */
+    /** A reload was requested before the driver was serving. */
     private boolean reloadRequested;
 
+    /** Null until the signal to stop. */
     private Duration stopRequestedAt;
+
+    /** Null until the signal to stop. */
     private Duration exitDeadline;
 
-    /** All that are connected have been told the end. */
+    /** All client connections have been finished. */
     private boolean clientsFinished;
 
     private Driver(
@@ -109,19 +123,21 @@
             OperatorFile operatorFile)
             throws IOException {
         this.env = env;
-        configuration = configuration;
+        this.configuration = configuration;
         log = new Log(clock, out);
         zoneNames = configuration.names("azs");
         kindNames = configuration.names("shapes");
         Map<String, Object> terms = Terms.of(configuration.settings());
         pullMode = "ask".equals(terms.get("member-list"));
-        // The rest is for what the program itself holds open: its archive, its polling, its log.
-        // A quarter of the heap may be in flight, an eighth of all memory at most: a statement is
-        // copied on its way.
+        // The remaining descriptors are for the process itself: its class archive, its selectors,
+        // its log. Connections may buffer a quarter of the heap and an eighth of all memory at
+        // most, since a statement is copied while it is processed.
         loop =
                 new EventLoop(
                         configuration.descriptorLimit()
-                                - Math.min(24, configuration.descriptorLimit() / 4),
+                                - Math.min(
+                                        MAX_PROCESS_DESCRIPTORS,
+                                        configuration.descriptorLimit() / 4),
                         Math.min(
                                 configuration.memoryBytes() / 8,
                                 Runtime.getRuntime().maxMemory() / 4),
@@ -169,16 +185,16 @@
                                 this::applyAndLogList,
                                 log::info);
         if (workAgent != null) {
-            dispatcher.watch(workAgent);
+            dispatcher.setObserver(workAgent);
         }
     }
 
-    /** Serves until told to stop; returns the exit status where it can't begin. */
+    /** Starts serving; returns the exit status: 0 once it serves, 2 if it can't start. */
     public static int run(Map<String, String> env, PrintStream out, PrintStream err) {
         return run(env, out, err, null, null);
     }
 
-    /** The same with what the operator's file, read from this path, switches on. */
+    /** Starts serving with the features of the operator's file, which was read from this path. */
     public static int run(
             Map<String, String> env,
             PrintStream out,
@@ -186,8 +202,8 @@
             Path operatorPath,
             OperatorFile operatorFile) {
         try {
-            // Without a handler of its own the signal would end the program: it is there before the
-            // configuration is read.
+            // The handler is installed before the configuration is read, since the signal's default
+            // action would end the process.
             AtomicBoolean reloadBeforeStart = new AtomicBoolean();
             AtomicReference<Driver> started = new AtomicReference<>();
             Signal.handle(
@@ -202,8 +218,7 @@
             Driver driver = new Driver(env, configuration, out, operatorFile);
             driver.operatorPath = operatorPath;
             driver.operatorFile = operatorFile;
-            // In this order: a signal that comes between the two is heard twice, and none is
-            // missed.
+            // In this order a signal between the two causes two reloads, and none is missed.
             started.set(driver);
             if (reloadBeforeStart.get()) {
                 driver.loop.run(driver::reload);
@@ -218,7 +233,7 @@
         return 2;
     }
 
-    /** Reads the configuration as a start would and serves nobody; returns the exit status. */
+    /** Checks the configuration as a start would; returns the exit status. */
     public static int check(Map<String, String> env, PrintStream out, PrintStream err) {
         try {
             Configuration configuration = Configuration.read(env);
@@ -242,8 +257,8 @@
     }
 
     /**
-     * Plays the rehearsal alone, for an archive of the classes that serving takes; returns the exit
-     * status.
+     * Runs the warm-up alone, to create an archive of the classes that serving loads; returns the
+     * exit status.
      */
     public static int rehearse(Map<String, String> env, PrintStream err) {
         try {
@@ -267,8 +282,8 @@
     private void start() throws IOException {
         Runtime.getRuntime().addShutdownHook(new Thread(this::stop, "stop"));
         CompletableFuture<Void> ready = new CompletableFuture<>();
-        // What discovery's agent has counts as told from the process's first moment: it is asked
-        // before anybody is let in.
+        // What discovery's agent holds counts as told from the start of the process, so the list is
+        // fetched before any client is accepted.
         loop.run(
                 () -> {
                     applyList(
@@ -306,10 +321,7 @@
         }
     }
 
-    /**
-     * Opens the door, unless the word to stop came before: then nobody is let in, and the process
-     * is on its way out.
-     */
+    /** Accepts clients once the start-up steps are done, unless the process is already stopping. */
     private void serveOnceReady(CompletableFuture<Void> ready) {
         if (!warmedUp || !firstFetchDone || ready.isDone()) {
             return;
@@ -329,8 +341,8 @@
         if (workAgent == null) {
             clientFrontend.listen(configuration.listen());
         } else {
-            // Until the plan is known there is next to nobody to send to: clients wait a moment, or
-            // go elsewhere.
+            // Until the plan is known hardly any member may be used: clients wait in the backlog,
+            // or connect elsewhere.
             clientFrontend.bind(configuration.listen());
             workAgent.whenKnown(clientFrontend::startAccepting);
         }
@@ -341,9 +353,9 @@
                         + address.getHostString()
                         + ":"
                         + address.getPort()
-                        + ", knows "
+                        + ", members "
                         + memberPools.memberCount()
-                        + " members, descriptors for "
+                        + ", descriptor limit "
                         + loop.mostChannels());
         serving = true;
         if (reloadRequested) {
@@ -351,7 +363,7 @@
         }
     }
 
-    /** Where it can't begin, clients are served all the same. */
+    /** Joins the fleet; clients are served even if that fails. */
     private void joinFleet() {
         try {
             FleetRules rules =
@@ -372,7 +384,7 @@
                             workAgent,
                             log);
         } catch (IOException e) {
-            log.info("fleet: can't begin: " + e.getMessage());
+            log.info("fleet: can't start: " + e.getMessage());
         }
     }
 
@@ -417,7 +429,7 @@
         }
     }
 
-    /** Tells the module a list as it counts. */
+    /** Passes a list to the router and the connection pools. */
     private void applyList(MemberList list) {
         Duration now = clock.now();
         Router router = dispatcher.router();
@@ -440,10 +452,7 @@
         memberPools.removeUnknown(router::knows);
     }
 
-    /**
-     * The word has come that there is another configuration. What can't be read leaves the old one
-     * in force.
-     */
+    /** Reloads both files; one that can't be read leaves its old version in force. */
     private void reload() {
         if (!serving) {
             reloadRequested = true;
@@ -453,7 +462,7 @@
         reloadConfiguration();
     }
 
-    /** What is broken leaves the old file in force, with one line that tells the first fault. */
+    /** Reloads the operator's file; a log line names the first problem of one that is rejected. */
     private void reloadOperatorFile() {
         if (operatorPath == null) {
             return;
@@ -461,7 +470,7 @@
         OperatorFile.Read read = OperatorFile.read(operatorPath);
         if (read.file() == null) {
             log.info(
-                    "operator's file not taken, the old one stays: "
+                    "operator's file not reloaded, the old one stays in force: "
                             + read.problems().get(0)
                             + (read.problems().size() > 1
                                     ? " (and " + (read.problems().size() - 1) + " more)"
@@ -470,12 +479,12 @@
         }
         if (read.file().door() == null && fairQueues != null) {
             log.info(
-                    "operator's file not taken, the old one stays: the door closes only with the"
-                            + " next start");
+                    "operator's file not reloaded, the old one stays in force: the door can only be"
+                            + " removed by a restart");
             return;
         }
         if (!Objects.equals(read.file().fleet(), operatorFile.fleet())) {
-            log.info("operator's file: what is new of the fleet counts from the next start");
+            log.info("operator's file: changes of the fleet take effect at the next start");
         }
         operatorFile = new OperatorFile(read.file().door(), operatorFile.fleet());
         if (fairQueues == null) {
@@ -485,12 +494,12 @@
             clientFrontend.identifyCallers(operatorFile.door());
         }
         log.info(
-                "operator's file taken"
+                "operator's file reloaded"
                         + (fairQueues == null
                                 ? ""
                                 : ", "
                                         + operatorFile.door().tenants().size()
-                                        + " tenants listed, waiting "
+                                        + " tenants listed, txns waiting "
                                         + fairQueues.waiting()));
     }
 
@@ -499,15 +508,15 @@
         try {
             next = Configuration.read(env);
         } catch (Configuration.InvalidConfigurationException e) {
-            log.info("configuration not taken, the old one stays: " + e.getMessage());
+            log.info("configuration not reloaded, the old one stays in force: " + e.getMessage());
             return;
         }
         log.info(
-                "configuration taken: discovery at "
+                "configuration reloaded: discovery at "
                         + next.discovery()
                         + (next.equalsExceptDiscovery(configuration)
                                 ? ""
-                                : "; what else is new in it counts from the next start"));
+                                : "; its other changes take effect at the next start"));
         configuration = next;
         discoveryClient.setAddress(next.discovery());
     }
@@ -516,13 +525,13 @@
         String summary = counters.takeSummary();
         if (summary != null) {
             log.info(
-                    "counted "
+                    "counters: "
                             + summary
-                            + "; clients "
-                            + clientFrontend.connections()
-                            + ", members "
+                            + "; client connections "
+                            + clientFrontend.connectionCount()
+                            + ", member connections "
                             + memberPools.connectionCount()
-                            + ", open "
+                            + ", open txns "
                             + dispatcher.openTxnCount());
         }
         String queueReport = fairQueues == null ? null : fairQueues.report();
@@ -532,13 +541,13 @@
         loop.after(COUNTERS_LOG_INTERVAL, this::logCounters);
     }
 
-    /** The word to stop has come. The process ends when this returns. */
+    /** Shuts down gracefully; runs as the shutdown hook, so the process exits when it returns. */
     private void stop() {
         if (stopped.getCount() > 0) {
             loop.run(
                     () -> {
                         stopRequestedAt = clock.now();
-                        log.info("told to stop, open " + dispatcher.openTxnCount());
+                        log.info("told to stop, open txns " + dispatcher.openTxnCount());
                         if (!serving) {
                             stopped.countDown();
                             return;
@@ -550,8 +559,8 @@
                                         .plus(serveTime)
                                         .plus(ACCEPT_AFTER_STOP)
                                         .minus(KILL_MARGIN);
-                        dispatcher.answerDeadline(exitDeadline.minus(MIN_CLIENT_CLOSE_TIME));
-                        clientFrontend.keepIdleOpen();
+                        dispatcher.setAnswerDeadline(exitDeadline.minus(MIN_CLIENT_CLOSE_TIME));
+                        clientFrontend.keepIdleConnections();
                         if (fleetAgent != null) {
                             fleetAgent.leave(
                                     () ->
@@ -579,6 +588,7 @@
         }
     }
 
+    /** Checks repeatedly whether the shutdown has got to its next step. */
     private void exitWhenDone() {
         Duration now = clock.now();
         boolean acceptOver = now.minus(stopRequestedAt).compareTo(ACCEPT_AFTER_STOP) >= 0;
@@ -596,7 +606,7 @@
         }
         if (clientsFinished
                 && dispatcher.openTxnCount() == 0
-                && (clientFrontend.connections() == 0 || now.compareTo(exitDeadline) > 0)) {
+                && (clientFrontend.connectionCount() == 0 || now.compareTo(exitDeadline) > 0)) {
             log.info("stops after " + clock.now().minus(stopRequestedAt).toMillis() + " ms");
             if (fleetAgent != null) {
                 fleetAgent.close();
--- a/src/main/java/wingroad/driver/MemberConnection.java
+++ b/src/main/java/wingroad/driver/MemberConnection.java
@@ -11,17 +11,27 @@
 import wingroad.transport.Connection;
 import wingroad.transport.EventLoop;
 
-/** One connection to a member. It carries one request at a time; whatever is in doubt closes it. */
+/**
+ * One connection to a member. It carries one request at a time, and is closed whenever the state of
+ * its stream is in doubt.
+ */
 final class MemberConnection implements Connection.Owner {
     private enum State {
         CONNECTING,
+        /** The startup message is sent and not answered yet. */
         STARTING_UP,
+        /**
+         * Idle for less than {@link MemberPools}' reuse delay; it may have a request that waits.
+         */
         REUSE_DELAYED,
         IDLE,
         AWAITING_RESPONSE,
         CLOSED
     }
 
+    /** What the input may buffer beyond its longest message. */
+    private static final int BUFFER_MARGIN_BYTES = 1024;
+
     private final MemberPools pools;
     private final MemberPools.MemberPool pool;
     private final InetSocketAddress address;
@@ -31,13 +41,13 @@
     private State state = State.CONNECTING;
     private MemberRequest request;
 
-    /** Since when it carries its request, or stands idle. */
+    /** Since when it has had its request, or since when it has been idle. */
     private Duration requestOrIdleSince;
 
-    /** Whether the request's last byte is known to be written. */
+    /** Whether all bytes of the request are known to be written. */
     private boolean written;
 
-    /** Its request is not wanted any more; that is told in a moment. */
+    /** The request is cancelled; its end will be reported in a later task. */
     private boolean cancelled;
 
     private EventLoop.Timer connectTimer;
@@ -55,7 +65,7 @@
         this.loop = loop;
     }
 
-    /** Opens one for a request, which waits until the member has let it in. */
+    /** Opens a connection for a request, which is sent once the member has accepted the startup. */
     static MemberConnection open(
             MemberPools pools,
             MemberPools.MemberPool pool,
@@ -65,11 +75,12 @@
             MemberRequest firstRequest)
             throws IOException {
         MemberConnection opened = new MemberConnection(pools, pool, address, loop);
-        opened.connection = Connection.open(loop, address, opened, MemberInput.MOST + 1024);
+        opened.connection =
+                Connection.open(loop, address, opened, MemberInput.MOST + BUFFER_MARGIN_BYTES);
         opened.connectTimer =
                 loop.after(
                         connectTimeout,
-                        () -> opened.abandonRequest("not up in time", End.UNREACHABLE));
+                        () -> opened.abandonRequest("connect timed out", End.UNREACHABLE));
         opened.assign(firstRequest);
         return opened;
     }
@@ -89,10 +100,10 @@
         requestTimer =
                 loop.after(
                         newRequest.deadline().minus(requestOrIdleSince),
-                        () -> abandonRequest("no answer in time", progress().endIfTimedOut()));
+                        () -> abandonRequest("response timed out", progress().endIfTimedOut()));
     }
 
-    /** Carries a request over a connection that stands idle, or once it has rested. */
+    /** Sends a request on an idle connection, at once or after the reuse delay. */
     void dispatch(MemberRequest newRequest) {
         idleTimer.cancel();
         assign(newRequest);
@@ -106,8 +117,8 @@
     }
 
     /**
-     * Nothing came behind its last answer: what comes from now on belongs to what is sent from now
-     * on.
+     * Makes the connection reusable. No surplus data followed the last response, so whatever
+     * arrives from now on belongs to the next request.
      */
     void reuseDelayElapsed() {
         if (state == State.REUSE_DELAYED) {
@@ -145,8 +156,8 @@
             if (state == State.IDLE || state == State.REUSE_DELAYED) {
                 if (in.hasRemaining()) {
                     failProtocol(
-                            "speaks unasked "
-                                    + (state == State.IDLE ? "at rest" : "behind an answer"));
+                            "unexpected data "
+                                    + (state == State.IDLE ? "while idle" : "after a response"));
                 }
                 return;
             }
@@ -172,7 +183,7 @@
             return;
         }
         if (state == State.STARTING_UP) {
-            failProtocol("lets nobody in");
+            failProtocol("startup rejected");
             return;
         }
         MemberRequest answeredRequest = request;
@@ -181,9 +192,8 @@
         request = null;
         MemberResponse response = parseResponse(answeredRequest);
         input.clear();
-        // Whoever answers has read its query, even where the word that it was written is still on
-        // its way here:
-        // on one core the answer may well come first.
+        // A member that responds has read the query, even if the write's completion is not handled
+        // yet: on one core the response may well be handled first.
         if (fatal) {
             closeConnection();
         } else {
@@ -192,7 +202,7 @@
         pools.requestAnswered(answeredRequest, response, elapsed);
     }
 
-    /** A connection may have taken its time to open, or to rest. */
+    /** Sends the request, unless it became obsolete while it waited for this connection. */
     private void sendIfStillWanted() {
         if (!cancelled && pool.isCurrentAddress(address) && pools.mayDispatch(request)) {
             sendRequest();
@@ -201,11 +211,11 @@
             requestTimer.cancel();
             request = null;
             becomeIdle();
-            pools.requestFailed(unwanted, End.MOOT, Duration.ZERO, "no longer to be sent");
+            pools.requestFailed(unwanted, End.MOOT, Duration.ZERO, "obsolete before it was sent");
         }
     }
 
-    /** What was answered; whatever it says, the request has its end. */
+    /** Parses the response. The request ends even if that fails. */
     private MemberResponse parseResponse(MemberRequest answeredRequest) {
         try {
             return new MemberResponse(input, pools.clock(), answeredRequest.isProbe());
@@ -215,7 +225,7 @@
         }
     }
 
-    /** It may be used again, unless its member has moved or gone while it was at work. */
+    /** Returns the connection to its pool, or closes it if the member has moved or is gone. */
     private void becomeIdle() {
         state = State.REUSE_DELAYED;
         if (!pool.isCurrentAddress(address)) {
@@ -224,7 +234,7 @@
         }
         requestOrIdleSince = pools.now();
         idleTimer = loop.after(pools.idleTimeout(), this::close);
-        pool.idleConnections(this);
+        pool.addIdle(this);
         pools.delayReuse(this);
     }
 
@@ -239,7 +249,7 @@
 
     @Override
     public void full() {
-        failProtocol("no memory for its answer");
+        failProtocol("no memory for the response");
     }
 
     @Override
@@ -251,9 +261,10 @@
         connectionLost(progress, reason);
     }
 
-    /** The stream makes no sense any more: what was asked on it ends as what is proven. */
+    /** Closes the connection because its stream can't be interpreted any more. */
     private void failProtocol(String reason) {
-        // Whoever answers has read: a write that seems to be out may be through.
+        // A member that sends data has read the request, so the statement may have run even if the
+        // write seems to be incomplete.
         connectionLost(
                 progress() == AttemptProgress.NOT_CONNECTED
                         ? AttemptProgress.NOT_CONNECTED
@@ -269,16 +280,17 @@
             return;
         }
         if (stateBefore == State.REUSE_DELAYED && lostRequest != null) {
-            // Nothing of it was sent, and the member is there: no fault of the txn's path.
+            // Nothing of the request was sent, and the member was reachable: this is no failure of
+            // the submission.
             pools.requestFailed(lostRequest, End.MOOT, Duration.ZERO, reason);
         } else if (stateBefore == State.AWAITING_RESPONSE && input.why() != null) {
-            // It speaks, but nonsense: that is an error of its, which may have run, and no broken
-            // connection.
+            // The member violated the protocol: an error of the member, whose statement may have
+            // run, and not a lost connection.
             pools.requestFailed(
                     lostRequest, End.ERROR, pools.now().minus(requestOrIdleSince), reason);
         } else if (stateBefore == State.AWAITING_RESPONSE
                 && (input.served() || input.error() != null)) {
-            // The answer itself was whole; only the word that the member is ready is missing.
+            // The response is complete; only ReadyForQuery is missing.
             pools.requestAnswered(
                     lostRequest, parseResponse(lostRequest), pools.now().minus(requestOrIdleSince));
         } else if (lostRequest != null) {
@@ -310,26 +322,26 @@
         }
     }
 
-    /** It never came up, where its member is no longer: no fault of the member's. */
+    /** Whether the connect failed at an outdated address, which is no failure of the member. */
     private boolean memberMoved(State stateBefore) {
         return (stateBefore == State.CONNECTING || stateBefore == State.STARTING_UP)
                 && !pool.isCurrentAddress(address);
     }
 
     /**
-     * Guards against sending what is given up, should the connection come up before the end is
-     * told.
+     * Marks the request as cancelled. Guards against sending it if the connection is established
+     * before {@link #cancel} is called.
      */
     void markCancelled() {
         cancelled = true;
     }
 
-    /** Stops waiting for its request. */
+    /** Stops waiting for the response to the request. */
     void cancel() {
-        abandonRequest("called off", progress().endIfCancelled());
+        abandonRequest("cancelled", progress().endIfCancelled());
     }
 
-    /** Closes one that stands idle. */
+    /** Closes the connection; the member is told first if it is idle. */
     void close() {
         if (state == State.IDLE || state == State.REUSE_DELAYED) {
             connection.send(MemberOutput.terminate());
--- a/src/main/java/wingroad/driver/MemberListRelay.java
+++ b/src/main/java/wingroad/driver/MemberListRelay.java
@@ -168,7 +168,7 @@
                 clock.now())) {
             case TAKE -> {
                 version = revision;
-                discovery.heldVersion(revision);
+                discovery.advanceTo(revision);
                 onList.accept(new MemberList(revision, whole, entries));
             }
             case ASK -> discovery.fetch();
--- a/src/main/java/wingroad/driver/MemberPools.java
+++ b/src/main/java/wingroad/driver/MemberPools.java
@@ -21,19 +21,28 @@
 import wingroad.state.Submission.End;
 import wingroad.transport.EventLoop;
 
-/** The member side: who the members are, where they are, and the connections to them. */
+/**
+ * The connection pools to all members, by the id under which discovery lists a member and by the
+ * number under which the router knows it.
+ */
 final class MemberPools implements TxnDispatcher.MemberTransport {
     /**
-     * A connection is used again only after this rest since its last answer. Guards against more
-     * than the answer: what comes behind it, in a packet of its own, would be taken for the answer
-     * to what is sent next. A second copy is on its way at once, so this is some times what a
-     * packet takes; waiting for it costs less than a new connection.
+     * How long a connection is left unused after a response. Guards against surplus data, such as a
+     * second copy of the response in a packet of its own, that would be taken for the response to
+     * the next request. A second copy follows at once, so the delay is a few times the transit time
+     * of a packet; it costs less than a new connection.
      */
     private static final Duration REUSE_DELAY = Duration.ofMillis(4);
 
-    /** Stands in a request for a submission's number where it is a probe for the plan of work. */
+    /** Stands in a request for the number of a submission if it probes a role for maintenance. */
     private static final int ROLE_PROBE_SUBMISSION = -2;
 
+    /** The last sixteenth of the descriptors is kept for clients that are accepted and declined. */
+    private static final int DECLINED_CLIENTS_RESERVE_DIVISOR = 16;
+
+    /** An eighth of the descriptors is reserved for members. */
+    private static final int MEMBER_RESERVE_DIVISOR = 8;
+
     private final EventLoop loop;
     private final Clock clock;
     private final Counters counters;
@@ -43,23 +52,27 @@
     private final Map<String, MemberPool> poolsByUid = new HashMap<>();
     private final Map<Long, MemberPool> poolsById = new LinkedHashMap<>();
 
-    /** Those that rest: since the last beat, and for longer. */
+    /** Connections in their reuse delay: those that entered it since the last tick. */
     private List<MemberConnection> delayedSinceTick = new ArrayList<>();
 
+    /** Connections in their reuse delay: those that entered it before the last tick. */
     private List<MemberConnection> delayedBeforeTick = new ArrayList<>();
+
     private boolean tickScheduled;
     private long lastMemberId;
 
-    /** One member: its address and its connections, those that stand idle with the newest last. */
+    /** The pool of one member: its address and its connections. */
     final class MemberPool {
         final long id;
         private final String uid;
         private InetSocketAddress address;
 
-        /** It is gone, or nobody thinks of it any more. */
+        /** The member is gone from the list, or the router has forgotten it. */
         private boolean removed;
 
         private final Set<MemberConnection> connections = new LinkedHashSet<>();
+
+        /** Includes connections in their reuse delay; the most recently used one is last. */
         private final ArrayDeque<MemberConnection> idleConnections = new ArrayDeque<>();
 
         private MemberPool(String uid, long id) {
@@ -67,11 +80,14 @@
             this.id = id;
         }
 
-        void idleConnections(MemberConnection connection) {
+        void addIdle(MemberConnection connection) {
             idleConnections.add(connection);
         }
 
-        /** Whether it is still there: a connection to anywhere else carries nothing new. */
+        /**
+         * Whether the member is still listed at this address. A connection to another address takes
+         * no new request.
+         */
         boolean isCurrentAddress(InetSocketAddress candidate) {
             return !removed && candidate.equals(address);
         }
@@ -81,7 +97,10 @@
             idleConnections.remove(connection);
         }
 
-        /** The newest that has rested, else the one that has rested longest, or null. */
+        /**
+         * The most recently used connection whose reuse delay is over, else the one that has waited
+         * longest, or null.
+         */
         private MemberConnection takeIdle() {
             for (Iterator<MemberConnection> newestFirst = idleConnections.descendingIterator();
                     newestFirst.hasNext(); ) {
@@ -112,10 +131,9 @@
         this.counters = counters;
         this.listener = listener;
         this.connectTimeout = (Duration) terms.get("connect-time-out");
-        // Closed from here a connecting time before the member may: no request crosses its closing.
-        // Where that is most of
-        // the time that there is, half of it: connections that are never used again cost the
-        // members more.
+        // Idle connections are closed one connect timeout before the member may close them, so that
+        // no request crosses the close. If little time would remain, half of the member's timeout
+        // is used: connections that are never reused cost the members more.
         Duration memberIdleTimeout = (Duration) terms.get("idle-time");
         this.idleTimeout =
                 max(memberIdleTimeout.minus(connectTimeout), memberIdleTimeout.dividedBy(2));
@@ -133,7 +151,7 @@
         return idleTimeout;
     }
 
-    /** A list names this member: the number by which the module knows it. */
+    /** Takes over a list entry; returns the number by which the router knows the member. */
     long updateMember(MemberList.Entry entry) {
         MemberPool pool = poolsByUid.get(entry.uid());
         if (pool == null) {
@@ -154,7 +172,10 @@
         return pool.id;
     }
 
-    /** Lets go of those that the module no longer thinks of: members come under new ids all day. */
+    /**
+     * Removes the pools of members that the router has forgotten. Guards against growth without
+     * bound, since members keep coming under new ids.
+     */
     void removeUnknown(LongPredicate isKnown) {
         poolsById
                 .values()
@@ -178,8 +199,7 @@
             connection.dispatch(request);
             return;
         }
-        // The last sixteenth is for clients that are only let in to be declined.
-        while (loop.channelsLeft() <= loop.mostChannels() / 16) {
+        while (loop.channelsLeft() <= loop.mostChannels() / DECLINED_CLIENTS_RESERVE_DIVISOR) {
             if (!closeOldestIdle() && !listener.closeIdleClient()) {
                 loop.run(
                         () ->
@@ -201,17 +221,17 @@
                                     request,
                                     End.UNREACHABLE,
                                     Duration.ZERO,
-                                    "cannot open: " + cause.getMessage()));
+                                    "cannot open connection: " + cause.getMessage()));
         }
     }
 
-    /** The id by which discovery lists it, or null where it is known no more. */
+    /** The id by which discovery lists the member, or null if it has been removed. */
     String uid(long member) {
         MemberPool pool = poolsById.get(member);
         return pool == null ? null : pool.uid;
     }
 
-    /** Whether a txn is at one of these members, or on its way there. */
+    /** Whether a txn is at one of these members, or waits for a connection to one. */
     boolean hasTxnAt(Predicate<String> isConcerned) {
         return poolsById.values().stream()
                 .filter(pool -> isConcerned.test(pool.uid))
@@ -227,8 +247,8 @@
     }
 
     /**
-     * Asks a member what it is, beside what the module asks; the answer goes to {@link
-     * Results#roleProbed}.
+     * Asks a member for its role, independently of the router's probes. The outcome goes to {@link
+     * MemberTransportListener#roleProbeEnded}.
      */
     void probeRole(String uid) {
         MemberPool pool = poolsByUid.get(uid);
@@ -253,7 +273,8 @@
 
     @Override
     public boolean closeSpareConnection() {
-        return connectionCount() > loop.mostChannels() / 8 && closeOldestIdle();
+        return connectionCount() > loop.mostChannels() / MEMBER_RESERVE_DIVISOR
+                && closeOldestIdle();
     }
 
     private boolean closeOldestIdle() {
@@ -266,7 +287,7 @@
             }
         }
         if (oldest != null) {
-            counters.count("idle member closed for room");
+            counters.count("idle member connection closed to free a descriptor");
             oldest.close();
         }
         return oldest != null;
@@ -280,8 +301,8 @@
                 if (request != null
                         && txn.equals(request.txn())
                         && request.submission() == submission) {
-                    // Its end is an input to the module, which is in the middle of its decisions:
-                    // told a task later.
+                    // The end is an input to the router, which is being asked for decisions: it is
+                    // reported in a later task.
                     connection.markCancelled();
                     loop.run(
                             () -> {
@@ -296,8 +317,8 @@
     }
 
     /**
-     * It rests for one to two beats: counted, not read from a clock, since the whole process may
-     * stand still.
+     * Delays the connection's reuse by one to two ticks. Ticks are counted instead of reading a
+     * clock because the whole process may have been suspended, with unread data pending.
      */
     void delayReuse(MemberConnection connection) {
         delayedSinceTick.add(connection);
@@ -356,7 +377,6 @@
         }
     }
 
-    /** How many members are thought of. */
     int memberCount() {
         return poolsById.size();
     }
--- a/src/main/java/wingroad/driver/MemberResponse.java
+++ b/src/main/java/wingroad/driver/MemberResponse.java
@@ -10,20 +10,22 @@
 import wingroad.state.Submission.End;
 import wingroad.terms.Terms;
 
-/** What a member answered, in the module's words. */
+/** A member's response to a request, in the router's terms. */
 final class MemberResponse {
     static final String SQLSTATE_TOO_MANY_CONNECTIONS = "53300";
+    private static final String SQLSTATE_READ_ONLY_TRANSACTION = "25006";
+    private static final String SQLSTATE_SNAPSHOT_TOO_OLD = "72000";
 
-    /** One that can't be made use of, and may have run. */
+    /** Stands for a response that could not be processed; its statement may have run. */
     static final MemberResponse UNREADABLE = new MemberResponse(End.ERROR);
 
     final End end;
     final MemberStatus status;
 
-    /** The row's messages, where there is one. */
+    /** The messages that carry the row, or null if there is none. */
     final byte[] row;
 
-    /** The member's report, where the row itself is one. */
+    /** The gauges that a probe returned as its row, or null. */
     final MemberReport probeReport;
 
     private MemberResponse(End end) {
@@ -55,7 +57,7 @@
         }
         String code = input.error() == null ? "" : input.error();
         return switch (code) {
-            case "25006", "72000" -> End.MISSED;
+            case SQLSTATE_READ_ONLY_TRANSACTION, SQLSTATE_SNAPSHOT_TOO_OLD -> End.MISSED;
             case SQLSTATE_TOO_MANY_CONNECTIONS -> End.FULL;
             default -> End.ERROR;
         };
@@ -67,25 +69,26 @@
                 : "replica".equals(part) ? Role.REPLICA : Role.UNKNOWN;
     }
 
+    /** Parses gauges of the form {@code name=number,...}. */
     static MemberReport report(String gauges, Clock clock) {
         Role role = Role.UNKNOWN;
         Duration position = null;
-        double held = Double.NaN;
-        double waiting = Double.NaN;
-        double busy = Double.NaN;
+        double inFlight = Double.NaN;
+        double queueLength = Double.NaN;
+        double utilization = Double.NaN;
         for (Map.Entry<String, Double> gauge : Gauges.parse(gauges).entrySet()) {
             double value = gauge.getValue();
             switch (Terms.figure(gauge.getKey())) {
                 case "position" -> position = clock.pastFromUnixMs(value * 1000);
                 case "primary" -> role = value == 1 ? Role.PRIMARY : Role.REPLICA;
-                case "held" -> held = value;
-                case "waiting" -> waiting = value;
-                case "busy" -> busy = value;
+                case "held" -> inFlight = value;
+                case "waiting" -> queueLength = value;
+                case "busy" -> utilization = value;
                 default -> {
-                    // a figure that the module has no use for
+                    // a gauge that the router does not use
                 }
             }
         }
-        return new MemberReport(role, position, held, waiting, busy);
+        return new MemberReport(role, position, inFlight, queueLength, utilization);
     }
 }
--- a/src/main/java/wingroad/driver/MemberTransportListener.java
+++ b/src/main/java/wingroad/driver/MemberTransportListener.java
@@ -4,9 +4,14 @@
 import wingroad.driver.TxnDispatcher.MemberRequest;
 import wingroad.state.Submission.End;
 
-/** What the member side tells of the errands that it was given, and what it asks for. */
+/** Is told of the outcome of requests to members, and consulted by their transport. */
 interface MemberTransportListener {
-    /** A submission has ended; {@code row} is what the client gets where it is committed. */
+    /**
+     * A submission has ended.
+     *
+     * @param elapsed the time since the request was assigned to a connection
+     * @param row the messages for the client if the txn is committed, else null
+     */
     void submissionEnded(
             MemberRequest request,
             End end,
@@ -14,16 +19,21 @@
             TxnDispatcher.MemberStatus status,
             byte[] row);
 
-    /** A probe has ended; {@code report} is null where it found nothing. */
+    /**
+     * A probe has ended.
+     *
+     * @param answered the member responded with its gauges
+     * @param report null if there was none
+     */
     void probeEnded(
             long member, boolean answered, Duration elapsed, TxnDispatcher.MemberReport report);
 
-    /** Whether a request that waited for its connection is still to be sent. */
+    /** Whether a request that waited for a connection should still be sent. */
     boolean mayDispatch(MemberRequest request);
 
-    /** Asks for a connection to be closed elsewhere; false where there is none to close. */
+    /** Frees a descriptor by closing an idle client connection; returns false if there is none. */
     boolean closeIdleClient();
 
-    /** A member that was asked for the plan of work's sake has answered, or not. */
+    /** A probe of a member's role, made for maintenance work, has ended. */
     void roleProbeEnded(long member, boolean answered, TxnDispatcher.MemberReport report);
 }
--- a/src/main/java/wingroad/driver/TxnDispatcher.java
+++ b/src/main/java/wingroad/driver/TxnDispatcher.java
@@ -19,64 +19,90 @@
 import wingroad.transport.EventLoop;
 
 /**
- * Where the client side, the member side and discovery meet, with the module between them. It says
- * to the module what happens, pulls its decisions and hands them to whom they concern; it decides
- * nothing.
+ * Connects clients, members and discovery to the router. It reports every event to the router,
+ * executes the router's decisions, and makes none of its own. All calls are made on the event
+ * loop's thread.
  */
 final class TxnDispatcher implements MemberTransportListener {
-    /** Who asked for a txn; one of these is its final answer. */
+    /** Receives the final answer to a txn: exactly one of these methods is called, once. */
     interface TxnCallback {
+        /**
+         * @param row the member's messages that carry the result row
+         */
         void committed(byte[] row);
 
+        /**
+         * @param retryAfter how long the client should wait before it tries again, or null if that
+         *     is not known
+         */
         void declined(Duration retryAfter);
 
         void rolledBack();
     }
 
     /**
-     * The member side. It answers each request once, later, by {@link #ended} or {@link #probed}.
+     * Carries requests to members. Each request is answered once, never from within {@link
+     * #dispatch}, by a call to {@link MemberTransportListener}.
      */
     interface MemberTransport {
         void dispatch(MemberRequest request);
 
+        /** Stops waiting for the response to a submission; does nothing if it has ended. */
         void cancel(String txn, int submission);
 
-        /** Closes the connections to the member that stand idle. */
+        /** Closes all idle connections to the member. */
         void closeIdleConnections(long member);
 
-        /** Closes a connection that stands idle and is not needed; false where there is none. */
+        /**
+         * Closes the longest idle connection if members hold more than their reserved share of the
+         * descriptors; returns false if none was closed.
+         */
         boolean closeSpareConnection();
     }
 
-    /** Discovery. */
+    /** Supplies member lists. */
     interface MemberListSource {
+        /** Starts a watch for changes, unless one is open. */
         void watch();
 
+        /** Requests the whole list once, unless such a request is open. */
         void fetch();
     }
 
     /**
-     * Whoever wants to see what happens, and to look at the time before each turn; there is none
-     * unless work is planned.
+     * Is told of responses and txn ends, and called before each run of the router. There is an
+     * observer only if maintenance work is planned by the fleet.
      */
     interface Observer {
-        /** Before the module is asked. */
+        /** Called before the router is asked for decisions. */
         void beforeRouting();
 
-        /** A member has said of itself. */
+        /**
+         * A member has reported its role and position.
+         *
+         * @param position the log position as a time since the start, or null if not reported
+         */
         void onMemberStatus(long member, Member.Role role, Duration position);
 
-        /** A member gave no answer. */
+        /** A member did not respond to a request. */
         void onMemberFailure(long member);
 
-        /** A submission was at a member for so long. */
+        /** A submission to the member has ended, {@code elapsed} after it was dispatched. */
         void onSubmissionEnd(long member, Duration elapsed);
 
-        /** A txn has its final answer, so long after it came. */
+        /** A txn has received its final answer. */
         void onTxnEnd(int typeIndex, Duration sinceArrival, boolean committed);
     }
 
-    /** One submission, or a probe where the statement is null, for a member until a time. */
+    /**
+     * A submission to a member, or a probe of it.
+     *
+     * @param txn the dispatcher's name of the txn; null for a probe
+     * @param submission the number of the submission within its txn; negative for a probe
+     * @param member the number by which the router knows the member
+     * @param statement null for a probe
+     * @param deadline until when the response is waited for, as a time since the start
+     */
     record MemberRequest(
             String txn, int submission, long member, Statement statement, Duration deadline) {
         boolean isProbe() {
@@ -85,16 +111,31 @@
     }
 
     /**
-     * What a member said of itself with an answer; {@code passReportToRouter} is null without one.
+     * What a member reported of itself along with a response.
+     *
+     * @param position the log position as a time since the start, or null if not reported
+     * @param report the gauges, or null if there were none
      */
     record MemberStatus(Member.Role role, Duration position, MemberReport report) {
         static final MemberStatus UNKNOWN = new MemberStatus(Member.Role.UNKNOWN, null, null);
     }
 
-    /** A member's report; figures not in it are NaN. */
+    /**
+     * A member's gauges; numbers that were not reported are NaN.
+     *
+     * @param position the log position as a time since the start, or null if not reported
+     * @param inFlight how many requests the member is processing
+     * @param queueLength how many requests wait at the member
+     * @param utilization how busy the member is
+     */
     record MemberReport(
-            Member.Role role, Duration position, double held, double waiting, double busy) {}
+            Member.Role role,
+            Duration position,
+            double inFlight,
+            double queueLength,
+            double utilization) {}
 
+    /** A txn that has no final answer yet. */
     private static final class OpenTxn {
         final Statement statement;
         final int typeIndex;
@@ -103,10 +144,10 @@
         final Duration expiresAt;
         final Duration arrivedAt;
 
-        /** It was handed to the member side at some time: it may be at a member. */
+        /** At least one submission was handed to the transport, so a member may have seen it. */
         boolean dispatched;
 
-        /** Its way through the door, or null where there is none. */
+        /** The txn's entry in the fair queues, or null if it did not pass through them. */
         QueuedTxn queuedTxn;
 
         OpenTxn(
@@ -125,6 +166,12 @@
         }
     }
 
+    /** Stands in a request for the number of a submission if it is a probe for the router. */
+    private static final int PROBE_SUBMISSION = -1;
+
+    /** Stands for the session of a txn that belongs to none. */
+    static final long NO_SESSION = -1;
+
     private final EventLoop loop;
     private final Clock clock;
     private final Router router;
@@ -132,22 +179,28 @@
     private final Consumer<Throwable> onUnexpectedError;
     private final Map<String, OpenTxn> openTxns = new HashMap<>();
 
-    /** Who goes next to the module, or null: each at once. */
+    /** Decides which client's txn is admitted next, or null: each is admitted at once. */
     private FairQueues fairQueues;
 
-    /** Who sees what happens, or null. */
+    /** Null if nothing observes. */
     private Observer observer;
 
     private MemberTransport memberTransport;
     private MemberListSource memberListSource;
 
-    /** Closes an idle client's connection, where there is one. */
+    /** Closes an idle client connection; returns false if there is none. */
     private BooleanSupplier idleClientCloser;
 
     private long nextTxnNumber;
+
+    /** The time by which every txn must have its answer because the program exits, or null. */
     private Duration answerDeadline;
+
     private boolean routingScheduled;
+
+    /** When {@link #wakeUpTimer} fires, or null if none is set. */
     private Duration wakeUpAt;
+
     private EventLoop.Timer wakeUpTimer;
 
     TxnDispatcher(
@@ -164,10 +217,10 @@
     }
 
     /**
-     * The program ends: whatever is open, and whatever is taken from now on, has its answer by
-     * then.
+     * Sets the time by which all txns, open and future ones, receive their answer because the
+     * program exits.
      */
-    void answerDeadline(Duration deadline) {
+    void setAnswerDeadline(Duration deadline) {
         answerDeadline = deadline;
         router().endBy(clock.now(), deadline);
         if (fairQueues != null) {
@@ -176,7 +229,7 @@
         }
     }
 
-    /** From now on clients' txns pass by this door; not while any are open. */
+    /** Passes clients' txns through these queues from now on. Must not be called with open txns. */
     void useFairQueues(FairQueues queues) {
         fairQueues = queues;
         if (answerDeadline != null) {
@@ -184,7 +237,7 @@
         }
     }
 
-    void watch(Observer newObserver) {
+    void setObserver(Observer newObserver) {
         observer = newObserver;
     }
 
@@ -197,6 +250,7 @@
         this.memberListSource = memberListSource;
     }
 
+    /** The router for an input call; its decisions are executed soon afterwards. */
     Router router() {
         scheduleRouting();
         return router;
@@ -210,19 +264,29 @@
         return openTxns.size();
     }
 
-    // ---- from the clients ----
+    // ---- events from clients ----
 
-    /** A txn was accepted; the name by which it is known here, or null where it can't be taken. */
+    /**
+     * Accepts a txn, as {@link #txnArrived(Statement, int, long, TxnCallback, Caller, String)} does
+     * for a client without a caller.
+     */
     String txnArrived(Statement statement, int typeIndex, long sessionId, TxnCallback callback) {
         return txnArrived(statement, typeIndex, sessionId, callback, null, null);
     }
 
-    /** A txn of the driver's own: by no door, since it is no client's. */
+    /** Accepts a txn of the driver itself, which bypasses the fair queues. */
     String ownTxnArrived(Statement statement, int typeIndex, TxnCallback callback) {
-        return txnArrived(statement, typeIndex, -1, callback, null, null, false);
+        return txnArrived(statement, typeIndex, NO_SESSION, callback, null, null, false);
     }
 
-    /** The same, with who asks and under which name, for the door. */
+    /**
+     * Accepts a client's txn.
+     *
+     * @param sessionId {@link #NO_SESSION} if it belongs to none
+     * @param caller who asks, for the fair queues; may be null
+     * @param tenantName the tenant that the txn counts for, or null if its address does
+     * @return the txn's name within the driver, or null if it can't be processed
+     */
     String txnArrived(
             Statement statement,
             int typeIndex,
@@ -267,8 +331,8 @@
                                 statement.retry());
                 scheduleRouting();
             }
-        } catch (RuntimeException bug) {
-            onUnexpectedError.accept(bug);
+        } catch (RuntimeException error) {
+            onUnexpectedError.accept(error);
             openTxns.remove(txn);
             return null;
         }
@@ -291,14 +355,14 @@
                         waited);
     }
 
-    /** A client needs a connection's place; false where no member's can be spared. */
+    /** Frees a descriptor for a client; returns false if members can spare none. */
     boolean closeSpareMemberConnection() {
         return memberTransport.closeSpareConnection();
     }
 
     /**
-     * The client has left; nobody is told of this txn any more. True where nothing of it can have
-     * reached a member.
+     * Drops a txn whose client has disconnected; its callback is not called any more. Returns true
+     * if nothing of it can have reached a member.
      */
     boolean abandon(String txn) {
         OpenTxn openTxn = closeTxn(txn);
@@ -308,7 +372,7 @@
         return openTxn != null && !openTxn.dispatched;
     }
 
-    // ---- from the members ----
+    // ---- events from members ----
 
     @Override
     public void submissionEnded(
@@ -320,7 +384,7 @@
         Duration now = clock.now();
         passReportToRouter(now, request.member(), status.report());
         if (observer != null) {
-            watch(request.member(), end, elapsed, status);
+            notifySubmissionEnd(request.member(), end, elapsed, status);
         }
         OpenTxn openTxn = openTxns.get(request.txn());
         if (openTxn != null && openTxn.queuedTxn != null) {
@@ -342,10 +406,9 @@
                             committed != null,
                             status.role(),
                             status.position());
-        } catch (RuntimeException bug) {
-            // Whatever went wrong, the client gets its answer: nobody else would think of this txn
-            // again.
-            onUnexpectedError.accept(bug);
+        } catch (RuntimeException error) {
+            // The client still gets its answer: the router may have lost track of this txn.
+            onUnexpectedError.accept(error);
             OpenTxn unanswered = closeTxn(request.txn());
             if (unanswered != null) {
                 unanswered.callback.rolledBack();
@@ -369,7 +432,8 @@
         }
     }
 
-    private void watch(long member, Submission.End end, Duration elapsed, MemberStatus status) {
+    private void notifySubmissionEnd(
+            long member, Submission.End end, Duration elapsed, MemberStatus status) {
         observer.onSubmissionEnd(member, elapsed);
         if (end == Submission.End.COMMITTED || status.role() != Member.Role.UNKNOWN) {
             observer.onMemberStatus(member, status.role(), status.position());
@@ -378,7 +442,6 @@
         }
     }
 
-    /** A client's txn has its final answer. */
     private void notifyTxnEnd(OpenTxn openTxn, Duration now, boolean committed) {
         if (observer != null) {
             observer.onTxnEnd(openTxn.typeIndex, now.minus(openTxn.arrivedAt), committed);
@@ -388,8 +451,8 @@
     @Override
     public boolean mayDispatch(MemberRequest request) {
         if (observer != null) {
-            // Guards against a process that was stopped while the connection opened: its list may
-            // count for nothing by now.
+            // Guards against a process that was suspended while the connection opened: its view of
+            // the plan, and so its member list, may have expired.
             observer.beforeRouting();
         }
         return request.isProbe()
@@ -413,22 +476,22 @@
                                 member,
                                 report.role(),
                                 report.position(),
-                                report.held(),
-                                report.waiting(),
-                                report.busy());
+                                report.inFlight(),
+                                report.queueLength(),
+                                report.utilization());
             }
-        } catch (RuntimeException bug) {
-            // What a member says of itself never costs the answer that it came with.
-            onUnexpectedError.accept(bug);
+        } catch (RuntimeException error) {
+            // A faulty report must not lose the response that carried it.
+            onUnexpectedError.accept(error);
         }
     }
 
     // ---- decisions ----
 
     /**
-     * Something came in: the module is asked once all that has come in by now is told. A turn later
-     * than that: a read that follows at once, and finds that the client has left behind its txn,
-     * has its turn before.
+     * Schedules one run of the router for all events that are pending. It is delayed by two loop
+     * turns so that a read that is already due, which may show that a txn's client has
+     * disconnected, is handled before it.
      */
     private void scheduleRouting() {
         if (!routingScheduled) {
@@ -449,9 +512,9 @@
                     decision = nextDecision(now)) {
                 execute(decision, now);
             }
-        } catch (RuntimeException bug) {
-            // One decision is lost; those behind it are pulled once the thread has come round.
-            onUnexpectedError.accept(bug);
+        } catch (RuntimeException error) {
+            // This decision is lost; the remaining ones are executed in the next run.
+            onUnexpectedError.accept(error);
             scheduleRouting();
         }
         Duration nextWakeUp = router.wakeAt();
@@ -478,7 +541,7 @@
         }
     }
 
-    /** What the door lets in meanwhile is told to the module before it is asked again. */
+    /** Asks the router; if it has no decision, admits queued txns to it and asks again. */
     private Decision nextDecision(Duration now) {
         Decision decision = router.next(now);
         if (decision != null || fairQueues == null) {
@@ -504,15 +567,15 @@
             try {
                 passToRouter(
                         now, admission.queued().txn(), openTxn, admission.queued().waited(now));
-            } catch (RuntimeException bug) {
-                onUnexpectedError.accept(bug);
+            } catch (RuntimeException error) {
+                onUnexpectedError.accept(error);
                 closeTxn(admission.queued().txn());
                 openTxn.callback.rolledBack();
             }
         }
     }
 
-    /** The txn has its final answer; null where it had it before. */
+    /** Removes a txn that gets its final answer; returns null if it had been answered before. */
     private OpenTxn closeTxn(String txn) {
         OpenTxn openTxn = openTxns.remove(txn);
         if (openTxn != null && openTxn.queuedTxn != null) {
@@ -585,11 +648,15 @@
             case PROBE ->
                     memberTransport.dispatch(
                             new MemberRequest(
-                                    null, -1, decision.member(), null, now.plus(probeTimeout)));
+                                    null,
+                                    PROBE_SUBMISSION,
+                                    decision.member(),
+                                    null,
+                                    now.plus(probeTimeout)));
             case RELEASE -> memberTransport.closeIdleConnections(decision.member());
             case FOLLOW_LIST -> memberListSource.watch();
             case FETCH_LIST -> memberListSource.fetch();
-            default -> throw new IllegalStateException("no way to " + decision.kind());
+            default -> throw new IllegalStateException("unknown decision " + decision.kind());
         }
     }
 }
--- a/src/test/java/wingroad/driver/ClientFrontendTest.java
+++ b/src/test/java/wingroad/driver/ClientFrontendTest.java
@@ -185,7 +185,7 @@
             }
             until(() -> exchange.openTxnCount() == 0);
             primaryFound();
-            until(() -> clients.connections() == 0);
+            until(() -> clients.connectionCount() == 0);
             assertThat(dispatched).isEmpty();
             loop.run(
                     () ->
@@ -246,7 +246,7 @@
             c.close();
             until(clients::isIdle);
         }
-        until(() -> clients.connections() == 0);
+        until(() -> clients.connectionCount() == 0);
     }
 
     /**
@@ -271,7 +271,7 @@
         assertThat(c.until("Z\0\0\0\5I")).startsWith("I");
         assertThat(c.rest()).isEmpty();
         c.close();
-        until(() -> clients.connections() == 0);
+        until(() -> clients.connectionCount() == 0);
     }
 
     /**
@@ -297,10 +297,10 @@
         }
         // Both stay until their clients end their side: a close over unread bytes would break the
         // connection.
-        until(() -> clients.connections() == 2 && clients.isIdle());
+        until(() -> clients.connectionCount() == 2 && clients.isIdle());
         c.close();
         fresh.close();
-        until(() -> clients.connections() == 0);
+        until(() -> clients.connectionCount() == 0);
         assertThat(dispatched).isEmpty();
         assertThat(exchange.openTxnCount()).isZero();
     }
@@ -329,7 +329,7 @@
         until(() -> exchange.openTxnCount() == 0 && !clients.isIdle());
         assertThat(c.rest().length).isGreaterThanOrEqualTo(row.length);
         c.close();
-        until(() -> clients.connections() == 0);
+        until(() -> clients.connectionCount() == 0);
     }
 
     /**
@@ -347,7 +347,7 @@
             assertThat(new String(c.rest(), StandardCharsets.ISO_8859_1))
                     .contains("too much that is no query");
             c.close();
-            until(() -> clients.connections() == 0);
+            until(() -> clients.connectionCount() == 0);
         }
         primaryFound();
         Peer c = client();
@@ -425,7 +425,7 @@
                 c.close();
             }
             goes.countDown();
-            until(() -> clients.connections() == 0);
+            until(() -> clients.connectionCount() == 0);
             assertThat(dispatched).isEmpty();
         }
     }
--- a/src/test/java/wingroad/driver/DriverIT.java
+++ b/src/test/java/wingroad/driver/DriverIT.java
@@ -286,11 +286,11 @@
                 }) {
             Files.writeString(dir.resolve("config.json"), bad);
             hangUp();
-            awaitLine("configuration not taken");
+            awaitLine("configuration not reloaded");
         }
         Files.delete(dir.resolve("config.json"));
         hangUp();
-        awaitLine("configuration not taken");
+        awaitLine("configuration not reloaded");
         try (StandInMember later =
                 new StandInMember(false, (sql, s) -> s.row("from a later one", false))) {
             discovery.tell(
@@ -728,7 +728,7 @@
         send("TERM");
         awaitLine("told to stop");
         hangUp();
-        awaitLine("configuration taken");
+        awaitLine("configuration reloaded");
         send("TERM");
         try (Client late = client()) {
             assertThat(late.ask(read("late")).heard()).containsExactly("row from replica");
@@ -991,12 +991,12 @@
         primary.await();
         Files.writeString(dir.resolve("operator.kdl"), "door {");
         hangUp();
-        assertThat(awaitLine("operator's file not taken"))
+        assertThat(awaitLine("operator's file not reloaded"))
                 .contains("1:7: found the end of the text");
         Files.writeString(
                 dir.resolve("operator.kdl"), SMALL_DOOR + " tenant svc weight=3\n tenant b\n}");
         hangUp();
-        awaitLine("operator's file taken, 2 tenants listed");
+        awaitLine("operator's file reloaded, 2 tenants listed");
         let.release(100);
         assertThat(c.heard()).containsExactly("row late");
     }
