--- a/src/main/java/wingroad/driver/ChoreExecutor.java
+++ b/src/main/java/wingroad/driver/ChoreExecutor.java
@@ -13,21 +13,25 @@
 import wingroad.transport.EventLoop;
 
 /**
- * Where chores become txns: of a type of their own, once-only and worth less than any client's,
- * with the lease's end for an expiry. So a statement is neither sent nor waited for once another
- * driver may own the duty.
+ * Runs the statements of chores as txns. They have a txn type of their own, which is once-only and
+ * has less value than any client's type, and expire at the end of the lease. So a statement is
+ * neither sent nor waited for once another driver may own the duty.
  */
 final class ChoreExecutor implements Runner {
-    /** What a chore is worth beside the least of the clients' types. */
+    /** The value of a chore relative to the least value among the clients' types. */
     private static final double VALUE_FACTOR = 0.01;
 
-    /** A statement that can't end before its lease has so little left is not begun. */
+    /** A statement is not started with less time than this left of its lease. */
     private static final Duration MIN_TIME_LEFT = Duration.ofMillis(20);
 
     private final EventLoop loop;
     private final TxnDispatcher dispatcher;
     private final int choreTypeIndex;
+
+    /** The longest expiry of the clients' types, which limits a chore as well. */
     private final Duration longestExpiry;
+
+    /** Runs a task on the fleet's thread. */
     private volatile Consumer<Runnable> fleetThread;
 
     ChoreExecutor(EventLoop loop, TxnDispatcher dispatcher, Map<String, Object> terms) {
@@ -38,7 +42,7 @@
         longestExpiry = longestExpiry(types);
     }
 
-    /** How to get back onto the fleet's thread. */
+    /** Sets the executor of the fleet's thread, on which outcomes are reported. */
     void setFleetThread(Consumer<Runnable> executor) {
         fleetThread = executor;
     }
@@ -51,7 +55,7 @@
         return longest;
     }
 
-    /** The fleet's rules with what the deployment's terms say of work on machines. */
+    /** The fleet's rules, completed by what the deployment's terms say about maintenance work. */
     static FleetRules withDeploymentTerms(FleetRules rules, Map<String, Object> terms) {
         return rules.with(
                 rules.work()
@@ -61,7 +65,9 @@
                                 (Duration) terms.get("drain-grace")));
     }
 
-    /** The terms with one more txn type behind the clients' own, whose numbers stay. */
+    /**
+     * The terms with the chores' txn type added after the clients' types, which keep their indexes.
+     */
     static Map<String, Object> withChoreType(Map<String, Object> terms) {
         TxnType[] types = TxnType.all(terms);
         Map<String, Object> extended = new HashMap<>(terms);
@@ -89,8 +95,8 @@
     }
 
     private void submit(Chore chore, long epoch, long turn, Duration leaseEnd, Ended callback) {
-        // The clock is read here, behind all waiting; what comes after this is the fence's to
-        // catch.
+        // The clock is read here, after all queueing. A delay after this point is caught by the
+        // fencing epoch.
         Duration timeLeft = leaseEnd.minus(Duration.ofNanos(System.nanoTime()));
         timeLeft = timeLeft.compareTo(longestExpiry) < 0 ? timeLeft : longestExpiry;
         if (timeLeft.compareTo(MIN_TIME_LEFT) < 0) {
@@ -108,7 +114,7 @@
                             }
 
                             @Override
-                            public void declined(Duration comeBack) {
+                            public void declined(Duration retryAfter) {
                                 report(callback, "declined, never ran");
                             }
 
@@ -137,7 +143,7 @@
                         + chore.group()
                         + " */ "
                         + chore.statement().replace("{epoch}", Long.toString(epoch));
-        // Positions are of bytes: the head is plain ASCII, since names are.
+        // Positions count bytes: the head is ASCII, as chores' names are.
         return new Statement(
                 id,
                 "chore",
--- a/src/main/java/wingroad/driver/Clock.java
+++ b/src/main/java/wingroad/driver/Clock.java
@@ -5,12 +5,17 @@
 import java.time.Duration;
 import java.time.Instant;
 
-/** Spans since the start, by the monotonic clock. The wall's time is read once, at the start. */
+/**
+ * A monotonic clock whose times are durations since its creation. The wall clock is read once, at
+ * creation.
+ */
 final class Clock {
-    /** A hundred years: no time that is meant lies further away. */
+    /** A hundred years; times further away are cut to this, so that nanoseconds can't overflow. */
     private static final double MAX_OFFSET_MS = 100 * 365.0 * 24 * 3600 * 1000;
 
-    /** One clock is read by all machines; what is sent may be rounded up. */
+    /**
+     * How far ahead of now a received time may be; all machines share one clock, but may round up.
+     */
     private static final Duration MAX_CLOCK_SKEW = Duration.ofMillis(50);
 
     private final long startNanos = System.nanoTime();
@@ -20,17 +25,17 @@
         return Duration.ofNanos(System.nanoTime() - startNanos);
     }
 
-    /** The span that stands for a Unix time in milliseconds; before the start it is negative. */
+    /** Converts a Unix time in milliseconds; the result is negative before the clock's creation. */
     Duration fromUnixMs(double unixMs) {
         double startMs = startInstant.getEpochSecond() * 1e3 + startInstant.getNano() / 1e6;
-        // Whatever it is counted with has to stay within what nanoseconds can count.
+        // Further computation with the result must stay within the range of nanoseconds.
         double offsetMs = Math.max(-MAX_OFFSET_MS, Math.min(MAX_OFFSET_MS, unixMs - startMs));
         return Duration.ofNanos(Math.round(offsetMs * 1e6));
     }
 
     /**
-     * The span for a time at which something is said to have been, or null where that can't be: a
-     * log's position that lies ahead of now would count as proven for good.
+     * Converts a Unix time in milliseconds that must be in the past; returns null if it can't be.
+     * Guards against a log position ahead of now, which would count as reached forever.
      */
     Duration pastFromUnixMs(double unixMs) {
         Duration at = fromUnixMs(unixMs);
@@ -38,7 +43,7 @@
         return unixMs < 0 || at.minus(now).compareTo(MAX_CLOCK_SKEW) > 0 ? null : min(at, now);
     }
 
-    /** The wall's time, for the log. */
+    /** The wall-clock time for a time of this clock. */
     Instant wallTime(Duration sinceStart) {
         return startInstant.plus(sinceStart);
     }
--- a/src/main/java/wingroad/driver/Configuration.java
+++ b/src/main/java/wingroad/driver/Configuration.java
@@ -13,8 +13,12 @@
 import wingroad.terms.TermsCheck;
 
 /**
- * What a driver is told at its start: who it is, where it listens, whom it asks, and the
- * deployment.
+ * A driver's configuration.
+ *
+ * @param descriptorLimit how many file descriptors the process may hold
+ * @param memoryBytes how much memory the process may use
+ * @param knownMembers the member list as of the configuration's writing; may be empty
+ * @param settings the deployment's settings, which passed {@link TermsCheck}
  */
 record Configuration(
         String name,
@@ -27,12 +31,14 @@
         Map<String, Object> settings) {
     private static final int DEFAULT_DESCRIPTOR_LIMIT = 1024;
     private static final int DEFAULT_MEMORY_MB = 192;
+
+    /** With a smaller limit the program can't run. */
     private static final int MIN_LIMIT = 16;
 
-    /** Far more than a list of all members takes; a file without end must not fill the memory. */
+    /** Much more than a list of all members takes. Guards the memory against an endless file. */
     private static final int MAX_FILE_BYTES = 4 << 20;
 
-    /** What is told is missing or broken. */
+    /** The configuration is missing, unreadable or invalid. */
     static final class InvalidConfigurationException extends Exception {
         private static final long serialVersionUID = 1L;
 
@@ -42,19 +48,19 @@
     }
 
     /**
-     * From the file that LB_CONFIG names; the other variables count where the file has no such
+     * Reads the file named by {@code LB_CONFIG}; the other variables apply if the file has no such
      * value.
      */
     static Configuration read(Map<String, String> env) throws InvalidConfigurationException {
         String file = env.get("LB_CONFIG");
         if (file == null || file.isEmpty()) {
-            throw new InvalidConfigurationException("LB_CONFIG names no configuration");
+            throw new InvalidConfigurationException("LB_CONFIG is not set");
         }
         byte[] text;
         try (InputStream in = Files.newInputStream(Path.of(file))) {
             text = in.readNBytes(MAX_FILE_BYTES);
         } catch (IOException | RuntimeException e) {
-            throw new InvalidConfigurationException("the configuration can't be read: " + e);
+            throw new InvalidConfigurationException("can't read the configuration: " + e);
         }
         try {
             Map<String, Object> root = Json.object(text, "the configuration");
@@ -68,7 +74,7 @@
             List<String> problems = TermsCheck.problems(settings);
             if (!problems.isEmpty()) {
                 throw new InvalidConfigurationException(
-                        "the settings can't be used: " + String.join("; ", problems));
+                        "invalid settings: " + String.join("; ", problems));
             }
             return new Configuration(
                     stringValue(root, "name", env.getOrDefault("LB_NAME", "driver")),
@@ -82,16 +88,15 @@
                             : MemberList.of(Json.object(root.get("known"), "'known'")),
                     settings);
         } catch (IOException e) {
-            throw new InvalidConfigurationException("the configuration is no JSON: " + file);
+            throw new InvalidConfigurationException("the configuration is not JSON: " + file);
         } catch (Json.Malformed e) {
-            throw new InvalidConfigurationException(
-                    "the configuration is broken: " + e.getMessage());
+            throw new InvalidConfigurationException("invalid configuration: " + e.getMessage());
         }
     }
 
     /**
-     * Whether the other one differs in nothing that counts while the program runs, apart from
-     * discovery's address.
+     * Whether the other configuration is equal in all that matters while the program runs, apart
+     * from discovery's address.
      */
     boolean equalsExceptDiscovery(Configuration other) {
         return listen.equals(other.listen)
@@ -100,17 +105,16 @@
                 && settings.equals(other.settings);
     }
 
-    /** A limit with which it can run at all. */
     private static long limit(Map<String, Object> limits, String name, int defaultValue)
             throws InvalidConfigurationException {
         double value = Json.number(limits, name, defaultValue).doubleValue();
         if (!(value >= MIN_LIMIT && value <= Integer.MAX_VALUE)) {
             throw new InvalidConfigurationException(
-                    "the configuration is broken: limits."
+                    "invalid configuration: limits."
                             + name
                             + ": a number of "
                             + MIN_LIMIT
-                            + " at the least is needed, not "
+                            + " or more is needed, not "
                             + limits.get(name));
         }
         return (long) value;
@@ -137,16 +141,13 @@
                 || !text.substring(colon + 1).matches("[0-9]{1,5}")
                 || Integer.parseInt(text.substring(colon + 1)) > 0xffff
                 || !MemberList.isLiteral(text.substring(0, colon))) {
-            throw new InvalidConfigurationException("'" + key + "' is no address: " + text);
+            throw new InvalidConfigurationException("'" + key + "' is not an address: " + text);
         }
         return new InetSocketAddress(
                 text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
     }
 
-    /**
-     * The names that the settings list under this word; their places are the numbers that the
-     * module uses.
-     */
+    /** The names that the settings list under a key; the router uses their indexes. */
     List<String> names(String key) {
         List<String> names = new ArrayList<>();
         if (settings.get(key) instanceof List<?> entries) {
--- a/src/main/java/wingroad/driver/Counters.java
+++ b/src/main/java/wingroad/driver/Counters.java
@@ -3,8 +3,9 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Counts what is too frequent for a line each. */
+/** Counts events that are too frequent for a log line each. */
 final class Counters {
+    /** Further names are not counted. Guards the memory, since names may contain error texts. */
     private static final int MAX_NAME_COUNT = 100;
 
     private final Map<String, Integer> counts = new TreeMap<>();
@@ -15,7 +16,7 @@
         }
     }
 
-    /** What was counted since the last time, or null for nothing. */
+    /** Returns the counts since the last call and resets them; null if nothing was counted. */
     String takeSummary() {
         if (counts.isEmpty()) {
             return null;
--- a/src/main/java/wingroad/driver/FleetAgent.java
+++ b/src/main/java/wingroad/driver/FleetAgent.java
@@ -9,13 +9,13 @@
 import wingroad.transport.EventLoop;
 
 /**
- * The driver's part in a fleet: what carries out its duties, on the loop's thread. A driver without
- * a fleet loads no class of it.
+ * Connects the driver to its fleet: owns the parts that carry out the driver's duties on the event
+ * loop's thread. A driver without a fleet does not load this class.
  */
 final class FleetAgent {
     private final Fleet fleet;
 
-    /** Where one driver asks discovery for all, or null. */
+    /** Null if each driver requests the member list itself. */
     private final MemberListRelay listRelay;
 
     private FleetAgent(Fleet fleet, MemberListRelay listRelay) {
@@ -24,10 +24,10 @@
     }
 
     /**
-     * Begins once clients are served. On the loop's thread.
+     * Joins the fleet. Called once clients are served, on the loop's thread.
      *
-     * @param follows whether discovery's changes are followed; where the list is asked for, each
-     *     driver asks for itself
+     * @param watchesDiscovery whether discovery is watched for changes; in pull mode each driver
+     *     requests the list itself
      */
     static FleetAgent start(
             FleetRules rules,
@@ -76,14 +76,14 @@
         return new FleetAgent(fleet, listRelay);
     }
 
-    /** A list that this driver has found by itself. */
+    /** Passes on a list that this driver has received from discovery. */
     void listFound(MemberList list) {
         if (listRelay != null) {
             listRelay.listFound(list);
         }
     }
 
-    /** Gives all duties back; {@code then} runs on the fleet's thread. */
+    /** Returns all duties; {@code onLeft} runs on the fleet's thread. */
     void leave(Runnable onLeft) {
         fleet.leave(onLeft);
     }
--- a/src/main/java/wingroad/driver/Log.java
+++ b/src/main/java/wingroad/driver/Log.java
@@ -7,11 +7,15 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * One line a report. A thread of its own writes, so that a slow reader holds up nothing but lines.
+ * The program's log, one line per event. A thread of its own writes it, so that a slow reader
+ * delays nothing but the log.
  */
 final class Log {
+    /** Further lines are dropped and counted. */
     private static final int MAX_QUEUED_LINES = 1000;
 
+    private static final int MAX_STACK_FRAMES = 6;
+
     private final Clock clock;
     private final BlockingQueue<String> lines = new ArrayBlockingQueue<>(MAX_QUEUED_LINES);
     private final AtomicLong droppedCount = new AtomicLong();
@@ -30,11 +34,11 @@
         }
     }
 
-    /** A fault in the code: its name and the places it came by. */
+    /** Logs an unexpected exception with the top of its stack trace, in one line. */
     void error(Throwable error) {
-        StringBuilder line = new StringBuilder("fault " + error);
+        StringBuilder line = new StringBuilder("unexpected error: " + error);
         StackTraceElement[] frames = error.getStackTrace();
-        for (int i = 0; i < frames.length && i < 6; i++) {
+        for (int i = 0; i < frames.length && i < MAX_STACK_FRAMES; i++) {
             line.append(" < ")
                     .append(frames[i].getFileName())
                     .append(':')
@@ -58,7 +62,7 @@
         }
     }
 
-    /** Waits a little for what has not been written yet. */
+    /** Waits up to 100 ms for queued lines to be written. */
     void flush() throws InterruptedException {
         for (int i = 0; i < 20 && !lines.isEmpty(); i++) {
             Thread.sleep(5);
--- a/src/main/java/wingroad/driver/MemberListRelay.java
+++ b/src/main/java/wingroad/driver/MemberListRelay.java
@@ -14,11 +14,18 @@
 import wingroad.transport.EventLoop;
 
 /**
- * Discovery asked by one driver for all: hands on what the owner finds, takes what is handed on,
- * and follows discovery itself whenever {@link RelayHealth} does not go by the owner. On the loop's
- * thread, but for {@link #messageReceived}.
+ * Distributes member lists within the fleet, so that only one driver, the owner of the list duty,
+ * watches discovery. Publishes the lists that this driver finds, applies those that the owner
+ * sends, and watches discovery itself whenever {@link RelayHealth} does not trust the owner. Runs
+ * on the event loop's thread, except for {@link #messageReceived}.
  */
 final class MemberListRelay {
+    /**
+     * For how many heartbeats the owner may be silent, that is, how many of its messages may be
+     * lost; for as long it may be behind the version that is known here.
+     */
+    private static final int TOLERATED_BEATS = 3;
+
     private final EventLoop loop;
     private final Clock clock;
     private final DiscoveryClient discovery;
@@ -27,7 +34,11 @@
     private final Duration checkInterval;
     private final RelayHealth relayHealth;
     private Fleet fleet;
+
+    /** The newest list version that was received, from discovery or the owner. */
     private long version;
+
+    /** Lists are taken from the owner; discovery is not watched. */
     private boolean followsOwner;
 
     MemberListRelay(
@@ -44,11 +55,10 @@
         this.onList = onList;
         this.log = log;
         checkInterval = rules.lease().beat().dividedBy(2);
-        // Three of the owner's words may be lost; as long may it be behind what is known here.
         relayHealth =
                 new RelayHealth(
-                        rules.lease().beat().multipliedBy(3),
-                        rules.lease().beat().multipliedBy(3),
+                        rules.lease().beat().multipliedBy(TOLERATED_BEATS),
+                        rules.lease().beat().multipliedBy(TOLERATED_BEATS),
                         rules.listCheck());
         version = knownVersion;
         relayHealth.found(knownVersion, clock.now());
@@ -56,10 +66,12 @@
 
     void start(Fleet joinedFleet) {
         fleet = joinedFleet;
-        checkInterval();
+        check();
     }
 
-    /** A list that this driver has found by itself. */
+    /**
+     * Takes a list that this driver has received from discovery, and publishes it if it is newer.
+     */
     void listFound(MemberList list) {
         relayHealth.found(list.version(), clock.now());
         if (list.version() > version) {
@@ -99,7 +111,8 @@
         }
     }
 
-    private void checkInterval() {
+    /** Decides whom to follow, publishes the held version, and schedules the next check. */
+    private void check() {
         Duration now = clock.now();
         boolean ownerUsable = relayHealth.goesByOwner(now);
         if (ownerUsable != followsOwner) {
@@ -119,21 +132,22 @@
             discovery.watch();
         }
         if (fleet != null) {
-            // That nothing is new is news as well: only so is a silent owner told from a quiet day.
+            // Published even if nothing is new, so that drivers can tell a silent owner from a list
+            // that does not change.
             fleet.publish(
                     FleetRules.LIST, Map.of("since", version, "rev", version, "whole", false));
         }
-        loop.after(checkInterval, this::checkInterval);
+        loop.after(checkInterval, this::check);
     }
 
-    /** What the owner has handed on, on the fleet's thread. */
+    /** Takes a message of the list's owner; called on the fleet's thread. */
     void messageReceived(long epoch, Map<String, Object> message) {
         loop.run(
                 () -> {
                     try {
                         ownerMessage(epoch, message);
                     } catch (Json.Malformed | ClassCastException | IndexOutOfBoundsException e) {
-                        log.accept("list: not taken: " + e.getMessage());
+                        log.accept("list: invalid message of the owner: " + e.getMessage());
                     }
                 });
     }
--- a/src/main/java/wingroad/driver/WarmUp.java
+++ b/src/main/java/wingroad/driver/WarmUp.java
@@ -16,15 +16,15 @@
 import wingroad.transport.EventLoop;
 
 /**
- * Plays made-up txns through parsers, exchange and a module of its own before anybody is let in:
- * without it the first clients after a start meet code that is still interpreted, and take several
- * times the CPU of later ones. It knows no sockets, and nothing of it is left.
+ * Runs synthetic txns through the parsers, a dispatcher and a router of its own before clients are
+ * accepted. Without it the first clients after a start run into code that is still interpreted, and
+ * cost several times the CPU of later ones. It uses no sockets and leaves no state behind.
  */
 final class WarmUp {
-    /** By then what every txn runs through has been compiled; more of it gained nothing. */
+    /** After this many txns the code that every txn runs through is compiled. */
     private static final int TXN_COUNT = 2000;
 
-    /** Whatever the machine, a start is not held up for longer. */
+    /** The start is delayed by no more than this, however slow the machine is. */
     private static final Duration MAX_DURATION = Duration.ofMillis(1000);
 
     private static final int CONCURRENT_TXN_COUNT = 8;
@@ -42,7 +42,7 @@
     private int endedTxnCount;
     private boolean finished;
 
-    /** Plays on the loop's thread, as does {@code onDone}, which is run once it is over. */
+    /** Runs the warm-up and then {@code onDone}, both on the loop's thread. */
     static void run(
             EventLoop loop, List<String> typeNames, Map<String, Object> terms, Runnable onDone) {
         WarmUp warmUp = new WarmUp(loop, typeNames, terms, onDone);
@@ -66,18 +66,18 @@
         dispatcher.attach(
                 new TxnDispatcher.MemberTransport() {
                     @Override
-                    public void dispatch(TxnDispatcher.MemberRequest e) {
-                        loop.run(() -> memberResponse(e));
+                    public void dispatch(TxnDispatcher.MemberRequest request) {
+                        loop.run(() -> respond(request));
                     }
 
                     @Override
                     public void cancel(String txn, int submission) {
-                        // its answer is on the way already
+                        // the response is scheduled already
                     }
 
                     @Override
                     public void closeIdleConnections(long member) {
-                        // no connection is held here
+                        // there are no connections
                     }
 
                     @Override
@@ -88,12 +88,12 @@
                 new TxnDispatcher.MemberListSource() {
                     @Override
                     public void watch() {
-                        // there is no list but the one made up here
+                        // the list is fixed
                     }
 
                     @Override
                     public void fetch() {
-                        // as above
+                        // the list is fixed
                     }
                 },
                 () -> false);
@@ -173,7 +173,7 @@
                     }
 
                     @Override
-                    public void declined(Duration comeBack) {
+                    public void declined(Duration retryAfter) {
                         txnEnded();
                     }
 
@@ -189,7 +189,7 @@
         loop.run(this::startNextTxn);
     }
 
-    private void memberResponse(TxnDispatcher.MemberRequest request) {
+    private void respond(TxnDispatcher.MemberRequest request) {
         MemberInput input = new MemberInput();
         input.clear();
         input.take(ByteBuffer.wrap(memberResponse));
@@ -214,7 +214,7 @@
         }
     }
 
-    /** A fault here is no reason not to serve. */
+    /** Ends the warm-up: an error in it must not keep the driver from serving. */
     private void failed(Throwable error) {
         loop.bug(error);
         if (!finished) {
--- a/src/main/java/wingroad/driver/WorkAgent.java
+++ b/src/main/java/wingroad/driver/WorkAgent.java
@@ -30,46 +30,85 @@
 import wingroad.work.WorkRules;
 
 /**
- * The plan of work at this driver: makes the lists that the module is told from discovery's and the
- * plan's, says of itself what is still at machines that drain, and conducts where that is its duty.
- * On the loop's thread, but for the calls of {@link Worker}.
+ * Applies the plan of maintenance work at this driver: combines discovery's member lists with the
+ * plan into the lists that the router is given, reports which draining machines have no txns of
+ * this driver left, and conducts the work while this driver owns that duty. Runs on the event
+ * loop's thread, except for the calls of {@link Worker}.
  */
 final class WorkAgent implements Worker, TxnDispatcher.Observer {
-    /** What is seen of members counts for a lease; within it the conductor asks this often. */
+    /**
+     * How often the conductor probes a member within the duration of a lease, which is how long
+     * observations of members count.
+     */
     private static final int PROBES_PER_LEASE = 3;
 
+    /** A start time computed anew that differs by less than this is taken as unchanged. */
+    private static final double START_TIME_TOLERANCE_MS = 1000;
+
     private final EventLoop loop;
     private final Clock clock;
     private final WorkRules rules;
     private final Collection<String> voters;
     private final TxnType[] types;
-    private final MemberPools members;
+    private final MemberPools memberPools;
     private final Consumer<MemberList> onList;
     private final Consumer<String> log;
+
+    /** For how long a lease is held. */
     private final Duration lease;
+
     private final Duration checkInterval;
     private final Duration probeInterval;
     private final View view;
     private final PlanCopy planCopy = new PlanCopy();
     private final MemberObservations observations;
 
-    /** Discovery's list as it is known, and what the module was told last of each member. */
+    /** Discovery's entries by the member's uid. */
     private final Map<String, Entry> discoveredEntries = new TreeMap<>();
 
+    /** What the router was last told of each member, by the member's uid. */
     private final Map<String, Entry> effectiveEntries = new TreeMap<>();
+
+    /** By machine: since when this driver has known that it drains or is out. */
     private final Map<String, Duration> drainingSince = new TreeMap<>();
+
+    /** The stages of machines at the last change of the plan, to log what changes. */
     private final Map<String, Stage> loggedStages = new TreeMap<>();
+
+    /** The time that submissions have spent at the members of each group, in total. */
     private final Map<Integer, Long> busyMsByGroup = new TreeMap<>();
+
+    /** When the conductor last probed each member, by the member's uid. */
     private final Map<String, Duration> probedAt = new TreeMap<>();
+
+    /** Null until the driver has joined its fleet. */
     private Fleet fleet;
+
+    /** Runs once the plan is known; null if it has run. */
     private Runnable onPlanKnown;
+
+    /** When the effective entries change next even if nothing is heard, or null. */
     private Duration nextRelistAt;
+
+    /** The epoch under which this driver owns the conductor's duty, or 0. */
     private long epoch;
+
+    /** Null while this driver does not conduct. */
     private Conductor conductor;
+
+    /** The epoch for which {@link #conductor} was created. */
     private long conductorEpoch;
+
+    /** The plan's revision of which the router has been told. */
     private long knownRevision;
+
+    /** Txns committed within their SLA time. */
     private long servedCount;
+
+    /** Txns declined, rolled back or committed late. */
     private long harmedCount;
+
+    /** Whether the view of the plan was current at the last {@link #relist}. */
     private boolean wasCurrent;
 
     WorkAgent(
@@ -77,7 +116,7 @@
             Clock clock,
             FleetRules fleet,
             TxnType[] types,
-            MemberPools members,
+            MemberPools memberPools,
             Consumer<MemberList> onList,
             Consumer<String> log) {
         this.loop = loop;
@@ -85,7 +124,7 @@
         this.rules = fleet.work();
         this.voters = fleet.voters().keySet();
         this.types = types;
-        this.members = members;
+        this.memberPools = memberPools;
         this.onList = onList;
         this.log = log;
         lease = fleet.lease().held();
@@ -96,12 +135,12 @@
         nextRelistAt = view.next(now());
     }
 
-    /** The same clock as the fleet's: its leases are spans on it. */
+    /** The time by the fleet's clock, in which leases are expressed. */
     private static Duration now() {
         return Duration.ofNanos(System.nanoTime());
     }
 
-    /** Runs the task once the plan is known, or after a lease all the same. */
+    /** Runs the task once the plan is known, but after the duration of a lease at the latest. */
     void whenKnown(Runnable task) {
         onPlanKnown = task;
         loop.after(lease, this::planKnown);
@@ -120,15 +159,15 @@
         checkPeriodically();
     }
 
-    // ---- lists ----
+    // ---- member lists ----
 
-    /** What the module is to be told of a list that discovery, or the list's owner, has given. */
+    /** Applies the plan to a list received from discovery or the list's owner, for the router. */
     MemberList effective(MemberList list) {
         if (list.whole()) {
-            Set<String> named = new TreeSet<>();
-            list.entries().forEach(entry -> named.add(entry.uid()));
+            Set<String> listedUids = new TreeSet<>();
+            list.entries().forEach(entry -> listedUids.add(entry.uid()));
             for (String uid : List.copyOf(discoveredEntries.keySet())) {
-                if (!named.contains(uid)) {
+                if (!listedUids.contains(uid)) {
                     discoveredEntries.remove(uid);
                     effectiveEntries.remove(uid);
                     observations.listed(uid, 0, true, false);
@@ -169,10 +208,12 @@
                         returnedAt == null
                                 ? entry.startedAt()
                                 : System.currentTimeMillis() - now.minus(returnedAt).toMillis();
-                // The module's figures are to stay where they are from one list to the next.
+                // What the router is told of the member should not change from list to list.
                 Entry previous = effectiveEntries.get(entry.uid());
                 boolean isSteady =
-                        previous != null && Math.abs(previous.startedAt() - startedAtUnixMs) < 1000;
+                        previous != null
+                                && Math.abs(previous.startedAt() - startedAtUnixMs)
+                                        < START_TIME_TOLERANCE_MS;
                 yield withState(
                         entry,
                         entry.state(),
@@ -197,7 +238,7 @@
                 entry.primary());
     }
 
-    /** Whether its group has another listed member that no plan concerns. */
+    /** Whether the group has another listed member that is not draining and in no plan. */
     private boolean groupHasOtherMember(Entry entry) {
         return discoveredEntries.values().stream()
                 .anyMatch(
@@ -215,9 +256,7 @@
                                                         == null));
     }
 
-    /**
-     * Tells the module what has become of members by the plan or by the end of this driver's view.
-     */
+    /** Tells the router which members changed because of the plan or the end of a lease. */
     private void relist() {
         Duration now = now();
         List<Entry> changed = new ArrayList<>();
@@ -241,14 +280,14 @@
                                     + view.revision()
                                     + ", "
                                     + view.planCopy().entries().size()
-                                    + " machines asked for"
-                            : "work: the view of the plan has ended at revision "
+                                    + " machines requested"
+                            : "work: the view of the plan has expired at revision "
                                     + view.revision()
                                     + ": "
                                     + loggedStages.values().stream()
                                             .filter(Stage::announced)
                                             .count()
-                                    + " announced machines are left alone");
+                                    + " announced machines are avoided");
         }
         if (current) {
             knownRevision = view.revision();
@@ -259,12 +298,12 @@
 
     private void updateDrainingSince(Duration now) {
         Set<String> drainingMachines = new TreeSet<>();
-        view.leaving().forEach(e -> drainingMachines.add(e.machine()));
+        view.leaving().forEach(planEntry -> drainingMachines.add(planEntry.machine()));
         drainingSince.keySet().retainAll(drainingMachines);
         drainingMachines.forEach(machine -> drainingSince.putIfAbsent(machine, now));
     }
 
-    // ---- the exchange ----
+    // ---- observations from the dispatcher ----
 
     @Override
     public void beforeRouting() {
@@ -275,7 +314,7 @@
 
     @Override
     public void onMemberStatus(long member, Member.Role role, Duration position) {
-        String uid = members.uid(member);
+        String uid = memberPools.uid(member);
         if (uid != null) {
             boolean primary = role == Member.Role.PRIMARY;
             observations.said(
@@ -288,7 +327,7 @@
 
     @Override
     public void onMemberFailure(long member) {
-        String uid = members.uid(member);
+        String uid = memberPools.uid(member);
         if (uid != null) {
             observations.failed(uid, now());
         }
@@ -296,7 +335,7 @@
 
     @Override
     public void onSubmissionEnd(long member, Duration elapsed) {
-        Entry entry = discoveredEntries.get(members.uid(member));
+        Entry entry = discoveredEntries.get(memberPools.uid(member));
         if (entry != null) {
             busyMsByGroup.merge(entry.group(), elapsed.toMillis(), Long::sum);
         }
@@ -313,7 +352,7 @@
         }
     }
 
-    // ---- the fleet ----
+    // ---- calls from the fleet ----
 
     @Override
     public void plan(Map<String, Object> changes, List<?> figures, List<?> liveDrivers) {
@@ -355,21 +394,22 @@
                                 log.accept(
                                         "work: "
                                                 + machine
-                                                + " in, or no more asked for, revision "
+                                                + " back in service, or no longer requested,"
+                                                + " revision "
                                                 + planCopy.revision()));
         loggedStages.clear();
         loggedStages.putAll(current);
     }
 
     @Override
-    public void lease(Duration ends, boolean over, long conductsUnder) {
+    public void lease(Duration leaseEnd, boolean sessionEnded, long conductingEpoch) {
         loop.run(
                 () -> {
-                    epoch = over ? 0 : conductsUnder;
-                    if (over) {
+                    epoch = sessionEnded ? 0 : conductingEpoch;
+                    if (sessionEnded) {
                         view.ended();
                     } else {
-                        view.leased(ends);
+                        view.leased(leaseEnd);
                     }
                     if (view.current(now()) != wasCurrent) {
                         relist();
@@ -387,7 +427,7 @@
         loop.after(checkInterval, this::checkPeriodically);
     }
 
-    /** What this driver says of itself. */
+    /** Sends the fleet this driver's state with regard to the plan. */
     private void sendReport() {
         if (fleet == null || !view.known()) {
             return;
@@ -401,7 +441,7 @@
                 Machine machine = planCopy.machines().get(draining.getKey());
                 if (machine != null
                         && now.minus(draining.getValue()).compareTo(rules.grace()) > 0
-                        && !members.hasTxnAt(machine::holds)) {
+                        && !memberPools.hasTxnAt(machine::holds)) {
                     clearedMachines.add(draining.getKey());
                 }
             }
@@ -423,7 +463,7 @@
                         busyMs));
     }
 
-    /** The groups that have a member on a machine that is announced. */
+    /** The groups that have a member on an announced machine. */
     private Set<Integer> affectedGroups() {
         Set<Integer> groups = new TreeSet<>();
         for (Plan.Entry planEntry : planCopy.entries()) {
@@ -449,11 +489,11 @@
             conductor = new Conductor(rules, voters);
             conductorEpoch = epoch;
             log.accept(
-                    "work: conducts under epoch "
+                    "work: conducts in epoch "
                             + epoch
                             + ", "
                             + planCopy.entries().size()
-                            + " machines asked for");
+                            + " machines requested");
         }
         if (!Objects.equals(planCopy.lines(), rules.lines())) {
             fleet.orderMachines(epoch, rules.lines());
@@ -469,8 +509,8 @@
     }
 
     /**
-     * A conductor with few txns of its own sees little: it asks the members of the groups concerned
-     * itself.
+     * Probes the members of the groups concerned, since a conductor with few txns of its own
+     * observes too little.
      */
     private void probeMembers() {
         Duration now = now();
@@ -486,7 +526,7 @@
                     && (lastProbeAt == null
                             || now.minus(lastProbeAt).compareTo(probeInterval) >= 0)) {
                 probedAt.put(entry.uid(), now);
-                members.probeRole(entry.uid());
+                memberPools.probeRole(entry.uid());
             }
         }
     }
