--- a/src/bench/java/wingroad/door/DoorBench.java
+++ b/src/bench/java/wingroad/door/DoorBench.java
@@ -1,12 +1,5 @@
 package wingroad.door;
 
-import java.time.Duration;
-import java.util.ArrayDeque;
-import java.util.HashMap;
-import java.util.Map;
-import java.util.PriorityQueue;
-import java.util.Random;
-import java.util.concurrent.TimeUnit;
 import org.openjdk.jmh.annotations.Benchmark;
 import org.openjdk.jmh.annotations.BenchmarkMode;
 import org.openjdk.jmh.annotations.Mode;
@@ -15,9 +8,18 @@
 import org.openjdk.jmh.annotations.Scope;
 import org.openjdk.jmh.annotations.Setup;
 import org.openjdk.jmh.annotations.State;
+
 import wingroad.state.Submission.End;
 import wingroad.state.Wheel;
 
+import java.time.Duration;
+import java.util.ArrayDeque;
+import java.util.HashMap;
+import java.util.Map;
+import java.util.PriorityQueue;
+import java.util.Random;
+import java.util.concurrent.TimeUnit;
+
 /**
  * What one txn costs at the door, from its arrival to its end, with some always waiting; and the
  * same with plain collections.
@@ -61,19 +63,19 @@
         terms.put("txn-type.0.expiry", LEFT);
         terms.put("may-advise-come-back", true);
         terms.put("longest-come-back", Duration.ofMillis(500));
-        return new FairQueues(terms, FairQueueSettings.USUAL, 3, line -> {});
+        return new FairQueues(terms, FairQueueSettings.DEFAULTS, 3, line -> {});
     }
 
     private void arrive() {
         now += STEP;
         next = next + 1 == tenants ? 0 : next + 1;
-        door.arrived(
+        door.onTxnArrived(
                 Duration.ofNanos(now),
                 "t",
                 0,
                 1,
                 LEFT,
-                new Caller(names[next], Map.of()),
+                new ClientContext(names[next], Map.of()),
                 null,
                 false);
         pull();
@@ -81,10 +83,10 @@
 
     private void pull() {
         Duration at = Duration.ofNanos(now);
-        for (AdmissionDecision v = door.next(at); v != null; v = door.next(at)) {
-            if (v.letIn()) {
-                in.add(v.queued());
-                door.submitted(at, v.queued());
+        for (AdmissionDecision v = door.nextDecision(at); v != null; v = door.nextDecision(at)) {
+            if (v.admitted()) {
+                in.add(v.queuedTxn());
+                door.onSubmitted(at, v.queuedTxn());
             }
         }
     }
@@ -95,8 +97,8 @@
         QueuedTxn v = in.poll();
         if (v != null) {
             Duration at = Duration.ofNanos(now);
-            door.ended(at, v, End.COMMITTED, Duration.ofMillis(50));
-            door.closed(at, v);
+            door.onSubmissionEnded(at, v, End.COMMITTED, Duration.ofMillis(50));
+            door.onTxnClosed(at, v);
             pull();
         }
     }
@@ -167,7 +169,7 @@
         double held = used() - before;
         int waiting = 0;
         for (FairQueues door : all) {
-            waiting += door.waiting();
+            waiting += door.queuedCount();
         }
         if (waiting == 0) {
             throw new IllegalStateException("nothing waits: the queues were to be full");
@@ -178,13 +180,17 @@
     private static void crowd(FairQueues door, int tenants) {
         for (int i = 0; i < tenants + 10_000; i++) {
             Duration at = Duration.ofNanos(Math.min(i, tenants) * 20_000L);
-            door.arrived(at, "t", 0, 1, LEFT, new Caller("10.1." + i, Map.of()), null, false);
-            for (AdmissionDecision v = door.next(at); v != null; v = door.next(at)) {
-                if (v.letIn()) {
-                    door.submitted(at, v.queued());
+            door.onTxnArrived(
+                    at, "t", 0, 1, LEFT, new ClientContext("10.1." + i, Map.of()), null, false);
+            for (AdmissionDecision v = door.nextDecision(at);
+                    v != null;
+                    v = door.nextDecision(at)) {
+                if (v.admitted()) {
+                    door.onSubmitted(at, v.queuedTxn());
                     if (i < tenants) {
-                        door.ended(at, v.queued(), End.COMMITTED, Duration.ofMillis(50));
-                        door.closed(at, v.queued());
+                        door.onSubmissionEnded(
+                                at, v.queuedTxn(), End.COMMITTED, Duration.ofMillis(50));
+                        door.onTxnClosed(at, v.queuedTxn());
                     }
                 }
             }
--- a/src/main/java/wingroad/door/Caller.java
+++ b/src/main/java/wingroad/door/ClientContext.java
@@ -6,11 +6,11 @@
  * Who asks, over one connection: where it comes from, what it said at its start, and what it was
  * told last.
  */
-public final class Caller {
+public final class ClientContext {
     final String address;
 
     /** What it said of itself at the start of the connection. */
-    final Map<String, String> said;
+    final Map<String, String> startupParameter;
 
     /** When it is expected back, or null. */
     Booking booking;
@@ -25,14 +25,14 @@
     /** It has asked before, over this connection. */
     boolean came;
 
-    public Caller(String address, Map<String, String> said) {
+    public ClientContext(String address, Map<String, String> said) {
         this.address = address;
-        this.said = said;
+        this.startupParameter = said;
     }
 
     /** What it said under this name, or null. */
-    public String said(String name) {
-        String value = said.get(name);
+    public String startupParameter(String name) {
+        String value = startupParameter.get(name);
         return value == null || value.isEmpty() ? null : value;
     }
 }
--- a/src/main/java/wingroad/door/FairQueueSettings.java
+++ b/src/main/java/wingroad/door/FairQueueSettings.java
@@ -6,27 +6,27 @@
 /**
  * What the operator says of the door.
  *
- * @param sources where a tenant's name is looked for, the first that has one counts
- * @param namesPerAddress how many names that are not listed are told apart from one address
- * @param mostWaiting how many txns wait at most
- * @param others for those that are not listed
+ * @param tenantNameSources where a tenant's name is looked for, the first that has one counts
+ * @param maxNamesPerAddress how many names that are not listed are told apart from one address
+ * @param maxQueuedTxns how many txns wait at most
+ * @param defaultTenant for those that are not listed
  * @param tenants by their names; an address may be listed as well
  */
 public record FairQueueSettings(
-        List<Source> sources,
-        int namesPerAddress,
-        int mostWaiting,
-        Tenant others,
-        Map<String, Tenant> tenants) {
+        List<TenantNameSource> tenantNameSources,
+        int maxNamesPerAddress,
+        int maxQueuedTxns,
+        TenantSettings defaultTenant,
+        Map<String, TenantSettings> tenants) {
     /** Where a name may stand. */
-    public enum Place {
+    public enum SourceType {
         COMMENT,
         STARTUP,
         ADDRESS
     }
 
     /** A place, and there the name of the value; none for an address. */
-    public record Source(Place place, String name) {}
+    public record TenantNameSource(SourceType type, String parameterName) {}
 
     /**
      * What is due to a tenant.
@@ -34,9 +34,13 @@
      * @param weight its share against the others' weights
      * @param cap the largest part of what a lane lets in at once
      */
-    public record Tenant(double weight, double cap) {}
+    public record TenantSettings(double weight, double maxConcurrencyShare) {}
 
-    public static final FairQueueSettings USUAL =
+    public static final FairQueueSettings DEFAULTS =
             new FairQueueSettings(
-                    List.of(new Source(Place.ADDRESS, null)), 8, 2000, new Tenant(1, 1), Map.of());
+                    List.of(new TenantNameSource(SourceType.ADDRESS, null)),
+                    8,
+                    2000,
+                    new TenantSettings(1, 1),
+                    Map.of());
 }
--- a/src/main/java/wingroad/door/FairQueues.java
+++ b/src/main/java/wingroad/door/FairQueues.java
@@ -2,6 +2,13 @@
 
 import com.dynatrace.hash4j.hashing.Hasher64;
 import com.dynatrace.hash4j.hashing.Hashing;
+
+import wingroad.state.Spans;
+import wingroad.state.Submission.End;
+import wingroad.state.Took;
+import wingroad.state.TxnType;
+import wingroad.state.Wheel;
+
 import java.time.Duration;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -10,18 +17,13 @@
 import java.util.Map;
 import java.util.Random;
 import java.util.function.Consumer;
-import wingroad.state.Spans;
-import wingroad.state.Submission.End;
-import wingroad.state.Took;
-import wingroad.state.TxnType;
-import wingroad.state.Wheel;
 
 /**
  * Decides who goes next to the module, who is declined at the door, and when to come back:
  * start-time fair queueing by tenant, charged by work, within a window that each lane finds for
  * itself. The reasons: docs/notes/fair-queues.md. The host tells what happens, then pulls {@link
- * #next} until it is null, and again at {@link #wakeAt}. Which member, whether to submit again and
- * what is declined once it is in stays with the module.
+ * #next} until it is null, and again at {@link #nextWakeUp}. Which member, whether to submit again
+ * and what is declined once it is in stays with the module.
  */
 public final class FairQueues implements Accounts.Lanes {
     /**
@@ -88,20 +90,20 @@
     private final Wheel wheel = new Wheel();
     private final ArrayDeque<Lane> dirty = new ArrayDeque<>();
     private final ArrayDeque<AdmissionDecision> ready = new ArrayDeque<>();
-    private FairQueueSettings rules;
-    private int waiting;
+    private FairQueueSettings updateSettings;
+    private int queuedCount;
     private int bookings;
-    private Duration endBy;
+    private Duration drainBy;
     private long letIn;
     private long declined;
 
     public FairQueues(
             Map<String, Object> terms, FairQueueSettings rules, long seed, Consumer<String> log) {
-        this.rules = rules;
+        this.updateSettings = rules;
         this.random = new Random(seed);
         this.log = log;
         this.hasher = Hashing.komihash5_0(random.nextLong());
-        this.names = new Names(rules.namesPerAddress());
+        this.names = new Names(rules.maxNamesPerAddress());
         this.mayAdvise = Boolean.TRUE.equals(terms.get("may-advise-come-back"));
         this.marksRetries = Boolean.TRUE.equals(terms.get("clients-mark-retries"));
         this.longestAdvice =
@@ -122,14 +124,14 @@
      * Other rules from now on. What waits keeps its place; weights count from the next txn that is
      * let in.
      */
-    public void rules(Duration now, FairQueueSettings next) {
-        rules = next;
-        names.each(next.namesPerAddress());
+    public void updateSettings(Duration now, FairQueueSettings next) {
+        updateSettings = next;
+        names.each(next.maxNamesPerAddress());
         // First as if nobody were listed; whose queue is empty learns what it is due when it comes
         // again.
         for (int row = 0; row < Accounts.ROWS; row++) {
             if (accounts.waiting[row] > 0) {
-                dues(row, next.others());
+                dues(row, next.defaultTenant());
             }
         }
         for (Lane lane : lanes) {
@@ -145,17 +147,17 @@
         }
     }
 
-    private void dues(int row, FairQueueSettings.Tenant due) {
+    private void dues(int row, FairQueueSettings.TenantSettings due) {
         if (accounts.waiting[row] > 0) {
             lanes.get(accounts.lanes[row]).waitingWeight += due.weight() - accounts.weights[row];
         }
         accounts.weights[row] = (float) due.weight();
-        accounts.caps[row] = (float) due.cap();
+        accounts.caps[row] = (float) due.maxConcurrencyShare();
     }
 
     /** The program ends: nothing waits past this time. */
-    public void endBy(Duration at) {
-        endBy = at;
+    public void drainBy(Duration at) {
+        drainBy = at;
         for (QueuedTxn first : accounts.first) {
             for (QueuedTxn v = first; v != null; v = v.behind) {
                 Duration last = at.minus(Spans.millis(usual(v.type, at)));
@@ -170,13 +172,13 @@
      * @param name the tenant's name as far as the txn or the connection tells one, or null
      * @param retry the client is known to have asked before
      */
-    public QueuedTxn arrived(
+    public QueuedTxn onTxnArrived(
             Duration now,
             String txn,
             int type,
             int group,
             Duration left,
-            Caller caller,
+            ClientContext caller,
             String name,
             boolean retry) {
         long nanos = now.toNanos();
@@ -199,7 +201,7 @@
             decline(v, now, budget);
             return v;
         }
-        if (waiting >= rules.mostWaiting() && !makeRoom(row, now)) {
+        if (queuedCount >= updateSettings.maxQueuedTxns() && !makeRoom(row, now)) {
             decline(v, now, budget);
             return v;
         }
@@ -216,7 +218,7 @@
             v.before.behind = v;
         }
         accounts.last[row] = v;
-        waiting++;
+        queuedCount++;
         if (lane.waiting++ == 0) {
             lane.waitingSince = now;
         }
@@ -256,7 +258,7 @@
         }
         v.before = null;
         v.behind = null;
-        waiting--;
+        queuedCount--;
         if (--lane.waiting == 0) {
             lane.waitingSince = -1;
         }
@@ -269,7 +271,7 @@
     }
 
     /** A submission of a txn that is in goes out. */
-    public void submitted(Duration now, QueuedTxn v) {
+    public void onSubmitted(Duration now, QueuedTxn v) {
         Lane lane = lanes.get(v.lane);
         v.submissionsOut++;
         if (v.place == QueuedTxn.Place.HELD) {
@@ -293,7 +295,7 @@
     }
 
     /** A submission of a txn that is in has ended. */
-    public void ended(Duration now, QueuedTxn v, End end, Duration took) {
+    public void onSubmissionEnded(Duration now, QueuedTxn v, End end, Duration took) {
         Lane lane = lanes.get(v.lane);
         double ms = Spans.ms(took);
         v.submissionsOut--;
@@ -324,7 +326,7 @@
     }
 
     /** The txn has its final answer, or its client has left. */
-    public void closed(Duration now, QueuedTxn v) {
+    public void onTxnClosed(Duration now, QueuedTxn v) {
         Lane lane = lanes.get(v.lane);
         wheel.cancel(v);
         switch (v.place) {
@@ -369,7 +371,7 @@
     // ---- decisions ----
 
     /** The next verdict, or null where there is none for now. */
-    public AdmissionDecision next(Duration now) {
+    public AdmissionDecision nextDecision(Duration now) {
         long nanos = now.toNanos();
         while (true) {
             if (!ready.isEmpty()) {
@@ -390,8 +392,8 @@
         }
     }
 
-    /** When to call {@link #next} again even if nothing comes in, or null. */
-    public Duration wakeAt() {
+    /** When to call {@link #nextDecision} again even if nothing comes in, or null. */
+    public Duration nextWakeUp() {
         long due = wheel.nextDue();
         return due < 0 ? null : Duration.ofNanos(due);
     }
@@ -524,7 +526,7 @@
      * For a txn that the module declines: when its client should come back, or null where none may
      * be told.
      */
-    public Duration advice(Duration now, QueuedTxn v) {
+    public Duration retryAfter(Duration now, QueuedTxn v) {
         return v.place == QueuedTxn.Place.OVER ? null : book(v, now, 0);
     }
 
@@ -582,7 +584,7 @@
     }
 
     /** Whether it was told to come now; its booking has served, or is forfeit. */
-    private boolean keepsTime(long now, int row, Caller caller, boolean retry) {
+    private boolean keepsTime(long now, int row, ClientContext caller, boolean retry) {
         Booking own = caller.booking;
         caller.booking = null;
         boolean fresh = !caller.came;
@@ -603,12 +605,13 @@
 
     // ---- who, where, how fast ----
 
-    private int account(long now, Lane lane, Caller caller, String name) {
+    private int account(long now, Lane lane, ClientContext caller, String name) {
         if (!caller.known) {
             caller.known = true;
             caller.addressHash = hasher.hashCharsToLong(caller.address);
         }
-        FairQueueSettings.Tenant due = rules.tenants().get(name == null ? caller.address : name);
+        FairQueueSettings.TenantSettings due =
+                updateSettings.tenants().get(name == null ? caller.address : name);
         long who = caller.addressHash;
         if (name != null) {
             if (!name.equals(caller.lastName)) {
@@ -619,7 +622,7 @@
                 who = caller.lastHash;
             }
         }
-        due = due == null ? rules.others() : due;
+        due = due == null ? updateSettings.defaultTenant() : due;
         long key = key(who, lane);
         int row = accounts.find(key);
         if (row < 0) {
@@ -629,9 +632,9 @@
             }
             accounts.tags[row] = lane.debts == null ? 0 : lane.debts.tag(key);
             accounts.weights[row] = (float) due.weight();
-            accounts.caps[row] = (float) due.cap();
+            accounts.caps[row] = (float) due.maxConcurrencyShare();
         } else if (accounts.weights[row] != (float) due.weight()
-                || accounts.caps[row] != (float) due.cap()) {
+                || accounts.caps[row] != (float) due.maxConcurrencyShare()) {
             dues(row, due);
         }
         return row;
@@ -702,7 +705,7 @@
             most = Spans.min(most, type.slaTime().minus(takes).dividedBy(2));
         }
         most = Spans.times(most, DOORS_PART);
-        return endBy == null ? most : Spans.min(most, endBy.minus(now).minus(takes));
+        return drainBy == null ? most : Spans.min(most, drainBy.minus(now).minus(takes));
     }
 
     private double usual(int type, Duration now) {
@@ -712,7 +715,7 @@
     // ---- for the log, the bench and the tests ----
 
     /** What was done since the last time, and how it stands; null where nothing was. */
-    public String report() {
+    public String takeStatsLine() {
         if (letIn + declined == 0) {
             return null;
         }
@@ -722,7 +725,7 @@
                         .append(", declined ")
                         .append(declined)
                         .append(", waiting ")
-                        .append(waiting)
+                        .append(queuedCount)
                         .append(", booked ")
                         .append(bookings)
                         .append(", accounts ")
@@ -746,8 +749,8 @@
         return s.toString();
     }
 
-    public int waiting() {
-        return waiting;
+    public int queuedCount() {
+        return queuedCount;
     }
 
     int accountsUsed() {
@@ -764,7 +767,7 @@
     }
 
     /** Bytes of its own state, txns that wait aside. */
-    public int bytes() {
+    public int memoryBytes() {
         int all = accounts.bytes() + names.bytes() + 4 * Accounts.ROWS;
         for (Lane l : lanes) {
             all += l.bytes();
--- a/src/main/java/wingroad/door/QueuedTxn.java
+++ b/src/main/java/wingroad/door/QueuedTxn.java
@@ -1,8 +1,9 @@
 package wingroad.door;
 
-import java.time.Duration;
 import wingroad.state.Wheel;
 
+import java.time.Duration;
+
 /**
  * One txn at the door: from its arrival to its final answer. Its timer tells when it has waited or
  * been out too long.
@@ -17,12 +18,12 @@
         OVER
     }
 
-    final String txn;
+    final String txnId;
     final int type;
     final int lane;
     final int row;
     final Duration arrivedAt;
-    final Caller caller;
+    final ClientContext caller;
 
     /**
      * What it was charged when it was let in, and the work that it has been so far, in
@@ -40,8 +41,8 @@
     QueuedTxn behind;
     QueuedTxn before;
 
-    QueuedTxn(String txn, int type, int lane, int row, Duration arrivedAt, Caller caller) {
-        this.txn = txn;
+    QueuedTxn(String txn, int type, int lane, int row, Duration arrivedAt, ClientContext caller) {
+        this.txnId = txn;
         this.type = type;
         this.lane = lane;
         this.row = row;
@@ -50,11 +51,11 @@
     }
 
     /** How long it waited at the door, up to now. */
-    public Duration waited(Duration now) {
+    public Duration queueTime(Duration now) {
         return now.minus(arrivedAt);
     }
 
-    public String txn() {
-        return txn;
+    public String txnId() {
+        return txnId;
     }
 }
--- a/src/main/java/wingroad/driver/ClientConnection.java
+++ b/src/main/java/wingroad/driver/ClientConnection.java
@@ -1,13 +1,14 @@
 package wingroad.driver;
 
-import java.nio.ByteBuffer;
-import java.time.Duration;
-import wingroad.door.Caller;
+import wingroad.door.ClientContext;
 import wingroad.protocol.ClientInput;
 import wingroad.protocol.ClientOutput;
 import wingroad.protocol.Statement;
 import wingroad.transport.Connection;
 
+import java.nio.ByteBuffer;
+import java.time.Duration;
+
 /**
  * One client's connection. Its commands are taken one after the other, each when the last is
  * answered. What it may take of the driver is bounded in bytes and in time; {@link #overdue} says
@@ -77,7 +78,7 @@
     private boolean asked;
 
     /** Who it is, where that is wanted. */
-    private Caller caller;
+    private ClientContext caller;
 
     /** The txn that waits for its final answer, or null. */
     private String txn;
@@ -384,7 +385,7 @@
         return asked;
     }
 
-    Caller caller() {
+    ClientContext caller() {
         return caller;
     }
 
--- a/src/main/java/wingroad/driver/Clients.java
+++ b/src/main/java/wingroad/driver/Clients.java
@@ -2,6 +2,13 @@
 
 import static wingroad.state.Spans.min;
 
+import wingroad.door.ClientContext;
+import wingroad.door.FairQueueSettings;
+import wingroad.protocol.ClientInput;
+import wingroad.protocol.Statement;
+import wingroad.transport.EventLoop;
+import wingroad.transport.Listener;
+
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.time.Duration;
@@ -12,12 +19,6 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.IntPredicate;
-import wingroad.door.Caller;
-import wingroad.door.FairQueueSettings;
-import wingroad.protocol.ClientInput;
-import wingroad.protocol.Statement;
-import wingroad.transport.EventLoop;
-import wingroad.transport.Listener;
 
 /** The client side: who is connected, and which txn types there are. */
 final class Clients {
@@ -134,7 +135,7 @@
      * Who asks over this connection, or null where nobody wants to know. Of what it says only what
      * may be a name is kept.
      */
-    Caller caller(String address, byte[] startup) {
+    ClientContext caller(String address, byte[] startup) {
         if (houseRules == null) {
             return null;
         }
@@ -142,16 +143,16 @@
         said.keySet().retainAll(MAY_NAME);
         said.replaceAll(
                 (name, value) -> value.substring(0, Math.min(value.length(), LONGEST_NAME)));
-        return new Caller(address, said);
+        return new ClientContext(address, said);
     }
 
     /** The name that counts for this txn, or null: its address does. */
-    private String name(Statement s, Caller caller) {
-        for (FairQueueSettings.Source source : houseRules.sources()) {
+    private String name(Statement s, ClientContext caller) {
+        for (FairQueueSettings.TenantNameSource source : houseRules.tenantNameSources()) {
             String name =
-                    switch (source.place()) {
-                        case COMMENT -> s.named(source.name());
-                        case STARTUP -> caller.said(source.name());
+                    switch (source.type()) {
+                        case COMMENT -> s.named(source.parameterName());
+                        case STARTUP -> caller.startupParameter(source.parameterName());
                         case ADDRESS -> null;
                     };
             if (name != null) {
@@ -250,7 +251,7 @@
         int type = types.indexOf(s.type());
         ids.put(s.id(), exchange.now().plus(min(Duration.ofMillis(s.left()), longestWait)));
         long session = sessions && (updates[type] || ownWrites[type]) ? s.session() : -1;
-        Caller caller = from.caller();
+        ClientContext caller = from.caller();
         return caller == null || houseRules == null
                 ? exchange.arrived(s, type, session, from)
                 : exchange.arrived(s, type, session, from, caller, name(s, caller));
--- a/src/main/java/wingroad/driver/Driver.java
+++ b/src/main/java/wingroad/driver/Driver.java
@@ -2,6 +2,18 @@
 
 import static wingroad.state.Spans.min;
 
+import sun.misc.Signal;
+
+import wingroad.door.FairQueues;
+import wingroad.fleet.FleetRules;
+import wingroad.operator.OperatorFile;
+import wingroad.protocol.MemberList;
+import wingroad.routing.Router;
+import wingroad.routing.TxnRouter;
+import wingroad.state.TxnType;
+import wingroad.terms.Terms;
+import wingroad.transport.EventLoop;
+
 import java.io.IOException;
 import java.io.PrintStream;
 import java.net.InetSocketAddress;
@@ -17,16 +29,6 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.concurrent.atomic.AtomicReference;
-import sun.misc.Signal;
-import wingroad.door.FairQueues;
-import wingroad.fleet.FleetRules;
-import wingroad.operator.OperatorFile;
-import wingroad.protocol.MemberList;
-import wingroad.routing.Router;
-import wingroad.routing.TxnRouter;
-import wingroad.state.TxnType;
-import wingroad.terms.Terms;
-import wingroad.transport.EventLoop;
 
 /** The program on sockets: puts its parts together, and takes them down when it is told to stop. */
 public final class Driver {
@@ -379,7 +381,7 @@
                     "door: "
                             + operator.door().tenants().size()
                             + " tenants listed, "
-                            + operator.door().mostWaiting()
+                            + operator.door().maxQueuedTxns()
                             + " txns may wait");
         }
     }
@@ -459,7 +461,8 @@
         }
         if (read.file().door() == null && door != null) {
             log.line(
-                    "operator's file not taken, the old one stays: the door closes only with the next start");
+                    "operator's file not taken, the old one stays: the door closes only with the"
+                        + " next start");
             return;
         }
         if (!Objects.equals(read.file().fleet(), operator.fleet())) {
@@ -469,7 +472,7 @@
         if (door == null) {
             openDoor();
         } else {
-            door.rules(clock.now(), operator.door());
+            door.updateSettings(clock.now(), operator.door());
             clients.tellWhoAsks(operator.door());
         }
         log.line(
@@ -479,7 +482,7 @@
                                 : ", "
                                         + operator.door().tenants().size()
                                         + " tenants listed, waiting "
-                                        + door.waiting()));
+                                        + door.queuedCount()));
     }
 
     private void reloadConfiguration() {
@@ -513,7 +516,7 @@
                             + ", open "
                             + exchange.openTxns());
         }
-        String fair = door == null ? null : door.report();
+        String fair = door == null ? null : door.takeStatsLine();
         if (fair != null) {
             log.line(fair);
         }
--- a/src/main/java/wingroad/driver/Exchange.java
+++ b/src/main/java/wingroad/driver/Exchange.java
@@ -2,13 +2,8 @@
 
 import static wingroad.state.Spans.min;
 
-import java.time.Duration;
-import java.util.HashMap;
-import java.util.Map;
-import java.util.function.BooleanSupplier;
-import java.util.function.Consumer;
 import wingroad.door.AdmissionDecision;
-import wingroad.door.Caller;
+import wingroad.door.ClientContext;
 import wingroad.door.FairQueues;
 import wingroad.door.QueuedTxn;
 import wingroad.protocol.Statement;
@@ -18,6 +13,12 @@
 import wingroad.state.Submission;
 import wingroad.transport.EventLoop;
 
+import java.time.Duration;
+import java.util.HashMap;
+import java.util.Map;
+import java.util.function.BooleanSupplier;
+import java.util.function.Consumer;
+
 /**
  * Where the client side, the member side and discovery meet, with the module between them. It says
  * to the module what happens, pulls its decisions and hands them to whom they concern; it decides
@@ -168,7 +169,7 @@
         endBy = at;
         router().endBy(clock.now(), at);
         if (door != null) {
-            door.endBy(at);
+            door.drainBy(at);
             changed();
         }
     }
@@ -177,7 +178,7 @@
     void passBy(FairQueues fair) {
         door = fair;
         if (endBy != null) {
-            fair.endBy(endBy);
+            fair.drainBy(endBy);
         }
     }
 
@@ -218,7 +219,12 @@
 
     /** The same, with who asks and under which name, for the door. */
     String arrived(
-            Statement s, int type, long session, TxnCallback callback, Caller caller, String name) {
+            Statement s,
+            int type,
+            long session,
+            TxnCallback callback,
+            ClientContext caller,
+            String name) {
         return arrived(s, type, session, callback, caller, name, door != null);
     }
 
@@ -227,7 +233,7 @@
             int type,
             long session,
             TxnCallback callback,
-            Caller caller,
+            ClientContext caller,
             String name,
             boolean byDoor) {
         Duration now = clock.now();
@@ -242,7 +248,8 @@
             if (!byDoor) {
                 letIn(now, txn, t, Duration.ZERO);
             } else {
-                t.queued = door.arrived(now, txn, type, s.group(), left, caller, name, s.retry());
+                t.queued =
+                        door.onTxnArrived(now, txn, type, s.group(), left, caller, name, s.retry());
                 changed();
             }
         } catch (RuntimeException bug) {
@@ -296,7 +303,7 @@
         }
         Open known = open.get(e.txn());
         if (known != null && known.queued != null) {
-            door.ended(now, known.queued, end, took);
+            door.onSubmissionEnded(now, known.queued, end, took);
         }
         Open txn = end == Submission.End.COMMITTED ? take(e.txn()) : null;
         if (txn != null) {
@@ -424,7 +431,7 @@
             changed();
         }
         Duration at = router.wakeAt();
-        Duration doorAt = door == null ? null : door.wakeAt();
+        Duration doorAt = door == null ? null : door.nextWakeUp();
         at = at == null || doorAt != null && doorAt.compareTo(at) < 0 ? doorAt : at;
         if (at != null && (wakeAt == null || at.compareTo(wakeAt) < 0)) {
             if (wake != null) {
@@ -448,26 +455,26 @@
         if (d != null || door == null) {
             return d;
         }
-        for (AdmissionDecision v = door.next(now); v != null; v = door.next(now)) {
+        for (AdmissionDecision v = door.nextDecision(now); v != null; v = door.nextDecision(now)) {
             pass(v, now);
         }
         return router.next(now);
     }
 
     private void pass(AdmissionDecision v, Duration now) {
-        Open t = open.get(v.queued().txn());
+        Open t = open.get(v.queuedTxn().txnId());
         if (t == null) {
-            door.closed(now, v.queued());
-        } else if (!v.letIn()) {
-            take(v.queued().txn());
+            door.onTxnClosed(now, v.queuedTxn());
+        } else if (!v.admitted()) {
+            take(v.queuedTxn().txnId());
             seen(t, now, false);
-            t.callback.declined(v.comeBack());
+            t.callback.declined(v.retryAfter());
         } else {
             try {
-                letIn(now, v.queued().txn(), t, v.queued().waited(now));
+                letIn(now, v.queuedTxn().txnId(), t, v.queuedTxn().queueTime(now));
             } catch (RuntimeException bug) {
                 onBug.accept(bug);
-                take(v.queued().txn());
+                take(v.queuedTxn().txnId());
                 t.callback.rolledBack();
             }
         }
@@ -477,7 +484,7 @@
     private Open take(String txn) {
         Open t = open.remove(txn);
         if (t != null && t.queued != null) {
-            door.closed(clock.now(), t.queued);
+            door.onTxnClosed(clock.now(), t.queued);
             changed();
         }
         return t;
@@ -500,7 +507,7 @@
                                             null));
                 } else {
                     if (txn.queued != null) {
-                        door.submitted(now, txn.queued);
+                        door.onSubmitted(now, txn.queued);
                     }
                     txn.dispatched = true;
                     Duration last = endBy == null ? txn.expiresAt : min(txn.expiresAt, endBy);
@@ -513,7 +520,8 @@
             case DECLINE -> {
                 Open txn = open.get(d.txn());
                 if (txn != null) {
-                    Duration advice = txn.queued == null ? d.when() : door.advice(now, txn.queued);
+                    Duration advice =
+                            txn.queued == null ? d.when() : door.retryAfter(now, txn.queued);
                     take(d.txn());
                     seen(txn, now, false);
                     txn.callback.declined(advice);
--- a/src/main/java/wingroad/operator/OperatorFile.java
+++ b/src/main/java/wingroad/operator/OperatorFile.java
@@ -1,5 +1,16 @@
 package wingroad.operator;
 
+import wingroad.door.FairQueueSettings;
+import wingroad.door.FairQueueSettings.SourceType;
+import wingroad.door.FairQueueSettings.TenantNameSource;
+import wingroad.door.FairQueueSettings.TenantSettings;
+import wingroad.fleet.FleetRules;
+import wingroad.kdl.KdlReader;
+import wingroad.kdl.KdlWriter;
+import wingroad.kdl.Node;
+import wingroad.kdl.Problem;
+import wingroad.kdl.Value;
+
 import java.io.IOException;
 import java.io.InputStream;
 import java.nio.ByteBuffer;
@@ -14,16 +25,6 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.Set;
-import wingroad.door.FairQueueSettings;
-import wingroad.door.FairQueueSettings.Place;
-import wingroad.door.FairQueueSettings.Source;
-import wingroad.door.FairQueueSettings.Tenant;
-import wingroad.fleet.FleetRules;
-import wingroad.kdl.KdlReader;
-import wingroad.kdl.KdlWriter;
-import wingroad.kdl.Node;
-import wingroad.kdl.Problem;
-import wingroad.kdl.Value;
 
 /**
  * The operator's own file: what is switched on, and how. {@code door} and {@code fleet} are null
@@ -45,7 +46,8 @@
                 // Guards against a start in the moment in which the file is written anew: all would
                 // be off without a word.
                 return broken(
-                        "empty: is it being written? A file that is to switch nothing on has a comment at least");
+                        "empty: is it being written? A file that is to switch nothing on has a"
+                            + " comment at least");
             }
             if (bytes.length > LONGEST) {
                 return broken("longer than " + LONGEST + " bytes");
@@ -86,12 +88,12 @@
     }
 
     private static FairQueueSettings door(Section door) {
-        FairQueueSettings usual = FairQueueSettings.USUAL;
-        List<Source> sources = new ArrayList<>();
-        int names = usual.namesPerAddress();
-        int mostWaiting = usual.mostWaiting();
-        Tenant others = usual.others();
-        Map<String, Tenant> tenants = new LinkedHashMap<>();
+        FairQueueSettings usual = FairQueueSettings.DEFAULTS;
+        List<TenantNameSource> sources = new ArrayList<>();
+        int names = usual.maxNamesPerAddress();
+        int mostWaiting = usual.maxQueuedTxns();
+        TenantSettings others = usual.defaultTenant();
+        Map<String, TenantSettings> tenants = new LinkedHashMap<>();
         for (Section s :
                 door.within(
                         Set.of(
@@ -121,7 +123,7 @@
         }
         door.end(true);
         if (sources.isEmpty()) {
-            sources = usual.sources();
+            sources = usual.tenantNameSources();
         }
         return new FairQueueSettings(
                 List.copyOf(sources),
@@ -131,26 +133,26 @@
                 Collections.unmodifiableMap(tenants));
     }
 
-    private static void source(Section s, List<Source> sources) {
-        Map<String, Place> places = new LinkedHashMap<>();
-        places.put("comment", Place.COMMENT);
-        places.put("startup", Place.STARTUP);
-        places.put("address", Place.ADDRESS);
-        Place place = s.oneOf("a place", places);
+    private static void source(Section s, List<TenantNameSource> sources) {
+        Map<String, SourceType> places = new LinkedHashMap<>();
+        places.put("comment", SourceType.COMMENT);
+        places.put("startup", SourceType.STARTUP);
+        places.put("address", SourceType.ADDRESS);
+        SourceType place = s.oneOf("a place", places);
         String name =
-                place == Place.STARTUP
+                place == SourceType.STARTUP
                         ? s.oneOf("a startup parameter", startupNames())
-                        : place == Place.COMMENT
+                        : place == SourceType.COMMENT
                                 ? s.word("the name of the value in the comment")
                                 : null;
-        if (place == null || name == null && place != Place.ADDRESS) {
+        if (place == null || name == null && place != SourceType.ADDRESS) {
             return;
         }
-        Source source = new Source(place, name);
+        TenantNameSource source = new TenantNameSource(place, name);
         if (sources.contains(source)) {
             s.problem("this place is named already");
         }
-        if (sources.stream().anyMatch(o -> o.place() == Place.ADDRESS)) {
+        if (sources.stream().anyMatch(o -> o.type() == SourceType.ADDRESS)) {
             s.problem("nothing counts behind the address: every txn has one");
         }
         sources.add(source);
@@ -164,10 +166,10 @@
         return names;
     }
 
-    private static Tenant tenant(Section s) {
+    private static TenantSettings tenant(Section s) {
         double weight = s.number("weight", 0.01, 1000, 1);
         double cap = s.number("cap", 0.01, 1, 1);
-        return new Tenant(weight, cap);
+        return new TenantSettings(weight, cap);
     }
 
     /** All settings that are in force, those left out as well, in the file's own form. */
@@ -185,27 +187,30 @@
 
     private Node doorNode() {
         List<Node> within = new ArrayList<>();
-        for (Source s : door.sources()) {
+        for (TenantNameSource s : door.tenantNameSources()) {
             List<Value> words = new ArrayList<>();
-            words.add(value(s.place().name().toLowerCase(Locale.ROOT)));
-            if (s.place() != Place.ADDRESS) {
-                words.add(value(s.name()));
+            words.add(value(s.type().name().toLowerCase(Locale.ROOT)));
+            if (s.type() != SourceType.ADDRESS) {
+                words.add(value(s.parameterName()));
             }
             within.add(node("tenant-from", words, Map.of()));
         }
         within.add(
-                node("names-per-address", List.of(value((long) door.namesPerAddress())), Map.of()));
-        within.add(node("most-waiting", List.of(value((long) door.mostWaiting())), Map.of()));
-        within.add(node("others", List.of(), due(door.others())));
+                node(
+                        "names-per-address",
+                        List.of(value((long) door.maxNamesPerAddress())),
+                        Map.of()));
+        within.add(node("most-waiting", List.of(value((long) door.maxQueuedTxns())), Map.of()));
+        within.add(node("others", List.of(), due(door.defaultTenant())));
         door.tenants()
                 .forEach((name, t) -> within.add(node("tenant", List.of(value(name)), due(t))));
         return new Node("door", List.of(), Map.of(), within);
     }
 
-    private static Map<String, Value> due(Tenant t) {
+    private static Map<String, Value> due(TenantSettings t) {
         Map<String, Value> due = new LinkedHashMap<>();
         due.put("weight", value(t.weight()));
-        due.put("cap", value(t.cap()));
+        due.put("cap", value(t.maxConcurrencyShare()));
         return due;
     }
 
--- a/src/test/java/wingroad/door/FairQueuesTest.java
+++ b/src/test/java/wingroad/door/FairQueuesTest.java
@@ -2,41 +2,45 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.within;
+
 import static wingroad.door.Play.LONG;
 import static wingroad.door.Play.WRITE;
 import static wingroad.door.Play.at;
 
+import org.junit.jupiter.api.Test;
+
+import wingroad.door.FairQueueSettings.TenantSettings;
+import wingroad.door.Play.Crowd;
+import wingroad.state.Submission.End;
+
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeSet;
-import org.junit.jupiter.api.Test;
-import wingroad.door.FairQueueSettings.Tenant;
-import wingroad.door.Play.Crowd;
-import wingroad.state.Submission.End;
 
 /**
  * The door in virtual time: twelve places of 50 ms, 240 txns a second, unless a test says
  * otherwise.
  */
 class FairQueuesTest {
-    private final Play play = new Play().open(FairQueueSettings.USUAL);
+    private final Play play = new Play().open(FairQueueSettings.DEFAULTS);
 
     private static FairQueueSettings listed(Object... namesAndWeights) {
-        Map<String, Tenant> tenants = new HashMap<>();
+        Map<String, TenantSettings> tenants = new HashMap<>();
         for (int i = 0; i < namesAndWeights.length; i += 2) {
             tenants.put(
-                    (String) namesAndWeights[i], new Tenant((double) namesAndWeights[i + 1], 1));
+                    (String) namesAndWeights[i],
+                    new TenantSettings((double) namesAndWeights[i + 1], 1));
         }
-        return rules(tenants, FairQueueSettings.USUAL.others(), 2000);
+        return rules(tenants, FairQueueSettings.DEFAULTS.defaultTenant(), 2000);
     }
 
     private static FairQueueSettings rules(
-            Map<String, Tenant> tenants, Tenant others, int mostWaiting) {
+            Map<String, TenantSettings> tenants, TenantSettings others, int mostWaiting) {
         return new FairQueueSettings(
-                FairQueueSettings.USUAL.sources(), 8, mostWaiting, others, tenants);
+                FairQueueSettings.DEFAULTS.tenantNameSources(), 8, mostWaiting, others, tenants);
     }
 
     private List<Crowd> light() {
@@ -98,7 +102,7 @@
     @Test
     void aNewConnectionForEachTxnChangesNothing() {
         play.terms.put("clients-mark-retries", true);
-        play.open(FairQueueSettings.USUAL);
+        play.open(FairQueueSettings.DEFAULTS);
         List<Crowd> light = light();
         Crowd heavy = play.new Crowd("heavy", 120, 0);
         heavy.newConnections = true;
@@ -214,7 +218,7 @@
         // can make.
         assertThat(writes.committed).isLessThan(40);
         assertThat(writes.declined).isZero();
-        assertThat(play.door.waiting()).isGreaterThan(30);
+        assertThat(play.door.queuedCount()).isGreaterThan(30);
         play.headless.clear();
         play.submit();
         playFor(3000);
@@ -237,13 +241,22 @@
     void aThousandToldAtOnceAreNotToldTheSameTime() {
         TreeSet<Duration> told = new TreeSet<>();
         for (int i = 0; i < 1000; i++) {
-            play.door.arrived(
-                    at(0), "t" + i, 0, 7, at(2000), new Caller("10.0.0.1", Map.of()), null, false);
+            play.door.onTxnArrived(
+                    at(0),
+                    "t" + i,
+                    0,
+                    7,
+                    at(2000),
+                    new ClientContext("10.0.0.1", Map.of()),
+                    null,
+                    false);
         }
-        for (AdmissionDecision v = play.door.next(at(0)); v != null; v = play.door.next(at(0))) {
-            if (!v.letIn()) {
-                assertThat(v.comeBack()).isBetween(at(10), at(500));
-                told.add(v.comeBack());
+        for (AdmissionDecision v = play.door.nextDecision(at(0));
+                v != null;
+                v = play.door.nextDecision(at(0))) {
+            if (!v.admitted()) {
+                assertThat(v.retryAfter()).isBetween(at(10), at(500));
+                told.add(v.retryAfter());
             }
         }
         assertThat(told).hasSizeGreaterThan(800);
@@ -253,7 +266,7 @@
     @Test
     void withoutTheRightToAdviseNothingIsAdvised() {
         play.terms.put("may-advise-come-back", false);
-        play.open(FairQueueSettings.USUAL);
+        play.open(FairQueueSettings.DEFAULTS);
         Crowd heavy = play.new Crowd("heavy", 120, 0);
         play.until(3000);
         assertThat(heavy.declined).isGreaterThan(100);
@@ -287,13 +300,13 @@
         heavy.type = WRITE;
         heavy.left = 5000;
         play.until(4000);
-        assertThat(play.door.waiting()).isGreaterThan(50);
+        assertThat(play.door.queuedCount()).isGreaterThan(50);
         heavy.once = true;
-        play.door.endBy(at(play.now + 300));
+        play.door.drainBy(at(play.now + 300));
         play.headless.add(7);
         play.pull();
         play.until(play.now + 300);
-        assertThat(play.door.waiting()).isZero();
+        assertThat(play.door.queuedCount()).isZero();
     }
 
     @Test
@@ -302,13 +315,13 @@
         Crowd a = play.new Crowd("a", 60, 0);
         Crowd b = play.new Crowd("b", 100, 0);
         play.until(4000);
-        int waiting = play.door.waiting();
-        play.door.rules(at(play.now), listed("a", 1.0, "b", 4.0));
-        assertThat(play.door.waiting()).isEqualTo(waiting);
+        int waiting = play.door.queuedCount();
+        play.door.updateSettings(at(play.now), listed("a", 1.0, "b", 4.0));
+        assertThat(play.door.queuedCount()).isEqualTo(waiting);
         play.until(play.now + 500);
         playFor(8000);
         assertThat((double) b.committed / a.committed).isCloseTo(4, within(0.3));
-        play.door.rules(at(play.now), FairQueueSettings.USUAL);
+        play.door.updateSettings(at(play.now), FairQueueSettings.DEFAULTS);
         play.until(play.now + 500);
         playFor(8000);
         assertThat((double) b.committed / a.committed).isCloseTo(1, within(0.1));
@@ -318,8 +331,8 @@
     void aCapHoldsEvenWherePlacesStandEmpty() {
         play.open(
                 rules(
-                        Map.of("capped", new Tenant(1, 0.25)),
-                        FairQueueSettings.USUAL.others(),
+                        Map.of("capped", new TenantSettings(1, 0.25)),
+                        FairQueueSettings.DEFAULTS.defaultTenant(),
                         2000));
         Crowd capped = play.new Crowd("capped", 60, 0);
         play.until(3000);
@@ -329,12 +342,12 @@
 
     @Test
     void whereAllPlacesToWaitAreTakenALongQueueMakesRoom() {
-        play.open(rules(Map.of(), FairQueueSettings.USUAL.others(), 40));
+        play.open(rules(Map.of(), FairQueueSettings.DEFAULTS.defaultTenant(), 40));
         Crowd heavy = play.new Crowd("heavy", 100, 0);
         heavy.type = WRITE;
         heavy.left = 5000;
         play.until(4000);
-        assertThat(play.door.waiting()).isEqualTo(40);
+        assertThat(play.door.queuedCount()).isEqualTo(40);
         Crowd light = play.new Crowd("light", 2, 200);
         light.type = WRITE;
         light.left = 5000;
@@ -347,67 +360,76 @@
     void tenThousandClientsOfOneTxnEachStayWithinAMebibyteAndEachHasOneVerdict() {
         int verdicts = 0;
         for (int i = 0; i < 10_000; i++) {
-            play.door.arrived(
-                    at(0), "t" + i, 0, 7, at(2000), new Caller("10." + i, Map.of()), null, false);
+            play.door.onTxnArrived(
+                    at(0),
+                    "t" + i,
+                    0,
+                    7,
+                    at(2000),
+                    new ClientContext("10." + i, Map.of()),
+                    null,
+                    false);
         }
         List<QueuedTxn> in = new ArrayList<>();
         for (double now = 0; now < 3000; now += 5) {
-            for (AdmissionDecision v = play.door.next(at(now));
+            for (AdmissionDecision v = play.door.nextDecision(at(now));
                     v != null;
-                    v = play.door.next(at(now))) {
+                    v = play.door.nextDecision(at(now))) {
                 verdicts++;
-                if (v.letIn()) {
-                    play.door.submitted(at(now), v.queued());
-                    in.add(v.queued());
+                if (v.admitted()) {
+                    play.door.onSubmitted(at(now), v.queuedTxn());
+                    in.add(v.queuedTxn());
                 }
             }
             if (!in.isEmpty() && now % 50 == 0) {
                 for (QueuedTxn v : in) {
-                    play.door.ended(at(now), v, End.COMMITTED, at(50));
-                    play.door.closed(at(now), v);
+                    play.door.onSubmissionEnded(at(now), v, End.COMMITTED, at(50));
+                    play.door.onTxnClosed(at(now), v);
                 }
                 in.clear();
             }
         }
         assertThat(verdicts).isEqualTo(10_000);
-        assertThat(play.door.bytes()).isLessThan(1 << 20);
+        assertThat(play.door.memoryBytes()).isLessThan(1 << 20);
         assertThat(play.door.accountsUsed()).isLessThanOrEqualTo(Accounts.ROWS);
     }
 
     @Test
     void aSilentMemberFillsNoPlacesForLong() {
-        Caller caller = new Caller("10.0.0.1", Map.of());
+        ClientContext caller = new ClientContext("10.0.0.1", Map.of());
         List<QueuedTxn> stuck = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
-            play.door.arrived(at(i), "s" + i, 0, 7, at(2000), caller, null, false);
-            QueuedTxn v = play.door.next(at(i)).queued();
-            play.door.submitted(at(i), v);
+            play.door.onTxnArrived(at(i), "s" + i, 0, 7, at(2000), caller, null, false);
+            QueuedTxn v = play.door.nextDecision(at(i)).queuedTxn();
+            play.door.onSubmitted(at(i), v);
             stuck.add(v);
         }
         assertThat(play.door.out(7, false)).isEqualTo(8);
-        play.door.arrived(at(20), "next", 0, 7, at(5000), caller, null, false);
-        assertThat(play.door.next(at(20))).isNull();
-        assertThat(play.door.next(play.door.wakeAt())).isNotNull();
+        play.door.onTxnArrived(at(20), "next", 0, 7, at(5000), caller, null, false);
+        assertThat(play.door.nextDecision(at(20))).isNull();
+        assertThat(play.door.nextDecision(play.door.nextWakeUp())).isNotNull();
         // Their ends come after all, and change nothing twice.
         stuck.forEach(
                 v -> {
-                    play.door.ended(at(3000), v, End.TIMED_OUT, at(2900));
-                    play.door.closed(at(3000), v);
-                    play.door.closed(at(3000), v);
+                    play.door.onSubmissionEnded(at(3000), v, End.TIMED_OUT, at(2900));
+                    play.door.onTxnClosed(at(3000), v);
+                    play.door.onTxnClosed(at(3000), v);
                 });
         assertThat(play.door.out(7, false)).isZero();
     }
 
     @Test
     void aClientThatLeavesWhileItsTxnWaitsLeavesNothingBehind() {
-        Caller caller = new Caller("10.0.0.1", Map.of());
+        ClientContext caller = new ClientContext("10.0.0.1", Map.of());
         List<QueuedTxn> all = new ArrayList<>();
         for (int i = 0; i < 30; i++) {
-            all.add(play.door.arrived(at(0), "t" + i, WRITE, 7, at(5000), caller, null, false));
+            all.add(
+                    play.door.onTxnArrived(
+                            at(0), "t" + i, WRITE, 7, at(5000), caller, null, false));
         }
-        all.forEach(v -> play.door.closed(at(1), v));
-        assertThat(play.door.waiting()).isZero();
-        assertThat(play.door.next(at(10_000))).isNull();
-        assertThat(play.door.wakeAt()).isNull();
+        all.forEach(v -> play.door.onTxnClosed(at(1), v));
+        assertThat(play.door.queuedCount()).isZero();
+        assertThat(play.door.nextDecision(at(10_000))).isNull();
+        assertThat(play.door.nextWakeUp()).isNull();
     }
 }
--- a/src/test/java/wingroad/door/Play.java
+++ b/src/test/java/wingroad/door/Play.java
@@ -1,5 +1,7 @@
 package wingroad.door;
 
+import wingroad.state.Submission.End;
+
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -8,7 +10,6 @@
 import java.util.PriorityQueue;
 import java.util.Random;
 import java.util.function.Consumer;
-import wingroad.state.Submission.End;
 
 /**
  * The door before one lane of members, played in virtual time: places that each take so long for a
@@ -25,14 +26,14 @@
     /** One connection of a tenant. */
     final class Asker {
         final Crowd crowd;
-        Caller caller;
+        ClientContext caller;
         QueuedTxn queued;
         double askedAt;
         double toldAt = -1;
 
         Asker(Crowd crowd, String address) {
             this.crowd = crowd;
-            this.caller = new Caller(address, Map.of());
+            this.caller = new ClientContext(address, Map.of());
         }
 
         void ask() {
@@ -42,7 +43,7 @@
             crowd.asked++;
             boolean retry = toldAt >= 0;
             queued =
-                    door.arrived(
+                    door.onTxnArrived(
                             at(now),
                             id,
                             crowd.type,
@@ -79,7 +80,8 @@
                 toldAt = now + comeBack.toNanos() / 1e6;
             }
             if (!crowd.once) {
-                caller = crowd.newConnections ? new Caller(caller.address, Map.of()) : caller;
+                caller =
+                        crowd.newConnections ? new ClientContext(caller.address, Map.of()) : caller;
                 later(now + wait, this::ask);
             }
         }
@@ -227,23 +229,25 @@
             return;
         }
         pulling = true;
-        for (AdmissionDecision v = door.next(at(now)); v != null; v = door.next(at(now))) {
-            String id = v.queued().txn();
+        for (AdmissionDecision v = door.nextDecision(at(now));
+                v != null;
+                v = door.nextDecision(at(now))) {
+            String id = v.queuedTxn().txnId();
             Asker a = asked.get(id);
             if (a == null) {
-                door.closed(at(now), v.queued());
-            } else if (v.letIn()) {
-                a.queued = v.queued();
+                door.onTxnClosed(at(now), v.queuedTxn());
+            } else if (v.admitted()) {
+                a.queued = v.queuedTxn();
                 held.add(id);
                 submit();
             } else {
                 asked.remove(id);
-                Duration comeBack = v.comeBack();
+                Duration comeBack = v.retryAfter();
                 later(now, () -> a.answered(false, comeBack));
             }
         }
         pulling = false;
-        Duration wake = door.wakeAt();
+        Duration wake = door.nextWakeUp();
         if (wake != null && (wakeAt <= now || wake.toNanos() / 1e6 < wakeAt)) {
             wakeAt = Math.max(now, wake.toNanos() / 1e6) + 0.001;
             later(wakeAt, this::pull);
@@ -261,7 +265,7 @@
             out++;
             sentAt.put(id, now);
             queue.add(id);
-            door.submitted(at(now), a.queued);
+            door.onSubmitted(at(now), a.queued);
         }
         begin();
     }
@@ -282,8 +286,8 @@
         busy--;
         out--;
         Asker a = asked.remove(id);
-        door.ended(at(now), a.queued, End.COMMITTED, at(now - sentAt.remove(id)));
-        door.closed(at(now), a.queued);
+        door.onSubmissionEnded(at(now), a.queued, End.COMMITTED, at(now - sentAt.remove(id)));
+        door.onTxnClosed(at(now), a.queued);
         later(now, () -> a.answered(true, null));
         submit();
         pull();
--- a/src/test/java/wingroad/operator/OperatorFileTest.java
+++ b/src/test/java/wingroad/operator/OperatorFileTest.java
@@ -2,18 +2,20 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import java.nio.file.Files;
-import java.nio.file.Path;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+
 import wingroad.door.FairQueueSettings;
-import wingroad.door.FairQueueSettings.Place;
-import wingroad.door.FairQueueSettings.Source;
-import wingroad.door.FairQueueSettings.Tenant;
+import wingroad.door.FairQueueSettings.SourceType;
+import wingroad.door.FairQueueSettings.TenantNameSource;
+import wingroad.door.FairQueueSettings.TenantSettings;
 import wingroad.kdl.Problem;
 
+import java.nio.file.Files;
+import java.nio.file.Path;
+
 class OperatorFileTest {
     private static FairQueueSettings door(String within) {
         OperatorFile.Read read = OperatorFile.read("door {\n" + within + "\n}");
@@ -28,7 +30,7 @@
 
     @Test
     void whatIsLeftOutIsAsUsual() {
-        assertThat(door("")).isEqualTo(FairQueueSettings.USUAL);
+        assertThat(door("")).isEqualTo(FairQueueSettings.DEFAULTS);
     }
 
     @Test
@@ -36,25 +38,25 @@
         FairQueueSettings rules =
                 door(
                         """
-            tenant-from comment tenant
-            tenant-from startup user
-            tenant-from address
-            names-per-address 3; most-waiting 100
-            others weight=0.5 cap=0.25
-            tenant shop weight=7
-            tenant "10.0.0.9" cap=0.1
-            """);
-        assertThat(rules.sources())
+                        tenant-from comment tenant
+                        tenant-from startup user
+                        tenant-from address
+                        names-per-address 3; most-waiting 100
+                        others weight=0.5 cap=0.25
+                        tenant shop weight=7
+                        tenant "10.0.0.9" cap=0.1
+                        """);
+        assertThat(rules.tenantNameSources())
                 .containsExactly(
-                        new Source(Place.COMMENT, "tenant"),
-                        new Source(Place.STARTUP, "user"),
-                        new Source(Place.ADDRESS, null));
-        assertThat(rules.namesPerAddress()).isEqualTo(3);
-        assertThat(rules.mostWaiting()).isEqualTo(100);
-        assertThat(rules.others()).isEqualTo(new Tenant(0.5, 0.25));
+                        new TenantNameSource(SourceType.COMMENT, "tenant"),
+                        new TenantNameSource(SourceType.STARTUP, "user"),
+                        new TenantNameSource(SourceType.ADDRESS, null));
+        assertThat(rules.maxNamesPerAddress()).isEqualTo(3);
+        assertThat(rules.maxQueuedTxns()).isEqualTo(100);
+        assertThat(rules.defaultTenant()).isEqualTo(new TenantSettings(0.5, 0.25));
         assertThat(rules.tenants())
-                .containsEntry("shop", new Tenant(7, 1))
-                .containsEntry("10.0.0.9", new Tenant(1, 0.1));
+                .containsEntry("shop", new TenantSettings(7, 1))
+                .containsEntry("10.0.0.9", new TenantSettings(1, 0.1));
     }
 
     @ParameterizedTest
@@ -62,26 +64,26 @@
             delimiter = '|',
             textBlock =
                     """
-        tenant-from commnt x         | 2:13: found 'commnt', expected a place, one of comment, startup, address
-        tenant-from comment          | 2:1: 'tenant-from' needs the name of the value in the comment
-        tenant-from startup password | 2:21: found 'password', expected a startup parameter, one of user
-        tenant-from address; tenant-from comment x | 2:22: nothing counts behind the address
-        tenant-from comment x; tenant-from comment x | 2:24: this place is named already
-        names-per-address "8"        | 2:19: found the string "8", expected how many names, a whole number from 0 to 16
-        names-per-address 17         | 2:19: found the number 17
-        most-waiting 1.5             | 2:14: found the number 1.5
-        most-waiting 1; most-waiting 2 | 2:17: 'most-waiting' stands in line 2 already
-        others weight=0              | 2:15: found the number 0, expected weight from 0.01 to 1000
-        others weight=#nan           | 2:15: found the number NaN
-        others 3                     | 2:8: found the number 3, expected nothing more behind 'others'
-        others colour=1              | 2:15: 'colour' is not known for 'others', expected one of cap, weight
-        others cap=1 cap=0.5         | 2:18: 'cap' stands twice
-        others { x }                 | 2:10: 'others' has nothing within it
-        (x)others                    | 2:4: '(x)' means nothing here
-        tenant weight=1              | 2:1: 'tenant' needs a name
-        tenant a; tenant a           | 2:11: the tenant 'a' is listed already
-        waiting 3                    | 2:1: 'waiting' is not known in 'door', expected one of most-waiting
-        """)
+                    tenant-from commnt x         | 2:13: found 'commnt', expected a place, one of comment, startup, address
+                    tenant-from comment          | 2:1: 'tenant-from' needs the name of the value in the comment
+                    tenant-from startup password | 2:21: found 'password', expected a startup parameter, one of user
+                    tenant-from address; tenant-from comment x | 2:22: nothing counts behind the address
+                    tenant-from comment x; tenant-from comment x | 2:24: this place is named already
+                    names-per-address "8"        | 2:19: found the string "8", expected how many names, a whole number from 0 to 16
+                    names-per-address 17         | 2:19: found the number 17
+                    most-waiting 1.5             | 2:14: found the number 1.5
+                    most-waiting 1; most-waiting 2 | 2:17: 'most-waiting' stands in line 2 already
+                    others weight=0              | 2:15: found the number 0, expected weight from 0.01 to 1000
+                    others weight=#nan           | 2:15: found the number NaN
+                    others 3                     | 2:8: found the number 3, expected nothing more behind 'others'
+                    others colour=1              | 2:15: 'colour' is not known for 'others', expected one of cap, weight
+                    others cap=1 cap=0.5         | 2:18: 'cap' stands twice
+                    others { x }                 | 2:10: 'others' has nothing within it
+                    (x)others                    | 2:4: '(x)' means nothing here
+                    tenant weight=1              | 2:1: 'tenant' needs a name
+                    tenant a; tenant a           | 2:11: the tenant 'a' is listed already
+                    waiting 3                    | 2:1: 'waiting' is not known in 'door', expected one of most-waiting
+                    """)
     void whatIsWrongIsToldWithItsPlaceAndWhatWasExpected(String line, String begins) {
         OperatorFile.Read read = OperatorFile.read("door {\n" + line + "\n}");
         assertThat(read.file()).isNull();
@@ -103,7 +105,11 @@
     void whatIsPrintedIsReadAsTheSame() {
         OperatorFile file =
                 OperatorFile.read(
-                                "door {\n tenant-from comment t\n tenant \"a b\" weight=0.3\n tenant c cap=0.5\n}")
+                                "door {\n"
+                                    + " tenant-from comment t\n"
+                                    + " tenant \"a b\" weight=0.3\n"
+                                    + " tenant c cap=0.5\n"
+                                    + "}")
                         .file();
         assertThat(OperatorFile.read(file.print()).file()).isEqualTo(file);
         assertThat(file.print()).contains("names-per-address 8", "others weight=1 cap=1");
@@ -127,14 +133,14 @@
     void aFleetIsCheckedAndPrintedAsItStands() {
         String file =
                 """
-            fleet "graz" {
-                driver "d1"
-                listen "127.0.0.1:7401"
-                voter "d1" "127.0.0.1:7401"
-                state "/tmp/x"
-                chore "purge" every=60 group=7 statement="SELECT purge_records({epoch}, 500)"
-            }
-            """;
+                fleet "graz" {
+                    driver "d1"
+                    listen "127.0.0.1:7401"
+                    voter "d1" "127.0.0.1:7401"
+                    state "/tmp/x"
+                    chore "purge" every=60 group=7 statement="SELECT purge_records({epoch}, 500)"
+                }
+                """;
         OperatorFile.Read read = OperatorFile.read(file);
         assertThat(read.problems()).isEmpty();
         assertThat(read.file().fleet().duties()).containsExactly("chore purge");
@@ -146,14 +152,14 @@
     void whatIsWrongWithAFleetIsTold() {
         String file =
                 """
-            fleet "graz" {
-                voter "d1" "10.0.0.1:7401"
-                voter "d2" "127.0.0.1:7402"
-                lease-ms 100
-                chore "purge" every=60 group=7 statement="SELECT purge_records(500)"
-                chore "purge" group=7 statement="SELECT f({epoch})"
-            }
-            """;
+                fleet "graz" {
+                    voter "d1" "10.0.0.1:7401"
+                    voter "d2" "127.0.0.1:7402"
+                    lease-ms 100
+                    chore "purge" every=60 group=7 statement="SELECT purge_records(500)"
+                    chore "purge" group=7 statement="SELECT f({epoch})"
+                }
+                """;
         assertThat(
                         OperatorFile.read(file).problems().stream()
                                 .map(Object::toString)
@@ -170,7 +176,12 @@
     }
 
     private static String work(String within) {
-        return "fleet \"graz\" {\n driver \"d1\"\n listen \"127.0.0.1:7401\"\n voter \"d1\" \"127.0.0.1:7401\"\n state \"/tmp/x\"\n work {\n"
+        return "fleet \"graz\" {\n"
+                   + " driver \"d1\"\n"
+                   + " listen \"127.0.0.1:7401\"\n"
+                   + " voter \"d1\" \"127.0.0.1:7401\"\n"
+                   + " state \"/tmp/x\"\n"
+                   + " work {\n"
                 + within
                 + "\n }\n}\n";
     }
@@ -181,12 +192,12 @@
                 OperatorFile.read(
                         work(
                                 """
-            at-once 3
-            lost-view "strict" horizon=90
-            watch 2.5
-            machine "r1" zone="a" { member "db-1*" group=7; member "db-2" group=8; driver "d1" }
-            machine "r2" zone="b" { member "db-3" group=7 }
-            """));
+                                at-once 3
+                                lost-view "strict" horizon=90
+                                watch 2.5
+                                machine "r1" zone="a" { member "db-1*" group=7; member "db-2" group=8; driver "d1" }
+                                machine "r2" zone="b" { member "db-3" group=7 }
+                                """));
         assertThat(read.problems()).isEmpty();
         assertThat(read.file().fleet().duties()).containsExactly("conductor");
         assertThat(read.file().fleet().work().lines())
@@ -201,13 +212,13 @@
                         OperatorFile.read(
                                         work(
                                                 """
-            at-once 0
-            lost-view "never"
-            machine "r 1" zone="a" { member "db-1" group=7 }
-            machine "r2" { member "db-1" group=7; member "db-2" }
-            machine "r3" zone="c"
-            machine "r3" zone="c" { driver "d9" }
-            """))
+                                                at-once 0
+                                                lost-view "never"
+                                                machine "r 1" zone="a" { member "db-1" group=7 }
+                                                machine "r2" { member "db-1" group=7; member "db-2" }
+                                                machine "r3" zone="c"
+                                                machine "r3" zone="c" { driver "d9" }
+                                                """))
                                 .problems()
                                 .stream()
                                 .map(Object::toString)
