--- a/src/bench/java/wingroad/fleet/OwnerBench.java
+++ b/src/bench/java/wingroad/fleet/OwnerBench.java
@@ -1,5 +1,13 @@
 package wingroad.fleet;
 
+import wingroad.Fixtures;
+import wingroad.Fixtures.Client;
+import wingroad.operator.OperatorFile;
+import wingroad.protocol.Json;
+import wingroad.rig.FencedMember;
+import wingroad.rig.Relays;
+import wingroad.rig.Rig;
+
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.file.Files;
@@ -18,13 +26,6 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicLong;
-import wingroad.Fixtures;
-import wingroad.Fixtures.Client;
-import wingroad.operator.OperatorFile;
-import wingroad.protocol.Json;
-import wingroad.rig.FencedMember;
-import wingroad.rig.Relays;
-import wingroad.rig.Rig;
 
 /**
  * Twenty and more real processes with faults: the same load and faults without a fleet and with
@@ -559,7 +560,7 @@
 
     // ---- the council, by status ----
 
-    private FleetRules rules() throws IOException {
+    private FleetConfig rules() throws IOException {
         return OperatorFile.read(rig.driver("d1").operator()).file().fleet();
     }
 
--- a/src/bench/java/wingroad/work/WorkBench.java
+++ b/src/bench/java/wingroad/work/WorkBench.java
@@ -1,5 +1,14 @@
 package wingroad.work;
 
+import wingroad.Fixtures;
+import wingroad.fleet.FleetClient;
+import wingroad.fleet.FleetConfig;
+import wingroad.operator.OperatorFile;
+import wingroad.rig.FencedMember;
+import wingroad.rig.Load;
+import wingroad.rig.Relays;
+import wingroad.rig.Rig;
+
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
@@ -21,14 +30,6 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import wingroad.Fixtures;
-import wingroad.fleet.FleetClient;
-import wingroad.fleet.FleetRules;
-import wingroad.operator.OperatorFile;
-import wingroad.rig.FencedMember;
-import wingroad.rig.Load;
-import wingroad.rig.Relays;
-import wingroad.rig.Rig;
 
 /**
  * Nine machines of three zones with eighteen members, eight drivers as real processes: no work at
@@ -62,7 +63,7 @@
     private final Set<Long> epochs = new HashSet<>();
     private final List<Object> heldOrders = new ArrayList<>();
     private final AtomicInteger twoWays = new AtomicInteger();
-    private final FleetRules fleetRules;
+    private final FleetConfig fleetRules;
     private Load load;
     private volatile Map<?, ?> work = Map.of();
     private volatile String conductor = "";
@@ -345,7 +346,10 @@
                 rig.reachable(member, true);
                 later.schedule(() -> member.behind(0), 1200, TimeUnit.MILLISECONDS);
             }
-            talk(c -> c.workWord("done", machine, "done " + machine + " " + System.nanoTime()));
+            talk(
+                    c ->
+                            c.commandMachine(
+                                    "done", machine, "done " + machine + " " + System.nanoTime()));
         } catch (IOException e) {
             System.out.println("rig: " + e);
         }
@@ -430,7 +434,7 @@
     // ---- talk with the council ----
 
     /** Read once: a driver that starts writes its file anew. */
-    private FleetRules rules() {
+    private FleetConfig rules() {
         return fleetRules;
     }
 
@@ -445,7 +449,7 @@
     private <T> T talk(int first, Talk<T> what) throws IOException {
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(60);
         IOException last = null;
-        List<String> voters = new ArrayList<>(rules().voters().keySet());
+        List<String> voters = new ArrayList<>(rules().voterAddresses().keySet());
         while (System.nanoTime() < end) {
             for (int i = 0; i < voters.size(); i++) {
                 String v = voters.get((first + i) % voters.size());
@@ -464,7 +468,7 @@
 
     private String ask(int voter, String machine, String id) {
         try {
-            return talk(voter, c -> c.workAsk(machine, "kernel", 0, 0, List.of(), id));
+            return talk(voter, c -> c.requestMachine(machine, "kernel", 0, 0, List.of(), id));
         } catch (IOException e) {
             return e.toString();
         }
--- a/src/main/java/wingroad/cli/FleetCommand.java
+++ b/src/main/java/wingroad/cli/FleetCommand.java
@@ -2,6 +2,16 @@
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
+
+import picocli.CommandLine;
+import picocli.CommandLine.Command;
+import picocli.CommandLine.Option;
+import picocli.CommandLine.Parameters;
+
+import wingroad.fleet.FleetClient;
+import wingroad.fleet.FleetConfig;
+import wingroad.operator.OperatorFile;
+
 import java.io.IOException;
 import java.io.StringWriter;
 import java.nio.file.Path;
@@ -13,20 +23,14 @@
 import java.util.Map;
 import java.util.UUID;
 import java.util.concurrent.Callable;
-import picocli.CommandLine;
-import picocli.CommandLine.Command;
-import picocli.CommandLine.Option;
-import picocli.CommandLine.Parameters;
-import wingroad.fleet.FleetClient;
-import wingroad.fleet.FleetRules;
-import wingroad.operator.OperatorFile;
 
 /** What operators ask of a fleet that runs, through any voter that answers. */
 @Command(
         name = "fleet",
         mixinStandardHelpOptions = true,
         description =
-                "Asks a running fleet: who is there, who owns which duty; hands duties over. See docs/operators/fleet.md.",
+                "Asks a running fleet: who is there, who owns which duty; hands duties over. See"
+                    + " docs/operators/fleet.md.",
         subcommands = {
             FleetCommand.Status.class,
             FleetCommand.Watch.class,
@@ -67,7 +71,7 @@
             T of(FleetClient client) throws IOException;
         }
 
-        abstract int ask(FleetRules rules) throws IOException;
+        abstract int ask(FleetConfig rules) throws IOException;
 
         @Override
         public Integer call() {
@@ -88,9 +92,9 @@
         }
 
         /** Asks the voters in turn until one answers. */
-        static <T> T first(FleetRules rules, Ask<T> what) throws IOException {
+        static <T> T first(FleetConfig rules, Ask<T> what) throws IOException {
             List<String> failures = new ArrayList<>();
-            for (String voter : rules.voters().keySet()) {
+            for (String voter : rules.voterAddresses().keySet()) {
                 try (FleetClient c = new FleetClient(rules, voter)) {
                     return what.of(c);
                 } catch (IOException e) {
@@ -104,10 +108,10 @@
         }
 
         /** What the voter says that is the furthest. */
-        static Map<String, Object> newest(FleetRules rules) throws IOException {
+        static Map<String, Object> newest(FleetConfig rules) throws IOException {
             Map<String, Object> best = null;
             List<String> failures = new ArrayList<>();
-            for (String voter : rules.voters().keySet()) {
+            for (String voter : rules.voterAddresses().keySet()) {
                 try (FleetClient c = new FleetClient(rules, voter)) {
                     Map<String, Object> s = c.status();
                     best =
@@ -133,10 +137,11 @@
             name = "status",
             mixinStandardHelpOptions = true,
             description =
-                    "Who is there, who votes and leads, who owns which duty. Exit status 3: no voter answers.")
+                    "Who is there, who votes and leads, who owns which duty. Exit status 3: no"
+                        + " voter answers.")
     static final class Status extends Asks {
         @Override
-        int ask(FleetRules rules) throws IOException {
+        int ask(FleetConfig rules) throws IOException {
             Map<String, Object> s = newest(rules);
             System.out.print(json ? text(s) + "\n" : page(s));
             return 0;
@@ -159,7 +164,7 @@
         int times;
 
         @Override
-        int ask(FleetRules rules) throws IOException {
+        int ask(FleetConfig rules) throws IOException {
             for (int n = 1; times == 0 || n <= times; n++) {
                 try {
                     Map<String, Object> s = newest(rules);
@@ -198,7 +203,7 @@
         String duty;
 
         @Override
-        int ask(FleetRules rules) throws IOException {
+        int ask(FleetConfig rules) throws IOException {
             for (Map<String, Object> d : maps(newest(rules).get("duties"))) {
                 if (duty.equals(d.get("name"))) {
                     for (Object line : (List<?>) d.get("history")) {
@@ -228,7 +233,8 @@
             name = "hand-over",
             mixinStandardHelpOptions = true,
             description =
-                    "Has a duty go to another driver; answered once that is settled. Exit status 1: refused.")
+                    "Has a duty go to another driver; answered once that is settled. Exit status 1:"
+                        + " refused.")
     static final class HandOver extends Asks {
         @Parameters(
                 paramLabel = "DUTY",
@@ -243,7 +249,7 @@
         String to;
 
         @Override
-        int ask(FleetRules rules) throws IOException {
+        int ask(FleetConfig rules) throws IOException {
             // Under one name with every voter: however often it is asked, it is done once.
             String name = UUID.randomUUID().toString();
             String refusal = first(rules, c -> c.handOver(duty, to, name));
@@ -261,7 +267,8 @@
             name = "voters",
             mixinStandardHelpOptions = true,
             description =
-                    "Changes who votes, one at a time; 'status' shows when it is settled. Exit status 1: refused.")
+                    "Changes who votes, one at a time; 'status' shows when it is settled. Exit"
+                        + " status 1: refused.")
     static final class Voters extends Asks {
         /** What to do with one. */
         enum Change {
@@ -284,13 +291,13 @@
         String address;
 
         @Override
-        int ask(FleetRules rules) throws IOException {
+        int ask(FleetConfig rules) throws IOException {
             if ((change == Change.add) == address.isEmpty()) {
                 System.err.println("wingroad: 'add' needs an address, 'remove' takes none");
                 return UNUSABLE;
             }
             String ask = UUID.randomUUID().toString();
-            String refusal = first(rules, c -> c.voter(name, address, ask));
+            String refusal = first(rules, c -> c.changeVoter(name, address, ask));
             System.out.println(
                     json
                             ? text(Map.of("settled", refusal.isEmpty(), "why", refusal))
--- a/src/main/java/wingroad/cli/WorkCommand.java
+++ b/src/main/java/wingroad/cli/WorkCommand.java
@@ -1,5 +1,12 @@
 package wingroad.cli;
 
+import picocli.CommandLine;
+import picocli.CommandLine.Command;
+import picocli.CommandLine.Option;
+import picocli.CommandLine.Parameters;
+
+import wingroad.fleet.FleetConfig;
+
 import java.io.IOException;
 import java.time.Duration;
 import java.time.Instant;
@@ -9,18 +16,14 @@
 import java.util.Map;
 import java.util.UUID;
 import java.util.concurrent.Callable;
-import picocli.CommandLine;
-import picocli.CommandLine.Command;
-import picocli.CommandLine.Option;
-import picocli.CommandLine.Parameters;
-import wingroad.fleet.FleetRules;
 
 /** What operators ask of a fleet about work on machines, through any voter that answers. */
 @Command(
         name = "work",
         mixinStandardHelpOptions = true,
         description =
-                "Takes machines out for work and brings them back, in an order that the drivers settle. See docs/operators/work.md.",
+                "Takes machines out for work and brings them back, in an order that the drivers"
+                    + " settle. See docs/operators/work.md.",
         subcommands = {
             WorkCommand.Want.class,
             WorkCommand.Plan.class,
@@ -60,7 +63,7 @@
         double within;
 
         /** Asks for one machine until that is settled; empty, or why it is refused. */
-        String settle(FleetRules rules, String machine, Ask<String> what) throws IOException {
+        String settle(FleetConfig rules, String machine, Ask<String> what) throws IOException {
             long end = System.nanoTime() + (long) (within * 1e9);
             while (true) {
                 try {
@@ -105,7 +108,8 @@
             name = "ask",
             mixinStandardHelpOptions = true,
             description =
-                    "Wants machines out. Answered once that is settled; exit status 1: one can never be had, with the reason.")
+                    "Wants machines out. Answered once that is settled; exit status 1: one can"
+                        + " never be had, with the reason.")
     static final class Want extends Changes {
         @Parameters(
                 paramLabel = "MACHINE",
@@ -137,7 +141,7 @@
         List<String> after = List.of();
 
         @Override
-        int ask(FleetRules rules) throws IOException {
+        int ask(FleetConfig rules) throws IOException {
             long forMs;
             long beforeMs;
             try {
@@ -154,7 +158,11 @@
             for (String m : machines) {
                 String ask = idFor(m);
                 answers.put(
-                        m, settle(rules, m, c -> c.workAsk(m, why, forMs, beforeMs, after, ask)));
+                        m,
+                        settle(
+                                rules,
+                                m,
+                                c -> c.requestMachine(m, why, forMs, beforeMs, after, ask)));
             }
             return told(answers);
         }
@@ -171,11 +179,11 @@
         abstract String word();
 
         @Override
-        int ask(FleetRules rules) throws IOException {
+        int ask(FleetConfig rules) throws IOException {
             Map<String, String> answers = new LinkedHashMap<>();
             for (String m : machines) {
                 String ask = idFor(m);
-                answers.put(m, settle(rules, m, c -> c.workWord(word(), m, ask)));
+                answers.put(m, settle(rules, m, c -> c.commandMachine(word(), m, ask)));
             }
             return told(answers);
         }
@@ -218,7 +226,8 @@
             name = "gone",
             mixinStandardHelpOptions = true,
             description =
-                    "Drivers without a session have ended for certain: nobody waits for them any more.")
+                    "Drivers without a session have ended for certain: nobody waits for them any"
+                        + " more.")
     static final class Gone extends Word {
         @Override
         String word() {
@@ -240,7 +249,7 @@
         abstract String word();
 
         @Override
-        int ask(FleetRules rules) throws IOException {
+        int ask(FleetConfig rules) throws IOException {
             if (all == !machines.isEmpty()) {
                 System.err.println("wingroad: machines, or --all");
                 return UNUSABLE;
@@ -248,7 +257,7 @@
             Map<String, String> answers = new LinkedHashMap<>();
             for (String m : all ? List.of(ALL) : machines) {
                 String ask = idFor(m);
-                answers.put(m, settle(rules, m, c -> c.workWord(word(), m, ask)));
+                answers.put(m, settle(rules, m, c -> c.commandMachine(word(), m, ask)));
             }
             return told(answers);
         }
@@ -258,7 +267,8 @@
             name = "hold",
             mixinStandardHelpOptions = true,
             description =
-                    "Nothing more is begun, and what drains is put back at once; what is out stays out.")
+                    "Nothing more is begun, and what drains is put back at once; what is out stays"
+                        + " out.")
     static final class Hold extends WordOrAll {
         @Override
         String word() {
@@ -280,7 +290,7 @@
             description = "All that is asked for, how far it is, what it waits for.")
     static final class Plan extends FleetCommand.Asks {
         @Override
-        int ask(FleetRules rules) throws IOException {
+        int ask(FleetConfig rules) throws IOException {
             Map<String, Object> work = work(newest(rules));
             if (json) {
                 System.out.println(FleetCommand.text(work));
@@ -326,7 +336,7 @@
         String machine;
 
         @Override
-        int ask(FleetRules rules) throws IOException {
+        int ask(FleetConfig rules) throws IOException {
             Map<String, Object> work = work(newest(rules));
             Map<String, Object> of =
                     FleetCommand.maps(work.get("machines")).stream()
--- a/src/main/java/wingroad/driver/ChoreExecutor.java
+++ b/src/main/java/wingroad/driver/ChoreExecutor.java
@@ -1,23 +1,24 @@
 package wingroad.driver;
 
+import wingroad.fleet.ChoreRunner;
+import wingroad.fleet.FleetConfig;
+import wingroad.fleet.FleetConfig.Chore;
+import wingroad.protocol.Statement;
+import wingroad.state.TxnType;
+import wingroad.transport.EventLoop;
+
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
 import java.util.HashMap;
 import java.util.Map;
 import java.util.function.Consumer;
-import wingroad.fleet.FleetRules;
-import wingroad.fleet.FleetRules.Chore;
-import wingroad.fleet.Runner;
-import wingroad.protocol.Statement;
-import wingroad.state.TxnType;
-import wingroad.transport.EventLoop;
 
 /**
  * Where chores become txns: of a type of their own, once-only and worth less than any client's,
  * with the lease's end for an expiry. So a statement is neither sent nor waited for once another
  * driver may own the duty.
  */
-final class ChoreExecutor implements Runner {
+final class ChoreExecutor implements ChoreRunner {
     /** What a chore is worth beside the least of the clients' types. */
     private static final double WORTH = 0.01;
 
@@ -52,8 +53,8 @@
     }
 
     /** The fleet's rules with what the deployment's terms say of work on machines. */
-    static FleetRules settled(FleetRules rules, Map<String, Object> terms) {
-        return rules.with(
+    static FleetConfig settled(FleetConfig rules, Map<String, Object> terms) {
+        return rules.withWork(
                 rules.work()
                         .in(
                                 expiry(TxnType.all(terms)),
@@ -84,11 +85,11 @@
     }
 
     @Override
-    public void run(Chore chore, long epoch, long turn, Duration until, Ended ended) {
+    public void run(Chore chore, long epoch, long turn, Duration until, Completion ended) {
         loop.run(() -> begin(chore, epoch, turn, until, ended));
     }
 
-    private void begin(Chore chore, long epoch, long turn, Duration until, Ended ended) {
+    private void begin(Chore chore, long epoch, long turn, Duration until, Completion ended) {
         // The clock is read here, behind all waiting; what comes after this is the fence's to
         // catch.
         Duration left = until.minus(Duration.ofNanos(System.nanoTime()));
@@ -122,8 +123,8 @@
         }
     }
 
-    private void tell(Ended ended, String outcome) {
-        answers.accept(() -> ended.ended(outcome));
+    private void tell(Completion ended, String outcome) {
+        answers.accept(() -> ended.completed(outcome));
     }
 
     static Statement statement(Chore chore, long epoch, long turn, Duration left) {
--- a/src/main/java/wingroad/driver/Driver.java
+++ b/src/main/java/wingroad/driver/Driver.java
@@ -5,7 +5,7 @@
 import sun.misc.Signal;
 
 import wingroad.door.FairQueues;
-import wingroad.fleet.FleetRules;
+import wingroad.fleet.FleetConfig;
 import wingroad.operator.OperatorFile;
 import wingroad.protocol.MemberList;
 import wingroad.routing.Router;
@@ -345,7 +345,7 @@
     /** Where it can't begin, clients are served all the same. */
     private void joinFleet() {
         try {
-            FleetRules rules =
+            FleetConfig rules =
                     work == null
                             ? operator.fleet()
                             : ChoreExecutor.settled(
@@ -462,7 +462,7 @@
         if (read.file().door() == null && door != null) {
             log.line(
                     "operator's file not taken, the old one stays: the door closes only with the"
-                        + " next start");
+                            + " next start");
             return;
         }
         if (!Objects.equals(read.file().fleet(), operator.fleet())) {
--- a/src/main/java/wingroad/driver/FleetPart.java
+++ b/src/main/java/wingroad/driver/FleetPart.java
@@ -1,24 +1,25 @@
 package wingroad.driver;
 
-import java.io.IOException;
-import java.util.function.Consumer;
-import wingroad.fleet.Fleet;
-import wingroad.fleet.FleetRules;
+import wingroad.fleet.FleetConfig;
+import wingroad.fleet.FleetNode;
 import wingroad.protocol.MemberList;
 import wingroad.terms.Terms;
 import wingroad.transport.EventLoop;
 
+import java.io.IOException;
+import java.util.function.Consumer;
+
 /**
  * The driver's part in a fleet: what carries out its duties, on the loop's thread. A driver without
  * a fleet loads no class of it.
  */
 final class FleetPart {
-    private final Fleet fleet;
+    private final FleetNode fleet;
 
     /** Where one driver asks discovery for all, or null. */
     private final ListRelay lists;
 
-    private FleetPart(Fleet fleet, ListRelay lists) {
+    private FleetPart(FleetNode fleet, ListRelay lists) {
         this.fleet = fleet;
         this.lists = lists;
     }
@@ -30,7 +31,7 @@
      *     driver asks for itself
      */
     static FleetPart begin(
-            FleetRules rules,
+            FleetConfig rules,
             EventLoop loop,
             Clock clock,
             Exchange exchange,
@@ -42,15 +43,15 @@
             Log log)
             throws IOException {
         ListRelay lists =
-                rules.listCheck() == null || !follows
+                rules.listCheckInterval() == null || !follows
                         ? null
                         : new ListRelay(
                                 loop, clock, discovery, rules, discovery.holds(), learn, log::line);
         ChoreExecutor chores =
                 new ChoreExecutor(loop, exchange, Terms.of(configuration.settings()));
-        Fleet fleet =
-                Fleet.begin(
-                        rules.named(configuration.name()),
+        FleetNode fleet =
+                FleetNode.start(
+                        rules.withDefaultDriver(configuration.name()),
                         log::line,
                         log::fault,
                         chores,
@@ -60,7 +61,7 @@
                             }
                         },
                         work);
-        chores.answerOn(fleet::run);
+        chores.answerOn(fleet::execute);
         if (lists != null) {
             lists.begin(fleet);
         }
--- a/src/main/java/wingroad/driver/ListRelay.java
+++ b/src/main/java/wingroad/driver/ListRelay.java
@@ -1,18 +1,19 @@
 package wingroad.driver;
 
-import java.time.Duration;
-import java.util.ArrayList;
-import java.util.List;
-import java.util.Map;
-import java.util.function.Consumer;
 import wingroad.duty.RelayHealth;
-import wingroad.fleet.Fleet;
-import wingroad.fleet.FleetRules;
+import wingroad.fleet.FleetConfig;
+import wingroad.fleet.FleetNode;
 import wingroad.protocol.Json;
 import wingroad.protocol.MemberList;
 import wingroad.protocol.MemberList.Entry;
 import wingroad.transport.EventLoop;
 
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.function.Consumer;
+
 /**
  * Discovery asked by one driver for all: hands on what the owner finds, takes what is handed on,
  * and follows discovery itself whenever {@link RelayHealth} does not go by the owner. On the loop's
@@ -26,7 +27,7 @@
     private final Consumer<String> log;
     private final Duration look;
     private final RelayHealth relayHealth;
-    private Fleet fleet;
+    private FleetNode fleet;
     private long version;
     private boolean goesBy;
 
@@ -34,7 +35,7 @@
             EventLoop loop,
             Clock clock,
             Discovery discovery,
-            FleetRules rules,
+            FleetConfig rules,
             long known,
             Consumer<MemberList> learn,
             Consumer<String> log) {
@@ -49,12 +50,12 @@
                 new RelayHealth(
                         rules.lease().beat().multipliedBy(3),
                         rules.lease().beat().multipliedBy(3),
-                        rules.listCheck());
+                        rules.listCheckInterval());
         version = known;
         relayHealth.found(known, clock.now());
     }
 
-    void begin(Fleet with) {
+    void begin(FleetNode with) {
         fleet = with;
         look();
     }
@@ -86,7 +87,7 @@
                                 e.primary()));
             }
             fleet.publish(
-                    FleetRules.LIST,
+                    FleetConfig.LIST_DUTY,
                     Map.of(
                             "since",
                             since,
@@ -121,7 +122,8 @@
         if (fleet != null) {
             // That nothing is new is news as well: only so is a silent owner told from a quiet day.
             fleet.publish(
-                    FleetRules.LIST, Map.of("since", version, "rev", version, "whole", false));
+                    FleetConfig.LIST_DUTY,
+                    Map.of("since", version, "rev", version, "whole", false));
         }
         loop.after(look, this::look);
     }
--- a/src/main/java/wingroad/driver/WorkAgent.java
+++ b/src/main/java/wingroad/driver/WorkAgent.java
@@ -1,19 +1,8 @@
 package wingroad.driver;
 
-import java.time.Duration;
-import java.util.ArrayList;
-import java.util.Collection;
-import java.util.LinkedHashMap;
-import java.util.List;
-import java.util.Map;
-import java.util.Objects;
-import java.util.Set;
-import java.util.TreeMap;
-import java.util.TreeSet;
-import java.util.function.Consumer;
-import wingroad.fleet.Fleet;
-import wingroad.fleet.FleetRules;
-import wingroad.fleet.Worker;
+import wingroad.fleet.FleetConfig;
+import wingroad.fleet.FleetNode;
+import wingroad.fleet.WorkPlanListener;
 import wingroad.protocol.MemberList;
 import wingroad.protocol.MemberList.Entry;
 import wingroad.state.Member;
@@ -29,12 +18,24 @@
 import wingroad.work.View;
 import wingroad.work.WorkRules;
 
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Objects;
+import java.util.Set;
+import java.util.TreeMap;
+import java.util.TreeSet;
+import java.util.function.Consumer;
+
 /**
  * The plan of work at this driver: makes the lists that the module is told from discovery's and the
  * plan's, says of itself what is still at machines that drain, and conducts where that is its duty.
- * On the loop's thread, but for the calls of {@link Worker}.
+ * On the loop's thread, but for the calls of {@link WorkPlanListener}.
  */
-final class WorkAgent implements Worker, Exchange.Watcher {
+final class WorkAgent implements WorkPlanListener, Exchange.Watcher {
     /** What is seen of members counts for a lease; within it the conductor asks this often. */
     private static final int ASKS = 3;
 
@@ -61,7 +62,7 @@
     private final Map<String, Stage> stages = new TreeMap<>();
     private final Map<Integer, Long> busy = new TreeMap<>();
     private final Map<String, Duration> askedAt = new TreeMap<>();
-    private Fleet fleet;
+    private FleetNode fleet;
     private Runnable onKnown;
     private Duration nextAt;
     private long epoch;
@@ -75,7 +76,7 @@
     WorkAgent(
             EventLoop loop,
             Clock clock,
-            FleetRules fleet,
+            FleetConfig fleet,
             TxnType[] types,
             Members members,
             Consumer<MemberList> learn,
@@ -83,7 +84,7 @@
         this.loop = loop;
         this.clock = clock;
         this.rules = fleet.work();
-        this.voters = fleet.voters().keySet();
+        this.voters = fleet.voterAddresses().keySet();
         this.types = types;
         this.members = members;
         this.learn = learn;
@@ -115,7 +116,7 @@
         }
     }
 
-    void begin(Fleet with) {
+    void begin(FleetNode with) {
         fleet = with;
         lookAgain();
     }
@@ -306,7 +307,7 @@
     // ---- the fleet ----
 
     @Override
-    public void plan(Map<String, Object> news, List<?> sums, List<?> live) {
+    public void planUpdated(Map<String, Object> news, List<?> sums, List<?> live) {
         loop.run(
                 () -> {
                     boolean grown = planCopy.news(news);
@@ -351,7 +352,7 @@
     }
 
     @Override
-    public void lease(Duration ends, boolean over, long conductsUnder) {
+    public void leaseUpdated(Duration ends, boolean over, long conductsUnder) {
         loop.run(
                 () -> {
                     epoch = over ? 0 : conductsUnder;
@@ -435,7 +436,7 @@
                             + " machines asked for");
         }
         if (!Objects.equals(planCopy.lines(), rules.lines())) {
-            fleet.orderMachines(epoch, rules.lines());
+            fleet.proposeMachines(epoch, rules.lines());
             return;
         }
         List<Conductor.Step> steps =
@@ -443,7 +444,7 @@
         askMembers();
         conductor.pages().forEach((m, text) -> log.accept("work: " + m + " " + text));
         if (!steps.isEmpty()) {
-            fleet.order(epoch, steps);
+            fleet.proposeSteps(epoch, steps);
         }
     }
 
--- a/src/main/java/wingroad/fleet/Chores.java
+++ b/src/main/java/wingroad/fleet/Chores.java
@@ -1,12 +1,13 @@
 package wingroad.fleet;
 
-import java.time.Duration;
-import java.util.LinkedHashMap;
-import java.util.Map;
 import wingroad.duty.Op;
 import wingroad.duty.SessionLease;
 import wingroad.duty.Turns;
-import wingroad.fleet.FleetRules.Chore;
+import wingroad.fleet.FleetConfig.Chore;
+
+import java.time.Duration;
+import java.util.LinkedHashMap;
+import java.util.Map;
 
 /**
  * The chores' turns. A turn is settled in the log before its statement is sent, so that no other
@@ -32,16 +33,16 @@
 
         Course(Chore chore) {
             this.chore = chore;
-            turns = new Turns(chore.every());
+            turns = new Turns(chore.interval());
         }
     }
 
     private final Host host;
     private final CouncilSession councilSession;
-    private final Runner runner;
+    private final ChoreRunner runner;
     private final Map<String, Course> courses = new LinkedHashMap<>();
 
-    Chores(Host host, FleetRules rules, CouncilSession councilSession, Runner runner) {
+    Chores(Host host, FleetConfig rules, CouncilSession councilSession, ChoreRunner runner) {
         this.host = host;
         this.councilSession = councilSession;
         this.runner = runner;
--- a/src/main/java/wingroad/fleet/ConsensusNode.java
+++ b/src/main/java/wingroad/fleet/ConsensusNode.java
@@ -16,6 +16,15 @@
 import io.microraft.report.RaftGroupMembers;
 import io.microraft.statemachine.StateMachine;
 import io.microraft.transport.Transport;
+
+import wingroad.duty.Op;
+import wingroad.duty.Overdue;
+import wingroad.duty.Register;
+import wingroad.fleet.MessageCodec.Endpoint;
+import wingroad.fleet.Net.Wire;
+import wingroad.protocol.Json;
+import wingroad.work.LostDrivers;
+
 import java.io.IOException;
 import java.time.Clock;
 import java.time.Duration;
@@ -33,13 +42,6 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import java.util.function.LongFunction;
-import wingroad.duty.Op;
-import wingroad.duty.Overdue;
-import wingroad.duty.Register;
-import wingroad.fleet.MessageCodec.Endpoint;
-import wingroad.fleet.Net.Wire;
-import wingroad.protocol.Json;
-import wingroad.work.LostDrivers;
 
 /**
  * A voter: its part in the agreed log, the state that follows from it, and the drivers that are
@@ -91,7 +93,7 @@
 
     private final Host host;
     private final Net net;
-    private final FleetRules rules;
+    private final FleetConfig rules;
     private final Random random;
     private final Reader reader;
     private final LongFunction<Register> registers;
@@ -128,7 +130,7 @@
     /**
      * @param reader reads the voter's state anew, once the former one is closed
      */
-    ConsensusNode(Host host, Net net, FleetRules rules, Reader reader, long seed)
+    ConsensusNode(Host host, Net net, FleetConfig rules, Reader reader, long seed)
             throws IOException {
         this(host, net, rules, reader, seed, Register::new);
     }
@@ -139,7 +141,7 @@
     ConsensusNode(
             Host host,
             Net net,
-            FleetRules rules,
+            FleetConfig rules,
             Reader reader,
             long seed,
             LongFunction<Register> registers)
@@ -177,7 +179,7 @@
         Map<String, String> changes = node == null ? store.voters() : register.voters();
         return changes.containsKey(name)
                 ? !changes.get(name).isEmpty()
-                : rules.voters().containsKey(name);
+                : rules.voterAddresses().containsKey(name);
     }
 
     /**
@@ -185,7 +187,7 @@
      * was told.
      */
     private void knowPeers(Map<String, String> changes) {
-        Map<String, String> all = new TreeMap<>(rules.voters());
+        Map<String, String> all = new TreeMap<>(rules.voterAddresses());
         changes.forEach(
                 (name, address) -> {
                     if (address.isEmpty()) {
@@ -368,7 +370,7 @@
      * belongs to one.
      */
     private void found() throws IOException {
-        if (!rules.voters().containsKey(rules.driver())) {
+        if (!rules.voterAddresses().containsKey(rules.driver())) {
             return;
         }
         for (Peer p : peers.values()) {
@@ -380,12 +382,12 @@
                 return;
             }
         }
-        String first = rules.voters().keySet().stream().sorted().findFirst().orElse("");
+        String first = rules.voterAddresses().keySet().stream().sorted().findFirst().orElse("");
         if (!first.equals(rules.driver())) {
             return;
         }
         List<String> members = new ArrayList<>(List.of(self().id()));
-        for (String name : rules.voters().keySet()) {
+        for (String name : rules.voterAddresses().keySet()) {
             Peer p = peers.get(name);
             if (p != null) {
                 if (!p.present() || !p.group.isEmpty()) {
--- a/src/main/java/wingroad/fleet/CouncilSession.java
+++ b/src/main/java/wingroad/fleet/CouncilSession.java
@@ -1,5 +1,13 @@
 package wingroad.fleet;
 
+import wingroad.duty.Fence;
+import wingroad.duty.Op;
+import wingroad.duty.SessionLease;
+import wingroad.fleet.Net.Wire;
+import wingroad.protocol.Json;
+import wingroad.work.Report;
+import wingroad.work.WorkRules;
+
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -8,13 +16,6 @@
 import java.util.Map;
 import java.util.function.Function;
 import java.util.function.Supplier;
-import wingroad.duty.Fence;
-import wingroad.duty.Op;
-import wingroad.duty.SessionLease;
-import wingroad.fleet.Net.Wire;
-import wingroad.protocol.Json;
-import wingroad.work.Report;
-import wingroad.work.WorkRules;
 
 /**
  * A driver's side of the fleet: its session with the council by way of one voter, and another one
@@ -48,11 +49,11 @@
 
     private final Host host;
     private final Net net;
-    private final FleetRules rules;
+    private final FleetConfig rules;
     private final String identity;
     private final Supplier<String> runs;
     private final Function<String, SessionLease> sessionLeases;
-    private final Fleet.News news;
+    private final FleetNode.PublicationListener news;
     private final Fence fence = new Fence();
     private final Map<String, String> addresses = new LinkedHashMap<>();
     private final List<String> order = new ArrayList<>();
@@ -81,7 +82,7 @@
     private boolean hurried;
 
     /** Who acts on the plan of work, or null. */
-    private Worker worker;
+    private WorkPlanListener worker;
 
     /**
      * The register's revision that the plan is known of; an older voter's word on it counts for
@@ -102,11 +103,11 @@
     CouncilSession(
             Host host,
             Net net,
-            FleetRules rules,
+            FleetConfig rules,
             String identity,
             Supplier<String> runs,
             Function<String, SessionLease> sessionLeases,
-            Fleet.News news) {
+            FleetNode.PublicationListener news) {
         this.host = host;
         this.net = net;
         this.rules = rules;
@@ -114,7 +115,7 @@
         this.runs = runs;
         this.sessionLeases = sessionLeases;
         this.news = news;
-        addresses.putAll(rules.voters());
+        addresses.putAll(rules.voterAddresses());
         order.addAll(addresses.keySet());
         // Its own voter first; else spread over the voters by name.
         order.sort(
@@ -123,7 +124,7 @@
         sessionLease = sessionLeases.apply(rules.driver() + "/" + runs.get());
     }
 
-    void work(Worker with) {
+    void work(WorkPlanListener with) {
         worker = with;
     }
 
@@ -156,7 +157,8 @@
         if (worker != null) {
             SessionLease.Held h = sessionLease.known(WorkRules.CONDUCTOR);
             boolean conducts = h != null && sessionLease.mayAct(h.duty(), h.epoch(), host.now());
-            worker.lease(sessionLease.until(), !sessionLease.isOpen(), conducts ? h.epoch() : 0);
+            worker.leaseUpdated(
+                    sessionLease.until(), !sessionLease.isOpen(), conducts ? h.epoch() : 0);
         }
     }
 
@@ -378,7 +380,7 @@
             case "plan" -> {
                 if (worker != null && MessageCodec.number(m, "of") >= planOf) {
                     planOf = MessageCodec.number(m, "of");
-                    worker.plan(
+                    worker.planUpdated(
                             Json.object(m.get("news"), "the plan"),
                             m.get("sums") instanceof List<?> l ? l : null,
                             m.get("live") instanceof List<?> l ? l : null);
@@ -392,7 +394,7 @@
             case "news" -> {
                 long epoch = MessageCodec.number(m, "epoch");
                 if (fence.admits(MessageCodec.text(m, "duty"), epoch)) {
-                    news.heard(epoch, Json.object(m.get("what"), "news"));
+                    news.published(epoch, Json.object(m.get("what"), "news"));
                 }
             }
             case "not-opened" -> refused(MessageCodec.text(m, "why"));
--- a/src/main/java/wingroad/fleet/FleetClient.java
+++ b/src/main/java/wingroad/fleet/FleetClient.java
@@ -1,12 +1,13 @@
 package wingroad.fleet;
 
+import wingroad.duty.Op;
+import wingroad.protocol.Json;
+
 import java.io.DataInputStream;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.net.Socket;
 import java.util.Map;
-import wingroad.duty.Op;
-import wingroad.protocol.Json;
 
 /**
  * A caller of the command line's: asks voters, one after the other, on a blocking socket of its
@@ -21,8 +22,8 @@
     private final DataInputStream in;
 
     /** Connects to a voter and says hello; fails where it does not answer or refuses. */
-    public FleetClient(FleetRules rules, String voter) throws IOException {
-        InetSocketAddress at = LoopNet.address(rules.voters().get(voter));
+    public FleetClient(FleetConfig rules, String voter) throws IOException {
+        InetSocketAddress at = LoopNet.address(rules.voterAddresses().get(voter));
         try {
             socket.connect(at, CONNECT_MS);
             socket.setSoTimeout(ANSWER_MS);
@@ -83,7 +84,7 @@
      * Asks for a voter to be let in at an address, or with none taken out; the answer as for a
      * hand-over.
      */
-    public String voter(String name, String address, String ask) throws IOException {
+    public String changeVoter(String name, String address, String ask) throws IOException {
         send(MessageCodec.message("ask", "op", MessageCodec.of(Op.voter(name, address, ask))));
         return MessageCodec.text(await("answer"), "result");
     }
@@ -92,7 +93,7 @@
      * Asks for a machine; the answer once it is settled: empty, or why it can't be had. Safe to
      * repeat under the same name.
      */
-    public String workAsk(
+    public String requestMachine(
             String machine,
             String why,
             long forMs,
@@ -109,7 +110,7 @@
     }
 
     /** Says a word on a machine, or on all as "*"; the answer as for an ask. */
-    public String workWord(String word, String machine, String ask) throws IOException {
+    public String commandMachine(String word, String machine, String ask) throws IOException {
         send(MessageCodec.message("ask", "op", MessageCodec.of(Op.workWord(word, machine, ask))));
         return MessageCodec.text(await("answer"), "result");
     }
--- a/src/main/java/wingroad/fleet/FleetRules.java
+++ b/src/main/java/wingroad/fleet/FleetConfig.java
@@ -1,42 +1,43 @@
 package wingroad.fleet;
 
+import wingroad.duty.Lease;
+import wingroad.work.WorkRules;
+
 import java.nio.file.Path;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import wingroad.duty.Lease;
-import wingroad.work.WorkRules;
 
 /**
  * What the operator's file says of the fleet.
  *
  * @param name the fleet's; another fleet's drivers are refused
  * @param driver this driver's name in it
- * @param listen where it listens for others, or null: it never votes
- * @param voters those that found the council, by name, each with the address at which this driver
- *     reaches it
- * @param state the folder for what must outlive the process
+ * @param listenAddress where it listens for others, or null: it never votes
+ * @param voterAddresses those that found the council, by name, each with the address at which this
+ *     driver reaches it
+ * @param stateFolder the folder for what must outlive the process
  * @param chores statements that one driver runs for all
- * @param listCheck how often a driver asks discovery that goes by the list's owner, or null: each
- *     asks for itself
+ * @param listCheckInterval how often a driver asks discovery that goes by the list's owner, or
+ *     null: each asks for itself
  * @param work machines that may be taken out for work, or null: none are
  */
-public record FleetRules(
+public record FleetConfig(
         String name,
         String driver,
-        String listen,
-        Map<String, String> voters,
-        Path state,
+        String listenAddress,
+        Map<String, String> voterAddresses,
+        Path stateFolder,
         Lease lease,
         List<Chore> chores,
-        Duration listCheck,
+        Duration listCheckInterval,
         WorkRules work) {
     /** The duty of asking discovery for all. */
-    public static final String LIST = "list";
+    public static final String LIST_DUTY = "list";
 
     /** The same without work on machines. */
-    public FleetRules(
+    public FleetConfig(
             String name,
             String driver,
             String listen,
@@ -49,7 +50,7 @@
     }
 
     /** A statement for the primary of a group, once in each span. */
-    public record Chore(String name, Duration every, int group, String statement) {
+    public record Chore(String name, Duration interval, int group, String statement) {
         /** The duty that stands for it. */
         public String duty() {
             return "chore " + name;
@@ -59,8 +60,8 @@
     /** The duties that this driver would do. */
     public List<String> duties() {
         List<String> all = new ArrayList<>(chores.stream().map(Chore::duty).toList());
-        if (listCheck != null) {
-            all.add(LIST);
+        if (listCheckInterval != null) {
+            all.add(LIST_DUTY);
         }
         if (work != null) {
             all.add(WorkRules.CONDUCTOR);
@@ -69,15 +70,32 @@
     }
 
     /** The same for a driver of this name where the file gives it none. */
-    public FleetRules named(String name) {
+    public FleetConfig withDefaultDriver(String name) {
         return driver.isEmpty()
-                ? new FleetRules(
-                        this.name, name, listen, voters, state, lease, chores, listCheck, work)
+                ? new FleetConfig(
+                        this.name,
+                        name,
+                        listenAddress,
+                        voterAddresses,
+                        stateFolder,
+                        lease,
+                        chores,
+                        listCheckInterval,
+                        work)
                 : this;
     }
 
     /** The same with these rules of work. */
-    public FleetRules with(WorkRules of) {
-        return new FleetRules(name, driver, listen, voters, state, lease, chores, listCheck, of);
+    public FleetConfig withWork(WorkRules of) {
+        return new FleetConfig(
+                name,
+                driver,
+                listenAddress,
+                voterAddresses,
+                stateFolder,
+                lease,
+                chores,
+                listCheckInterval,
+                of);
     }
 }
--- a/src/main/java/wingroad/fleet/Fleet.java
+++ b/src/main/java/wingroad/fleet/FleetNode.java
@@ -1,5 +1,12 @@
 package wingroad.fleet;
 
+import wingroad.duty.Op;
+import wingroad.duty.SessionLease;
+import wingroad.transport.EventLoop;
+import wingroad.transport.Listener;
+import wingroad.work.Conductor;
+import wingroad.work.Report;
+
 import java.io.IOException;
 import java.security.SecureRandom;
 import java.time.Duration;
@@ -7,29 +14,23 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import wingroad.duty.Op;
-import wingroad.duty.SessionLease;
-import wingroad.transport.EventLoop;
-import wingroad.transport.Listener;
-import wingroad.work.Conductor;
-import wingroad.work.Report;
 
 /**
  * A driver's part in the fleet, on a thread of its own: the voter's consensus node where it has
  * one, its session, its duties. What goes wrong here is told and tried again; serving clients never
  * waits for it.
  */
-public final class Fleet {
+public final class FleetNode {
     private static final Duration AGAIN = Duration.ofSeconds(2);
     private static final Duration LEAVE_WITHIN = Duration.ofMillis(1500);
     private static final int MOST_CHANNELS = 1200;
     private static final long MOST_HELD = 32L << 20;
 
-    private final FleetRules rules;
+    private final FleetConfig rules;
     private final Consumer<String> log;
-    private final Runner runner;
-    private final News news;
-    private final Worker worker;
+    private final ChoreRunner runner;
+    private final PublicationListener news;
+    private final WorkPlanListener worker;
     private final EventLoop loop;
     private final LoopNet net;
     private final Here here = new Here();
@@ -70,13 +71,13 @@
         }
     }
 
-    private Fleet(
-            FleetRules rules,
+    private FleetNode(
+            FleetConfig rules,
             Consumer<String> log,
             Consumer<Throwable> bug,
-            Runner runner,
-            News news,
-            Worker worker)
+            ChoreRunner runner,
+            PublicationListener news,
+            WorkPlanListener worker)
             throws IOException {
         this.worker = worker;
         this.rules = rules;
@@ -91,22 +92,22 @@
      * Begins on a thread of its own; {@code runner}, {@code news} and {@code worker} (or null) are
      * called on that thread.
      */
-    public static Fleet begin(
-            FleetRules rules,
+    public static FleetNode start(
+            FleetConfig rules,
             Consumer<String> log,
             Consumer<Throwable> bug,
-            Runner runner,
-            News news,
-            Worker worker)
+            ChoreRunner runner,
+            PublicationListener news,
+            WorkPlanListener worker)
             throws IOException {
-        Fleet f = new Fleet(rules, log, bug, runner, news, worker);
+        FleetNode f = new FleetNode(rules, log, bug, runner, news, worker);
         f.loop.run(f::enter);
         return f;
     }
 
     /** Hears what the owner of the list hands on, past the fence. */
-    public interface News {
-        void heard(long epoch, Map<String, Object> what);
+    public interface PublicationListener {
+        void published(long epoch, Map<String, Object> what);
     }
 
     /** Hands something on to all drivers, if this one owns the duty now. */
@@ -130,7 +131,7 @@
     }
 
     /** Proposes the conductor's steps, if this driver still conducts under this epoch. */
-    public void order(long epoch, List<Conductor.Step> steps) {
+    public void proposeSteps(long epoch, List<Conductor.Step> steps) {
         loop.run(
                 () -> {
                     if (councilSession != null) {
@@ -151,7 +152,7 @@
     }
 
     /** Proposes the machines that there are, likewise. */
-    public void orderMachines(long epoch, List<String> lines) {
+    public void proposeMachines(long epoch, List<String> lines) {
         loop.run(
                 () -> {
                     if (councilSession != null) {
@@ -161,7 +162,7 @@
     }
 
     /** Runs a task on the fleet's thread. */
-    public void run(Runnable task) {
+    public void execute(Runnable task) {
         loop.run(task);
     }
 
@@ -171,13 +172,16 @@
         }
         try {
             if (folder == null) {
-                folder = new StateFolder(rules.state(), names);
+                folder = new StateFolder(rules.stateFolder(), names);
             }
             String identity = folder.identity();
-            if (rules.listen() != null) {
+            if (rules.listenAddress() != null) {
                 consensusNode =
                         new ConsensusNode(here, net, rules, folder::store, random.nextLong());
-                door = net.listen(LoopNet.address(rules.listen()), () -> consensusNode.guest());
+                door =
+                        net.listen(
+                                LoopNet.address(rules.listenAddress()),
+                                () -> consensusNode.guest());
                 consensusNode.start();
                 watch();
             }
@@ -198,7 +202,7 @@
                             + " of fleet "
                             + rules.name()
                             + ", "
-                            + (rules.listen() == null
+                            + (rules.listenAddress() == null
                                     ? "no voter"
                                     : "listens at "
                                             + door.at().getHostString()
--- a/src/main/java/wingroad/fleet/Worker.java
+++ b/src/main/java/wingroad/fleet/WorkPlanListener.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 
 /** Who acts on the plan of work on machines at a driver. Called on the fleet's thread, in order. */
-public interface Worker {
+public interface WorkPlanListener {
     /**
      * Something of the plan is settled.
      *
@@ -13,7 +13,7 @@
      * @param sums the fleet's figures where this driver conducts, else null
      * @param live the drivers with a session, likewise
      */
-    void plan(Map<String, Object> news, List<?> sums, List<?> live);
+    void planUpdated(Map<String, Object> news, List<?> sums, List<?> live);
 
     /**
      * How long what was told last holds.
@@ -22,5 +22,5 @@
      * @param over the session has ended: nothing holds any more
      * @param conducts the epoch under which this driver conducts the work, or 0
      */
-    void lease(Duration until, boolean over, long conducts);
+    void leaseUpdated(Duration until, boolean over, long conducts);
 }
--- a/src/main/java/wingroad/operator/FleetSection.java
+++ b/src/main/java/wingroad/operator/FleetSection.java
@@ -3,6 +3,14 @@
 import static wingroad.operator.OperatorFile.node;
 import static wingroad.operator.OperatorFile.value;
 
+import wingroad.duty.Lease;
+import wingroad.fleet.FleetConfig;
+import wingroad.fleet.FleetConfig.Chore;
+import wingroad.kdl.Node;
+import wingroad.kdl.Value;
+import wingroad.protocol.MemberList;
+import wingroad.work.WorkRules;
+
 import java.nio.file.Path;
 import java.time.Duration;
 import java.util.ArrayList;
@@ -10,13 +18,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import wingroad.duty.Lease;
-import wingroad.fleet.FleetRules;
-import wingroad.fleet.FleetRules.Chore;
-import wingroad.kdl.Node;
-import wingroad.kdl.Value;
-import wingroad.protocol.MemberList;
-import wingroad.work.WorkRules;
 
 /** The node {@code fleet} of the operator's file. */
 final class FleetSection {
@@ -35,7 +36,7 @@
     private FleetSection() {}
 
     /** The fleet's rules; what is wrong stands in the section's problems. */
-    static FleetRules read(Section fleet) {
+    static FleetConfig read(Section fleet) {
         String name = named(fleet, "the fleet's name");
         String driver = "";
         String listen = null;
@@ -113,7 +114,8 @@
             fleet.problem(
                     "found "
                             + voters.size()
-                            + " voters, expected 1, 3 or 5: an even number bears no more losses than one less");
+                            + " voters, expected 1, 3 or 5: an even number bears no more losses"
+                            + " than one less");
         }
         if (voters.containsKey(driver) && listen == null) {
             fleet.problem("'" + driver + "' is a voter and needs listen");
@@ -128,9 +130,10 @@
                                                 || a.startsWith("127.")
                                                 || a.startsWith("[::1]"))) {
             fleet.problem(
-                    "an address that is not loopback needs trusted-network #true: drivers' messages are not signed");
+                    "an address that is not loopback needs trusted-network #true: drivers' messages"
+                        + " are not signed");
         }
-        return new FleetRules(
+        return new FleetConfig(
                 name,
                 driver,
                 listen,
@@ -179,7 +182,8 @@
         }
         if (!statement.contains("{epoch}")) {
             s.problem(
-                    "a chore's statement needs {epoch}: without it the member can't tell an owner that woke up late");
+                    "a chore's statement needs {epoch}: without it the member can't tell an owner"
+                        + " that woke up late");
         }
         if (statement.length() > LONGEST_STATEMENT
                 || statement.contains("*/")
@@ -204,28 +208,28 @@
     }
 
     /** All settings in force, in the file's own form. */
-    static Node whole(FleetRules f) {
+    static Node whole(FleetConfig f) {
         List<Node> within = new ArrayList<>();
         within.add(node("driver", List.of(value(f.driver())), Map.of()));
-        if (f.listen() != null) {
-            within.add(node("listen", List.of(value(f.listen())), Map.of()));
+        if (f.listenAddress() != null) {
+            within.add(node("listen", List.of(value(f.listenAddress())), Map.of()));
         }
-        f.voters()
+        f.voterAddresses()
                 .forEach(
                         (n, a) -> within.add(node("voter", List.of(value(n), value(a)), Map.of())));
-        within.add(node("state", List.of(value(f.state().toString())), Map.of()));
+        within.add(node("state", List.of(value(f.stateFolder().toString())), Map.of()));
         within.add(node("lease-ms", List.of(value(f.lease().held().toMillis())), Map.of()));
         within.add(node("drift", List.of(value(f.lease().drift())), Map.of()));
-        if (f.listCheck() != null) {
+        if (f.listCheckInterval() != null) {
             within.add(
                     node(
                             "list",
                             List.of(),
-                            Map.of("check", value(f.listCheck().toMillis() / 1000.0))));
+                            Map.of("check", value(f.listCheckInterval().toMillis() / 1000.0))));
         }
         for (Chore c : f.chores()) {
             Map<String, Value> p = new LinkedHashMap<>();
-            p.put("every", value(c.every().toMillis() / 1000.0));
+            p.put("every", value(c.interval().toMillis() / 1000.0));
             p.put("group", value((long) c.group()));
             p.put("statement", value(c.statement()));
             within.add(node("chore", List.of(value(c.name())), p));
--- a/src/main/java/wingroad/operator/OperatorFile.java
+++ b/src/main/java/wingroad/operator/OperatorFile.java
@@ -4,7 +4,7 @@
 import wingroad.door.FairQueueSettings.SourceType;
 import wingroad.door.FairQueueSettings.TenantNameSource;
 import wingroad.door.FairQueueSettings.TenantSettings;
-import wingroad.fleet.FleetRules;
+import wingroad.fleet.FleetConfig;
 import wingroad.kdl.KdlReader;
 import wingroad.kdl.KdlWriter;
 import wingroad.kdl.Node;
@@ -30,7 +30,7 @@
  * The operator's own file: what is switched on, and how. {@code door} and {@code fleet} are null
  * where there is to be none.
  */
-public record OperatorFile(FairQueueSettings door, FleetRules fleet) {
+public record OperatorFile(FairQueueSettings door, FleetConfig fleet) {
     /** A file without end must not fill the memory. */
     private static final int LONGEST = 1 << 20;
 
@@ -47,7 +47,7 @@
                 // be off without a word.
                 return broken(
                         "empty: is it being written? A file that is to switch nothing on has a"
-                            + " comment at least");
+                                + " comment at least");
             }
             if (bytes.length > LONGEST) {
                 return broken("longer than " + LONGEST + " bytes");
@@ -73,7 +73,7 @@
         }
         Section all = new Section(new Node("the file", List.of(), Map.of(), d.nodes()), problems);
         FairQueueSettings door = null;
-        FleetRules fleet = null;
+        FleetConfig fleet = null;
         for (Section s : all.within(Set.of("door", "fleet"), Set.of("door", "fleet"))) {
             if (s.name().equals("door")) {
                 door = door(s);
--- a/src/test/java/wingroad/fleet/FleetIT.java
+++ b/src/test/java/wingroad/fleet/FleetIT.java
@@ -3,22 +3,13 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import java.io.IOException;
-import java.nio.ByteBuffer;
-import java.nio.charset.StandardCharsets;
-import java.nio.file.Files;
-import java.nio.file.Path;
-import java.util.List;
-import java.util.Map;
-import java.util.concurrent.BlockingQueue;
-import java.util.concurrent.LinkedBlockingQueue;
-import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.CleanupMode;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.api.parallel.Execution;
 import org.junit.jupiter.api.parallel.ExecutionMode;
+
 import wingroad.Fixtures;
 import wingroad.Fixtures.Client;
 import wingroad.operator.OperatorFile;
@@ -27,16 +18,27 @@
 import wingroad.rig.Rig;
 import wingroad.rig.SlowDisk;
 
+import java.io.IOException;
+import java.nio.ByteBuffer;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.List;
+import java.util.Map;
+import java.util.concurrent.BlockingQueue;
+import java.util.concurrent.LinkedBlockingQueue;
+import java.util.concurrent.TimeUnit;
+
 /** Several real processes of the packaged program, with faults between them. */
 @Execution(ExecutionMode.CONCURRENT)
 class FleetIT {
     private static final String RULES =
             """
-            lease-ms 3000
-            drift 0.02
-            chore "a" every=0.5 group=7 statement="SELECT fenced_a({epoch})"
-            chore "b" every=0.5 group=7 statement="SELECT fenced_b({epoch})"
-        """;
+                lease-ms 3000
+                drift 0.02
+                chore "a" every=0.5 group=7 statement="SELECT fenced_a({epoch})"
+                chore "b" every=0.5 group=7 statement="SELECT fenced_b({epoch})"
+            """;
 
     @TempDir(cleanup = CleanupMode.ON_SUCCESS)
     Path dir;
@@ -348,12 +350,12 @@
         rig.startAll();
         first("a");
         try (FleetClient c = new FleetClient(rules(), "d1")) {
-            assertThat(c.voter("d4", at, "q1")).isEmpty();
-            assertThat(c.voter("d3", "", "q2")).contains("one at a time");
+            assertThat(c.changeVoter("d4", at, "q1")).isEmpty();
+            assertThat(c.changeVoter("d3", "", "q2")).contains("one at a time");
         }
         awaitVoters(List.of("d1", "d2", "d3", "d4"), "d4");
         try (FleetClient c = new FleetClient(rules(), "d1")) {
-            assertThat(c.voter("d3", "", "q3")).isEmpty();
+            assertThat(c.changeVoter("d3", "", "q3")).isEmpty();
         }
         rig.driver("d3").await("has been taken out of the council");
         assertThat(rig.driver("d3").await("state set aside")).isNotNull();
@@ -551,14 +553,14 @@
     void anotherFleetIsRefused() throws Exception {
         start(1, 1);
         first("a");
-        FleetRules own = rules();
-        FleetRules other =
-                new FleetRules(
+        FleetConfig own = rules();
+        FleetConfig other =
+                new FleetConfig(
                         "another",
                         own.driver(),
                         null,
-                        own.voters(),
-                        own.state(),
+                        own.voterAddresses(),
+                        own.stateFolder(),
                         own.lease(),
                         List.of(),
                         null);
@@ -568,7 +570,7 @@
         nothingWrong();
     }
 
-    private FleetRules rules() throws IOException {
+    private FleetConfig rules() throws IOException {
         return OperatorFile.read(rig.driver("d1").operator()).file().fleet();
     }
 
@@ -584,7 +586,7 @@
 
     private Map<String, Object> status() throws IOException {
         IOException last = null;
-        for (String v : rules().voters().keySet()) {
+        for (String v : rules().voterAddresses().keySet()) {
             try (FleetClient c = new FleetClient(rules(), v)) {
                 return c.status();
             } catch (IOException e) {
--- a/src/test/java/wingroad/fleet/SimFleet.java
+++ b/src/test/java/wingroad/fleet/SimFleet.java
@@ -2,6 +2,11 @@
 
 import io.microraft.model.message.VoteRequest;
 import io.microraft.model.message.VoteResponse;
+
+import wingroad.duty.Fence;
+import wingroad.duty.Lease;
+import wingroad.duty.SessionLease;
+
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.nio.file.Path;
@@ -19,9 +24,6 @@
 import java.util.TreeMap;
 import java.util.function.BiConsumer;
 import java.util.function.Function;
-import wingroad.duty.Fence;
-import wingroad.duty.Lease;
-import wingroad.duty.SessionLease;
 
 /**
  * A fleet in virtual time: the program's own code on played clocks, links and disks, with faults
@@ -60,7 +62,7 @@
     /** Work on machines, or null. */
     SimWork work;
 
-    private final List<FleetRules.Chore> chores = new ArrayList<>();
+    private final List<FleetConfig.Chore> chores = new ArrayList<>();
     private final PriorityQueue<Event> events = new PriorityQueue<>();
     private final List<Pipe> pipes = new ArrayList<>();
 
@@ -86,7 +88,7 @@
             voters.put(name(i), name(i));
         }
         for (int i = 0; i < duties; i++) {
-            chores.add(new FleetRules.Chore("c" + i, every, 7, "SELECT f({epoch})"));
+            chores.add(new FleetConfig.Chore("c" + i, every, 7, "SELECT f({epoch})"));
         }
         for (int i = 0; i < drivers; i++) {
             Proc p = new Proc(name(i));
@@ -151,8 +153,8 @@
             waiting.clear();
             life++;
             Map<String, String> reach = new LinkedHashMap<>(voters);
-            FleetRules rules =
-                    new FleetRules(
+            FleetConfig rules =
+                    new FleetConfig(
                             "f",
                             name,
                             voters.get(name),
@@ -328,9 +330,13 @@
 
         /** The clock is read, and then anything may happen before the effect is out. */
         private void effect(
-                FleetRules.Chore chore, long epoch, long turn, Duration until, Runner.Ended ended) {
+                FleetConfig.Chore chore,
+                long epoch,
+                long turn,
+                Duration until,
+                ChoreRunner.Completion ended) {
             if (now().compareTo(until) >= 0) {
-                ended.ended("not begun: no lease");
+                ended.completed("not begun: no lease");
                 return;
             }
             if (random.nextInt(40) == 0) {
@@ -349,9 +355,11 @@
                                     String outcome =
                                             receiver.effect(chore.duty(), epoch, turn, name);
                                     if (mine == life && !held.contains("member>" + name)) {
-                                        task(now + 500_000, () -> ended.ended(outcome));
+                                        task(now + 500_000, () -> ended.completed(outcome));
                                     } else if (mine == life) {
-                                        task(now + 2_000_000_000L, () -> ended.ended("unknown"));
+                                        task(
+                                                now + 2_000_000_000L,
+                                                () -> ended.completed("unknown"));
                                     }
                                 });
                     };
@@ -673,7 +681,7 @@
 
     /** At any time at most one process may act under a duty, by its own clock. */
     void checkLeases() {
-        for (FleetRules.Chore c : chores) {
+        for (FleetConfig.Chore c : chores) {
             String one = null;
             for (Proc p : procs.values()) {
                 if (p.alive && p.councilSession != null) {
--- a/src/test/java/wingroad/fleet/SimWork.java
+++ b/src/test/java/wingroad/fleet/SimWork.java
@@ -1,15 +1,5 @@
 package wingroad.fleet;
 
-import java.time.Duration;
-import java.util.ArrayList;
-import java.util.HashMap;
-import java.util.HashSet;
-import java.util.List;
-import java.util.Map;
-import java.util.Random;
-import java.util.Set;
-import java.util.TreeMap;
-import java.util.TreeSet;
 import wingroad.duty.Op;
 import wingroad.duty.Register;
 import wingroad.fleet.SimFleet.Proc;
@@ -24,6 +14,17 @@
 import wingroad.work.View;
 import wingroad.work.WorkRules;
 
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Random;
+import java.util.Set;
+import java.util.TreeMap;
+import java.util.TreeSet;
+
 /**
  * Work on machines in virtual time: the program's plan, view and conductor on the played fleet,
  * played members with a ledger, operators that ask at random times, and a checker that knows the
@@ -215,14 +216,14 @@
 
     // ---- a driver ----
 
-    Worker agent(Proc p) {
+    WorkPlanListener agent(Proc p) {
         Agent d = new Agent(p);
         p.after(LOOK, d::look);
         p.after(Duration.ofMillis(20), d::send);
         return d;
     }
 
-    private final class Agent implements Worker {
+    private final class Agent implements WorkPlanListener {
         private final Proc proc;
         private final View view;
         private final PlanCopy planCopy = new PlanCopy();
@@ -244,7 +245,7 @@
         }
 
         @Override
-        public void plan(Map<String, Object> news, List<?> sums, List<?> live) {
+        public void planUpdated(Map<String, Object> news, List<?> sums, List<?> live) {
             planCopy.news(news);
             if (sums != null) {
                 planCopy.fleet(sums, live);
@@ -254,7 +255,7 @@
         }
 
         @Override
-        public void lease(Duration ends, boolean over, long conductsUnder) {
+        public void leaseUpdated(Duration ends, boolean over, long conductsUnder) {
             epoch = over ? 0 : conductsUnder;
             if (over && fleet.wrong != Wrong.NO_LEASE_ON_VIEW) {
                 view.ended();
--- a/src/test/java/wingroad/work/WorkIT.java
+++ b/src/test/java/wingroad/work/WorkIT.java
@@ -2,49 +2,51 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import java.io.IOException;
-import java.nio.charset.StandardCharsets;
-import java.nio.file.Path;
-import java.util.ArrayList;
-import java.util.List;
-import java.util.Map;
-import java.util.UUID;
-import java.util.concurrent.BlockingQueue;
-import java.util.concurrent.LinkedBlockingQueue;
-import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.CleanupMode;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.api.parallel.Execution;
 import org.junit.jupiter.api.parallel.ExecutionMode;
+
 import wingroad.Fixtures;
 import wingroad.Fixtures.Client;
 import wingroad.fleet.FleetClient;
-import wingroad.fleet.FleetRules;
+import wingroad.fleet.FleetConfig;
 import wingroad.operator.OperatorFile;
 import wingroad.rig.FencedMember;
 import wingroad.rig.Load;
 import wingroad.rig.Relays;
 import wingroad.rig.Rig;
 
+import java.io.IOException;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.UUID;
+import java.util.concurrent.BlockingQueue;
+import java.util.concurrent.LinkedBlockingQueue;
+import java.util.concurrent.TimeUnit;
+
 /** Machines taken out by several real processes, with faults between them. */
 @Execution(ExecutionMode.CONCURRENT)
 class WorkIT {
     private static final String RULES =
             """
-            lease-ms 3000
-            drift 0.02
-            work {
-                at-once 2
-                watch 0.5
-                harm 0.5
-                lag-ms 400
-                machine "A" zone="a" { member "m1" group=7; }
-                machine "B" zone="b" { member "m2*" group=7; driver "d4"; }
-                machine "C" zone="c" { member "m3" group=7; driver "d1"; }
-            }
-        """;
+                lease-ms 3000
+                drift 0.02
+                work {
+                    at-once 2
+                    watch 0.5
+                    harm 0.5
+                    lag-ms 400
+                    machine "A" zone="a" { member "m1" group=7; }
+                    machine "B" zone="b" { member "m2*" group=7; driver "d4"; }
+                    machine "C" zone="c" { member "m3" group=7; driver "d1"; }
+                }
+            """;
     private static final String SETTINGS =
             Fixtures.SETTINGS.replace("\"cold\":16000", "\"cold\":1000");
 
@@ -53,7 +55,7 @@
             SETTINGS.replace(
                             "\"grades\":[",
                             "\"grades\":[{\"name\":\"long\",\"aim\":15000,"
-                                    + "\"deadline\":20000,\"semantics\":\"repeatable\",\"worth\":1,\"window\":5000},")
+                                + "\"deadline\":20000,\"semantics\":\"repeatable\",\"worth\":1,\"window\":5000},")
                     .replace("\"consistency\":[", "\"consistency\":[\"recent\",")
                     .replace("\"oldest-data\":[", "\"oldest-data\":[1500,");
 
@@ -93,7 +95,7 @@
         rig.close();
     }
 
-    private FleetRules rules() throws IOException {
+    private FleetConfig rules() throws IOException {
         return OperatorFile.read(rig.driver("d1").operator()).file().fleet();
     }
 
@@ -105,7 +107,7 @@
         IOException last = null;
         long end = System.nanoTime() + 40_000_000_000L;
         while (System.nanoTime() < end) {
-            for (String v : rules().voters().keySet()) {
+            for (String v : rules().voterAddresses().keySet()) {
                 try (FleetClient c = new FleetClient(rules(), v)) {
                     return what.with(c);
                 } catch (IOException e) {
@@ -118,18 +120,18 @@
 
     private String want(String machine) throws IOException {
         String id = UUID.randomUUID().toString();
-        return ask(c -> c.workAsk(machine, "kernel", 0, 0, List.of(), id));
+        return ask(c -> c.requestMachine(machine, "kernel", 0, 0, List.of(), id));
     }
 
     private String wantAs(
             String machine, String why, long forMs, long before, List<String> after, String id)
             throws IOException {
-        return ask(c -> c.workAsk(machine, why, forMs, before, after, id));
+        return ask(c -> c.requestMachine(machine, why, forMs, before, after, id));
     }
 
     private String word(String word, String machine) throws IOException {
         String id = UUID.randomUUID().toString();
-        return ask(c -> c.workWord(word, machine, id));
+        return ask(c -> c.commandMachine(word, machine, id));
     }
 
     private Map<?, ?> work() throws IOException {
@@ -518,7 +520,8 @@
                                                 e.get("waits")
                                                         .toString()
                                                         .contains(
-                                                                "the primary of group 7 is here: to be moved to"))
+                                                                "the primary of group 7 is here: to"
+                                                                    + " be moved to"))
                                 .isPresent());
         serve(200);
         assertThat(at(work(), "A", "planned")).isTrue();
@@ -583,7 +586,8 @@
                                                 e.get("waits")
                                                         .toString()
                                                         .contains(
-                                                                "PAGE: wanted back: group 7: m3 is not fit"))
+                                                                "PAGE: wanted back: group 7: m3 is"
+                                                                    + " not fit"))
                                 .isPresent());
         assertThat(want("A")).isEmpty();
         assertThat(word("done", "B")).isEmpty();
