--- a/src/bench/java/wingroad/fleet/OwnerBench.java
+++ b/src/bench/java/wingroad/fleet/OwnerBench.java
@@ -410,7 +410,7 @@
     /** Those that own something and are left alone now. */
     private List<Rig.Driver> owners() {
         return duties().values().stream()
-                .map(o -> rig.driver(MessageCodec.text(o, "owner")))
+                .map(o -> rig.driver(MessageCodec.stringOrEmpty(o, "owner")))
                 .filter(o -> o != null && free(o))
                 .toList();
     }
@@ -575,8 +575,8 @@
                     Map<String, Object> s = c.status();
                     best =
                             best == null
-                                            || MessageCodec.number(s, "revision")
-                                                    > MessageCodec.number(best, "revision")
+                                            || MessageCodec.longOrZero(s, "revision")
+                                                    > MessageCodec.longOrZero(best, "revision")
                                     ? s
                                     : best;
                 } catch (IOException | RuntimeException e) {
@@ -587,8 +587,8 @@
                 }
             }
             if (best != null
-                    && MessageCodec.number(best, "revision")
-                            >= MessageCodec.number(status, "revision")) {
+                    && MessageCodec.longOrZero(best, "revision")
+                            >= MessageCodec.longOrZero(status, "revision")) {
                 status = best;
             }
             try {
@@ -605,7 +605,7 @@
             l.forEach(
                     o -> {
                         Map<String, Object> d = Json.object(o, "a duty");
-                        all.put(MessageCodec.text(d, "name"), d);
+                        all.put(MessageCodec.stringOrEmpty(d, "name"), d);
                     });
         }
         return all;
@@ -616,8 +616,8 @@
         long now = System.currentTimeMillis();
         duties().forEach(
                         (name, duty) -> {
-                            if (MessageCodec.text(duty, "owner").equals(d.name)) {
-                                measure(name, MessageCodec.number(duty, "epoch"), now, times);
+                            if (MessageCodec.stringOrEmpty(duty, "owner").equals(d.name)) {
+                                measure(name, MessageCodec.longOrZero(duty, "epoch"), now, times);
                             }
                         });
     }
@@ -627,7 +627,7 @@
                 50,
                 () -> {
                     Map<String, Object> duty = duties().get(name);
-                    if (duty != null && MessageCodec.number(duty, "epoch") > epoch) {
+                    if (duty != null && MessageCodec.longOrZero(duty, "epoch") > epoch) {
                         // By the history: the first grant behind the old one, even where it has
                         // moved on since.
                         for (Object line : (List<?>) duty.get("history")) {
@@ -693,7 +693,8 @@
                                             .filter(
                                                     d ->
                                                             rig.drivers.containsKey(
-                                                                    MessageCodec.text(d, "owner")))
+                                                                    MessageCodec.stringOrEmpty(
+                                                                            d, "owner")))
                                             .count();
         }
         return without;
@@ -712,21 +713,25 @@
         while (all.remaining() >= 4 && all.remaining() >= 4 + all.getInt(all.position())) {
             byte[] text = new byte[all.getInt()];
             all.get(text);
-            Map<String, Object> m = Cbor.map(text);
-            if (MessageCodec.text(m, "k").equals("raft")) {
+            Map<String, Object> m = Cbor.decode(text);
+            if (MessageCodec.stringOrEmpty(m, "k").equals("raft")) {
                 Map<String, Object> r = Json.object(m.get("m"), "a message");
-                String kind = MessageCodec.text(r, "k");
+                String kind = MessageCodec.stringOrEmpty(r, "k");
                 boolean votes = kind.equals("voted") && Boolean.TRUE.equals(r.get("yes"));
                 if (votes || kind.equals("vote")) {
                     String whom =
-                            votes ? to : MessageCodec.Endpoint.of(MessageCodec.text(r, "s")).name();
+                            votes
+                                    ? to
+                                    : MessageCodec.Endpoint.of(MessageCodec.stringOrEmpty(r, "s"))
+                                            .name();
                     synchronized (this.votes) {
                         String before =
                                 this.votes.putIfAbsent(
-                                        MessageCodec.text(r, "s") + " " + r.get("t"), whom);
+                                        MessageCodec.stringOrEmpty(r, "s") + " " + r.get("t"),
+                                        whom);
                         if (before != null && !before.equals(whom)) {
                             votesTwice.add(
-                                    MessageCodec.text(r, "s")
+                                    MessageCodec.stringOrEmpty(r, "s")
                                             + " votes in term "
                                             + r.get("t")
                                             + " for "
--- a/src/main/java/wingroad/fleet/Cbor.java
+++ b/src/main/java/wingroad/fleet/Cbor.java
@@ -5,12 +5,14 @@
 import com.fasterxml.jackson.core.StreamReadConstraints;
 import com.fasterxml.jackson.dataformat.cbor.CBORFactory;
 import com.fasterxml.jackson.dataformat.cbor.CBORFactoryBuilder;
+
+import wingroad.protocol.Json;
+
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.util.List;
 import java.util.Map;
-import wingroad.protocol.Json;
 
 /**
  * Values as CBOR (RFC 8949): maps with names, lists, strings, whole numbers, doubles, booleans and
@@ -25,17 +27,17 @@
 
     private Cbor() {}
 
-    static byte[] write(Object value) {
+    static byte[] encode(Object value) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (JsonGenerator out = FACTORY.createGenerator(bytes)) {
-            write(out, value);
-        } catch (IOException e) {
-            throw new UncheckedIOException(e);
+            encode(out, value);
+        } catch (IOException entry) {
+            throw new UncheckedIOException(entry);
         }
         return bytes.toByteArray();
     }
 
-    private static void write(JsonGenerator out, Object value) throws IOException {
+    private static void encode(JsonGenerator out, Object value) throws IOException {
         if (value == null) {
             out.writeNull();
         } else if (value instanceof String s) {
@@ -46,17 +48,17 @@
             out.writeNumber(d);
         } else if (value instanceof Boolean b) {
             out.writeBoolean(b);
-        } else if (value instanceof List<?> l) {
+        } else if (value instanceof List<?> list) {
             out.writeStartArray();
-            for (Object o : l) {
-                write(out, o);
+            for (Object element : list) {
+                encode(out, element);
             }
             out.writeEndArray();
-        } else if (value instanceof Map<?, ?> m) {
+        } else if (value instanceof Map<?, ?> map) {
             out.writeStartObject();
-            for (Map.Entry<?, ?> e : m.entrySet()) {
-                out.writeFieldName((String) e.getKey());
-                write(out, e.getValue());
+            for (Map.Entry<?, ?> entry : map.entrySet()) {
+                out.writeFieldName((String) entry.getKey());
+                encode(out, entry.getValue());
             }
             out.writeEndObject();
         } else {
@@ -65,7 +67,7 @@
     }
 
     /** The map that the bytes are; throws {@link Json.Malformed} where they are none. */
-    static Map<String, Object> map(byte[] bytes) {
+    static Map<String, Object> decode(byte[] bytes) {
         try (JsonParser in = FACTORY.createParser(bytes)) {
             in.nextToken();
             return Json.object(Json.value(in), "a message");
--- a/src/main/java/wingroad/fleet/ConsensusNode.java
+++ b/src/main/java/wingroad/fleet/ConsensusNode.java
@@ -21,7 +21,7 @@
 import wingroad.duty.Overdue;
 import wingroad.duty.Register;
 import wingroad.fleet.MessageCodec.Endpoint;
-import wingroad.fleet.Net.Wire;
+import wingroad.fleet.MessageTransport.Channel;
 import wingroad.protocol.Json;
 import wingroad.work.LostDrivers;
 
@@ -53,7 +53,7 @@
      * #ENGINE_SECONDS}th part of a lease, so that a leader is missed after a third of a lease and
      * another one leads well before all leases have run out.
      */
-    private static final RaftConfig ENGINE =
+    private static final RaftConfig ENGINE_CONFIG =
             RaftConfig.newBuilder()
                     .setLeaderElectionTimeoutMillis(1000)
                     .setLeaderHeartbeatPeriodSecs(1)
@@ -63,21 +63,21 @@
                     .setRaftNodeReportPublishPeriodSecs(36_000)
                     .build();
 
-    private static final int ENGINE_SECONDS = 12;
+    private static final int ENGINE_SECONDS_PER_LEASE = 12;
 
     /**
      * An engine looks for another leader after four of its seconds of silence; by now it does not
      * look.
      */
-    private static final int ENGINE_LOST = 8;
+    private static final int LEADER_LOST_ENGINE_SECONDS = 8;
 
-    private static final Duration LOOK = Duration.ofMillis(250);
-    private static final Duration PING = Duration.ofMillis(500);
-    private static final Duration SILENT = Duration.ofMillis(2500);
-    private static final Duration AGAIN = Duration.ofSeconds(5);
-    private static final int MOST_GUESTS = 1024;
-    private static final int MOST_ENDS = 64;
-    private static final int LONGEST_REPORT = 1 << 16;
+    private static final Duration CHECK_INTERVAL = Duration.ofMillis(250);
+    private static final Duration PING_INTERVAL = Duration.ofMillis(500);
+    private static final Duration PEER_SILENCE_TIMEOUT = Duration.ofMillis(2500);
+    private static final Duration REFUSED_RETRY_DELAY = Duration.ofSeconds(5);
+    private static final int MAX_INBOUND_CONNECTIONS = 1024;
+    private static final int MAX_EXPIRIES_PER_TICK = 64;
+    private static final int MAX_REPORT_CHARS = 1 << 16;
 
     /** How far a voter has come. */
     enum Phase {
@@ -91,131 +91,145 @@
         BROKEN
     }
 
-    private final Host host;
-    private final Net net;
-    private final FleetConfig rules;
+    private final ExecutionContext context;
+    private final MessageTransport transport;
+    private final FleetConfig config;
     private final Random random;
-    private final Reader reader;
-    private final LongFunction<Register> registers;
+    private final StoreReader storeReader;
+    private final LongFunction<Register> registerFactory;
     private ConsensusStore store;
     private Register register = new Register(0);
     private final Overdue overdue;
-    private RaftNode node;
+    private RaftNode raftNode;
     private Phase phase;
 
     /** Grows with each start of the engine: what a former one still wants to run is nobody's. */
-    private int life;
+    private int engineGeneration;
 
     private final Map<String, Peer> peers = new TreeMap<>();
-    private final Set<Guest> guests = new LinkedHashSet<>();
-    private final Map<String, Long> beats = new TreeMap<>();
+    private final Set<InboundConnection> inboundConnections = new LinkedHashSet<>();
+    private final Map<String, Long> pendingHeartbeats = new TreeMap<>();
 
     /** The newest that drivers say of themselves, a line by session, not yet handed on. */
-    private final Map<String, String> reports = new TreeMap<>();
+    private final Map<String, String> pendingReports = new TreeMap<>();
 
     /** The clock on drivers without a session, or null where there is no work on machines. */
     private final LostDrivers lostDrivers;
 
-    private final Set<String> founding = new LinkedHashSet<>();
-    private boolean pushAsked;
-    private boolean changing;
+    private final Set<String> foundingAcks = new LinkedHashSet<>();
+    private boolean pushScheduled;
+    private boolean membershipChangePending;
 
     /** When something came from a leader last, or the engine has known of none. */
-    private Duration ledAt = Duration.ZERO;
+    private Duration leaderSeenAt = Duration.ZERO;
 
     private boolean stopped;
-    private String said = "";
-    private String led = "";
+    private String lastLoggedState = "";
+    private String lastLoggedLeader = "";
 
     /**
-     * @param reader reads the voter's state anew, once the former one is closed
+     * @param storeReader reads the voter's state anew, once the former one is closed
      */
-    ConsensusNode(Host host, Net net, FleetConfig rules, Reader reader, long seed)
+    ConsensusNode(
+            ExecutionContext context,
+            MessageTransport transport,
+            FleetConfig config,
+            StoreReader storeReader,
+            long seed)
             throws IOException {
-        this(host, net, rules, reader, seed, Register::new);
+        this(context, transport, config, storeReader, seed, Register::new);
     }
 
     /**
-     * @param registers makes the state that follows from the log, from the council's first epoch
+     * @param registerFactory makes the state that follows from the log, from the council's first
+     *     epoch
      */
     ConsensusNode(
-            Host host,
-            Net net,
-            FleetConfig rules,
-            Reader reader,
+            ExecutionContext context,
+            MessageTransport transport,
+            FleetConfig config,
+            StoreReader storeReader,
             long seed,
-            LongFunction<Register> registers)
+            LongFunction<Register> registerFactory)
             throws IOException {
-        this.registers = registers;
-        this.host = host;
-        this.net = net;
-        this.rules = rules;
-        this.reader = reader;
-        this.store = reader.read();
+        this.registerFactory = registerFactory;
+        this.context = context;
+        this.transport = transport;
+        this.config = config;
+        this.storeReader = storeReader;
+        this.store = storeReader.read();
         this.random = new Random(seed);
-        this.overdue = new Overdue(rules.lease());
+        this.overdue = new Overdue(config.lease());
         this.lostDrivers =
-                rules.work() == null ? null : new LostDrivers(rules.work(), rules.lease().drift());
+                config.work() == null
+                        ? null
+                        : new LostDrivers(config.work(), config.lease().drift());
     }
 
     void start() {
-        if (store.wasAside() != null) {
-            host.log(
-                    "fleet: state set aside as " + store.wasAside() + "; this voter is a newcomer");
-        }
-        phase = store.group().isEmpty() ? Phase.FRESH : Phase.PROVING;
-        knowPeers(store.voters());
-        say(
+        if (store.setAsideNotice() != null) {
+            context.log(
+                    "fleet: state set aside as "
+                            + store.setAsideNotice()
+                            + "; this voter is a newcomer");
+        }
+        phase = store.groupId().isEmpty() ? Phase.FRESH : Phase.PROVING;
+        updatePeers(store.voterChanges());
+        logState(
                 phase == Phase.FRESH
                         ? "belongs to no council yet"
                         : "asks the others whether its state is the newest");
-        proceed();
-        look();
+        advanceStartup();
+        runChecks();
         tick();
     }
 
     /** Whether the council is to have this voter, by the file and what was changed since. */
-    private boolean votes(String name) {
-        Map<String, String> changes = node == null ? store.voters() : register.voters();
+    private boolean isVoter(String name) {
+        Map<String, String> changes = raftNode == null ? store.voterChanges() : register.voters();
         return changes.containsKey(name)
                 ? !changes.get(name).isEmpty()
-                : rules.voterAddresses().containsKey(name);
+                : config.voterAddresses().containsKey(name);
     }
 
     /**
      * Peers by the file, with what was changed since; an address of the file counts before one that
      * was told.
      */
-    private void knowPeers(Map<String, String> changes) {
-        Map<String, String> all = new TreeMap<>(rules.voterAddresses());
+    private void updatePeers(Map<String, String> changes) {
+        Map<String, String> addresses = new TreeMap<>(config.voterAddresses());
         changes.forEach(
                 (name, address) -> {
                     if (address.isEmpty()) {
-                        all.remove(name);
+                        addresses.remove(name);
                     } else {
-                        all.putIfAbsent(name, address);
+                        addresses.putIfAbsent(name, address);
                     }
                 });
-        all.remove(rules.driver());
-        all.forEach((name, address) -> peers.computeIfAbsent(name, n -> new Peer(n, address)));
-        for (Peer p : List.copyOf(peers.values())) {
+        addresses.remove(config.driver());
+        addresses.forEach(
+                (name, address) ->
+                        peers.computeIfAbsent(name, peerName -> new Peer(peerName, address)));
+        for (Peer peer : List.copyOf(peers.values())) {
             // The engine still speaks to one that is being taken out.
             boolean member =
-                    node != null
-                            && node.getCommittedMembers().getMembers().stream()
-                                    .anyMatch(e -> ((Endpoint) e).name().equals(p.name));
-            if (!all.containsKey(p.name) && !member) {
-                p.shut();
-                peers.remove(p.name);
+                    raftNode != null
+                            && raftNode.getCommittedMembers().getMembers().stream()
+                                    .anyMatch(
+                                            endpoint ->
+                                                    ((Endpoint) endpoint).name().equals(peer.name));
+            if (!addresses.containsKey(peer.name) && !member) {
+                peer.disconnect();
+                peers.remove(peer.name);
             }
         }
     }
 
     void stop() {
         stopped = true;
-        peers.values().forEach(Peer::shut);
-        List.copyOf(guests).forEach(g -> g.wire.close());
-        leaveEngine();
+        peers.values().forEach(Peer::disconnect);
+        List.copyOf(inboundConnections).forEach(connection -> connection.channel.close());
+        stopEngine();
         store.close();
     }
 
@@ -227,54 +241,54 @@
         return phase;
     }
 
-    boolean leads() {
-        return node != null && self().equals(node.getTerm().getLeaderEndpoint());
+    boolean isLeader() {
+        return raftNode != null && self().equals(raftNode.getTerm().getLeaderEndpoint());
     }
 
     private Endpoint self() {
-        return new Endpoint(rules.driver() + "/" + store.identity());
+        return new Endpoint(config.driver() + "/" + store.identity());
     }
 
-    private void say(String what) {
-        if (!what.equals(said)) {
-            said = what;
-            host.log("fleet: voter " + rules.driver() + " " + what);
+    private void logState(String state) {
+        if (!state.equals(lastLoggedState)) {
+            lastLoggedState = state;
+            context.log("fleet: voter " + config.driver() + " " + state);
         }
     }
 
     // ---- how it comes to take part ----
 
-    private void look() {
+    private void runChecks() {
         if (stopped) {
             return;
         }
-        for (Peer p : List.copyOf(peers.values())) {
-            p.look();
+        for (Peer peer : List.copyOf(peers.values())) {
+            peer.checkConnection();
         }
-        for (Guest g : List.copyOf(guests)) {
-            if (host.now().minus(g.heardAt).compareTo(rules.lease().held()) > 0) {
-                g.wire.close();
-                guests.remove(g);
+        for (InboundConnection connection : List.copyOf(inboundConnections)) {
+            if (context.now().minus(connection.lastHeardAt).compareTo(config.lease().held()) > 0) {
+                connection.channel.close();
+                inboundConnections.remove(connection);
             }
         }
-        proceed();
-        if (phase == Phase.IN && store.broken() != null) {
-            breaks();
+        advanceStartup();
+        if (phase == Phase.IN && store.writeFailure() != null) {
+            enterBroken();
         }
-        tellLeader();
+        logLeaderChange();
         if (phase == Phase.IN) {
-            knowPeers(register.voters());
-            store.saveVoters(register.voters());
-            if (node.getStatus() == RaftNodeStatus.TERMINATED) {
-                takenOut();
+            updatePeers(register.voters());
+            store.saveVoterChanges(register.voters());
+            if (raftNode.getStatus() == RaftNodeStatus.TERMINATED) {
+                handleRemoval();
             }
         }
-        if (phase == Phase.IN && leads()) {
-            admit();
+        if (phase == Phase.IN && isLeader()) {
+            reconcileMembers();
         }
-        missLeader();
-        store.saveSeen();
-        host.after(LOOK, this::look);
+        checkLeaderTimeout();
+        store.saveConfirmedPositions();
+        context.schedule(CHECK_INTERVAL, this::runChecks);
     }
 
     /**
@@ -283,35 +297,36 @@
      * runs. Where its log is the newest, nobody else can be elected. So it begins again with its
      * state, as after a restart.
      */
-    private void missLeader() {
-        RaftEndpoint leader = node == null ? null : node.getTerm().getLeaderEndpoint();
-        if (leader == null || leads()) {
-            ledAt = host.now();
-        } else if (host.now().minus(ledAt).toNanos() > ENGINE_LOST * engineSecond() * 1e9) {
-            ledAt = host.now();
-            say(
+    private void checkLeaderTimeout() {
+        RaftEndpoint leader = raftNode == null ? null : raftNode.getTerm().getLeaderEndpoint();
+        if (leader == null || isLeader()) {
+            leaderSeenAt = context.now();
+        } else if (context.now().minus(leaderSeenAt).toNanos()
+                > LEADER_LOST_ENGINE_SECONDS * engineSecondLength() * 1e9) {
+            leaderSeenAt = context.now();
+            logState(
                     "has not heard "
                             + ((Endpoint) leader).name()
                             + " and its engine misses nobody: begins again with its state");
-            leaveEngine();
+            stopEngine();
             phase = Phase.BROKEN;
             try {
-                resume();
+                reloadState();
             } catch (IOException e) {
-                breaks();
+                enterBroken();
             }
         }
     }
 
-    private void tellLeader() {
-        RaftEndpoint leader = node == null ? null : node.getTerm().getLeaderEndpoint();
-        String now = leader == null ? "" : ((Endpoint) leader).name();
-        if (!now.equals(led)) {
-            led = now;
-            host.log(
+    private void logLeaderChange() {
+        RaftEndpoint leader = raftNode == null ? null : raftNode.getTerm().getLeaderEndpoint();
+        String leaderName = leader == null ? "" : ((Endpoint) leader).name();
+        if (!leaderName.equals(lastLoggedLeader)) {
+            lastLoggedLeader = leaderName;
+            context.log(
                     "fleet: "
-                            + (now.isEmpty() ? "no leader is known" : now + " leads")
-                            + (node == null ? "" : ", term " + node.getTerm().getTerm())
+                            + (leaderName.isEmpty() ? "no leader is known" : leaderName + " leads")
+                            + (raftNode == null ? "" : ", term " + raftNode.getTerm().getTerm())
                             + ", entries "
                             + register.revision()
                             + ", sessions "
@@ -319,15 +334,15 @@
         }
     }
 
-    private void proceed() {
+    private void advanceStartup() {
         try {
             if (phase == Phase.FRESH) {
-                found();
+                tryFoundGroup();
             } else if (phase == Phase.PROVING) {
-                prove();
+                verifyStateIsCurrent();
             }
         } catch (IOException e) {
-            breaks();
+            enterBroken();
         }
     }
 
@@ -335,33 +350,33 @@
      * The state can't be written: nothing is confirmed any more. What is on the disk counts once it
      * can be.
      */
-    private void breaks() {
-        say(
+    private void enterBroken() {
+        logState(
                 "can't write its state, and votes no more: "
-                        + (store.broken() == null ? "" : store.broken().getMessage()));
-        leaveEngine();
+                        + (store.writeFailure() == null ? "" : store.writeFailure().getMessage()));
+        stopEngine();
         phase = Phase.BROKEN;
     }
 
     /** Reads a voter's state. */
-    interface Reader {
+    interface StoreReader {
         ConsensusStore read() throws IOException;
     }
 
     /** The same voter goes on with state that is read again. */
-    void resume() throws IOException {
+    void reloadState() throws IOException {
         store.close();
-        store = reader.read();
-        phase = store.group().isEmpty() ? Phase.FRESH : Phase.PROVING;
-        say("has read its state again");
-        proceed();
+        store = storeReader.read();
+        phase = store.groupId().isEmpty() ? Phase.FRESH : Phase.PROVING;
+        logState("has read its state again");
+        advanceStartup();
     }
 
-    private void leaveEngine() {
-        life++;
-        if (node != null) {
-            node.terminate();
-            node = null;
+    private void stopEngine() {
+        engineGeneration++;
+        if (raftNode != null) {
+            raftNode.terminate();
+            raftNode = null;
         }
     }
 
@@ -369,124 +384,129 @@
      * With no state of its own: begins a council with all that are named, unless one of them
      * belongs to one.
      */
-    private void found() throws IOException {
-        if (!rules.voterAddresses().containsKey(rules.driver())) {
+    private void tryFoundGroup() throws IOException {
+        if (!config.voterAddresses().containsKey(config.driver())) {
             return;
         }
-        for (Peer p : peers.values()) {
-            if (!p.group.isEmpty()
-                    && p.group.equals(store.proposed())
+        for (Peer peer : peers.values()) {
+            if (!peer.groupId.isEmpty()
+                    && peer.groupId.equals(store.proposedGroupId())
                     && store.founders().contains(self().id())) {
-                store.found(p.group, store.founders(), store.epochs());
-                enter();
+                store.saveGroup(peer.groupId, store.founders(), store.initialEpoch());
+                startEngine();
                 return;
             }
         }
-        String first = rules.voterAddresses().keySet().stream().sorted().findFirst().orElse("");
-        if (!first.equals(rules.driver())) {
+        String proposerName =
+                config.voterAddresses().keySet().stream().sorted().findFirst().orElse("");
+        if (!proposerName.equals(config.driver())) {
             return;
         }
         List<String> members = new ArrayList<>(List.of(self().id()));
-        for (String name : rules.voterAddresses().keySet()) {
-            Peer p = peers.get(name);
-            if (p != null) {
-                if (!p.present() || !p.group.isEmpty()) {
-                    say(
-                            p.present()
+        for (String name : config.voterAddresses().keySet()) {
+            Peer peer = peers.get(name);
+            if (peer != null) {
+                if (!peer.isPresent() || !peer.groupId.isEmpty()) {
+                    logState(
+                            peer.isPresent()
                                     ? "has no state, and waits to be let in"
                                     : "waits for " + name + " to found the council");
                     return;
                 }
-                members.add(p.endpoint().id());
+                members.add(peer.endpoint().id());
             }
         }
         members.sort(null);
-        if (!members.equals(store.founders()) || store.proposed().isEmpty()) {
-            founding.clear();
-            store.propose(Long.toHexString(random.nextLong()), members, host.wall() / 1000 * 1000);
-        }
-        if (founding.containsAll(members.stream().filter(m -> !m.equals(self().id())).toList())) {
-            store.found(store.proposed(), store.founders(), store.epochs());
-            say(
+        if (!members.equals(store.founders()) || store.proposedGroupId().isEmpty()) {
+            foundingAcks.clear();
+            store.saveProposal(
+                    Long.toHexString(random.nextLong()),
+                    members,
+                    context.wallClockMs() / 1000 * 1000);
+        }
+        if (foundingAcks.containsAll(
+                members.stream().filter(member -> !member.equals(self().id())).toList())) {
+            store.saveGroup(store.proposedGroupId(), store.founders(), store.initialEpoch());
+            logState(
                     "founds council "
-                            + store.group()
+                            + store.groupId()
                             + " with "
                             + members.size()
                             + " voters, epochs from "
-                            + store.epochs());
-            enter();
+                            + store.initialEpoch());
+            startEngine();
             return;
         }
         peers.values()
                 .forEach(
-                        p ->
-                                p.send(
+                        peer ->
+                                peer.send(
                                         MessageCodec.message(
                                                 "found",
                                                 "group",
-                                                store.proposed(),
+                                                store.proposedGroupId(),
                                                 "members",
                                                 store.founders(),
                                                 "epochs",
-                                                store.epochs())));
+                                                store.initialEpoch())));
     }
 
     /** With state: takes part once enough others say that they know of nothing newer from it. */
-    private void prove() throws IOException {
-        int answers = 0;
-        for (Peer p : peers.values()) {
-            if (p.present() && p.group.equals(store.group())) {
-                answers++;
-                if (store.olderThan(p.seenOfUs)) {
-                    host.log(
+    private void verifyStateIsCurrent() throws IOException {
+        int confirmations = 0;
+        for (Peer peer : peers.values()) {
+            if (peer.isPresent() && peer.groupId.equals(store.groupId())) {
+                confirmations++;
+                if (store.isOlderThan(peer.ourConfirmedPosition)) {
+                    context.log(
                             "fleet: "
-                                    + p.name
+                                    + peer.name
                                     + " knows this voter to have confirmed term "
-                                    + p.seenOfUs.term()
+                                    + peer.ourConfirmedPosition.term()
                                     + ", entry "
-                                    + p.seenOfUs.index()
+                                    + peer.ourConfirmedPosition.index()
                                     + ": the state here is older than it was");
                     store.setAside("older than it was");
-                    host.log("fleet: state set aside as " + store.wasAside());
+                    context.log("fleet: state set aside as " + store.setAsideNotice());
                     phase = Phase.FRESH;
                     // Who it is is said at a connection's begin.
-                    peers.values().forEach(Peer::shut);
+                    peers.values().forEach(Peer::disconnect);
                     return;
                 }
             }
         }
-        if (answers >= (peers.size() + 1) / 2) {
-            enter();
+        if (confirmations >= (peers.size() + 1) / 2) {
+            startEngine();
         }
     }
 
-    private void enter() throws IOException {
-        int mine = ++life;
-        register = registers.apply(store.epochs());
-        RaftNode.RaftNodeBuilder b =
+    private void startEngine() throws IOException {
+        int generation = ++engineGeneration;
+        register = registerFactory.apply(store.initialEpoch());
+        RaftNode.RaftNodeBuilder builder =
                 RaftNode.newBuilder()
-                        .setGroupId(store.group())
-                        .setConfig(ENGINE)
+                        .setGroupId(store.groupId())
+                        .setConfig(ENGINE_CONFIG)
                         .setRandom(random)
                         .setClock(new EngineClock())
-                        .setExecutor(new EngineThread(mine))
-                        .setTransport(new EngineMail())
-                        .setStateMachine(new Settled(mine))
+                        .setExecutor(new EngineExecutor(generation))
+                        .setTransport(new EngineTransport())
+                        .setStateMachine(new ReplicatedStateMachine(generation))
                         .setStore(store)
-                        .setModelFactory(MessageCodec.MODELS);
+                        .setModelFactory(MessageCodec.MODEL_FACTORY);
         RestoredRaftState restored = store.restored();
         if (restored != null) {
-            b.setRestoredState(restored);
+            builder.setRestoredState(restored);
         } else {
-            b.setLocalEndpoint(self())
-                    .setInitialGroupMembers(MessageCodec.endpoints(store.founders()));
+            builder.setLocalEndpoint(self())
+                    .setInitialGroupMembers(MessageCodec.decodeEndpoints(store.founders()));
         }
-        node = b.build();
+        raftNode = builder.build();
         phase = Phase.IN;
-        node.start();
-        say(
+        raftNode.start();
+        logState(
                 "takes part in council "
-                        + store.group()
+                        + store.groupId()
                         + (restored == null
                                 ? ""
                                 : " with its state, term "
@@ -497,12 +517,12 @@
      * One that is taken out is not sent the entry that says so: another voter's word, of a later
      * entry than its own, does.
      */
-    private void hearsOfMembers(List<String> theirs, long settledAt) {
-        RaftGroupMembers own = node.getCommittedMembers();
-        if (settledAt > own.getLogIndex()
-                && own.getMembers().contains(self())
-                && !theirs.contains(self().id())) {
-            takenOut();
+    private void handleReportedMembers(List<String> reportedMembers, long reportedIndex) {
+        RaftGroupMembers ownMembers = raftNode.getCommittedMembers();
+        if (reportedIndex > ownMembers.getLogIndex()
+                && ownMembers.getMembers().contains(self())
+                && !reportedMembers.contains(self().id())) {
+            handleRemoval();
         }
     }
 
@@ -510,16 +530,16 @@
      * The council has settled that this one votes no more: should it ever again, it comes as a
      * newcomer.
      */
-    private void takenOut() {
-        say("has been taken out of the council");
-        leaveEngine();
+    private void handleRemoval() {
+        logState("has been taken out of the council");
+        stopEngine();
         try {
             store.setAside("taken out of the council");
-            host.log("fleet: state set aside as " + store.wasAside());
+            context.log("fleet: state set aside as " + store.setAsideNotice());
             phase = Phase.FRESH;
-            peers.values().forEach(Peer::shut);
+            peers.values().forEach(Peer::disconnect);
         } catch (IOException e) {
-            breaks();
+            enterBroken();
         }
     }
 
@@ -527,79 +547,85 @@
      * As the leader: a voter that lost its state gets the place of the one it was, one change at a
      * time.
      */
-    private void admit() {
-        RaftGroupMembers members = node.getCommittedMembers();
-        if (changing
-                || node.getStatus() != RaftNodeStatus.ACTIVE
-                || node.getEffectiveMembers().getLogIndex() != members.getLogIndex()) {
+    private void reconcileMembers() {
+        RaftGroupMembers members = raftNode.getCommittedMembers();
+        if (membershipChangePending
+                || raftNode.getStatus() != RaftNodeStatus.ACTIVE
+                || raftNode.getEffectiveMembers().getLogIndex() != members.getLogIndex()) {
             return;
         }
-        for (RaftEndpoint e : members.getMembers()) {
-            String name = ((Endpoint) e).name();
-            if (!votes(name) && members.getMembers().size() > 1) {
-                if (!name.equals(rules.driver())) {
-                    change(e, MembershipChangeMode.REMOVE_MEMBER, members);
+        for (RaftEndpoint endpoint : members.getMembers()) {
+            String name = ((Endpoint) endpoint).name();
+            if (!isVoter(name) && members.getMembers().size() > 1) {
+                if (!name.equals(config.driver())) {
+                    changeMember(endpoint, MembershipChangeMode.REMOVE_MEMBER, members);
                 } else {
                     members.getMembers().stream()
                             .filter(
-                                    o ->
-                                            !o.equals(e)
-                                                    && peers.containsKey(((Endpoint) o).name())
-                                                    && peers.get(((Endpoint) o).name()).present())
+                                    other ->
+                                            !other.equals(endpoint)
+                                                    && peers.containsKey(((Endpoint) other).name())
+                                                    && peers.get(((Endpoint) other).name())
+                                                            .isPresent())
                             .findFirst()
-                            .ifPresent(node::transferLeadership);
+                            .ifPresent(raftNode::transferLeadership);
                 }
                 return;
             }
         }
-        for (Peer p : peers.values()) {
-            if (!p.present() || !votes(p.name)) {
+        for (Peer peer : peers.values()) {
+            if (!peer.isPresent() || !isVoter(peer.name)) {
                 continue;
             }
-            RaftEndpoint old =
+            RaftEndpoint oldEndpoint =
                     members.getMembers().stream()
                             .filter(
-                                    e ->
-                                            ((Endpoint) e).name().equals(p.name)
-                                                    && !e.equals(p.endpoint()))
+                                    endpoint ->
+                                            ((Endpoint) endpoint).name().equals(peer.name)
+                                                    && !endpoint.equals(peer.endpoint()))
                             .findFirst()
                             .orElse(null);
-            if (old != null && (p.group.isEmpty() || p.group.equals(store.group()))) {
-                change(old, MembershipChangeMode.REMOVE_MEMBER, members);
+            if (oldEndpoint != null
+                    && (peer.groupId.isEmpty() || peer.groupId.equals(store.groupId()))) {
+                changeMember(oldEndpoint, MembershipChangeMode.REMOVE_MEMBER, members);
                 return;
             }
-            if (!members.getMembers().contains(p.endpoint())) {
-                if (p.group.isEmpty()) {
-                    p.send(
+            if (!members.getMembers().contains(peer.endpoint())) {
+                if (peer.groupId.isEmpty()) {
+                    peer.send(
                             MessageCodec.message(
                                     "let-in",
                                     "group",
-                                    store.group(),
+                                    store.groupId(),
                                     "members",
                                     store.founders(),
                                     "epochs",
-                                    store.epochs()));
-                } else if (p.group.equals(store.group())) {
-                    change(p.endpoint(), MembershipChangeMode.ADD_OR_PROMOTE_TO_FOLLOWER, members);
+                                    store.initialEpoch()));
+                } else if (peer.groupId.equals(store.groupId())) {
+                    changeMember(
+                            peer.endpoint(),
+                            MembershipChangeMode.ADD_OR_PROMOTE_TO_FOLLOWER,
+                            members);
                     return;
                 }
             }
         }
     }
 
-    private void change(RaftEndpoint who, MembershipChangeMode how, RaftGroupMembers members) {
-        changing = true;
-        host.log(
+    private void changeMember(
+            RaftEndpoint endpoint, MembershipChangeMode mode, RaftGroupMembers members) {
+        membershipChangePending = true;
+        context.log(
                 "fleet: voters: "
-                        + (how == MembershipChangeMode.REMOVE_MEMBER ? "takes out " : "lets in ")
-                        + who.getId());
-        node.changeMembership(who, how, members.getLogIndex())
+                        + (mode == MembershipChangeMode.REMOVE_MEMBER ? "takes out " : "lets in ")
+                        + endpoint.getId());
+        raftNode.changeMembership(endpoint, mode, members.getLogIndex())
                 .whenComplete(
                         (done, failure) -> {
-                            changing = false;
-                            host.log(
+                            membershipChangePending = false;
+                            context.log(
                                     "fleet: voters: "
-                                            + who.getId()
+                                            + endpoint.getId()
                                             + (failure == null
                                                     ? " settled"
                                                     : " not settled: " + failure));
@@ -609,31 +635,31 @@
     // ---- the log ----
 
     /** Has an op settled, here or by the leader; whoever asks repeats it until it is seen. */
-    private void submit(Op op) {
-        if (node == null) {
+    private void propose(Op command) {
+        if (raftNode == null) {
             return;
         }
-        if (leads()) {
-            node.replicate(op)
+        if (isLeader()) {
+            raftNode.replicate(command)
                     .whenComplete(
                             (done, failure) -> {
                                 // Not settled, or not known to be: whoever asked for it asks again.
                             });
         } else {
-            toLeader(MessageCodec.message("pass", "op", MessageCodec.of(op)));
+            sendToLeader(MessageCodec.message("pass", "op", MessageCodec.encode(command)));
         }
     }
 
     /** As if somebody attached here had asked for it, for plays. */
-    void inject(Op op) {
-        submit(op);
+    void proposeForTest(Op command) {
+        propose(command);
     }
 
-    private void toLeader(Map<String, Object> message) {
-        RaftEndpoint leader = node.getTerm().getLeaderEndpoint();
-        Peer p = leader == null ? null : peers.get(((Endpoint) leader).name());
-        if (p != null) {
-            p.send(message);
+    private void sendToLeader(Map<String, Object> message) {
+        RaftEndpoint leader = raftNode.getTerm().getLeaderEndpoint();
+        Peer peer = leader == null ? null : peers.get(((Endpoint) leader).name());
+        if (peer != null) {
+            peer.send(message);
         }
     }
 
@@ -641,106 +667,117 @@
         if (stopped) {
             return;
         }
-        if (node != null) {
-            if (leads()) {
-                if (!beats.isEmpty()) {
-                    submit(Op.beat(beats).at(host.wall()));
+        if (raftNode != null) {
+            if (isLeader()) {
+                if (!pendingHeartbeats.isEmpty()) {
+                    propose(Op.beat(pendingHeartbeats).at(context.wallClockMs()));
                 }
-                if (!reports.isEmpty()) {
-                    submit(Op.workReports(List.copyOf(reports.values())).at(host.wall()));
+                if (!pendingReports.isEmpty()) {
+                    propose(
+                            Op.workReports(List.copyOf(pendingReports.values()))
+                                    .at(context.wallClockMs()));
                 }
-                overdue.ends(host.now()).stream()
-                        .limit(MOST_ENDS)
-                        .forEach(op -> submit(op.at(host.wall())));
+                overdue.ends(context.now()).stream()
+                        .limit(MAX_EXPIRIES_PER_TICK)
+                        .forEach(command -> propose(command.at(context.wallClockMs())));
                 if (lostDrivers != null) {
-                    lostDrivers.stopped(register.plan(), host.now()).stream()
-                            .limit(MOST_ENDS)
+                    lostDrivers.stopped(register.plan(), context.now()).stream()
+                            .limit(MAX_EXPIRIES_PER_TICK)
                             .forEach(
-                                    x ->
-                                            submit(
+                                    lostDriver ->
+                                            propose(
                                                     Op.workStopped(
-                                                                    x.identity(),
-                                                                    x.number(),
-                                                                    x.level())
-                                                            .at(host.wall())));
+                                                                    lostDriver.identity(),
+                                                                    lostDriver.number(),
+                                                                    lostDriver.level())
+                                                            .at(context.wallClockMs())));
                 }
             } else {
-                if (!reports.isEmpty()) {
-                    toLeader(
+                if (!pendingReports.isEmpty()) {
+                    sendToLeader(
                             MessageCodec.message(
-                                    "reports", "lines", List.copyOf(reports.values())));
+                                    "reports", "lines", List.copyOf(pendingReports.values())));
                 }
-                if (!beats.isEmpty()) {
-                    toLeader(MessageCodec.message("beats", "beats", new TreeMap<>(beats)));
+                if (!pendingHeartbeats.isEmpty()) {
+                    sendToLeader(
+                            MessageCodec.message(
+                                    "beats", "beats", new TreeMap<>(pendingHeartbeats)));
                 }
                 // A leader that has started lately counts anew; one that has been here all along
                 // knows earlier.
-                overdue.ends(host.now().minus(rules.lease().beat())).stream()
-                        .limit(MOST_ENDS)
-                        .forEach(op -> submit(op.at(host.wall())));
+                overdue.ends(context.now().minus(config.lease().beat())).stream()
+                        .limit(MAX_EXPIRIES_PER_TICK)
+                        .forEach(command -> propose(command.at(context.wallClockMs())));
             }
         }
         // What did not get through comes again with the drivers' next beats.
-        beats.clear();
-        reports.clear();
-        host.after(rules.lease().beat().dividedBy(2), this::tick);
+        pendingHeartbeats.clear();
+        pendingReports.clear();
+        context.schedule(config.lease().beat().dividedBy(2), this::tick);
     }
 
-    private void settled(Op op, String result) {
-        lookAtSessions();
-        if (!result.isEmpty() && op.kind() == Op.Kind.OPEN) {
-            guests.stream()
-                    .filter(g -> g.session.equals(op.by()))
+    private void commandApplied(Op command, String result) {
+        observeSessions();
+        if (!result.isEmpty() && command.kind() == Op.Kind.OPEN) {
+            inboundConnections.stream()
+                    .filter(connection -> connection.sessionId.equals(command.by()))
                     .toList()
-                    .forEach(g -> g.wire.send(MessageCodec.message("not-opened", "why", result)));
+                    .forEach(
+                            connection ->
+                                    connection.channel.send(
+                                            MessageCodec.message("not-opened", "why", result)));
         }
-        if (!op.ask().isEmpty()) {
-            guests.stream()
-                    .filter(g -> g.asks.remove(op.ask()))
+        if (!command.ask().isEmpty()) {
+            inboundConnections.stream()
+                    .filter(connection -> connection.pendingRequestIds.remove(command.ask()))
                     .toList()
                     .forEach(
-                            g ->
-                                    g.wire.send(
+                            connection ->
+                                    connection.channel.send(
                                             MessageCodec.message(
-                                                    "answer", "ask", op.ask(), "result", result)));
+                                                    "answer",
+                                                    "ask",
+                                                    command.ask(),
+                                                    "result",
+                                                    result)));
         }
-        askPush();
+        schedulePush();
     }
 
-    private void lookAtSessions() {
-        overdue.look(register, host.now());
+    private void observeSessions() {
+        overdue.look(register, context.now());
         if (lostDrivers != null) {
-            lostDrivers.look(register.plan(), host.now());
+            lostDrivers.look(register.plan(), context.now());
         }
     }
 
-    private void askPush() {
-        if (!pushAsked) {
-            pushAsked = true;
-            host.run(
+    private void schedulePush() {
+        if (!pushScheduled) {
+            pushScheduled = true;
+            context.execute(
                     () -> {
-                        pushAsked = false;
-                        guests.forEach(Guest::push);
+                        pushScheduled = false;
+                        inboundConnections.forEach(InboundConnection::pushUpdates);
                     });
         }
     }
 
     /** The state that follows from the log. */
-    private final class Settled implements StateMachine {
-        private final int mine;
+    private final class ReplicatedStateMachine implements StateMachine {
+        private final int generation;
 
-        Settled(int mine) {
-            this.mine = mine;
+        ReplicatedStateMachine(int generation) {
+            this.generation = generation;
         }
 
         @Override
         public Object runOperation(long index, Object operation) {
-            if (mine != life) {
+            if (generation != engineGeneration) {
                 return "";
             }
-            Op op = (Op) operation;
-            String result = register.apply(op);
-            settled(op, result);
+            Op command = (Op) operation;
+            String result = register.apply(command);
+            commandApplied(command, result);
             return result;
         }
 
@@ -751,10 +788,10 @@
 
         @Override
         public void installSnapshot(long index, List<Object> chunks) {
-            if (mine == life) {
+            if (generation == engineGeneration) {
                 register.become(Json.object(chunks.get(0), "a snapshot"));
-                lookAtSessions();
-                askPush();
+                observeSessions();
+                schedulePush();
             }
         }
 
@@ -764,16 +801,16 @@
         }
     }
 
-    private final class EngineThread implements RaftNodeExecutor {
-        private final int mine;
+    private final class EngineExecutor implements RaftNodeExecutor {
+        private final int generation;
 
-        EngineThread(int mine) {
-            this.mine = mine;
+        EngineExecutor(int generation) {
+            this.generation = generation;
         }
 
-        private Runnable ours(Runnable task) {
+        private Runnable ifCurrent(Runnable task) {
             return () -> {
-                if (mine == life && !stopped) {
+                if (generation == engineGeneration && !stopped) {
                     task.run();
                 }
             };
@@ -781,39 +818,41 @@
 
         @Override
         public void execute(Runnable task) {
-            host.run(ours(task));
+            context.execute(ifCurrent(task));
         }
 
         @Override
         public void submit(Runnable task) {
-            host.run(ours(task));
+            context.execute(ifCurrent(task));
         }
 
         @Override
-        public void schedule(Runnable task, long wait, TimeUnit unit) {
-            host.after(Duration.ofNanos((long) (unit.toNanos(wait) * engineSecond())), ours(task));
+        public void schedule(Runnable task, long delay, TimeUnit unit) {
+            context.schedule(
+                    Duration.ofNanos((long) (unit.toNanos(delay) * engineSecondLength())),
+                    ifCurrent(task));
         }
     }
 
-    private final class EngineMail implements Transport {
+    private final class EngineTransport implements Transport {
         @Override
-        public void send(RaftEndpoint to, RaftMessage message) {
-            Peer p = peers.get(((Endpoint) to).name());
-            if (p != null && p.present() && p.endpoint().equals(to)) {
-                p.send(MessageCodec.message("raft", "m", MessageCodec.of(message)));
+        public void send(RaftEndpoint target, RaftMessage message) {
+            Peer peer = peers.get(((Endpoint) target).name());
+            if (peer != null && peer.isPresent() && peer.endpoint().equals(target)) {
+                peer.send(MessageCodec.message("raft", "m", MessageCodec.encode(message)));
             }
         }
 
         @Override
-        public boolean isReachable(RaftEndpoint to) {
-            Peer p = peers.get(((Endpoint) to).name());
-            return p != null && p.present() && p.endpoint().equals(to);
+        public boolean isReachable(RaftEndpoint target) {
+            Peer peer = peers.get(((Endpoint) target).name());
+            return peer != null && peer.isPresent() && peer.endpoint().equals(target);
         }
     }
 
     /** How long one of the engine's seconds is, in seconds. */
-    private double engineSecond() {
-        return rules.lease().held().toNanos() / 1e9 / ENGINE_SECONDS;
+    private double engineSecondLength() {
+        return config.lease().held().toNanos() / 1e9 / ENGINE_SECONDS_PER_LEASE;
     }
 
     /** The host's monotone clock in the engine's time; the engine only ever takes differences. */
@@ -830,39 +869,39 @@
 
         @Override
         public Instant instant() {
-            return Instant.EPOCH.plusNanos((long) (host.now().toNanos() / engineSecond()));
+            return Instant.EPOCH.plusNanos((long) (context.now().toNanos() / engineSecondLength()));
         }
     }
 
     // ---- other voters ----
 
     /** What this voter says of itself to a caller. */
-    private Map<String, Object> presence(String kind, String caller) {
-        ConsensusStore.Seen s = store.seen(caller);
-        RaftGroupMembers members = node == null ? null : node.getCommittedMembers();
-        RaftEndpoint leader = node == null ? null : node.getTerm().getLeaderEndpoint();
+    private Map<String, Object> presenceMessage(String kind, String caller) {
+        ConsensusStore.ConfirmedPosition confirmed = store.confirmedPosition(caller);
+        RaftGroupMembers members = raftNode == null ? null : raftNode.getCommittedMembers();
+        RaftEndpoint leader = raftNode == null ? null : raftNode.getTerm().getLeaderEndpoint();
         return MessageCodec.message(
                 kind,
                 "fleet",
-                rules.name(),
+                config.name(),
                 "name",
-                rules.driver(),
+                config.driver(),
                 "identity",
                 store.identity(),
                 "group",
-                store.group(),
+                store.groupId(),
                 "voters",
-                new TreeMap<>(node == null ? store.voters() : register.voters()),
+                new TreeMap<>(raftNode == null ? store.voterChanges() : register.voters()),
                 "members",
-                members == null ? List.of() : MessageCodec.ids(members.getMembers()),
+                members == null ? List.of() : MessageCodec.endpointIds(members.getMembers()),
                 "members-at",
                 members == null ? 0 : members.getLogIndex(),
                 "term",
-                s.term(),
+                confirmed.term(),
                 "entry-term",
-                s.entryTerm(),
+                confirmed.entryTerm(),
                 "index",
-                s.index(),
+                confirmed.index(),
                 "lead",
                 leader == null ? "" : ((Endpoint) leader).name());
     }
@@ -871,18 +910,19 @@
      * The connection that this voter keeps to another one: what it sends goes there, what it gets
      * comes by the other's.
      */
-    private final class Peer implements Net.Owner {
+    private final class Peer implements MessageTransport.ChannelHandler {
         private final String name;
         private final String address;
-        private Wire wire;
-        private boolean up;
+        private Channel channel;
+        private boolean channelUp;
         private String identity = "";
-        private String group = "";
-        private ConsensusStore.Seen seenOfUs = new ConsensusStore.Seen(0, 0, 0);
-        private Duration heardAt = Duration.ZERO;
-        private Duration pingedAt = Duration.ZERO;
-        private Duration openAt = Duration.ZERO;
-        private String refusal = "";
+        private String groupId = "";
+        private ConsensusStore.ConfirmedPosition ourConfirmedPosition =
+                new ConsensusStore.ConfirmedPosition(0, 0, 0);
+        private Duration lastHeardAt = Duration.ZERO;
+        private Duration lastPingAt = Duration.ZERO;
+        private Duration reconnectAt = Duration.ZERO;
+        private String lastRefusal = "";
 
         Peer(String name, String address) {
             this.name = name;
@@ -893,82 +933,89 @@
             return new Endpoint(name + "/" + identity);
         }
 
-        boolean present() {
-            return up && !identity.isEmpty();
+        boolean isPresent() {
+            return channelUp && !identity.isEmpty();
         }
 
         void send(Map<String, Object> message) {
-            if (up) {
-                wire.send(message);
+            if (channelUp) {
+                channel.send(message);
             }
         }
 
-        void look() {
-            Duration now = host.now();
-            if (wire == null) {
-                if (now.compareTo(openAt) >= 0) {
-                    heardAt = now;
-                    wire = net.open(address, this);
+        void checkConnection() {
+            Duration now = context.now();
+            if (channel == null) {
+                if (now.compareTo(reconnectAt) >= 0) {
+                    lastHeardAt = now;
+                    channel = transport.open(address, this);
                 }
-            } else if (now.minus(heardAt).compareTo(SILENT) > 0) {
-                shut();
-            } else if (up && now.minus(pingedAt).compareTo(PING) >= 0) {
-                pingedAt = now;
-                wire.send(MessageCodec.message("ping"));
+            } else if (now.minus(lastHeardAt).compareTo(PEER_SILENCE_TIMEOUT) > 0) {
+                disconnect();
+            } else if (channelUp && now.minus(lastPingAt).compareTo(PING_INTERVAL) >= 0) {
+                lastPingAt = now;
+                channel.send(MessageCodec.message("ping"));
             }
         }
 
         @Override
-        public void up(Wire w) {
-            up = true;
-            w.send(
+        public void connected(Channel opened) {
+            channelUp = true;
+            opened.send(
                     MessageCodec.message(
                             "hello",
                             "fleet",
-                            rules.name(),
+                            config.name(),
                             "name",
-                            rules.driver(),
+                            config.driver(),
                             "role",
                             "voter",
                             "identity",
                             store.identity(),
                             "group",
-                            store.group()));
+                            store.groupId()));
         }
 
         @Override
-        public void message(Wire w, Map<String, Object> m) {
-            heardAt = host.now();
-            switch (MessageCodec.text(m, "k")) {
+        public void received(Channel source, Map<String, Object> message) {
+            lastHeardAt = context.now();
+            switch (MessageCodec.stringOrEmpty(message, "k")) {
                 case "here" -> {
-                    identity = MessageCodec.text(m, "identity");
-                    group = MessageCodec.text(m, "group");
-                    seenOfUs =
-                            new ConsensusStore.Seen(
-                                    (int) MessageCodec.number(m, "term"),
-                                    (int) MessageCodec.number(m, "entry-term"),
-                                    MessageCodec.number(m, "index"));
-                    refusal = "";
-                    if (group.equals(store.group()) && node != null) {
-                        hearsOfMembers(
-                                MessageCodec.texts(m.get("members")),
-                                MessageCodec.number(m, "members-at"));
+                    identity = MessageCodec.stringOrEmpty(message, "identity");
+                    groupId = MessageCodec.stringOrEmpty(message, "group");
+                    ourConfirmedPosition =
+                            new ConsensusStore.ConfirmedPosition(
+                                    (int) MessageCodec.longOrZero(message, "term"),
+                                    (int) MessageCodec.longOrZero(message, "entry-term"),
+                                    MessageCodec.longOrZero(message, "index"));
+                    lastRefusal = "";
+                    if (groupId.equals(store.groupId()) && raftNode != null) {
+                        handleReportedMembers(
+                                MessageCodec.stringList(message.get("members")),
+                                MessageCodec.longOrZero(message, "members-at"));
                     }
-                    proceed();
+                    advanceStartup();
                 }
                 case "founding" -> {
-                    if (MessageCodec.text(m, "group").equals(store.proposed()) && present()) {
-                        founding.add(endpoint().id());
-                        proceed();
+                    if (MessageCodec.stringOrEmpty(message, "group").equals(store.proposedGroupId())
+                            && isPresent()) {
+                        foundingAcks.add(endpoint().id());
+                        advanceStartup();
                     }
                 }
                 case "refused" -> {
-                    if (!refusal.equals(MessageCodec.text(m, "why"))) {
-                        refusal = MessageCodec.text(m, "why");
-                        host.log("fleet: refused by " + name + " at " + address + ": " + refusal);
+                    if (!lastRefusal.equals(MessageCodec.stringOrEmpty(message, "why"))) {
+                        lastRefusal = MessageCodec.stringOrEmpty(message, "why");
+                        context.log(
+                                "fleet: refused by "
+                                        + name
+                                        + " at "
+                                        + address
+                                        + ": "
+                                        + lastRefusal);
                     }
-                    shut();
-                    openAt = host.now().plus(AGAIN);
+                    disconnect();
+                    reconnectAt = context.now().plus(REFUSED_RETRY_DELAY);
                 }
                 default -> {
                     // of a later version
@@ -977,269 +1024,295 @@
         }
 
         @Override
-        public void ended(Wire w, String how) {
-            shut();
+        public void closed(Channel source, String reason) {
+            disconnect();
         }
 
-        void shut() {
-            if (wire != null) {
-                wire.close();
+        void disconnect() {
+            if (channel != null) {
+                channel.close();
             }
-            wire = null;
-            up = false;
+            channel = null;
+            channelUp = false;
             identity = "";
-            group = "";
-            openAt = host.now().plus(LOOK);
+            groupId = "";
+            reconnectAt = context.now().plus(CHECK_INTERVAL);
         }
     }
 
     // ---- who comes ----
 
     /** A connection that another driver has opened to this one. */
-    Net.Owner guest() {
-        return new Guest();
+    MessageTransport.ChannelHandler newInboundHandler() {
+        return new InboundConnection();
     }
 
-    private final class Guest implements Net.Owner {
-        private Wire wire;
+    private final class InboundConnection implements MessageTransport.ChannelHandler {
+        private Channel channel;
         private String role = "";
         private String name = "";
-        private String endpoint = "";
-        private String session = "";
-        private Duration heardAt = host.now();
-        private SessionFeed feed = new SessionFeed();
-        private final Set<String> asks = new LinkedHashSet<>();
+        private String endpointId = "";
+        private String sessionId = "";
+        private Duration lastHeardAt = context.now();
+        private SessionUpdates updates = new SessionUpdates();
+        private final Set<String> pendingRequestIds = new LinkedHashSet<>();
 
         @Override
-        public void up(Wire w) {
-            wire = w;
-            if (guests.size() >= MOST_GUESTS || stopped) {
-                w.close();
+        public void connected(Channel opened) {
+            channel = opened;
+            if (inboundConnections.size() >= MAX_INBOUND_CONNECTIONS || stopped) {
+                opened.close();
             } else {
-                guests.add(this);
+                inboundConnections.add(this);
             }
         }
 
         @Override
-        public void ended(Wire w, String how) {
-            guests.remove(this);
+        public void closed(Channel source, String reason) {
+            inboundConnections.remove(this);
         }
 
         @Override
-        public void message(Wire w, Map<String, Object> m) {
-            heardAt = host.now();
+        public void received(Channel source, Map<String, Object> message) {
+            lastHeardAt = context.now();
             try {
-                String kind = MessageCodec.text(m, "k");
+                String kind = MessageCodec.stringOrEmpty(message, "k");
                 if (kind.equals("hello")) {
-                    hello(m);
+                    handleHello(message);
                 } else if (role.isEmpty()) {
                     refuse("no hello");
                 } else if (role.equals("voter")) {
-                    fromVoter(kind, m);
+                    handleVoterMessage(kind, message);
                 } else {
-                    fromDriver(kind, m);
+                    handleDriverMessage(kind, message);
                 }
             } catch (Json.Malformed | IllegalArgumentException | ClassCastException e) {
                 refuse("broken message: " + e.getMessage());
             } catch (IOException e) {
-                breaks();
+                enterBroken();
             }
         }
 
-        private void refuse(String why) {
-            wire.send(MessageCodec.message("refused", "why", why));
+        private void refuse(String reason) {
+            channel.send(MessageCodec.message("refused", "why", reason));
         }
 
-        private void hello(Map<String, Object> m) {
-            name = MessageCodec.text(m, "name");
-            String group = MessageCodec.text(m, "group");
-            if (!MessageCodec.text(m, "fleet").equals(rules.name())) {
-                refuse("this is fleet '" + rules.name() + "'");
-            } else if (!group.isEmpty()
-                    && !store.group().isEmpty()
-                    && !group.equals(store.group())) {
-                refuse("this is council " + store.group() + " of fleet '" + rules.name() + "'");
+        private void handleHello(Map<String, Object> message) {
+            name = MessageCodec.stringOrEmpty(message, "name");
+            String groupId = MessageCodec.stringOrEmpty(message, "group");
+            if (!MessageCodec.stringOrEmpty(message, "fleet").equals(config.name())) {
+                refuse("this is fleet '" + config.name() + "'");
+            } else if (!groupId.isEmpty()
+                    && !store.groupId().isEmpty()
+                    && !groupId.equals(store.groupId())) {
+                refuse("this is council " + store.groupId() + " of fleet '" + config.name() + "'");
             } else {
-                role = MessageCodec.text(m, "role");
-                endpoint = name + "/" + MessageCodec.text(m, "identity");
-                session = role.equals("driver") ? name + "/" + MessageCodec.text(m, "run") : "";
-                wire.send(presence("here", endpoint));
-                push();
+                role = MessageCodec.stringOrEmpty(message, "role");
+                endpointId = name + "/" + MessageCodec.stringOrEmpty(message, "identity");
+                sessionId =
+                        role.equals("driver")
+                                ? name + "/" + MessageCodec.stringOrEmpty(message, "run")
+                                : "";
+                channel.send(presenceMessage("here", endpointId));
+                pushUpdates();
             }
         }
 
-        private void fromVoter(String kind, Map<String, Object> m) throws IOException {
+        private void handleVoterMessage(String kind, Map<String, Object> message)
+                throws IOException {
             switch (kind) {
-                case "ping" -> wire.send(presence("here", endpoint));
+                case "ping" -> channel.send(presenceMessage("here", endpointId));
                 case "raft" -> {
-                    RaftMessage message =
-                            MessageCodec.message(Json.object(m.get("m"), "a message"));
-                    saw(message);
-                    if (message instanceof AppendEntriesRequest
-                            || message instanceof InstallSnapshotRequest) {
-                        ledAt = host.now();
+                    RaftMessage raftMessage =
+                            MessageCodec.message(Json.object(message.get("m"), "a message"));
+                    recordConfirmed(raftMessage);
+                    if (raftMessage instanceof AppendEntriesRequest
+                            || raftMessage instanceof InstallSnapshotRequest) {
+                        leaderSeenAt = context.now();
                     }
-                    if (node != null && store.group().equals(message.getGroupId())) {
-                        node.handle(message);
+                    if (raftNode != null && store.groupId().equals(raftMessage.getGroupId())) {
+                        raftNode.handle(raftMessage);
                     }
                 }
                 case "pass" -> {
-                    Op op = MessageCodec.op(Json.object(m.get("op"), "an op"));
-                    if (node != null && leads()) {
-                        submit(op);
+                    Op command =
+                            MessageCodec.decodeCommand(Json.object(message.get("op"), "an op"));
+                    if (raftNode != null && isLeader()) {
+                        propose(command);
                     }
                 }
-                case "news" -> spread(m);
+                case "news" -> forwardToDrivers(message);
                 case "beats" ->
-                        MessageCodec.beats(m.get("beats"))
-                                .forEach((s, n) -> beats.merge(s, n, Math::max));
-                case "reports" -> MessageCodec.texts(m.get("lines")).forEach(this::report);
+                        MessageCodec.decodeHeartbeats(message.get("beats"))
+                                .forEach(
+                                        (heartbeatSession, heartbeatNumber) ->
+                                                pendingHeartbeats.merge(
+                                                        heartbeatSession,
+                                                        heartbeatNumber,
+                                                        Math::max));
+                case "reports" ->
+                        MessageCodec.stringList(message.get("lines")).forEach(this::recordReport);
                 case "found" -> {
-                    List<String> members = MessageCodec.texts(m.get("members"));
+                    List<String> members = MessageCodec.stringList(message.get("members"));
                     if (phase == Phase.FRESH && members.contains(self().id())) {
-                        if (!MessageCodec.text(m, "group").equals(store.proposed())) {
-                            store.propose(
-                                    MessageCodec.text(m, "group"),
+                        if (!MessageCodec.stringOrEmpty(message, "group")
+                                .equals(store.proposedGroupId())) {
+                            store.saveProposal(
+                                    MessageCodec.stringOrEmpty(message, "group"),
                                     members,
-                                    MessageCodec.number(m, "epochs"));
+                                    MessageCodec.longOrZero(message, "epochs"));
                         }
-                        wire.send(MessageCodec.message("founding", "group", store.proposed()));
+                        channel.send(
+                                MessageCodec.message("founding", "group", store.proposedGroupId()));
                     }
                 }
                 case "let-in" -> {
                     if (phase == Phase.FRESH) {
-                        store.found(
-                                MessageCodec.text(m, "group"),
-                                MessageCodec.texts(m.get("members")),
-                                MessageCodec.number(m, "epochs"));
-                        enter();
+                        store.saveGroup(
+                                MessageCodec.stringOrEmpty(message, "group"),
+                                MessageCodec.stringList(message.get("members")),
+                                MessageCodec.longOrZero(message, "epochs"));
+                        startEngine();
                     }
                 }
                 default -> refuse("not a voter's: " + kind);
             }
         }
 
-        private void report(String line) {
-            if (line.indexOf(' ') > 0 && line.length() <= LONGEST_REPORT) {
-                reports.put(line.substring(0, line.indexOf(' ')), line);
+        private void recordReport(String line) {
+            if (line.indexOf(' ') > 0 && line.length() <= MAX_REPORT_CHARS) {
+                pendingReports.put(line.substring(0, line.indexOf(' ')), line);
             }
         }
 
         /** To all drivers that are attached here, but for the one that it came from. */
-        private void spread(Map<String, Object> message) {
-            guests.stream()
-                    .filter(g -> g != this && !g.session.isEmpty())
+        private void forwardToDrivers(Map<String, Object> message) {
+            inboundConnections.stream()
+                    .filter(connection -> connection != this && !connection.sessionId.isEmpty())
                     .toList()
-                    .forEach(g -> g.wire.send(message));
+                    .forEach(connection -> connection.channel.send(message));
         }
 
         /** What a voter sends proves how far its own state has come. */
-        private void saw(RaftMessage message) {
-            String sender = (String) message.getSender().getId();
+        private void recordConfirmed(RaftMessage raftMessage) {
+            String sender = (String) raftMessage.getSender().getId();
             // A poll before an election names a term that nobody has written down yet.
-            boolean poll = message instanceof PreVoteRequest || message instanceof PreVoteResponse;
-            if (sender.equals(endpoint) && !poll) {
+            boolean poll =
+                    raftMessage instanceof PreVoteRequest || raftMessage instanceof PreVoteResponse;
+            if (sender.equals(endpointId) && !poll) {
                 long index =
-                        message instanceof AppendEntriesSuccessResponse r ? r.getLastLogIndex() : 0;
-                ConsensusStore.Seen old = store.seen(sender);
-                ConsensusStore.Seen now = old.with(message.getTerm(), index);
-                if (now != old) {
-                    store.saw(sender, now);
+                        raftMessage instanceof AppendEntriesSuccessResponse response
+                                ? response.getLastLogIndex()
+                                : 0;
+                ConsensusStore.ConfirmedPosition known = store.confirmedPosition(sender);
+                ConsensusStore.ConfirmedPosition updated =
+                        known.advancedTo(raftMessage.getTerm(), index);
+                if (updated != known) {
+                    store.recordConfirmed(sender, updated);
                 }
             }
         }
 
-        private void fromDriver(String kind, Map<String, Object> m) {
+        private void handleDriverMessage(String kind, Map<String, Object> message) {
             switch (kind) {
                 case "beat" -> {
-                    if (!session.isEmpty()) {
-                        beats.merge(session, MessageCodec.number(m, "n"), Math::max);
+                    if (!sessionId.isEmpty()) {
+                        pendingHeartbeats.merge(
+                                sessionId, MessageCodec.longOrZero(message, "n"), Math::max);
                     }
                 }
                 case "report" -> {
-                    if (MessageCodec.text(m, "line").startsWith(session + " ")) {
-                        report(MessageCodec.text(m, "line"));
+                    if (MessageCodec.stringOrEmpty(message, "line").startsWith(sessionId + " ")) {
+                        recordReport(MessageCodec.stringOrEmpty(message, "line"));
                     }
                 }
                 case "ask" -> {
-                    Op op = MessageCodec.op(Json.object(m.get("op"), "an op"));
-                    boolean own = op.by().equals(session) && !session.isEmpty();
-                    String wrong = op.kind() == Op.Kind.VOTER ? whyNot(op) : "";
-                    if (!wrong.isEmpty()) {
-                        wire.send(MessageCodec.message("answer", "ask", op.ask(), "result", wrong));
-                    } else if (own
-                            || op.kind() == Op.Kind.HAND_OVER
-                            || op.kind() == Op.Kind.VOTER
-                            || op.kind() == Op.Kind.WORK_ASK
-                            || op.kind() == Op.Kind.WORK_WORD) {
-                        if (!op.ask().isEmpty()) {
-                            asks.add(op.ask());
+                    Op command =
+                            MessageCodec.decodeCommand(Json.object(message.get("op"), "an op"));
+                    boolean fromOwnSession = command.by().equals(sessionId) && !sessionId.isEmpty();
+                    String refusal =
+                            command.kind() == Op.Kind.VOTER ? whyVoterChangeRefused(command) : "";
+                    if (!refusal.isEmpty()) {
+                        channel.send(
+                                MessageCodec.message(
+                                        "answer", "ask", command.ask(), "result", refusal));
+                    } else if (fromOwnSession
+                            || command.kind() == Op.Kind.HAND_OVER
+                            || command.kind() == Op.Kind.VOTER
+                            || command.kind() == Op.Kind.WORK_ASK
+                            || command.kind() == Op.Kind.WORK_WORD) {
+                        if (!command.ask().isEmpty()) {
+                            pendingRequestIds.add(command.ask());
                         }
-                        submit(op.at(host.wall()));
+                        propose(command.at(context.wallClockMs()));
                     } else {
                         refuse("not this session's");
                     }
                 }
                 case "publish" -> {
-                    Register.Duty d = register.duty(MessageCodec.text(m, "duty"));
-                    if (d != null
-                            && d.owner().equals(session)
-                            && d.epoch() == MessageCodec.number(m, "epoch")) {
-                        Map<String, Object> on =
+                    Register.Duty duty = register.duty(MessageCodec.stringOrEmpty(message, "duty"));
+                    if (duty != null
+                            && duty.owner().equals(sessionId)
+                            && duty.epoch() == MessageCodec.longOrZero(message, "epoch")) {
+                        Map<String, Object> publication =
                                 MessageCodec.message(
                                         "news",
                                         "duty",
-                                        d.name(),
+                                        duty.name(),
                                         "epoch",
-                                        d.epoch(),
+                                        duty.epoch(),
                                         "what",
-                                        m.get("what"));
-                        peers.values().forEach(p -> p.send(on));
-                        spread(on);
+                                        message.get("what"));
+                        peers.values().forEach(peer -> peer.send(publication));
+                        forwardToDrivers(publication);
                     }
                 }
                 case "again" -> {
                     // The same connection goes on under another session.
-                    session = name + "/" + MessageCodec.text(m, "run");
-                    feed = new SessionFeed();
-                    push();
+                    sessionId = name + "/" + MessageCodec.stringOrEmpty(message, "run");
+                    updates = new SessionUpdates();
+                    pushUpdates();
                 }
-                case "status" -> wire.send(MessageCodec.message("status", "status", status()));
+                case "status" -> channel.send(MessageCodec.message("status", "status", status()));
                 default -> refuse("not a driver's: " + kind);
             }
         }
 
         /** Why the voters can't be changed like that now, or empty. */
-        private String whyNot(Op op) {
-            if (node == null) {
+        private String whyVoterChangeRefused(Op command) {
+            if (raftNode == null) {
                 return "this voter takes no part now";
             }
-            List<String> now =
-                    node.getCommittedMembers().getMembers().stream()
-                            .map(e -> ((Endpoint) e).name())
+            List<String> currentVoters =
+                    raftNode.getCommittedMembers().getMembers().stream()
+                            .map(endpoint -> ((Endpoint) endpoint).name())
                             .toList();
             boolean settled =
-                    now.stream().allMatch(ConsensusNode.this::votes)
+                    currentVoters.stream().allMatch(ConsensusNode.this::isVoter)
                             && register.voters().entrySet().stream()
                                     .allMatch(
-                                            c -> c.getValue().isEmpty() || now.contains(c.getKey()))
-                            && node.getEffectiveMembers().getLogIndex()
-                                    == node.getCommittedMembers().getLogIndex();
-            if (!settled && !register.voters().getOrDefault(op.to(), "-").equals(op.duty())) {
+                                            change ->
+                                                    change.getValue().isEmpty()
+                                                            || currentVoters.contains(
+                                                                    change.getKey()))
+                            && raftNode.getEffectiveMembers().getLogIndex()
+                                    == raftNode.getCommittedMembers().getLogIndex();
+            if (!settled
+                    && !register.voters().getOrDefault(command.to(), "-").equals(command.duty())) {
                 return "the change before is not settled yet: one at a time";
             }
-            if (op.duty().isEmpty() && now.size() <= 1) {
+            if (command.duty().isEmpty() && currentVoters.size() <= 1) {
                 return "the last voter can't be taken out";
             }
-            return op.duty().isEmpty() && !now.contains(op.to())
-                    ? "'" + op.to() + "' does not vote"
+            return command.duty().isEmpty() && !currentVoters.contains(command.to())
+                    ? "'" + command.to() + "' does not vote"
                     : "";
         }
 
         /** Tells what is settled and not told yet. */
-        private void push() {
-            if (!session.isEmpty() && node != null) {
-                feed.push(register, wire, session);
+        private void pushUpdates() {
+            if (!sessionId.isEmpty() && raftNode != null) {
+                updates.push(register, channel, sessionId);
             }
         }
     }
@@ -1248,23 +1321,23 @@
 
     /** All that an operator may want to know, as plain values. */
     Map<String, Object> status() {
-        Map<String, Object> all = new HashMap<>();
-        all.put("fleet", rules.name());
-        all.put("voter", rules.driver());
-        all.put("phase", phase.name());
-        all.put("council", store.group());
-        all.put("term", node == null ? 0L : (long) node.getTerm().getTerm());
-        RaftEndpoint leader = node == null ? null : node.getTerm().getLeaderEndpoint();
-        all.put("leader", leader == null ? "" : ((Endpoint) leader).name());
-        all.put(
+        Map<String, Object> status = new HashMap<>();
+        status.put("fleet", config.name());
+        status.put("voter", config.driver());
+        status.put("phase", phase.name());
+        status.put("council", store.groupId());
+        status.put("term", raftNode == null ? 0L : (long) raftNode.getTerm().getTerm());
+        RaftEndpoint leader = raftNode == null ? null : raftNode.getTerm().getLeaderEndpoint();
+        status.put("leader", leader == null ? "" : ((Endpoint) leader).name());
+        status.put(
                 "voters",
-                node == null
+                raftNode == null
                         ? List.of()
-                        : node.getCommittedMembers().getMembers().stream()
-                                .map(e -> ((Endpoint) e).name())
+                        : raftNode.getCommittedMembers().getMembers().stream()
+                                .map(endpoint -> ((Endpoint) endpoint).name())
                                 .sorted()
                                 .toList());
-        CouncilStatus.add(all, register, overdue, host.now());
-        return all;
+        ConsensusStatus.putAll(status, register, overdue, context.now());
+        return status;
     }
 }
--- a/src/main/java/wingroad/fleet/CouncilStatus.java
+++ b/src/main/java/wingroad/fleet/ConsensusStatus.java
@@ -1,67 +1,69 @@
 package wingroad.fleet;
 
-import java.time.Duration;
-import java.util.List;
-import java.util.Map;
 import wingroad.duty.Overdue;
 import wingroad.duty.Register;
 import wingroad.work.Plan;
 import wingroad.work.WorkRules;
 
+import java.time.Duration;
+import java.util.List;
+import java.util.Map;
+
 /** What an operator may want to know of what is settled, as plain values. */
-final class CouncilStatus {
-    private CouncilStatus() {}
+final class ConsensusStatus {
+    private ConsensusStatus() {}
 
-    static void add(Map<String, Object> all, Register register, Overdue overdue, Duration now) {
-        all.put("revision", register.revision());
-        all.put(
+    static void putAll(
+            Map<String, Object> status, Register register, Overdue overdue, Duration now) {
+        status.put("revision", register.revision());
+        status.put(
                 "sessions",
                 register.sessions().stream()
                         .map(
-                                s -> {
-                                    Duration quiet = overdue.quiet(s.id(), now);
+                                session -> {
+                                    Duration silence = overdue.quiet(session.id(), now);
                                     return MessageCodec.message(
                                             "session",
                                             "name",
-                                            s.name(),
+                                            session.name(),
                                             "run",
-                                            s.id(),
+                                            session.id(),
                                             "since",
-                                            s.since(),
+                                            session.since(),
                                             "quiet-ms",
-                                            quiet == null ? -1 : quiet.toMillis());
+                                            silence == null ? -1 : silence.toMillis());
                                 })
                         .toList());
-        all.put(
+        status.put(
                 "duties",
                 register.duties().stream()
                         .map(
-                                d ->
+                                duty ->
                                         MessageCodec.message(
                                                 "duty",
                                                 "name",
-                                                d.name(),
+                                                duty.name(),
                                                 "owner",
-                                                Register.driver(d.owner()),
+                                                Register.driver(duty.owner()),
                                                 "epoch",
-                                                d.epoch(),
+                                                duty.epoch(),
                                                 "since",
-                                                d.since(),
+                                                duty.since(),
                                                 "turn",
-                                                d.turn(),
+                                                duty.turn(),
                                                 "outcome",
-                                                d.outcome(),
+                                                duty.outcome(),
                                                 "wanted",
-                                                d.wanted(),
+                                                duty.wanted(),
                                                 "history",
-                                                List.copyOf(d.history())))
+                                                List.copyOf(duty.history())))
                         .toList());
         if (register.duty(WorkRules.CONDUCTOR) != null) {
-            all.put("work", work(register.plan(), register.lateOrders()));
+            status.put("work", planStatus(register.plan(), register.lateOrders()));
         }
     }
 
-    private static Map<String, Object> work(Plan plan, long lateOrders) {
+    private static Map<String, Object> planStatus(Plan plan, long lateOrders) {
         return MessageCodec.message(
                 "work",
                 "held",
@@ -71,22 +73,26 @@
                 "machines",
                 plan.machines().values().stream()
                         .map(
-                                m ->
+                                machine ->
                                         MessageCodec.message(
                                                 "machine",
                                                 "name",
-                                                m.name(),
+                                                machine.name(),
                                                 "zone",
-                                                m.zone(),
+                                                machine.zone(),
                                                 "drivers",
-                                                m.drivers(),
+                                                machine.drivers(),
                                                 "members",
-                                                m.parts().stream()
-                                                        .map(p -> p.uid() + "#" + p.group())
+                                                machine.parts().stream()
+                                                        .map(
+                                                                member ->
+                                                                        member.uid()
+                                                                                + "#"
+                                                                                + member.group())
                                                         .toList()))
                         .toList(),
                 "entries",
-                plan.entries().stream().map(e -> e.page(plan.waitsFor(e))).toList(),
+                plan.entries().stream().map(entry -> entry.page(plan.waitsFor(entry))).toList(),
                 "astray",
                 plan.astray().stream().map(Plan.LostDriver::known).toList(),
                 "history",
--- a/src/main/java/wingroad/fleet/ConsensusStore.java
+++ b/src/main/java/wingroad/fleet/ConsensusStore.java
@@ -9,6 +9,10 @@
 import io.microraft.model.persistence.RaftTermPersistentState;
 import io.microraft.persistence.RaftStore;
 import io.microraft.persistence.RestoredRaftState;
+
+import wingroad.fleet.MessageCodec.Endpoint;
+import wingroad.protocol.Json;
+
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
@@ -18,8 +22,6 @@
 import java.util.TreeMap;
 import java.util.function.Supplier;
 import java.util.zip.CRC32C;
-import wingroad.fleet.MessageCodec.Endpoint;
-import wingroad.protocol.Json;
 
 /**
  * A voter's state: who it is, the council that it belongs to, the engine's term, log and snapshot,
@@ -27,46 +29,47 @@
  * changed is not taken for a vote.
  */
 final class ConsensusStore implements RaftStore {
-    private static final long SELF = 0;
-    private static final long ENDPOINT = 1;
-    private static final long INITIAL = 2;
-    private static final long TERM = 3;
-    private static final long WITNESS = 4;
-    private static final long VOTERS = 5;
-    private static final int SUM = 4;
+    private static final long IDENTITY_ROW = 0;
+    private static final long ENDPOINT_ROW = 1;
+    private static final long INITIAL_MEMBERS_ROW = 2;
+    private static final long TERM_ROW = 3;
+    private static final long CONFIRMED_POSITIONS_ROW = 4;
+    private static final long VOTER_CHANGES_ROW = 5;
+    private static final int CHECKSUM_BYTES = 4;
 
     /**
      * The newest that another voter is known to have confirmed: its term, and an entry's index in a
      * term.
      */
-    record Seen(int term, int entryTerm, long index) {
-        Seen with(int newTerm, long newIndex) {
+    record ConfirmedPosition(int term, int entryTerm, long index) {
+        ConfirmedPosition advancedTo(int newTerm, long newIndex) {
             if (newIndex > 0 && (newTerm > entryTerm || newTerm == entryTerm && newIndex > index)) {
-                return new Seen(Math.max(term, newTerm), newTerm, newIndex);
+                return new ConfirmedPosition(Math.max(term, newTerm), newTerm, newIndex);
             }
-            return newTerm > term ? new Seen(newTerm, entryTerm, index) : this;
+            return newTerm > term ? new ConfirmedPosition(newTerm, entryTerm, index) : this;
         }
     }
 
-    private final RowStore rows;
-    private final Supplier<String> names;
+    private final RowStore rowStore;
+    private final Supplier<String> idGenerator;
     private String identity;
-    private String group = "";
-    private String proposed = "";
+    private String groupId = "";
+    private String proposedGroupId = "";
     private List<String> founders = List.of();
-    private long epochs;
-    private final Map<String, Seen> seen = new TreeMap<>();
-    private final Map<String, String> voters = new TreeMap<>();
+    private long initialEpoch;
+    private final Map<String, ConfirmedPosition> confirmedPositions = new TreeMap<>();
+    private final Map<String, String> voterChanges = new TreeMap<>();
     private RestoredRaftState restored;
-    private IOException broken;
-    private String wasAside;
+    private IOException writeFailure;
+    private String setAsideNotice;
 
     /**
-     * Reads what is there; where that can't be read it is set aside, and told by {@link #wasAside}.
+     * Reads what is there; where that can't be read it is set aside, and told by {@link
+     * #setAsideNotice}.
      */
-    ConsensusStore(RowStore rows, Supplier<String> names) throws IOException {
-        this.rows = rows;
-        this.names = names;
+    ConsensusStore(RowStore rowStore, Supplier<String> idGenerator) throws IOException {
+        this.rowStore = rowStore;
+        this.idGenerator = idGenerator;
         try {
             load();
         } catch (Json.Malformed e) {
@@ -75,121 +78,130 @@
     }
 
     private void load() throws IOException {
-        Map<Long, byte[]> meta = rows.all(RowStore.Table.META);
-        if (meta.get(SELF) == null) {
-            begin();
+        Map<Long, byte[]> meta = rowStore.readAll(RowStore.Table.META);
+        if (meta.get(IDENTITY_ROW) == null) {
+            initialize();
             return;
         }
-        Map<String, Object> self = map(meta.get(SELF));
-        identity = Json.text(self, "identity");
-        group = MessageCodec.text(self, "group");
-        proposed = MessageCodec.text(self, "proposed");
-        founders = MessageCodec.texts(self.get("founders"));
-        epochs = MessageCodec.number(self, "epochs");
-        if (meta.get(WITNESS) != null) {
-            map(meta.get(WITNESS))
+        Map<String, Object> identityRow = decodeRow(meta.get(IDENTITY_ROW));
+        identity = Json.text(identityRow, "identity");
+        groupId = MessageCodec.stringOrEmpty(identityRow, "group");
+        proposedGroupId = MessageCodec.stringOrEmpty(identityRow, "proposed");
+        founders = MessageCodec.stringList(identityRow.get("founders"));
+        initialEpoch = MessageCodec.longOrZero(identityRow, "epochs");
+        if (meta.get(CONFIRMED_POSITIONS_ROW) != null) {
+            decodeRow(meta.get(CONFIRMED_POSITIONS_ROW))
                     .forEach(
-                            (e, v) -> {
-                                List<?> l = (List<?>) v;
-                                seen.put(
-                                        e,
-                                        new Seen(
-                                                ((Number) l.get(0)).intValue(),
-                                                ((Number) l.get(1)).intValue(),
-                                                ((Number) l.get(2)).longValue()));
+                            (endpointId, value) -> {
+                                List<?> position = (List<?>) value;
+                                confirmedPositions.put(
+                                        endpointId,
+                                        new ConfirmedPosition(
+                                                ((Number) position.get(0)).intValue(),
+                                                ((Number) position.get(1)).intValue(),
+                                                ((Number) position.get(2)).longValue()));
                             });
         }
-        if (meta.get(VOTERS) != null) {
-            map(meta.get(VOTERS)).forEach((n, a) -> voters.put(n, (String) a));
+        if (meta.get(VOTER_CHANGES_ROW) != null) {
+            decodeRow(meta.get(VOTER_CHANGES_ROW))
+                    .forEach((name, address) -> voterChanges.put(name, (String) address));
         }
-        if (meta.get(ENDPOINT) != null && meta.get(INITIAL) != null) {
+        if (meta.get(ENDPOINT_ROW) != null && meta.get(INITIAL_MEMBERS_ROW) != null) {
             restored = restore(meta);
         }
     }
 
     private RestoredRaftState restore(Map<Long, byte[]> meta) throws IOException {
-        Map<String, Object> e = map(meta.get(ENDPOINT));
-        RaftEndpointPersistentState local =
-                MessageCodec.MODELS
+        Map<String, Object> endpointRow = decodeRow(meta.get(ENDPOINT_ROW));
+        RaftEndpointPersistentState localEndpoint =
+                MessageCodec.MODEL_FACTORY
                         .createRaftEndpointPersistentStateBuilder()
-                        .setLocalEndpoint(Endpoint.of(Json.text(e, "e")))
-                        .setVoting(Boolean.TRUE.equals(e.get("vote")))
+                        .setLocalEndpoint(Endpoint.of(Json.text(endpointRow, "e")))
+                        .setVoting(Boolean.TRUE.equals(endpointRow.get("vote")))
                         .build();
-        Map<String, Object> t = meta.get(TERM) == null ? Map.of() : map(meta.get(TERM));
-        String voted = MessageCodec.text(t, "voted");
+        Map<String, Object> termRow =
+                meta.get(TERM_ROW) == null ? Map.of() : decodeRow(meta.get(TERM_ROW));
+        String votedFor = MessageCodec.stringOrEmpty(termRow, "voted");
         RaftTermPersistentState term =
-                MessageCodec.MODELS
+                MessageCodec.MODEL_FACTORY
                         .createRaftTermPersistentStateBuilder()
-                        .setTerm((int) MessageCodec.number(t, "term"))
-                        .setVotedFor(voted.isEmpty() ? null : Endpoint.of(voted))
+                        .setTerm((int) MessageCodec.longOrZero(termRow, "term"))
+                        .setVotedFor(votedFor.isEmpty() ? null : Endpoint.of(votedFor))
                         .build();
-        TreeMap<Long, List<SnapshotChunk>> snapshots = new TreeMap<>();
-        for (byte[] row : rows.all(RowStore.Table.CHUNKS).values()) {
-            SnapshotChunk c = MessageCodec.chunk(map(row));
-            snapshots.computeIfAbsent(c.getIndex(), i -> new ArrayList<>()).add(c);
+        TreeMap<Long, List<SnapshotChunk>> chunksByIndex = new TreeMap<>();
+        for (byte[] row : rowStore.readAll(RowStore.Table.CHUNKS).values()) {
+            SnapshotChunk chunk = MessageCodec.decodeSnapshotChunk(decodeRow(row));
+            chunksByIndex.computeIfAbsent(chunk.getIndex(), index -> new ArrayList<>()).add(chunk);
         }
-        snapshots.values().removeIf(l -> l.size() != l.get(0).getSnapshotChunkCount());
+        chunksByIndex
+                .values()
+                .removeIf(chunks -> chunks.size() != chunks.get(0).getSnapshotChunkCount());
         SnapshotEntry snapshot = null;
-        long from = 0;
-        if (!snapshots.isEmpty()) {
-            List<SnapshotChunk> newest = snapshots.lastEntry().getValue();
+        long snapshotIndex = 0;
+        if (!chunksByIndex.isEmpty()) {
+            List<SnapshotChunk> newest = chunksByIndex.lastEntry().getValue();
             SnapshotChunk first = newest.get(0);
-            from = first.getIndex();
+            snapshotIndex = first.getIndex();
             snapshot =
-                    MessageCodec.MODELS
+                    MessageCodec.MODEL_FACTORY
                             .createSnapshotEntryBuilder()
-                            .setIndex(from)
+                            .setIndex(snapshotIndex)
                             .setTerm(first.getTerm())
                             .setSnapshotChunks(
                                     new ArrayList<Object>(newest)
-                                            .stream().map(c -> (SnapshotChunk) c).toList())
+                                            .stream().map(chunk -> (SnapshotChunk) chunk).toList())
                             .setGroupMembersView(first.getGroupMembersView())
                             .build();
         }
         List<LogEntry> entries = new ArrayList<>();
-        for (byte[] row : rows.all(RowStore.Table.LOG).tailMap(from + 1).values()) {
-            entries.add(MessageCodec.entry(map(row)));
+        for (byte[] row :
+                rowStore.readAll(RowStore.Table.LOG).tailMap(snapshotIndex + 1).values()) {
+            entries.add(MessageCodec.decodeLogEntry(decodeRow(row)));
         }
         return new RestoredRaftState(
-                local, MessageCodec.view(map(meta.get(INITIAL))), term, snapshot, entries);
+                localEndpoint,
+                MessageCodec.decodeMembersView(decodeRow(meta.get(INITIAL_MEMBERS_ROW))),
+                term,
+                snapshot,
+                entries);
     }
 
-    private void begin() throws IOException {
-        identity = names.get();
-        group = "";
-        proposed = "";
+    private void initialize() throws IOException {
+        identity = idGenerator.get();
+        groupId = "";
+        proposedGroupId = "";
         founders = List.of();
-        epochs = 0;
+        initialEpoch = 0;
         restored = null;
-        seen.clear();
-        voters.clear();
-        saveSelf();
-    }
-
-    private void saveSelf() throws IOException {
-        Map<String, Object> self = new LinkedHashMap<>();
-        self.put("identity", identity);
-        self.put("group", group);
-        self.put("proposed", proposed);
-        self.put("founders", founders);
-        self.put("epochs", epochs);
-        put(RowStore.Table.META, SELF, self);
+        confirmedPositions.clear();
+        voterChanges.clear();
+        saveIdentity();
+    }
+
+    private void saveIdentity() throws IOException {
+        Map<String, Object> row = new LinkedHashMap<>();
+        row.put("identity", identity);
+        row.put("group", groupId);
+        row.put("proposed", proposedGroupId);
+        row.put("founders", founders);
+        row.put("epochs", initialEpoch);
+        put(RowStore.Table.META, IDENTITY_ROW, row);
         flush();
     }
 
     /** Gives all up under the old identity; what was there is kept under another name. */
-    void setAside(String why) throws IOException {
-        wasAside = rows.setAside() + ": " + why;
-        begin();
+    void setAside(String reason) throws IOException {
+        setAsideNotice = rowStore.setAside() + ": " + reason;
+        initialize();
     }
 
-    void tellAside(String what) {
-        wasAside = what;
+    void recordSetAside(String notice) {
+        setAsideNotice = notice;
     }
 
     /** What was set aside and why, or null. */
-    String wasAside() {
-        return wasAside;
+    String setAsideNotice() {
+        return setAsideNotice;
     }
 
     String identity() {
@@ -197,36 +209,36 @@
     }
 
     /** The council that this voter belongs to, or empty. */
-    String group() {
-        return group;
+    String groupId() {
+        return groupId;
     }
 
     /** A council that was proposed and is not known to have begun, or empty. */
-    String proposed() {
-        return proposed;
+    String proposedGroupId() {
+        return proposedGroupId;
     }
 
     List<String> founders() {
         return founders;
     }
 
-    long epochs() {
-        return epochs;
+    long initialEpoch() {
+        return initialEpoch;
     }
 
-    void propose(String name, List<String> members, long firstEpoch) throws IOException {
-        proposed = name;
+    void saveProposal(String name, List<String> members, long firstEpoch) throws IOException {
+        proposedGroupId = name;
         founders = List.copyOf(members);
-        epochs = firstEpoch;
-        saveSelf();
+        initialEpoch = firstEpoch;
+        saveIdentity();
     }
 
-    void found(String name, List<String> members, long firstEpoch) throws IOException {
-        group = name;
-        proposed = "";
+    void saveGroup(String name, List<String> members, long firstEpoch) throws IOException {
+        groupId = name;
+        proposedGroupId = "";
         founders = List.copyOf(members);
-        epochs = firstEpoch;
-        saveSelf();
+        initialEpoch = firstEpoch;
+        saveIdentity();
     }
 
     RestoredRaftState restored() {
@@ -234,32 +246,32 @@
     }
 
     /** What went wrong with writing, or null; nothing is confirmed after that. */
-    IOException broken() {
-        return broken;
+    IOException writeFailure() {
+        return writeFailure;
     }
 
-    Seen seen(String endpoint) {
-        return seen.getOrDefault(endpoint, new Seen(0, 0, 0));
+    ConfirmedPosition confirmedPosition(String endpoint) {
+        return confirmedPositions.getOrDefault(endpoint, new ConfirmedPosition(0, 0, 0));
     }
 
-    void saw(String endpoint, Seen what) {
-        seen.put(endpoint, what);
+    void recordConfirmed(String endpoint, ConfirmedPosition position) {
+        confirmedPositions.put(endpoint, position);
     }
 
     /**
      * The changes of the voters, as they were known last: where to look for the others at a start.
      */
-    Map<String, String> voters() {
-        return voters;
+    Map<String, String> voterChanges() {
+        return voterChanges;
     }
 
     /** Writes them down; durable with the next flush. */
-    void saveVoters(Map<String, String> changes) {
-        if (!voters.equals(changes)) {
-            voters.clear();
-            voters.putAll(changes);
+    void saveVoterChanges(Map<String, String> changes) {
+        if (!voterChanges.equals(changes)) {
+            voterChanges.clear();
+            voterChanges.putAll(changes);
             try {
-                put(RowStore.Table.META, VOTERS, new LinkedHashMap<>(voters));
+                put(RowStore.Table.META, VOTER_CHANGES_ROW, new LinkedHashMap<>(voterChanges));
             } catch (IOException e) {
                 // put has noted it
             }
@@ -267,26 +279,38 @@
     }
 
     /** Writes down what was seen; durable with the next flush. */
-    void saveSeen() {
-        Map<String, Object> all = new LinkedHashMap<>();
-        seen.forEach((e, s) -> all.put(e, List.of((long) s.term, (long) s.entryTerm, s.index)));
+    void saveConfirmedPositions() {
+        Map<String, Object> row = new LinkedHashMap<>();
+        confirmedPositions.forEach(
+                (endpointId, position) ->
+                        row.put(
+                                endpointId,
+                                List.of(
+                                        (long) position.term,
+                                        (long) position.entryTerm,
+                                        position.index)));
         try {
-            put(RowStore.Table.META, WITNESS, all);
-        } catch (IOException e) {
+            put(RowStore.Table.META, CONFIRMED_POSITIONS_ROW, row);
+        } catch (IOException endpointId) {
             // put has noted it
         }
     }
 
     /** Whether the restored state lies before what it is known to have confirmed. */
-    boolean olderThan(Seen known) {
+    boolean isOlderThan(ConfirmedPosition known) {
         if (restored == null) {
             return known.term > 0;
         }
         List<LogEntry> log = restored.getLogEntries();
-        SnapshotEntry s = restored.getSnapshotEntry();
+        SnapshotEntry snapshot = restored.getSnapshotEntry();
         long index =
-                log.isEmpty() ? s == null ? 0 : s.getIndex() : log.get(log.size() - 1).getIndex();
-        int term = log.isEmpty() ? s == null ? 0 : s.getTerm() : log.get(log.size() - 1).getTerm();
+                log.isEmpty()
+                        ? snapshot == null ? 0 : snapshot.getIndex()
+                        : log.get(log.size() - 1).getIndex();
+        int term =
+                log.isEmpty()
+                        ? snapshot == null ? 0 : snapshot.getTerm()
+                        : log.get(log.size() - 1).getTerm();
         // A shorter log is right where a later leader cut it: then its last entry is of a later
         // term.
         return restored.getTermPersistentState().getTerm() < known.term
@@ -294,118 +318,128 @@
     }
 
     void close() {
-        rows.close();
+        rowStore.close();
     }
 
     // ---- for the engine ----
 
     @Override
-    public void persistAndFlushLocalEndpoint(RaftEndpointPersistentState s) throws IOException {
+    public void persistAndFlushLocalEndpoint(RaftEndpointPersistentState state) throws IOException {
         put(
                 RowStore.Table.META,
-                ENDPOINT,
-                MessageCodec.message("e", "e", s.getLocalEndpoint().getId(), "vote", s.isVoting()));
+                ENDPOINT_ROW,
+                MessageCodec.message(
+                        "e", "e", state.getLocalEndpoint().getId(), "vote", state.isVoting()));
         flush();
     }
 
     @Override
-    public void persistAndFlushInitialGroupMembers(RaftGroupMembersView v) throws IOException {
-        put(RowStore.Table.META, INITIAL, MessageCodec.of(v));
+    public void persistAndFlushInitialGroupMembers(RaftGroupMembersView view) throws IOException {
+        put(RowStore.Table.META, INITIAL_MEMBERS_ROW, MessageCodec.encode(view));
         flush();
     }
 
     @Override
-    public void persistAndFlushTerm(RaftTermPersistentState t) throws IOException {
-        RaftEndpoint voted = t.getVotedFor();
+    public void persistAndFlushTerm(RaftTermPersistentState state) throws IOException {
+        RaftEndpoint votedFor = state.getVotedFor();
         put(
                 RowStore.Table.META,
-                TERM,
+                TERM_ROW,
                 MessageCodec.message(
-                        "t", "term", t.getTerm(), "voted", voted == null ? "" : voted.getId()));
+                        "t",
+                        "term",
+                        state.getTerm(),
+                        "voted",
+                        votedFor == null ? "" : votedFor.getId()));
         flush();
     }
 
     @Override
     public void persistLogEntries(List<LogEntry> entries) throws IOException {
-        for (LogEntry e : entries) {
-            put(RowStore.Table.LOG, e.getIndex(), MessageCodec.of(e));
+        for (LogEntry entry : entries) {
+            put(RowStore.Table.LOG, entry.getIndex(), MessageCodec.encode(entry));
         }
     }
 
     @Override
-    public void persistSnapshotChunk(SnapshotChunk c) throws IOException {
+    public void persistSnapshotChunk(SnapshotChunk chunk) throws IOException {
         put(
                 RowStore.Table.CHUNKS,
-                c.getIndex() << 10 | c.getSnapshotChunkIndex(),
-                MessageCodec.of(c));
+                chunk.getIndex() << 10 | chunk.getSnapshotChunkIndex(),
+                MessageCodec.encode(chunk));
     }
 
     @Override
     public void truncateLogEntriesFrom(long index) throws IOException {
-        drop(RowStore.Table.LOG, index, Long.MAX_VALUE);
+        deleteRange(RowStore.Table.LOG, index, Long.MAX_VALUE);
     }
 
     @Override
     public void truncateLogEntriesUntil(long index) throws IOException {
-        drop(RowStore.Table.LOG, 0, index);
+        deleteRange(RowStore.Table.LOG, 0, index);
     }
 
     @Override
     public void deleteSnapshotChunks(long index, int count) throws IOException {
-        drop(RowStore.Table.CHUNKS, index << 10, (index << 10) + count - 1);
+        deleteRange(RowStore.Table.CHUNKS, index << 10, (index << 10) + count - 1);
     }
 
     @Override
     public void flush() throws IOException {
         try {
-            whole();
-            rows.flush();
+            requireWritable();
+            rowStore.flush();
         } catch (IOException e) {
-            broken = broken == null ? e : broken;
+            writeFailure = writeFailure == null ? e : writeFailure;
             throw e;
         }
     }
 
-    private void whole() throws IOException {
-        if (broken != null) {
-            throw new IOException("nothing is written after: " + broken.getMessage(), broken);
+    private void requireWritable() throws IOException {
+        if (writeFailure != null) {
+            throw new IOException(
+                    "nothing is written after: " + writeFailure.getMessage(), writeFailure);
         }
     }
 
-    private void drop(RowStore.Table table, long from, long to) throws IOException {
+    private void deleteRange(RowStore.Table table, long from, long to) throws IOException {
         try {
-            whole();
-            rows.drop(table, from, to);
+            requireWritable();
+            rowStore.deleteRange(table, from, to);
         } catch (IOException e) {
-            broken = broken == null ? e : broken;
+            writeFailure = writeFailure == null ? e : writeFailure;
             throw e;
         }
     }
 
     private void put(RowStore.Table table, long key, Map<String, Object> value) throws IOException {
-        byte[] body = Cbor.write(value);
+        byte[] body = Cbor.encode(value);
         try {
-            whole();
-            rows.put(
+            requireWritable();
+            rowStore.put(
                     table,
                     key,
-                    ByteBuffer.allocate(SUM + body.length).putInt(sum(body, 0)).put(body).array());
+                    ByteBuffer.allocate(CHECKSUM_BYTES + body.length)
+                            .putInt(checksum(body, 0))
+                            .put(body)
+                            .array());
         } catch (IOException e) {
-            broken = broken == null ? e : broken;
+            writeFailure = writeFailure == null ? e : writeFailure;
             throw e;
         }
     }
 
-    private static Map<String, Object> map(byte[] row) {
-        if (row.length < SUM || ByteBuffer.wrap(row).getInt() != sum(row, SUM)) {
+    private static Map<String, Object> decodeRow(byte[] row) {
+        if (row.length < CHECKSUM_BYTES
+                || ByteBuffer.wrap(row).getInt() != checksum(row, CHECKSUM_BYTES)) {
             throw new Json.Malformed("a row's checksum is wrong");
         }
-        return Cbor.map(java.util.Arrays.copyOfRange(row, SUM, row.length));
+        return Cbor.decode(java.util.Arrays.copyOfRange(row, CHECKSUM_BYTES, row.length));
     }
 
-    private static int sum(byte[] of, int from) {
-        CRC32C sum = new CRC32C();
-        sum.update(of, from, of.length - from);
-        return (int) sum.getValue();
+    private static int checksum(byte[] bytes, int offset) {
+        CRC32C crc = new CRC32C();
+        crc.update(bytes, offset, bytes.length - offset);
+        return (int) crc.getValue();
     }
 }
--- a/src/main/java/wingroad/fleet/FleetClient.java
+++ b/src/main/java/wingroad/fleet/FleetClient.java
@@ -14,23 +14,24 @@
  * own.
  */
 public final class FleetClient implements AutoCloseable {
-    private static final int CONNECT_MS = 1000;
-    private static final int ANSWER_MS = 2000;
-    private static final int LONGEST = 4 << 20;
+    private static final int CONNECT_TIMEOUT_MS = 1000;
+    private static final int READ_TIMEOUT_MS = 2000;
+    private static final int MAX_MESSAGE_BYTES = 4 << 20;
 
     private final Socket socket = new Socket();
     private final DataInputStream in;
 
     /** Connects to a voter and says hello; fails where it does not answer or refuses. */
-    public FleetClient(FleetConfig rules, String voter) throws IOException {
-        InetSocketAddress at = LoopNet.address(rules.voterAddresses().get(voter));
+    public FleetClient(FleetConfig config, String voter) throws IOException {
+        InetSocketAddress address =
+                TcpMessageTransport.parseAddress(config.voterAddresses().get(voter));
         try {
-            socket.connect(at, CONNECT_MS);
-            socket.setSoTimeout(ANSWER_MS);
+            socket.connect(address, CONNECT_TIMEOUT_MS);
+            socket.setSoTimeout(READ_TIMEOUT_MS);
             in = new DataInputStream(socket.getInputStream());
             send(
                     MessageCodec.message(
-                            "hello", "fleet", rules.name(), "name", "guest", "role", "guest"));
+                            "hello", "fleet", config.name(), "name", "guest", "role", "guest"));
             await("here");
         } catch (IOException | RuntimeException e) {
             socket.close();
@@ -39,25 +40,25 @@
     }
 
     private void send(Map<String, Object> message) throws IOException {
-        byte[] text = Cbor.write(message);
+        byte[] body = Cbor.encode(message);
         byte[] frame =
-                java.nio.ByteBuffer.allocate(4 + text.length).putInt(text.length).put(text).array();
+                java.nio.ByteBuffer.allocate(4 + body.length).putInt(body.length).put(body).array();
         socket.getOutputStream().write(frame);
     }
 
     private Map<String, Object> await(String kind) throws IOException {
         while (true) {
             int length = in.readInt();
-            if (length < 0 || length > LONGEST) {
+            if (length < 0 || length > MAX_MESSAGE_BYTES) {
                 throw new IOException("a message of " + length + " bytes");
             }
             try {
-                Map<String, Object> m = Cbor.map(in.readNBytes(length));
-                String k = MessageCodec.text(m, "k");
-                if (k.equals(kind)) {
-                    return m;
-                } else if (k.equals("refused")) {
-                    throw new IOException("refused: " + MessageCodec.text(m, "why"));
+                Map<String, Object> message = Cbor.decode(in.readNBytes(length));
+                String receivedKind = MessageCodec.stringOrEmpty(message, "k");
+                if (receivedKind.equals(kind)) {
+                    return message;
+                } else if (receivedKind.equals("refused")) {
+                    throw new IOException("refused: " + MessageCodec.stringOrEmpty(message, "why"));
                 }
             } catch (Json.Malformed e) {
                 throw new IOException("a broken message: " + e.getMessage());
@@ -75,18 +76,22 @@
      * Asks for a duty's hand-over; the answer once it is settled: empty, or why it is not done.
      * Safe to repeat.
      */
-    public String handOver(String duty, String to, String ask) throws IOException {
-        send(MessageCodec.message("ask", "op", MessageCodec.of(Op.handOver(duty, to, ask))));
-        return MessageCodec.text(await("answer"), "result");
+    public String handOver(String duty, String newOwner, String requestId) throws IOException {
+        send(
+                MessageCodec.message(
+                        "ask", "op", MessageCodec.encode(Op.handOver(duty, newOwner, requestId))));
+        return MessageCodec.stringOrEmpty(await("answer"), "result");
     }
 
     /**
      * Asks for a voter to be let in at an address, or with none taken out; the answer as for a
      * hand-over.
      */
-    public String changeVoter(String name, String address, String ask) throws IOException {
-        send(MessageCodec.message("ask", "op", MessageCodec.of(Op.voter(name, address, ask))));
-        return MessageCodec.text(await("answer"), "result");
+    public String changeVoter(String name, String address, String requestId) throws IOException {
+        send(
+                MessageCodec.message(
+                        "ask", "op", MessageCodec.encode(Op.voter(name, address, requestId))));
+        return MessageCodec.stringOrEmpty(await("answer"), "result");
     }
 
     /**
@@ -95,24 +100,31 @@
      */
     public String requestMachine(
             String machine,
-            String why,
-            long forMs,
+            String reason,
+            long durationMs,
             long before,
             java.util.List<String> after,
-            String ask)
+            String requestId)
             throws IOException {
         send(
                 MessageCodec.message(
                         "ask",
                         "op",
-                        MessageCodec.of(Op.workAsk(machine, why, forMs, before, after, ask))));
-        return MessageCodec.text(await("answer"), "result");
+                        MessageCodec.encode(
+                                Op.workAsk(
+                                        machine, reason, durationMs, before, after, requestId))));
+        return MessageCodec.stringOrEmpty(await("answer"), "result");
     }
 
     /** Says a word on a machine, or on all as "*"; the answer as for an ask. */
-    public String commandMachine(String word, String machine, String ask) throws IOException {
-        send(MessageCodec.message("ask", "op", MessageCodec.of(Op.workWord(word, machine, ask))));
-        return MessageCodec.text(await("answer"), "result");
+    public String commandMachine(String command, String machine, String requestId)
+            throws IOException {
+        send(
+                MessageCodec.message(
+                        "ask",
+                        "op",
+                        MessageCodec.encode(Op.workWord(command, machine, requestId))));
+        return MessageCodec.stringOrEmpty(await("answer"), "result");
     }
 
     @Override
--- a/src/main/java/wingroad/fleet/FleetConfig.java
+++ b/src/main/java/wingroad/fleet/FleetConfig.java
@@ -40,13 +40,22 @@
     public FleetConfig(
             String name,
             String driver,
-            String listen,
-            Map<String, String> voters,
-            Path state,
+            String listenAddress,
+            Map<String, String> voterAddresses,
+            Path stateFolder,
             Lease lease,
             List<Chore> chores,
-            Duration listCheck) {
-        this(name, driver, listen, voters, state, lease, chores, listCheck, null);
+            Duration listCheckInterval) {
+        this(
+                name,
+                driver,
+                listenAddress,
+                voterAddresses,
+                stateFolder,
+                lease,
+                chores,
+                listCheckInterval,
+                null);
     }
 
     /** A statement for the primary of a group, once in each span. */
@@ -59,22 +68,22 @@
 
     /** The duties that this driver would do. */
     public List<String> duties() {
-        List<String> all = new ArrayList<>(chores.stream().map(Chore::duty).toList());
+        List<String> duties = new ArrayList<>(chores.stream().map(Chore::duty).toList());
         if (listCheckInterval != null) {
-            all.add(LIST_DUTY);
+            duties.add(LIST_DUTY);
         }
         if (work != null) {
-            all.add(WorkRules.CONDUCTOR);
+            duties.add(WorkRules.CONDUCTOR);
         }
-        return all;
+        return duties;
     }
 
     /** The same for a driver of this name where the file gives it none. */
-    public FleetConfig withDefaultDriver(String name) {
+    public FleetConfig withDefaultDriver(String defaultDriver) {
         return driver.isEmpty()
                 ? new FleetConfig(
                         this.name,
-                        name,
+                        defaultDriver,
                         listenAddress,
                         voterAddresses,
                         stateFolder,
@@ -86,7 +95,7 @@
     }
 
     /** The same with these rules of work. */
-    public FleetConfig withWork(WorkRules of) {
+    public FleetConfig withWork(WorkRules newWork) {
         return new FleetConfig(
                 name,
                 driver,
@@ -96,6 +105,6 @@
                 lease,
                 chores,
                 listCheckInterval,
-                of);
+                newWork);
     }
 }
--- a/src/main/java/wingroad/fleet/FleetNode.java
+++ b/src/main/java/wingroad/fleet/FleetNode.java
@@ -21,48 +21,48 @@
  * waits for it.
  */
 public final class FleetNode {
-    private static final Duration AGAIN = Duration.ofSeconds(2);
-    private static final Duration LEAVE_WITHIN = Duration.ofMillis(1500);
-    private static final int MOST_CHANNELS = 1200;
-    private static final long MOST_HELD = 32L << 20;
+    private static final Duration RETRY_DELAY = Duration.ofSeconds(2);
+    private static final Duration LEAVE_TIMEOUT = Duration.ofMillis(1500);
+    private static final int MAX_CHANNELS = 1200;
+    private static final long MAX_BUFFERED_BYTES = 32L << 20;
 
-    private final FleetConfig rules;
+    private final FleetConfig config;
     private final Consumer<String> log;
-    private final ChoreRunner runner;
-    private final PublicationListener news;
-    private final WorkPlanListener worker;
+    private final ChoreRunner choreRunner;
+    private final PublicationListener publicationListener;
+    private final WorkPlanListener planListener;
     private final EventLoop loop;
-    private final LoopNet net;
-    private final Here here = new Here();
+    private final TcpMessageTransport transport;
+    private final EventLoopContext context = new EventLoopContext();
     private final SecureRandom random = new SecureRandom();
-    private final Supplier<String> names = () -> Long.toHexString(random.nextLong());
-    private StateFolder folder;
+    private final Supplier<String> idGenerator = () -> Long.toHexString(random.nextLong());
+    private StateFolder stateFolder;
     private ConsensusNode consensusNode;
-    private Listener door;
-    private CouncilSession councilSession;
+    private Listener listener;
+    private DriverSession driverSession;
     private boolean leaving;
-    private String failure = "";
+    private String lastFailure = "";
 
     /** The thread with its clocks. */
-    private final class Here implements Host {
+    private final class EventLoopContext implements ExecutionContext {
         @Override
         public Duration now() {
             return Duration.ofNanos(System.nanoTime());
         }
 
         @Override
-        public long wall() {
+        public long wallClockMs() {
             return System.currentTimeMillis();
         }
 
         @Override
-        public void run(Runnable task) {
+        public void execute(Runnable task) {
             loop.run(task);
         }
 
         @Override
-        public void after(Duration wait, Runnable task) {
-            loop.after(wait, task);
+        public void schedule(Duration delay, Runnable task) {
+            loop.after(delay, task);
         }
 
         @Override
@@ -72,60 +72,62 @@
     }
 
     private FleetNode(
-            FleetConfig rules,
+            FleetConfig config,
             Consumer<String> log,
-            Consumer<Throwable> bug,
-            ChoreRunner runner,
-            PublicationListener news,
-            WorkPlanListener worker)
+            Consumer<Throwable> faultHandler,
+            ChoreRunner choreRunner,
+            PublicationListener publicationListener,
+            WorkPlanListener planListener)
             throws IOException {
-        this.worker = worker;
-        this.rules = rules;
+        this.planListener = planListener;
+        this.config = config;
         this.log = log;
-        this.runner = runner;
-        this.news = news;
-        loop = new EventLoop("fleet", MOST_CHANNELS, MOST_HELD, bug);
-        net = new LoopNet(loop);
+        this.choreRunner = choreRunner;
+        this.publicationListener = publicationListener;
+        loop = new EventLoop("fleet", MAX_CHANNELS, MAX_BUFFERED_BYTES, faultHandler);
+        transport = new TcpMessageTransport(loop);
     }
 
     /**
-     * Begins on a thread of its own; {@code runner}, {@code news} and {@code worker} (or null) are
-     * called on that thread.
+     * Begins on a thread of its own; {@code choreRunner}, {@code publicationListener} and {@code
+     * planListener} (or null) are called on that thread.
      */
     public static FleetNode start(
-            FleetConfig rules,
+            FleetConfig config,
             Consumer<String> log,
-            Consumer<Throwable> bug,
-            ChoreRunner runner,
-            PublicationListener news,
-            WorkPlanListener worker)
+            Consumer<Throwable> faultHandler,
+            ChoreRunner choreRunner,
+            PublicationListener publicationListener,
+            WorkPlanListener planListener)
             throws IOException {
-        FleetNode f = new FleetNode(rules, log, bug, runner, news, worker);
-        f.loop.run(f::enter);
-        return f;
+        FleetNode fleetNode =
+                new FleetNode(
+                        config, log, faultHandler, choreRunner, publicationListener, planListener);
+        fleetNode.loop.run(fleetNode::startParts);
+        return fleetNode;
     }
 
     /** Hears what the owner of the list hands on, past the fence. */
     public interface PublicationListener {
-        void published(long epoch, Map<String, Object> what);
+        void published(long epoch, Map<String, Object> content);
     }
 
     /** Hands something on to all drivers, if this one owns the duty now. */
-    public void publish(String duty, Map<String, Object> what) {
+    public void publish(String duty, Map<String, Object> content) {
         loop.run(
                 () -> {
-                    if (councilSession != null) {
-                        councilSession.publish(duty, what);
+                    if (driverSession != null) {
+                        driverSession.publish(duty, content);
                     }
                 });
     }
 
     /** What this driver says of itself to whoever plans work. */
-    public void report(Report what) {
+    public void report(Report report) {
         loop.run(
                 () -> {
-                    if (councilSession != null) {
-                        councilSession.report(what);
+                    if (driverSession != null) {
+                        driverSession.report(report);
                     }
                 });
     }
@@ -134,19 +136,19 @@
     public void proposeSteps(long epoch, List<Conductor.Step> steps) {
         loop.run(
                 () -> {
-                    if (councilSession != null) {
+                    if (driverSession != null) {
                         steps.forEach(
-                                x ->
-                                        councilSession.order(
+                                step ->
+                                        driverSession.proposeAsConductor(
                                                 epoch,
-                                                s ->
+                                                sessionId ->
                                                         Op.workStep(
-                                                                s,
+                                                                sessionId,
                                                                 epoch,
-                                                                x.machine(),
-                                                                x.to(),
-                                                                x.stageAt(),
-                                                                x.why())));
+                                                                step.machine(),
+                                                                step.to(),
+                                                                step.stageAt(),
+                                                                step.why())));
                     }
                 });
     }
@@ -155,8 +157,9 @@
     public void proposeMachines(long epoch, List<String> lines) {
         loop.run(
                 () -> {
-                    if (councilSession != null) {
-                        councilSession.order(epoch, s -> Op.workMachines(s, epoch, lines));
+                    if (driverSession != null) {
+                        driverSession.proposeAsConductor(
+                                epoch, sessionId -> Op.workMachines(sessionId, epoch, lines));
                     }
                 });
     }
@@ -166,82 +169,87 @@
         loop.run(task);
     }
 
-    private void enter() {
+    private void startParts() {
         if (leaving) {
             return;
         }
         try {
-            if (folder == null) {
-                folder = new StateFolder(rules.stateFolder(), names);
+            if (stateFolder == null) {
+                stateFolder = new StateFolder(config.stateFolder(), idGenerator);
             }
-            String identity = folder.identity();
-            if (rules.listenAddress() != null) {
+            String identity = stateFolder.identity();
+            if (config.listenAddress() != null) {
                 consensusNode =
-                        new ConsensusNode(here, net, rules, folder::store, random.nextLong());
-                door =
-                        net.listen(
-                                LoopNet.address(rules.listenAddress()),
-                                () -> consensusNode.guest());
+                        new ConsensusNode(
+                                context,
+                                transport,
+                                config,
+                                stateFolder::openStore,
+                                random.nextLong());
+                listener =
+                        transport.listen(
+                                TcpMessageTransport.parseAddress(config.listenAddress()),
+                                () -> consensusNode.newInboundHandler());
                 consensusNode.start();
-                watch();
+                retryReload();
             }
-            councilSession =
-                    new CouncilSession(
-                            here,
-                            net,
-                            rules,
+            driverSession =
+                    new DriverSession(
+                            context,
+                            transport,
+                            config,
                             identity,
-                            names,
-                            s -> new SessionLease(rules.lease(), s),
-                            news);
-            councilSession.work(worker);
-            councilSession.start(new Chores(here, rules, councilSession, runner));
+                            idGenerator,
+                            sessionId -> new SessionLease(config.lease(), sessionId),
+                            publicationListener);
+            driverSession.setPlanListener(planListener);
+            driverSession.start(new ChoreScheduler(context, config, driverSession, choreRunner));
             log.accept(
                     "fleet: driver "
-                            + rules.driver()
+                            + config.driver()
                             + " of fleet "
-                            + rules.name()
+                            + config.name()
                             + ", "
-                            + (rules.listenAddress() == null
+                            + (config.listenAddress() == null
                                     ? "no voter"
                                     : "listens at "
-                                            + door.at().getHostString()
+                                            + listener.at().getHostString()
                                             + ":"
-                                            + door.at().getPort())
+                                            + listener.at().getPort())
                             + ", lease "
-                            + rules.lease().held().toMillis()
+                            + config.lease().held().toMillis()
                             + " ms, "
-                            + rules.duties().size()
+                            + config.duties().size()
                             + " duties");
         } catch (IOException | RuntimeException e) {
-            if (!e.toString().equals(failure)) {
-                failure = e.toString();
+            if (!e.toString().equals(lastFailure)) {
+                lastFailure = e.toString();
                 log.accept("fleet: can't begin, tries again: " + e.getMessage());
             }
             if (consensusNode != null) {
                 consensusNode.stop();
                 consensusNode = null;
             }
-            if (door != null) {
-                door.close();
-                door = null;
+            if (listener != null) {
+                listener.close();
+                listener = null;
             }
-            loop.after(AGAIN, this::enter);
+            loop.after(RETRY_DELAY, this::startParts);
         }
     }
 
     /** A voter whose state could not be written reads it again, once that works. */
-    private void watch() {
+    private void retryReload() {
         if (consensusNode != null
                 && consensusNode.phase() == ConsensusNode.Phase.BROKEN
                 && !leaving) {
             try {
-                consensusNode.resume();
+                consensusNode.reloadState();
             } catch (IOException e) {
                 // Still not: it goes on being no voter.
             }
         }
-        loop.after(AGAIN, this::watch);
+        loop.after(RETRY_DELAY, this::retryReload);
     }
 
     /**
@@ -255,22 +263,22 @@
                         return;
                     }
                     leaving = true;
-                    boolean[] gone = new boolean[1];
-                    Runnable once =
+                    boolean[] finished = new boolean[1];
+                    Runnable finishOnce =
                             () -> {
-                                if (!gone[0]) {
-                                    gone[0] = true;
-                                    if (councilSession != null) {
-                                        councilSession.stop();
+                                if (!finished[0]) {
+                                    finished[0] = true;
+                                    if (driverSession != null) {
+                                        driverSession.stop();
                                     }
                                     then.run();
                                 }
                             };
-                    if (councilSession == null) {
-                        once.run();
+                    if (driverSession == null) {
+                        finishOnce.run();
                     } else {
-                        councilSession.leave(once);
-                        loop.after(LEAVE_WITHIN, once);
+                        driverSession.leave(finishOnce);
+                        loop.after(LEAVE_TIMEOUT, finishOnce);
                     }
                 });
     }
@@ -279,14 +287,14 @@
     public void close() {
         loop.run(
                 () -> {
-                    if (door != null) {
-                        door.close();
+                    if (listener != null) {
+                        listener.close();
                     }
                     if (consensusNode != null) {
                         consensusNode.stop();
                     }
-                    if (folder != null) {
-                        folder.close();
+                    if (stateFolder != null) {
+                        stateFolder.close();
                     }
                 });
     }
--- a/src/main/java/wingroad/fleet/MessageCodec.java
+++ b/src/main/java/wingroad/fleet/MessageCodec.java
@@ -19,6 +19,10 @@
 import io.microraft.model.message.TriggerLeaderElectionRequest;
 import io.microraft.model.message.VoteRequest;
 import io.microraft.model.message.VoteResponse;
+
+import wingroad.duty.Op;
+import wingroad.protocol.Json;
+
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.HashMap;
@@ -27,12 +31,10 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import wingroad.duty.Op;
-import wingroad.protocol.Json;
 
 /** The consensus engine's models and our own ops as plain values, for the wire and the disk. */
 final class MessageCodec {
-    static final RaftModelFactory MODELS = new DefaultRaftModelFactory();
+    static final RaftModelFactory MODEL_FACTORY = new DefaultRaftModelFactory();
 
     private MessageCodec() {}
 
@@ -60,420 +62,458 @@
     }
 
     static Map<String, Object> message(String kind, Object... fields) {
-        Map<String, Object> m = new LinkedHashMap<>();
-        m.put("k", kind);
+        Map<String, Object> message = new LinkedHashMap<>();
+        message.put("k", kind);
         for (int i = 0; i < fields.length; i += 2) {
-            m.put((String) fields[i], fields[i + 1]);
+            message.put((String) fields[i], fields[i + 1]);
         }
-        return m;
+        return message;
     }
 
-    static String text(Map<String, Object> m, String name) {
-        return m.get(name) instanceof String s ? s : "";
+    static String stringOrEmpty(Map<String, Object> message, String name) {
+        return message.get(name) instanceof String s ? s : "";
     }
 
-    static long number(Map<String, Object> m, String name) {
-        return m.get(name) instanceof Number n ? n.longValue() : 0;
+    static long longOrZero(Map<String, Object> message, String name) {
+        return message.get(name) instanceof Number n ? n.longValue() : 0;
     }
 
-    static List<String> texts(Object list) {
-        List<String> all = new ArrayList<>();
-        if (list instanceof List<?> l) {
-            l.forEach(o -> all.add(String.valueOf(o)));
+    static List<String> stringList(Object list) {
+        List<String> strings = new ArrayList<>();
+        if (list instanceof List<?> values) {
+            values.forEach(value -> strings.add(String.valueOf(value)));
         }
-        return all;
+        return strings;
     }
 
     // ---- ops ----
 
-    static Map<String, Object> of(Op op) {
-        Map<String, Object> m = message(op.kind().name());
-        put(m, "by", op.by());
-        put(m, "duty", op.duty());
-        put(m, "to", op.to());
-        put(m, "ask", op.ask());
-        putNumber(m, "epoch", op.epoch());
-        putNumber(m, "n", op.number());
-        putNumber(m, "wall", op.wall());
-        if (!op.duties().isEmpty()) {
-            m.put("duties", op.duties());
+    static Map<String, Object> encode(Op command) {
+        Map<String, Object> message = message(command.kind().name());
+        putIfNotEmpty(message, "by", command.by());
+        putIfNotEmpty(message, "duty", command.duty());
+        putIfNotEmpty(message, "to", command.to());
+        putIfNotEmpty(message, "ask", command.ask());
+        putIfNotZero(message, "epoch", command.epoch());
+        putIfNotZero(message, "n", command.number());
+        putIfNotZero(message, "wall", command.wall());
+        if (!command.duties().isEmpty()) {
+            message.put("duties", command.duties());
         }
-        if (!op.beats().isEmpty()) {
-            m.put("beats", op.beats());
+        if (!command.beats().isEmpty()) {
+            message.put("beats", command.beats());
         }
-        return m;
+        return message;
     }
 
-    private static void put(Map<String, Object> m, String name, String value) {
+    private static void putIfNotEmpty(Map<String, Object> message, String name, String value) {
         if (!value.isEmpty()) {
-            m.put(name, value);
+            message.put(name, value);
         }
     }
 
-    private static void putNumber(Map<String, Object> m, String name, long value) {
+    private static void putIfNotZero(Map<String, Object> message, String name, long value) {
         if (value != 0) {
-            m.put(name, value);
+            message.put(name, value);
         }
     }
 
-    static Op op(Map<String, Object> m) {
+    static Op decodeCommand(Map<String, Object> message) {
         Op.Kind kind;
         try {
-            kind = Op.Kind.valueOf(text(m, "k"));
+            kind = Op.Kind.valueOf(stringOrEmpty(message, "k"));
         } catch (IllegalArgumentException e) {
-            throw new Json.Malformed("no op: " + m.get("k"));
+            throw new Json.Malformed("no op: " + message.get("k"));
         }
         return new Op(
                 kind,
-                text(m, "by"),
-                text(m, "duty"),
-                number(m, "epoch"),
-                number(m, "n"),
-                text(m, "to"),
-                texts(m.get("duties")),
-                beats(m.get("beats")),
-                text(m, "ask"),
-                number(m, "wall"));
+                stringOrEmpty(message, "by"),
+                stringOrEmpty(message, "duty"),
+                longOrZero(message, "epoch"),
+                longOrZero(message, "n"),
+                stringOrEmpty(message, "to"),
+                stringList(message.get("duties")),
+                decodeHeartbeats(message.get("beats")),
+                stringOrEmpty(message, "ask"),
+                longOrZero(message, "wall"));
     }
 
-    static Map<String, Long> beats(Object of) {
+    static Map<String, Long> decodeHeartbeats(Object value) {
         Map<String, Long> beats = new java.util.TreeMap<>();
-        if (of instanceof Map<?, ?> m) {
-            m.forEach((s, n) -> beats.put((String) s, ((Number) n).longValue()));
+        if (value instanceof Map<?, ?> entries) {
+            entries.forEach(
+                    (sessionId, number) ->
+                            beats.put((String) sessionId, ((Number) number).longValue()));
         }
         return beats;
     }
 
     // ---- the log ----
 
-    static List<String> ids(Collection<RaftEndpoint> endpoints) {
-        return endpoints.stream().map(e -> (String) e.getId()).toList();
+    static List<String> endpointIds(Collection<RaftEndpoint> endpoints) {
+        return endpoints.stream().map(endpoint -> (String) endpoint.getId()).toList();
     }
 
-    static Set<RaftEndpoint> endpoints(Object list) {
-        Set<RaftEndpoint> all = new LinkedHashSet<>();
-        texts(list).forEach(id -> all.add(Endpoint.of(id)));
-        return all;
+    static Set<RaftEndpoint> decodeEndpoints(Object list) {
+        Set<RaftEndpoint> endpoints = new LinkedHashSet<>();
+        stringList(list).forEach(id -> endpoints.add(Endpoint.of(id)));
+        return endpoints;
     }
 
-    static Map<String, Object> of(RaftGroupMembersView v) {
+    static Map<String, Object> encode(RaftGroupMembersView view) {
         return message(
                 "view",
                 "i",
-                v.getLogIndex(),
+                view.getLogIndex(),
                 "all",
-                ids(v.getMembers()),
+                endpointIds(view.getMembers()),
                 "vote",
-                ids(v.getVotingMembers()));
+                endpointIds(view.getVotingMembers()));
     }
 
-    static RaftGroupMembersView view(Object of) {
-        Map<String, Object> m = Json.object(of, "the voters");
-        return MODELS.createRaftGroupMembersViewBuilder()
-                .setLogIndex(number(m, "i"))
-                .setMembers(endpoints(m.get("all")))
-                .setVotingMembers(endpoints(m.get("vote")))
+    static RaftGroupMembersView decodeMembersView(Object value) {
+        Map<String, Object> message = Json.object(value, "the voters");
+        return MODEL_FACTORY
+                .createRaftGroupMembersViewBuilder()
+                .setLogIndex(longOrZero(message, "i"))
+                .setMembers(decodeEndpoints(message.get("all")))
+                .setVotingMembers(decodeEndpoints(message.get("vote")))
                 .build();
     }
 
-    private static Map<String, Object> ofOperation(Object operation) {
-        if (operation instanceof Op op) {
-            return of(op);
+    private static Map<String, Object> encodeOperation(Object operation) {
+        if (operation instanceof Op command) {
+            return encode(command);
         }
-        if (operation instanceof UpdateRaftGroupMembersOp u) {
+        if (operation instanceof UpdateRaftGroupMembersOp update) {
             return message(
                     "members",
                     "all",
-                    ids(u.getMembers()),
+                    endpointIds(update.getMembers()),
                     "vote",
-                    ids(u.getVotingMembers()),
+                    endpointIds(update.getVotingMembers()),
                     "e",
-                    u.getEndpoint().getId(),
+                    update.getEndpoint().getId(),
                     "mode",
-                    u.getMode().name());
+                    update.getMode().name());
         }
         return message("whole", "v", operation);
     }
 
-    private static Object operation(Object of) {
-        Map<String, Object> m = Json.object(of, "an operation");
-        return switch (text(m, "k")) {
+    private static Object decodeOperation(Object value) {
+        Map<String, Object> message = Json.object(value, "an operation");
+        return switch (stringOrEmpty(message, "k")) {
             case "members" ->
-                    MODELS.createUpdateRaftGroupMembersOpBuilder()
-                            .setMembers(endpoints(m.get("all")))
-                            .setVotingMembers(endpoints(m.get("vote")))
-                            .setEndpoint(Endpoint.of(text(m, "e")))
-                            .setMode(MembershipChangeMode.valueOf(text(m, "mode")))
+                    MODEL_FACTORY
+                            .createUpdateRaftGroupMembersOpBuilder()
+                            .setMembers(decodeEndpoints(message.get("all")))
+                            .setVotingMembers(decodeEndpoints(message.get("vote")))
+                            .setEndpoint(Endpoint.of(stringOrEmpty(message, "e")))
+                            .setMode(MembershipChangeMode.valueOf(stringOrEmpty(message, "mode")))
                             .build();
-            case "whole" -> m.get("v");
-            default -> op(m);
+            case "whole" -> message.get("v");
+            default -> decodeCommand(message);
         };
     }
 
-    static Map<String, Object> of(LogEntry e) {
+    static Map<String, Object> encode(LogEntry entry) {
         return message(
-                "entry", "i", e.getIndex(), "t", e.getTerm(), "op", ofOperation(e.getOperation()));
+                "entry",
+                "i",
+                entry.getIndex(),
+                "t",
+                entry.getTerm(),
+                "op",
+                encodeOperation(entry.getOperation()));
     }
 
-    static LogEntry entry(Object of) {
-        Map<String, Object> m = Json.object(of, "an entry");
-        return MODELS.createLogEntryBuilder()
-                .setIndex(number(m, "i"))
-                .setTerm((int) number(m, "t"))
-                .setOperation(operation(m.get("op")))
+    static LogEntry decodeLogEntry(Object value) {
+        Map<String, Object> message = Json.object(value, "an entry");
+        return MODEL_FACTORY
+                .createLogEntryBuilder()
+                .setIndex(longOrZero(message, "i"))
+                .setTerm((int) longOrZero(message, "t"))
+                .setOperation(decodeOperation(message.get("op")))
                 .build();
     }
 
-    static Map<String, Object> of(SnapshotChunk c) {
+    static Map<String, Object> encode(SnapshotChunk chunk) {
         return message(
                 "chunk",
                 "i",
-                c.getIndex(),
+                chunk.getIndex(),
                 "t",
-                c.getTerm(),
+                chunk.getTerm(),
                 "op",
-                ofOperation(c.getOperation()),
+                encodeOperation(chunk.getOperation()),
                 "c",
-                c.getSnapshotChunkIndex(),
+                chunk.getSnapshotChunkIndex(),
                 "of",
-                c.getSnapshotChunkCount(),
+                chunk.getSnapshotChunkCount(),
                 "view",
-                of(c.getGroupMembersView()));
+                encode(chunk.getGroupMembersView()));
     }
 
-    static SnapshotChunk chunk(Object of) {
-        Map<String, Object> m = Json.object(of, "a chunk");
-        return MODELS.createSnapshotChunkBuilder()
-                .setIndex(number(m, "i"))
-                .setTerm((int) number(m, "t"))
-                .setOperation(operation(m.get("op")))
-                .setSnapshotChunkIndex((int) number(m, "c"))
-                .setSnapshotChunkCount((int) number(m, "of"))
-                .setGroupMembersView(view(m.get("view")))
+    static SnapshotChunk decodeSnapshotChunk(Object value) {
+        Map<String, Object> message = Json.object(value, "a chunk");
+        return MODEL_FACTORY
+                .createSnapshotChunkBuilder()
+                .setIndex(longOrZero(message, "i"))
+                .setTerm((int) longOrZero(message, "t"))
+                .setOperation(decodeOperation(message.get("op")))
+                .setSnapshotChunkIndex((int) longOrZero(message, "c"))
+                .setSnapshotChunkCount((int) longOrZero(message, "of"))
+                .setGroupMembersView(decodeMembersView(message.get("view")))
                 .build();
     }
 
     // ---- messages between voters ----
 
-    static Map<String, Object> of(RaftMessage any) {
-        Map<String, Object> m =
+    static Map<String, Object> encode(RaftMessage raftMessage) {
+        Map<String, Object> message =
                 message(
                         "",
                         "g",
-                        any.getGroupId(),
+                        raftMessage.getGroupId(),
                         "s",
-                        any.getSender().getId(),
+                        raftMessage.getSender().getId(),
                         "t",
-                        any.getTerm());
-        if (any instanceof AppendEntriesRequest r) {
-            return more(
-                    m,
+                        raftMessage.getTerm());
+        if (raftMessage instanceof AppendEntriesRequest request) {
+            return addFields(
+                    message,
                     "append",
                     "pt",
-                    r.getPreviousLogTerm(),
+                    request.getPreviousLogTerm(),
                     "pi",
-                    r.getPreviousLogIndex(),
+                    request.getPreviousLogIndex(),
                     "ci",
-                    r.getCommitIndex(),
+                    request.getCommitIndex(),
                     "e",
-                    r.getLogEntries().stream().map(MessageCodec::of).toList(),
+                    request.getLogEntries().stream().map(MessageCodec::encode).toList(),
                     "q",
-                    r.getQuerySequenceNumber(),
+                    request.getQuerySequenceNumber(),
                     "f",
-                    r.getFlowControlSequenceNumber());
-        } else if (any instanceof AppendEntriesSuccessResponse r) {
-            return more(
-                    m,
+                    request.getFlowControlSequenceNumber());
+        } else if (raftMessage instanceof AppendEntriesSuccessResponse response) {
+            return addFields(
+                    message,
                     "appended",
                     "li",
-                    r.getLastLogIndex(),
+                    response.getLastLogIndex(),
                     "q",
-                    r.getQuerySequenceNumber(),
+                    response.getQuerySequenceNumber(),
                     "f",
-                    r.getFlowControlSequenceNumber());
-        } else if (any instanceof AppendEntriesFailureResponse r) {
-            return more(
-                    m,
+                    response.getFlowControlSequenceNumber());
+        } else if (raftMessage instanceof AppendEntriesFailureResponse response) {
+            return addFields(
+                    message,
                     "not-appended",
                     "ni",
-                    r.getExpectedNextIndex(),
+                    response.getExpectedNextIndex(),
                     "q",
-                    r.getQuerySequenceNumber(),
+                    response.getQuerySequenceNumber(),
                     "f",
-                    r.getFlowControlSequenceNumber());
-        } else if (any instanceof VoteRequest r) {
-            return more(
-                    m,
+                    response.getFlowControlSequenceNumber());
+        } else if (raftMessage instanceof VoteRequest request) {
+            return addFields(
+                    message,
                     "vote",
                     "lt",
-                    r.getLastLogTerm(),
+                    request.getLastLogTerm(),
                     "li",
-                    r.getLastLogIndex(),
+                    request.getLastLogIndex(),
                     "sticky",
-                    r.isSticky());
-        } else if (any instanceof VoteResponse r) {
-            return more(m, "voted", "yes", r.isGranted());
-        } else if (any instanceof PreVoteRequest r) {
-            return more(m, "would", "lt", r.getLastLogTerm(), "li", r.getLastLogIndex());
-        } else if (any instanceof PreVoteResponse r) {
-            return more(m, "would-vote", "yes", r.isGranted());
-        } else if (any instanceof InstallSnapshotRequest r) {
-            return more(
-                    m,
+                    request.isSticky());
+        } else if (raftMessage instanceof VoteResponse response) {
+            return addFields(message, "voted", "yes", response.isGranted());
+        } else if (raftMessage instanceof PreVoteRequest request) {
+            return addFields(
+                    message,
+                    "would",
+                    "lt",
+                    request.getLastLogTerm(),
+                    "li",
+                    request.getLastLogIndex());
+        } else if (raftMessage instanceof PreVoteResponse response) {
+            return addFields(message, "would-vote", "yes", response.isGranted());
+        } else if (raftMessage instanceof InstallSnapshotRequest request) {
+            return addFields(
+                    message,
                     "snapshot",
                     "leads",
-                    r.isSenderLeader(),
+                    request.isSenderLeader(),
                     "st",
-                    r.getSnapshotTerm(),
+                    request.getSnapshotTerm(),
                     "si",
-                    r.getSnapshotIndex(),
+                    request.getSnapshotIndex(),
                     "of",
-                    r.getTotalSnapshotChunkCount(),
+                    request.getTotalSnapshotChunkCount(),
                     "chunk",
-                    r.getSnapshotChunk() == null ? null : of(r.getSnapshotChunk()),
+                    request.getSnapshotChunk() == null ? null : encode(request.getSnapshotChunk()),
                     "from",
-                    ids(r.getSnapshottedMembers()),
+                    endpointIds(request.getSnapshottedMembers()),
                     "view",
-                    of(r.getGroupMembersView()),
+                    encode(request.getGroupMembersView()),
                     "q",
-                    r.getQuerySequenceNumber(),
+                    request.getQuerySequenceNumber(),
                     "f",
-                    r.getFlowControlSequenceNumber());
-        } else if (any instanceof InstallSnapshotResponse r) {
-            return more(
-                    m,
+                    request.getFlowControlSequenceNumber());
+        } else if (raftMessage instanceof InstallSnapshotResponse response) {
+            return addFields(
+                    message,
                     "snapshot-got",
                     "si",
-                    r.getSnapshotIndex(),
+                    response.getSnapshotIndex(),
                     "c",
-                    r.getRequestedSnapshotChunkIndex(),
+                    response.getRequestedSnapshotChunkIndex(),
                     "q",
-                    r.getQuerySequenceNumber(),
+                    response.getQuerySequenceNumber(),
                     "f",
-                    r.getFlowControlSequenceNumber());
-        } else if (any instanceof TriggerLeaderElectionRequest r) {
-            return more(m, "lead", "lt", r.getLastLogTerm(), "li", r.getLastLogIndex());
+                    response.getFlowControlSequenceNumber());
+        } else if (raftMessage instanceof TriggerLeaderElectionRequest request) {
+            return addFields(
+                    message,
+                    "lead",
+                    "lt",
+                    request.getLastLogTerm(),
+                    "li",
+                    request.getLastLogIndex());
         }
-        throw new IllegalArgumentException("no form for " + any.getClass());
+        throw new IllegalArgumentException("no form for " + raftMessage.getClass());
     }
 
-    private static Map<String, Object> more(Map<String, Object> m, String kind, Object... fields) {
-        m.putAll(message(kind, fields));
-        return m;
+    private static Map<String, Object> addFields(
+            Map<String, Object> message, String kind, Object... fields) {
+        message.putAll(message(kind, fields));
+        return message;
     }
 
-    static RaftMessage message(Map<String, Object> m) {
-        Object g = m.get("g");
-        Endpoint s = Endpoint.of(text(m, "s"));
-        int t = (int) number(m, "t");
-        long q = number(m, "q");
-        long f = number(m, "f");
-        int lt = (int) number(m, "lt");
-        long li = number(m, "li");
-        boolean yes = Boolean.TRUE.equals(m.get("yes"));
-        return switch (text(m, "k")) {
+    static RaftMessage message(Map<String, Object> message) {
+        Object groupId = message.get("g");
+        Endpoint sender = Endpoint.of(stringOrEmpty(message, "s"));
+        int term = (int) longOrZero(message, "t");
+        long querySequence = longOrZero(message, "q");
+        long flowControlSequence = longOrZero(message, "f");
+        int lastLogTerm = (int) longOrZero(message, "lt");
+        long lastLogIndex = longOrZero(message, "li");
+        boolean granted = Boolean.TRUE.equals(message.get("yes"));
+        return switch (stringOrEmpty(message, "k")) {
             case "append" -> {
                 List<LogEntry> entries = new ArrayList<>();
-                Json.list(m, "e").forEach(e -> entries.add(entry(e)));
-                yield MODELS.createAppendEntriesRequestBuilder()
-                        .setGroupId(g)
-                        .setSender(s)
-                        .setTerm(t)
-                        .setPreviousLogTerm((int) number(m, "pt"))
-                        .setPreviousLogIndex(number(m, "pi"))
-                        .setCommitIndex(number(m, "ci"))
+                Json.list(message, "e").forEach(entry -> entries.add(decodeLogEntry(entry)));
+                yield MODEL_FACTORY
+                        .createAppendEntriesRequestBuilder()
+                        .setGroupId(groupId)
+                        .setSender(sender)
+                        .setTerm(term)
+                        .setPreviousLogTerm((int) longOrZero(message, "pt"))
+                        .setPreviousLogIndex(longOrZero(message, "pi"))
+                        .setCommitIndex(longOrZero(message, "ci"))
                         .setLogEntries(entries)
-                        .setQuerySequenceNumber(q)
-                        .setFlowControlSequenceNumber(f)
+                        .setQuerySequenceNumber(querySequence)
+                        .setFlowControlSequenceNumber(flowControlSequence)
                         .build();
             }
             case "appended" ->
-                    MODELS.createAppendEntriesSuccessResponseBuilder()
-                            .setGroupId(g)
-                            .setSender(s)
-                            .setTerm(t)
-                            .setLastLogIndex(li)
-                            .setQuerySequenceNumber(q)
-                            .setFlowControlSequenceNumber(f)
+                    MODEL_FACTORY
+                            .createAppendEntriesSuccessResponseBuilder()
+                            .setGroupId(groupId)
+                            .setSender(sender)
+                            .setTerm(term)
+                            .setLastLogIndex(lastLogIndex)
+                            .setQuerySequenceNumber(querySequence)
+                            .setFlowControlSequenceNumber(flowControlSequence)
                             .build();
             case "not-appended" ->
-                    MODELS.createAppendEntriesFailureResponseBuilder()
-                            .setGroupId(g)
-                            .setSender(s)
-                            .setTerm(t)
-                            .setExpectedNextIndex(number(m, "ni"))
-                            .setQuerySequenceNumber(q)
-                            .setFlowControlSequenceNumber(f)
+                    MODEL_FACTORY
+                            .createAppendEntriesFailureResponseBuilder()
+                            .setGroupId(groupId)
+                            .setSender(sender)
+                            .setTerm(term)
+                            .setExpectedNextIndex(longOrZero(message, "ni"))
+                            .setQuerySequenceNumber(querySequence)
+                            .setFlowControlSequenceNumber(flowControlSequence)
                             .build();
             case "vote" ->
-                    MODELS.createVoteRequestBuilder()
-                            .setGroupId(g)
-                            .setSender(s)
-                            .setTerm(t)
-                            .setLastLogTerm(lt)
-                            .setLastLogIndex(li)
-                            .setSticky(Boolean.TRUE.equals(m.get("sticky")))
+                    MODEL_FACTORY
+                            .createVoteRequestBuilder()
+                            .setGroupId(groupId)
+                            .setSender(sender)
+                            .setTerm(term)
+                            .setLastLogTerm(lastLogTerm)
+                            .setLastLogIndex(lastLogIndex)
+                            .setSticky(Boolean.TRUE.equals(message.get("sticky")))
                             .build();
             case "voted" ->
-                    MODELS.createVoteResponseBuilder()
-                            .setGroupId(g)
-                            .setSender(s)
-                            .setTerm(t)
-                            .setGranted(yes)
+                    MODEL_FACTORY
+                            .createVoteResponseBuilder()
+                            .setGroupId(groupId)
+                            .setSender(sender)
+                            .setTerm(term)
+                            .setGranted(granted)
                             .build();
             case "would" ->
-                    MODELS.createPreVoteRequestBuilder()
-                            .setGroupId(g)
-                            .setSender(s)
-                            .setTerm(t)
-                            .setLastLogTerm(lt)
-                            .setLastLogIndex(li)
+                    MODEL_FACTORY
+                            .createPreVoteRequestBuilder()
+                            .setGroupId(groupId)
+                            .setSender(sender)
+                            .setTerm(term)
+                            .setLastLogTerm(lastLogTerm)
+                            .setLastLogIndex(lastLogIndex)
                             .build();
             case "would-vote" ->
-                    MODELS.createPreVoteResponseBuilder()
-                            .setGroupId(g)
-                            .setSender(s)
-                            .setTerm(t)
-                            .setGranted(yes)
+                    MODEL_FACTORY
+                            .createPreVoteResponseBuilder()
+                            .setGroupId(groupId)
+                            .setSender(sender)
+                            .setTerm(term)
+                            .setGranted(granted)
                             .build();
             case "snapshot" ->
-                    MODELS.createInstallSnapshotRequestBuilder()
-                            .setGroupId(g)
-                            .setSender(s)
-                            .setTerm(t)
-                            .setSenderLeader(Boolean.TRUE.equals(m.get("leads")))
-                            .setSnapshotTerm((int) number(m, "st"))
-                            .setSnapshotIndex(number(m, "si"))
-                            .setTotalSnapshotChunkCount((int) number(m, "of"))
-                            .setSnapshotChunk(m.get("chunk") == null ? null : chunk(m.get("chunk")))
-                            .setSnapshottedMembers(endpoints(m.get("from")))
-                            .setGroupMembersView(view(m.get("view")))
-                            .setQuerySequenceNumber(q)
-                            .setFlowControlSequenceNumber(f)
+                    MODEL_FACTORY
+                            .createInstallSnapshotRequestBuilder()
+                            .setGroupId(groupId)
+                            .setSender(sender)
+                            .setTerm(term)
+                            .setSenderLeader(Boolean.TRUE.equals(message.get("leads")))
+                            .setSnapshotTerm((int) longOrZero(message, "st"))
+                            .setSnapshotIndex(longOrZero(message, "si"))
+                            .setTotalSnapshotChunkCount((int) longOrZero(message, "of"))
+                            .setSnapshotChunk(
+                                    message.get("chunk") == null
+                                            ? null
+                                            : decodeSnapshotChunk(message.get("chunk")))
+                            .setSnapshottedMembers(decodeEndpoints(message.get("from")))
+                            .setGroupMembersView(decodeMembersView(message.get("view")))
+                            .setQuerySequenceNumber(querySequence)
+                            .setFlowControlSequenceNumber(flowControlSequence)
                             .build();
             case "snapshot-got" ->
-                    MODELS.createInstallSnapshotResponseBuilder()
-                            .setGroupId(g)
-                            .setSender(s)
-                            .setTerm(t)
-                            .setSnapshotIndex(number(m, "si"))
-                            .setRequestedSnapshotChunkIndex((int) number(m, "c"))
-                            .setQuerySequenceNumber(q)
-                            .setFlowControlSequenceNumber(f)
+                    MODEL_FACTORY
+                            .createInstallSnapshotResponseBuilder()
+                            .setGroupId(groupId)
+                            .setSender(sender)
+                            .setTerm(term)
+                            .setSnapshotIndex(longOrZero(message, "si"))
+                            .setRequestedSnapshotChunkIndex((int) longOrZero(message, "c"))
+                            .setQuerySequenceNumber(querySequence)
+                            .setFlowControlSequenceNumber(flowControlSequence)
                             .build();
             case "lead" ->
-                    MODELS.createTriggerLeaderElectionRequestBuilder()
-                            .setGroupId(g)
-                            .setSender(s)
-                            .setTerm(t)
-                            .setLastLogTerm(lt)
-                            .setLastLogIndex(li)
+                    MODEL_FACTORY
+                            .createTriggerLeaderElectionRequestBuilder()
+                            .setGroupId(groupId)
+                            .setSender(sender)
+                            .setTerm(term)
+                            .setLastLogTerm(lastLogTerm)
+                            .setLastLogIndex(lastLogIndex)
                             .build();
-            default -> throw new Json.Malformed("no message: " + m.get("k"));
+            default -> throw new Json.Malformed("no message: " + message.get("k"));
         };
     }
 
-    static Map<String, Object> copy(Map<String, Object> m) {
-        return new HashMap<>(m);
+    static Map<String, Object> copy(Map<String, Object> message) {
+        return new HashMap<>(message);
     }
 }
--- a/src/main/java/wingroad/fleet/Net.java
+++ b/src/main/java/wingroad/fleet/MessageTransport.java
@@ -3,15 +3,15 @@
 import java.util.Map;
 
 /** Connections that carry messages, each whole and in order, or break. */
-public interface Net {
+public interface MessageTransport {
     /**
      * Opens a connection; its owner hears {@code up} or {@code ended} later, never within this
      * call.
      */
-    Wire open(String address, Owner owner);
+    Channel open(String address, ChannelHandler owner);
 
     /** One connection. */
-    interface Wire {
+    interface Channel {
         void send(Map<String, Object> message);
 
         /** Ends it from here; the owner hears nothing more. */
@@ -19,11 +19,11 @@
     }
 
     /** Whose connection it is. */
-    interface Owner {
-        default void up(Wire wire) {}
+    interface ChannelHandler {
+        default void connected(Channel wire) {}
 
-        void message(Wire wire, Map<String, Object> message);
+        void received(Channel wire, Map<String, Object> message);
 
-        void ended(Wire wire, String how);
+        void closed(Channel wire, String how);
     }
 }
--- a/src/main/java/wingroad/fleet/RowStore.java
+++ b/src/main/java/wingroad/fleet/RowStore.java
@@ -17,9 +17,9 @@
     void put(Table table, long key, byte[] row) throws IOException;
 
     /** Takes out the rows from one key to another, both among them. */
-    void drop(Table table, long from, long to) throws IOException;
+    void deleteRange(Table table, long from, long to) throws IOException;
 
-    SortedMap<Long, byte[]> all(Table table) throws IOException;
+    SortedMap<Long, byte[]> readAll(Table table) throws IOException;
 
     void flush() throws IOException;
 
--- /dev/null
+++ b/src/main/java/wingroad/fleet/SessionUpdates.java
@@ -0,0 +1,96 @@
+package wingroad.fleet;
+
+import wingroad.duty.Register;
+import wingroad.fleet.MessageTransport.Channel;
+import wingroad.work.Plan;
+import wingroad.work.WorkRules;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+
+/**
+ * What one driver's session has been told by the voter that it is attached to, so that it is told
+ * the rest: the plan, the duties that have changed, the last renewal that is settled. A new one
+ * tells everything.
+ */
+final class SessionUpdates {
+    private long sentRevision = -1;
+    private long sentHeartbeat = -1;
+    private boolean sentOpen;
+
+    /** Up to which change of the plan it has been told; whether it has been told at all. */
+    private long sentPlanChange;
+
+    private boolean planSent;
+    private List<Object> sentTotals = List.of();
+
+    /** Tells what is settled and not told yet. */
+    void push(Register register, Channel channel, String sessionId) {
+        // The plan goes before the beat that renews the lease on it: both come in one order.
+        pushPlan(register, channel, sessionId);
+        List<Object> duties = new ArrayList<>();
+        for (Register.Duty duty : register.duties()) {
+            if (duty.revision() > sentRevision) {
+                duties.add(
+                        List.of(
+                                duty.name(),
+                                duty.owner(),
+                                duty.epoch(),
+                                duty.turn(),
+                                duty.outcome(),
+                                duty.wanted()));
+            }
+        }
+        Register.Session session = register.session(sessionId);
+        long heartbeat = session == null ? -1 : session.beat();
+        if (heartbeat != sentHeartbeat
+                || !duties.isEmpty()
+                || sentRevision < 0
+                || sentOpen != (session != null)) {
+            sentHeartbeat = heartbeat;
+            sentOpen = session != null;
+            channel.send(
+                    MessageCodec.message(
+                            "settled",
+                            "rev",
+                            register.revision(),
+                            "open",
+                            session != null,
+                            "beat",
+                            heartbeat,
+                            "duties",
+                            duties));
+        }
+        sentRevision = register.revision();
+    }
+
+    private void pushPlan(Register register, Channel channel, String sessionId) {
+        Plan plan = register.plan();
+        Register.Duty conductor = register.duty(WorkRules.CONDUCTOR);
+        if (conductor == null) {
+            // Nobody's file says anything of work.
+            return;
+        }
+        boolean conducts = conductor.owner().equals(sessionId);
+        List<Object> totals = conducts ? plan.sums() : sentTotals;
+        if (!planSent || plan.changes() > sentPlanChange || !totals.equals(sentTotals)) {
+            Map<String, Object> message =
+                    MessageCodec.message(
+                            "plan",
+                            "news",
+                            plan.news(planSent ? sentPlanChange : 0),
+                            "of",
+                            register.revision());
+            if (conducts) {
+                message.put("sums", totals);
+                message.put(
+                        "live", register.sessions().stream().map(Register.Session::name).toList());
+            }
+            channel.send(message);
+            planSent = true;
+            sentPlanChange = plan.changes();
+            sentTotals = totals;
+        }
+    }
+}
--- a/src/main/java/wingroad/fleet/SqliteRowStore.java
+++ b/src/main/java/wingroad/fleet/SqliteRowStore.java
@@ -17,10 +17,10 @@
  * process at any byte.
  */
 final class SqliteRowStore implements RowStore {
-    private static final String[] PARTS = {"", "-wal", "-shm"};
+    private static final String[] FILE_SUFFIXES = {"", "-wal", "-shm"};
 
     private final Path file;
-    private Connection db;
+    private Connection connection;
 
     SqliteRowStore(Path file) throws IOException {
         this.file = file;
@@ -29,83 +29,83 @@
         } catch (SQLException e) {
             // What can't be opened as a database is set aside by whoever reads it: nothing is
             // overwritten.
-            shut();
+            closeConnection();
             String name = setAside();
-            throw new Unreadable(name + ": " + e.getMessage());
+            throw new UnreadableDatabaseException(name + ": " + e.getMessage());
         }
     }
 
     /** The file was none, and has been set aside under another name. */
-    static final class Unreadable extends IOException {
+    static final class UnreadableDatabaseException extends IOException {
         private static final long serialVersionUID = 1L;
 
-        Unreadable(String what) {
+        UnreadableDatabaseException(String what) {
             super(what);
         }
     }
 
     private void open() throws SQLException {
-        db = DriverManager.getConnection("jdbc:sqlite:" + file);
-        try (Statement s = db.createStatement()) {
-            s.execute("PRAGMA journal_mode=WAL");
-            s.execute("PRAGMA synchronous=FULL");
-            try (ResultSet check = s.executeQuery("PRAGMA quick_check(1)")) {
+        connection = DriverManager.getConnection("jdbc:sqlite:" + file);
+        try (Statement statement = connection.createStatement()) {
+            statement.execute("PRAGMA journal_mode=WAL");
+            statement.execute("PRAGMA synchronous=FULL");
+            try (ResultSet check = statement.executeQuery("PRAGMA quick_check(1)")) {
                 if (!check.next() || !"ok".equals(check.getString(1))) {
                     throw new SQLException("not whole: " + check.getString(1));
                 }
             }
-            for (Table t : Table.values()) {
-                s.execute(
+            for (Table table : Table.values()) {
+                statement.execute(
                         "CREATE TABLE IF NOT EXISTS "
-                                + t
+                                + table
                                 + " (k INTEGER PRIMARY KEY, v BLOB NOT NULL)");
             }
         }
-        db.setAutoCommit(false);
+        connection.setAutoCommit(false);
     }
 
     @Override
     public void put(Table table, long key, byte[] row) throws IOException {
-        try (PreparedStatement s =
-                db.prepareStatement("INSERT OR REPLACE INTO " + table + " VALUES (?, ?)")) {
-            s.setLong(1, key);
-            s.setBytes(2, row);
-            s.execute();
+        try (PreparedStatement statement =
+                connection.prepareStatement("INSERT OR REPLACE INTO " + table + " VALUES (?, ?)")) {
+            statement.setLong(1, key);
+            statement.setBytes(2, row);
+            statement.execute();
         } catch (SQLException e) {
             throw new IOException(e.getMessage(), e);
         }
     }
 
     @Override
-    public void drop(Table table, long from, long to) throws IOException {
-        try (PreparedStatement s =
-                db.prepareStatement("DELETE FROM " + table + " WHERE k BETWEEN ? AND ?")) {
-            s.setLong(1, from);
-            s.setLong(2, to);
-            s.execute();
+    public void deleteRange(Table table, long from, long to) throws IOException {
+        try (PreparedStatement statement =
+                connection.prepareStatement("DELETE FROM " + table + " WHERE k BETWEEN ? AND ?")) {
+            statement.setLong(1, from);
+            statement.setLong(2, to);
+            statement.execute();
         } catch (SQLException e) {
             throw new IOException(e.getMessage(), e);
         }
     }
 
     @Override
-    public SortedMap<Long, byte[]> all(Table table) throws IOException {
-        SortedMap<Long, byte[]> all = new TreeMap<>();
-        try (Statement s = db.createStatement();
-                ResultSet r = s.executeQuery("SELECT k, v FROM " + table)) {
-            while (r.next()) {
-                all.put(r.getLong(1), r.getBytes(2));
+    public SortedMap<Long, byte[]> readAll(Table table) throws IOException {
+        SortedMap<Long, byte[]> rows = new TreeMap<>();
+        try (Statement statement = connection.createStatement();
+                ResultSet result = statement.executeQuery("SELECT k, v FROM " + table)) {
+            while (result.next()) {
+                rows.put(result.getLong(1), result.getBytes(2));
             }
         } catch (SQLException e) {
             throw new IOException(e.getMessage(), e);
         }
-        return all;
+        return rows;
     }
 
     @Override
     public void flush() throws IOException {
         try {
-            db.commit();
+            connection.commit();
         } catch (SQLException e) {
             throw new IOException(e.getMessage(), e);
         }
@@ -113,15 +113,15 @@
 
     @Override
     public String setAside() throws IOException {
-        shut();
-        int n = 1;
-        while (Files.exists(aside(n, ""))) {
-            n++;
+        closeConnection();
+        int number = 1;
+        while (Files.exists(setAsidePath(number, ""))) {
+            number++;
         }
-        for (String part : PARTS) {
-            Path p = file.resolveSibling(file.getFileName() + part);
-            if (Files.exists(p)) {
-                Files.move(p, aside(n, part));
+        for (String suffix : FILE_SUFFIXES) {
+            Path path = file.resolveSibling(file.getFileName() + suffix);
+            if (Files.exists(path)) {
+                Files.move(path, setAsidePath(number, suffix));
             }
         }
         try {
@@ -129,26 +129,26 @@
         } catch (SQLException e) {
             throw new IOException(e.getMessage(), e);
         }
-        return aside(n, "").getFileName().toString();
+        return setAsidePath(number, "").getFileName().toString();
     }
 
-    private Path aside(int n, String part) {
-        return file.resolveSibling("aside-" + n + "-" + file.getFileName() + part);
+    private Path setAsidePath(int number, String suffix) {
+        return file.resolveSibling("aside-" + number + "-" + file.getFileName() + suffix);
     }
 
-    private void shut() {
+    private void closeConnection() {
         try {
-            if (db != null) {
-                db.close();
+            if (connection != null) {
+                connection.close();
             }
         } catch (SQLException e) {
             // it is not used any more
         }
-        db = null;
+        connection = null;
     }
 
     @Override
     public void close() {
-        shut();
+        closeConnection();
     }
 }
--- a/src/main/java/wingroad/fleet/StateFolder.java
+++ b/src/main/java/wingroad/fleet/StateFolder.java
@@ -17,64 +17,66 @@
  * with the process.
  */
 final class StateFolder implements AutoCloseable {
-    private final Path dir;
-    private final Supplier<String> names;
-    private FileChannel channel;
+    private final Path folder;
+    private final Supplier<String> idGenerator;
+    private FileChannel lockChannel;
 
-    StateFolder(Path dir, Supplier<String> names) throws IOException {
-        this.dir = dir;
-        this.names = names;
-        Files.createDirectories(dir);
-        channel =
+    StateFolder(Path folder, Supplier<String> idGenerator) throws IOException {
+        this.folder = folder;
+        this.idGenerator = idGenerator;
+        Files.createDirectories(folder);
+        lockChannel =
                 FileChannel.open(
-                        dir.resolve("lock"), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+                        folder.resolve("lock"),
+                        StandardOpenOption.CREATE,
+                        StandardOpenOption.WRITE);
         try {
-            FileLock lock = channel.tryLock();
+            FileLock lock = lockChannel.tryLock();
             if (lock == null) {
-                throw new IOException(dir + " is in use by another process");
+                throw new IOException(folder + " is in use by another process");
             }
         } catch (IOException | OverlappingFileLockException e) {
-            channel.close();
+            lockChannel.close();
             throw e instanceof IOException io
                     ? io
-                    : new IOException(dir + " is in use in this process");
+                    : new IOException(folder + " is in use in this process");
         }
     }
 
     /** Who this driver is to the council; drawn when the folder is first used. */
     String identity() throws IOException {
-        Path file = dir.resolve("identity");
+        Path file = folder.resolve("identity");
         if (Files.exists(file)) {
-            String s = Files.readString(file).strip();
-            if (s.matches("[0-9a-f]{1,32}")) {
-                return s;
+            String saved = Files.readString(file).strip();
+            if (saved.matches("[0-9a-f]{1,32}")) {
+                return saved;
             }
-            Files.move(file, dir.resolve("aside-identity"), StandardCopyOption.REPLACE_EXISTING);
+            Files.move(file, folder.resolve("aside-identity"), StandardCopyOption.REPLACE_EXISTING);
         }
-        String drawn = names.get();
-        Path next = dir.resolve("identity.new");
-        try (FileChannel c =
+        String generated = idGenerator.get();
+        Path temporary = folder.resolve("identity.new");
+        try (FileChannel output =
                 FileChannel.open(
-                        next,
+                        temporary,
                         StandardOpenOption.CREATE,
                         StandardOpenOption.WRITE,
                         StandardOpenOption.TRUNCATE_EXISTING)) {
-            c.write(java.nio.ByteBuffer.wrap(drawn.getBytes(StandardCharsets.UTF_8)));
-            c.force(true);
+            output.write(java.nio.ByteBuffer.wrap(generated.getBytes(StandardCharsets.UTF_8)));
+            output.force(true);
         }
-        Files.move(next, file, StandardCopyOption.ATOMIC_MOVE);
-        return drawn;
+        Files.move(temporary, file, StandardCopyOption.ATOMIC_MOVE);
+        return generated;
     }
 
     /** The voter's state; what is no database is set aside under another name. */
-    ConsensusStore store() throws IOException {
-        unpackHere();
-        Path file = dir.resolve("council.db");
+    ConsensusStore openStore() throws IOException {
+        prepareUnpackFolder();
+        Path file = folder.resolve("council.db");
         try {
-            return new ConsensusStore(new SqliteRowStore(file), names);
-        } catch (SqliteRowStore.Unreadable e) {
-            ConsensusStore fresh = new ConsensusStore(new SqliteRowStore(file), names);
-            fresh.tellAside(e.getMessage());
+            return new ConsensusStore(new SqliteRowStore(file), idGenerator);
+        } catch (SqliteRowStore.UnreadableDatabaseException e) {
+            ConsensusStore fresh = new ConsensusStore(new SqliteRowStore(file), idGenerator);
+            fresh.recordSetAside(e.getMessage());
             return fresh;
         }
     }
@@ -83,12 +85,12 @@
      * The database's own library is unpacked into a file at each start, and one that was killed
      * leaves it behind. In here, under the folder's lock, what is found is nobody's any more.
      */
-    private void unpackHere() throws IOException {
-        Path unpacked = Files.createDirectories(dir.resolve("unpacked"));
+    private void prepareUnpackFolder() throws IOException {
+        Path unpacked = Files.createDirectories(folder.resolve("unpacked"));
         if (!unpacked.toString().equals(System.getProperty("org.sqlite.tmpdir"))) {
-            try (DirectoryStream<Path> old = Files.newDirectoryStream(unpacked)) {
-                for (Path p : old) {
-                    Files.delete(p);
+            try (DirectoryStream<Path> leftovers = Files.newDirectoryStream(unpacked)) {
+                for (Path leftover : leftovers) {
+                    Files.delete(leftover);
                 }
             }
             System.setProperty("org.sqlite.tmpdir", unpacked.toString());
@@ -98,7 +100,7 @@
     @Override
     public void close() {
         try {
-            channel.close();
+            lockChannel.close();
         } catch (IOException e) {
             // the lock ends with the process
         }
