--- a/src/main/java/wingroad/fleet/WorkPlanListener.java
+++ b/src/main/java/wingroad/fleet/WorkPlanListener.java
@@ -13,7 +13,7 @@
      * @param sums the fleet's figures where this driver conducts, else null
      * @param live the drivers with a session, likewise
      */
-    void planUpdated(Map<String, Object> news, List<?> sums, List<?> live);
+    void planUpdated(Map<String, Object> changes, List<?> totals, List<?> liveDrivers);
 
     /**
      * How long what was told last holds.
@@ -22,5 +22,5 @@
      * @param over the session has ended: nothing holds any more
      * @param conducts the epoch under which this driver conducts the work, or 0
      */
-    void leaseUpdated(Duration until, boolean over, long conducts);
+    void leaseUpdated(Duration until, boolean sessionEnded, long conductorEpoch);
 }
--- a/src/test/java/wingroad/fleet/ConsensusStoreTest.java
+++ b/src/test/java/wingroad/fleet/ConsensusStoreTest.java
@@ -3,38 +3,43 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import java.io.IOException;
-import java.nio.file.Path;
-import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
+
 import wingroad.duty.Op;
 import wingroad.fleet.MessageCodec.Endpoint;
 
+import java.io.IOException;
+import java.nio.file.Path;
+import java.util.List;
+
 /** A voter's state: what it survives, and when it is not trusted. */
 class ConsensusStoreTest {
     private static ConsensusStore with(RowStore rows, int term, long entries) throws IOException {
         ConsensusStore k = new ConsensusStore(rows, () -> "i1");
-        k.found("g", List.of("a/i1"), 0);
+        k.saveGroup("g", List.of("a/i1"), 0);
         k.persistAndFlushLocalEndpoint(
-                MessageCodec.MODELS
+                MessageCodec.MODEL_FACTORY
                         .createRaftEndpointPersistentStateBuilder()
                         .setLocalEndpoint(Endpoint.of("a/i1"))
                         .setVoting(true)
                         .build());
         k.persistAndFlushInitialGroupMembers(
-                MessageCodec.MODELS
+                MessageCodec.MODEL_FACTORY
                         .createRaftGroupMembersViewBuilder()
                         .setLogIndex(0)
-                        .setMembers(MessageCodec.endpoints(List.of("a/i1")))
-                        .setVotingMembers(MessageCodec.endpoints(List.of("a/i1")))
+                        .setMembers(MessageCodec.decodeEndpoints(List.of("a/i1")))
+                        .setVotingMembers(MessageCodec.decodeEndpoints(List.of("a/i1")))
                         .build());
         k.persistAndFlushTerm(
-                MessageCodec.MODELS.createRaftTermPersistentStateBuilder().setTerm(term).build());
+                MessageCodec.MODEL_FACTORY
+                        .createRaftTermPersistentStateBuilder()
+                        .setTerm(term)
+                        .build());
         for (long i = 1; i <= entries; i++) {
             k.persistLogEntries(
                     List.of(
-                            MessageCodec.MODELS
+                            MessageCodec.MODEL_FACTORY
                                     .createLogEntryBuilder()
                                     .setIndex(i)
                                     .setTerm(term)
@@ -51,7 +56,7 @@
         ConsensusStore k = with(rows, 3, 4);
         k.persistLogEntries(
                 List.of(
-                        MessageCodec.MODELS
+                        MessageCodec.MODEL_FACTORY
                                 .createLogEntryBuilder()
                                 .setIndex(5)
                                 .setTerm(3)
@@ -70,10 +75,14 @@
         MemoryRowStore rows = new MemoryRowStore();
         with(rows, 3, 4);
         ConsensusStore k = new ConsensusStore(rows.afterKill(), () -> "i2");
-        assertThat(k.olderThan(new ConsensusStore.Seen(3, 3, 4))).isFalse();
-        assertThat(k.olderThan(new ConsensusStore.Seen(4, 3, 4))).as("a later term").isTrue();
-        assertThat(k.olderThan(new ConsensusStore.Seen(3, 3, 5))).as("a later entry").isTrue();
-        assertThat(k.olderThan(new ConsensusStore.Seen(3, 2, 9)))
+        assertThat(k.isOlderThan(new ConsensusStore.ConfirmedPosition(3, 3, 4))).isFalse();
+        assertThat(k.isOlderThan(new ConsensusStore.ConfirmedPosition(4, 3, 4)))
+                .as("a later term")
+                .isTrue();
+        assertThat(k.isOlderThan(new ConsensusStore.ConfirmedPosition(3, 3, 5)))
+                .as("a later entry")
+                .isTrue();
+        assertThat(k.isOlderThan(new ConsensusStore.ConfirmedPosition(3, 2, 9)))
                 .as("entries that a later leader cut")
                 .isFalse();
     }
@@ -82,14 +91,14 @@
     void aRowThatWasChangedIsNotTaken() throws IOException {
         MemoryRowStore rows = new MemoryRowStore();
         with(rows, 3, 4);
-        byte[] row = rows.all(RowStore.Table.LOG).get(2L).clone();
+        byte[] row = rows.readAll(RowStore.Table.LOG).get(2L).clone();
         row[row.length - 1] ^= 1;
         rows.put(RowStore.Table.LOG, 2, row);
         rows.flush();
         ConsensusStore k = new ConsensusStore(rows, () -> "i2");
-        assertThat(k.wasAside()).contains("checksum");
+        assertThat(k.setAsideNotice()).contains("checksum");
         assertThat(k.identity()).isEqualTo("i2");
-        assertThat(k.group()).isEmpty();
+        assertThat(k.groupId()).isEmpty();
     }
 
     @Test
--- a/src/test/java/wingroad/fleet/MemoryRowStore.java
+++ b/src/test/java/wingroad/fleet/MemoryRowStore.java
@@ -46,7 +46,7 @@
     }
 
     @Override
-    public void drop(Table table, long from, long to) throws IOException {
+    public void deleteRange(Table table, long from, long to) throws IOException {
         writable();
         now.get(table).subMap(from, true, to, true).clear();
         pending.add(() -> durable.get(table).subMap(from, true, to, true).clear());
@@ -59,7 +59,7 @@
     }
 
     @Override
-    public SortedMap<Long, byte[]> all(Table table) {
+    public SortedMap<Long, byte[]> readAll(Table table) {
         return new TreeMap<>(now.get(table));
     }
 
--- a/src/test/java/wingroad/fleet/SimFleet.java
+++ b/src/test/java/wingroad/fleet/SimFleet.java
@@ -125,7 +125,7 @@
     }
 
     /** The process whose state folder this was goes on. */
-    final class Proc implements Host {
+    final class Proc implements ExecutionContext {
         final String name;
         MemoryRowStore rows = new MemoryRowStore();
         MemoryRowStore backup;
@@ -140,8 +140,8 @@
         private final long offset = random.nextInt(1_000_000_000);
         private final ArrayDeque<Runnable> waiting = new ArrayDeque<>();
         ConsensusNode consensusNode;
-        CouncilSession councilSession;
-        Chores work;
+        DriverSession councilSession;
+        ChoreScheduler work;
 
         Proc(String name) {
             this.name = name;
@@ -164,7 +164,7 @@
                             chores,
                             null,
                             SimFleet.this.work == null ? null : SimFleet.this.work.rules);
-            Net net = (address, owner) -> open(this, address, owner);
+            MessageTransport net = (address, owner) -> open(this, address, owner);
             consensusNode = null;
             if (voters.containsKey(name)) {
                 try {
@@ -183,14 +183,14 @@
                     throw new UncheckedIOException(e);
                 }
                 consensusNode.start();
-                after(Duration.ofSeconds(2), this::watch);
+                schedule(Duration.ofSeconds(2), this::watch);
             }
             Function<String, SessionLease> sessionLeases =
                     wrong == Wrong.LEASE_FROM_ANSWER
                             ? s -> new FromAnswer(rules.lease(), s)
                             : s -> new SessionLease(rules.lease(), s);
             councilSession =
-                    new CouncilSession(
+                    new DriverSession(
                             this,
                             net,
                             rules,
@@ -198,9 +198,9 @@
                             () -> Long.toHexString(random.nextLong()),
                             sessionLeases,
                             (epoch, what) -> {});
-            work = new Chores(this, rules, councilSession, this::effect);
+            work = new ChoreScheduler(this, rules, councilSession, this::effect);
             if (SimFleet.this.work != null) {
-                councilSession.work(SimFleet.this.work.agent(this));
+                councilSession.setPlanListener(SimFleet.this.work.agent(this));
             }
             councilSession.start(work);
         }
@@ -218,12 +218,12 @@
             if (consensusNode.phase() == ConsensusNode.Phase.BROKEN && !rows.full) {
                 readAgain();
             }
-            after(Duration.ofSeconds(2), this::watch);
+            schedule(Duration.ofSeconds(2), this::watch);
         }
 
         void readAgain() {
             try {
-                consensusNode.resume();
+                consensusNode.reloadState();
             } catch (IOException e) {
                 throw new UncheckedIOException(e);
             }
@@ -245,13 +245,18 @@
 
         /** As a voter that does not write its vote down. */
         private void forgetVote() {
-            byte[] row = rows.all(RowStore.Table.META).get(3L);
+            byte[] row = rows.readAll(RowStore.Table.META).get(3L);
             if (row != null) {
-                Map<String, Object> t = Cbor.map(java.util.Arrays.copyOfRange(row, 4, row.length));
+                Map<String, Object> t =
+                        Cbor.decode(java.util.Arrays.copyOfRange(row, 4, row.length));
                 byte[] body =
-                        Cbor.write(
+                        Cbor.encode(
                                 MessageCodec.message(
-                                        "t", "term", MessageCodec.number(t, "term"), "voted", ""));
+                                        "t",
+                                        "term",
+                                        MessageCodec.longOrZero(t, "term"),
+                                        "voted",
+                                        ""));
                 java.util.zip.CRC32C sum = new java.util.zip.CRC32C();
                 sum.update(body, 0, body.length);
                 try {
@@ -309,17 +314,17 @@
         }
 
         @Override
-        public long wall() {
+        public long wallClockMs() {
             return 1_700_000_000_000L + now / 1_000_000;
         }
 
         @Override
-        public void run(Runnable task) {
+        public void execute(Runnable task) {
             task(now, task);
         }
 
         @Override
-        public void after(Duration wait, Runnable task) {
+        public void schedule(Duration wait, Runnable task) {
             task(now + (long) (wait.toNanos() / rate), task);
         }
 
@@ -444,7 +449,8 @@
 
     // ---- links ----
 
-    private Net.Wire open(Proc from, String address, Net.Owner owner) {
+    private MessageTransport.Channel open(
+            Proc from, String address, MessageTransport.ChannelHandler owner) {
         Pipe p = new Pipe(from, address, owner);
         pipes.add(p);
         return p.near;
@@ -458,7 +464,7 @@
         End far;
         boolean open = true;
 
-        Pipe(Proc from, String to, Net.Owner owner) {
+        Pipe(Proc from, String to, MessageTransport.ChannelHandler owner) {
             this.from = from;
             this.to = to;
             near = new End(from, owner, this);
@@ -469,15 +475,15 @@
                             from.task(now + 300_000, () -> near.ends("refused"));
                             return;
                         }
-                        far = new End(p, p.consensusNode.guest(), this);
-                        p.task(now, () -> far.owner.up(far));
+                        far = new End(p, p.consensusNode.newInboundHandler(), this);
+                        p.task(now, () -> far.owner.connected(far));
                         far.send0(
                                 () ->
                                         from.task(
                                                 now,
                                                 () -> {
                                                     if (open) {
-                                                        owner.up(near);
+                                                        owner.connected(near);
                                                     }
                                                 }));
                     });
@@ -499,16 +505,16 @@
         }
     }
 
-    private final class End implements Net.Wire {
+    private final class End implements MessageTransport.Channel {
         final Proc proc;
-        final Net.Owner owner;
+        final MessageTransport.ChannelHandler owner;
         final Pipe pipe;
         final ArrayDeque<Runnable> queue = new ArrayDeque<>();
         private final int life;
         long free;
         boolean closed;
 
-        End(Proc proc, Net.Owner owner, Pipe pipe) {
+        End(Proc proc, MessageTransport.ChannelHandler owner, Pipe pipe) {
             this.proc = proc;
             this.life = proc.life;
             this.owner = owner;
@@ -544,7 +550,7 @@
 
         @Override
         public void send(Map<String, Object> message) {
-            byte[] text = Cbor.write(message);
+            byte[] text = Cbor.encode(message);
             messages++;
             bytes += text.length + 4;
             if (!closed && pipe.open) {
@@ -557,7 +563,7 @@
                                         now,
                                         () -> {
                                             if (!to.closed && to.proc.life == to.life) {
-                                                to.owner.message(to, Cbor.map(text));
+                                                to.owner.received(to, Cbor.decode(text));
                                             }
                                         });
                             }
@@ -571,7 +577,7 @@
                 closed = true;
                 pipe.open = false;
                 pipes.remove(pipe);
-                owner.ended(this, how);
+                owner.closed(this, how);
             }
         }
 
@@ -591,7 +597,7 @@
 
     /** No endpoint may vote for two in one term. */
     private void watch(Map<String, Object> message, String to) {
-        if (MessageCodec.text(message, "k").equals("raft")) {
+        if (MessageCodec.stringOrEmpty(message, "k").equals("raft")) {
             Object m = MessageCodec.message(cast(message.get("m")));
             if (m instanceof VoteRequest r) {
                 vote(
@@ -625,7 +631,7 @@
         play(8000);
         Proc leader =
                 procs.values().stream()
-                        .filter(p -> p.consensusNode != null && p.consensusNode.leads())
+                        .filter(p -> p.consensusNode != null && p.consensusNode.isLeader())
                         .findFirst()
                         .orElseThrow();
         leader.kill();
@@ -849,7 +855,7 @@
                                 p ->
                                         p.alive
                                                 && p.consensusNode != null
-                                                && p.consensusNode.leads()
+                                                && p.consensusNode.isLeader()
                                                 && ((List<?>)
                                                                         p.consensusNode
                                                                                 .status()
--- a/src/test/java/wingroad/fleet/SimFleetTest.java
+++ b/src/test/java/wingroad/fleet/SimFleetTest.java
@@ -2,13 +2,15 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
+import org.junit.jupiter.api.Test;
+
+import wingroad.fleet.SimFleet.Wrong;
+
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.stream.IntStream;
-import org.junit.jupiter.api.Test;
-import wingroad.fleet.SimFleet.Wrong;
 
 /** Short histories of a fleet in virtual time. */
 class SimFleetTest {
@@ -83,7 +85,7 @@
             f.play(8000);
             SimFleet.Proc leader =
                     f.procs.values().stream()
-                            .filter(p -> p.consensusNode.leads())
+                            .filter(p -> p.consensusNode.isLeader())
                             .findFirst()
                             .orElseThrow();
             List<SimFleet.Proc> others =
@@ -93,7 +95,9 @@
             f.play(2200);
             f.heal();
             f.play(3000);
-            assertThat(leader.consensusNode.leads()).as("seed " + seed + ": it leads on").isTrue();
+            assertThat(leader.consensusNode.isLeader())
+                    .as("seed " + seed + ": it leads on")
+                    .isTrue();
             f.hold(leader.name, others.get(1).name);
             f.play(700);
             leader.kill();
@@ -101,7 +105,7 @@
             boolean another = false;
             for (int ms = 0; ms < 12_000 && !another; ms += 100) {
                 f.play(100);
-                another = others.stream().anyMatch(p -> p.consensusNode.leads());
+                another = others.stream().anyMatch(p -> p.consensusNode.isLeader());
             }
             assertThat(another).as("seed " + seed + ": another leads").isTrue();
             assertThat(f.broken).isEmpty();
@@ -127,15 +131,15 @@
                                                             .anyMatch(
                                                                     o -> o.startsWith(p.name + "/"))
                                                     && !f.procs
-                                                            .get(p.councilSession.by())
+                                                            .get(p.councilSession.attachedVoter())
                                                             .consensusNode
-                                                            .leads())
+                                                            .isLeader())
                             .findFirst()
                             .orElse(null);
             if (leaver == null) {
                 continue;
             }
-            f.procs.get(leaver.councilSession.by()).paused = true;
+            f.procs.get(leaver.councilSession.attachedVoter()).paused = true;
             leaver.task(f.now, () -> leaver.councilSession.leave(() -> {}));
             f.play(450);
             assertThat(f.owners().values())
--- a/src/test/java/wingroad/fleet/SimWork.java
+++ b/src/test/java/wingroad/fleet/SimWork.java
@@ -218,8 +218,8 @@
 
     WorkPlanListener agent(Proc p) {
         Agent d = new Agent(p);
-        p.after(LOOK, d::look);
-        p.after(Duration.ofMillis(20), d::send);
+        p.schedule(LOOK, d::look);
+        p.schedule(Duration.ofMillis(20), d::send);
         return d;
     }
 
@@ -326,7 +326,8 @@
                     conducts = epoch;
                 }
                 if (!planCopy.lines().equals(rules.lines())) {
-                    proc.councilSession.order(epoch, s -> Op.workMachines(s, epoch, rules.lines()));
+                    proc.councilSession.proposeAsConductor(
+                            epoch, s -> Op.workMachines(s, epoch, rules.lines()));
                 } else {
                     members.values()
                             .forEach(
@@ -340,10 +341,10 @@
                                     });
                     long mine = epoch;
                     for (Conductor.Step x :
-                            conductor.next(planCopy, observations, proc.wall(), now)) {
+                            conductor.next(planCopy, observations, proc.wallClockMs(), now)) {
                         Runnable order =
                                 () ->
-                                        proc.councilSession.order(
+                                        proc.councilSession.proposeAsConductor(
                                                 mine,
                                                 s ->
                                                         Op.workStep(
@@ -373,7 +374,7 @@
                     }
                 }
             }
-            proc.after(LOOK, this::look);
+            proc.schedule(LOOK, this::look);
         }
 
         /** One txn to some member that may be sent to; the clock is read in the same turn. */
@@ -397,7 +398,7 @@
                 open.merge(m.uid, 1, Integer::sum);
                 fleet.at(fleet.now + 100_000 + random.nextInt(1_000_000), () -> arrives(m));
             }
-            proc.after(Duration.ofMillis(20 + random.nextInt(30)), this::send);
+            proc.schedule(Duration.ofMillis(20 + random.nextInt(30)), this::send);
         }
 
         private void arrives(Member m) {
@@ -429,9 +430,9 @@
 
     private void late(Op op) {
         fleet.procs.values().stream()
-                .filter(p -> p.alive && p.consensusNode != null && p.consensusNode.leads())
+                .filter(p -> p.alive && p.consensusNode != null && p.consensusNode.isLeader())
                 .findFirst()
-                .ifPresent(p -> p.task(fleet.now, () -> p.consensusNode.inject(op)));
+                .ifPresent(p -> p.task(fleet.now, () -> p.consensusNode.proposeForTest(op)));
     }
 
     // ---- operators and members ----
@@ -540,7 +541,7 @@
                         .toList();
         if (!voters.isEmpty()) {
             Proc p = voters.get(random.nextInt(voters.size()));
-            p.task(fleet.now, () -> p.consensusNode.inject(op.at(p.wall())));
+            p.task(fleet.now, () -> p.consensusNode.proposeForTest(op.at(p.wallClockMs())));
         }
     }
 
