--- a/src/bench/java/wingroad/door/DoorBench.java
+++ b/src/bench/java/wingroad/door/DoorBench.java
@@ -9,8 +9,8 @@
 import org.openjdk.jmh.annotations.Setup;
 import org.openjdk.jmh.annotations.State;
 
-import wingroad.state.Submission.End;
-import wingroad.state.Wheel;
+import wingroad.state.Submission.Outcome;
+import wingroad.state.TimingWheel;
 
 import java.time.Duration;
 import java.util.ArrayDeque;
@@ -97,7 +97,7 @@
         QueuedTxn v = in.poll();
         if (v != null) {
             Duration at = Duration.ofNanos(now);
-            door.onSubmissionEnded(at, v, End.COMMITTED, Duration.ofMillis(50));
+            door.onSubmissionEnded(at, v, Outcome.COMMITTED, Duration.ofMillis(50));
             door.onTxnClosed(at, v);
             pull();
         }
@@ -189,7 +189,7 @@
                     door.onSubmitted(at, v.queuedTxn());
                     if (i < tenants) {
                         door.onSubmissionEnded(
-                                at, v.queuedTxn(), End.COMMITTED, Duration.ofMillis(50));
+                                at, v.queuedTxn(), Outcome.COMMITTED, Duration.ofMillis(50));
                         door.onTxnClosed(at, v.queuedTxn());
                     }
                 }
@@ -214,15 +214,15 @@
         int among = 1000;
         int rounds = 400;
         Random random = new Random(1);
-        Wheel w = new Wheel();
-        Wheel.Timer[] timers = new Wheel.Timer[among];
+        TimingWheel w = new TimingWheel();
+        TimingWheel.Timer[] timers = new TimingWheel.Timer[among];
         PriorityQueue<Long> heap = new PriorityQueue<>();
         Long[] dues = new Long[among];
         long best = Long.MAX_VALUE;
         for (int i = 0; i < among; i++) {
-            timers[i] = new Wheel.Timer();
+            timers[i] = new TimingWheel.Timer();
             dues[i] = random.nextInt(1000) * 1_000_000L + i;
-            w.set(timers[i], dues[i]);
+            w.schedule(timers[i], dues[i]);
             heap.add(dues[i]);
         }
         for (int r = 0; r < rounds; r++) {
@@ -231,7 +231,7 @@
                 long due = dues[i] + 7_000_000L * (r % 100);
                 if (wheel) {
                     w.cancel(timers[i]);
-                    w.set(timers[i], due);
+                    w.schedule(timers[i], due);
                 } else {
                     heap.remove(dues[i]);
                     dues[i] = due;
--- a/src/main/java/wingroad/door/Booking.java
+++ b/src/main/java/wingroad/door/Booking.java
@@ -1,9 +1,9 @@
 package wingroad.door;
 
-import wingroad.state.Wheel;
+import wingroad.state.TimingWheel;
 
 /** A time at which somebody was told to come back; while it stands it is a claim of its account. */
-final class Booking extends Wheel.Timer {
+final class Booking extends TimingWheel.Timer {
     final int row;
     final long at;
 
--- a/src/main/java/wingroad/door/FairQueues.java
+++ b/src/main/java/wingroad/door/FairQueues.java
@@ -3,11 +3,11 @@
 import com.dynatrace.hash4j.hashing.Hasher64;
 import com.dynatrace.hash4j.hashing.Hashing;
 
-import wingroad.state.Spans;
-import wingroad.state.Submission.End;
-import wingroad.state.Took;
+import wingroad.state.Durations;
+import wingroad.state.ResponseTimes;
+import wingroad.state.Submission.Outcome;
+import wingroad.state.TimingWheel;
 import wingroad.state.TxnType;
-import wingroad.state.Wheel;
 
 import java.time.Duration;
 import java.util.ArrayDeque;
@@ -72,9 +72,9 @@
      * The work of each type as lately measured, and its usual answer time over a long span: the
      * unit of the windows.
      */
-    private final Took[] works;
+    private final ResponseTimes[] works;
 
-    private final Took[] usual;
+    private final ResponseTimes[] usual;
     private final boolean mayAdvise;
     private final boolean marksRetries;
     private final Duration longestAdvice;
@@ -87,7 +87,7 @@
     private final Names names;
     private final List<Lane> lanes = new ArrayList<>();
     private final Map<Long, Lane> lanesByGroup = new HashMap<>();
-    private final Wheel wheel = new Wheel();
+    private final TimingWheel wheel = new TimingWheel();
     private final ArrayDeque<Lane> dirty = new ArrayDeque<>();
     private final ArrayDeque<AdmissionDecision> ready = new ArrayDeque<>();
     private FairQueueSettings updateSettings;
@@ -108,13 +108,13 @@
         this.marksRetries = Boolean.TRUE.equals(terms.get("clients-mark-retries"));
         this.longestAdvice =
                 terms.get("longest-come-back") instanceof Duration d ? d : Duration.ZERO;
-        this.types = TxnType.all(terms);
-        this.works = new Took[types.length];
-        this.usual = new Took[types.length];
+        this.types = TxnType.fromSettings(terms);
+        this.works = new ResponseTimes[types.length];
+        this.usual = new ResponseTimes[types.length];
         for (int i = 0; i < types.length; i++) {
-            double guess = Math.max(1, Spans.ms(types[i].slaTime()) / 4);
-            works[i] = new Took(Duration.ofSeconds(4), guess);
-            usual[i] = new Took(Duration.ofSeconds(60), guess);
+            double guess = Math.max(1, Durations.toMillis(types[i].slaTime()) / 4);
+            works[i] = new ResponseTimes(Duration.ofSeconds(4), guess);
+            usual[i] = new ResponseTimes(Duration.ofSeconds(60), guess);
         }
     }
 
@@ -160,8 +160,8 @@
         drainBy = at;
         for (QueuedTxn first : accounts.first) {
             for (QueuedTxn v = first; v != null; v = v.behind) {
-                Duration last = at.minus(Spans.millis(usual(v.type, at)));
-                wheel.set(v, Math.min(v.due(), last.toNanos()));
+                Duration last = at.minus(Durations.ofMillis(usual(v.type, at)));
+                wheel.schedule(v, Math.min(v.dueNanos(), last.toNanos()));
             }
         }
     }
@@ -182,7 +182,7 @@
             String name,
             boolean retry) {
         long nanos = now.toNanos();
-        Lane lane = lane(group, types[type].toPrimary());
+        Lane lane = lane(group, types[type].requiresPrimary());
         int row = account(nanos, lane, caller, name);
         boolean told = row >= 0 && keepsTime(nanos, row, caller, retry);
         QueuedTxn v = new QueuedTxn(txn, type, lane.number, row, now, caller);
@@ -206,7 +206,7 @@
             return v;
         }
         enqueue(v, row, lane, nanos);
-        wheel.set(v, nanos + Math.max(0, budget));
+        wheel.schedule(v, nanos + Math.max(0, budget));
         return v;
     }
 
@@ -282,7 +282,7 @@
             v.round = lane.window.round();
             lane.window.begins(lane.out);
             lane.movedAt = now.toNanos();
-            wheel.set(
+            wheel.schedule(
                     v,
                     now.toNanos()
                             + (long)
@@ -295,12 +295,12 @@
     }
 
     /** A submission of a txn that is in has ended. */
-    public void onSubmissionEnded(Duration now, QueuedTxn v, End end, Duration took) {
+    public void onSubmissionEnded(Duration now, QueuedTxn v, Outcome end, Duration took) {
         Lane lane = lanes.get(v.lane);
-        double ms = Spans.ms(took);
+        double ms = Durations.toMillis(took);
         v.submissionsOut--;
         v.work += end.neverRan() ? 0 : ms;
-        if (end == End.COMMITTED) {
+        if (end == Outcome.COMMITTED) {
             double share = ms / Math.max(0.01, usual(v.type, now));
             usual[v.type].add(now, ms);
             works[v.type].add(now, v.work);
@@ -377,7 +377,7 @@
             if (!ready.isEmpty()) {
                 return ready.poll();
             }
-            Wheel.Timer due = wheel.poll(nanos);
+            TimingWheel.Timer due = wheel.poll(nanos);
             if (due instanceof QueuedTxn v) {
                 overdue(v, now);
             } else if (due instanceof Booking b) {
@@ -394,7 +394,7 @@
 
     /** When to call {@link #nextDecision} again even if nothing comes in, or null. */
     public Duration nextWakeUp() {
-        long due = wheel.nextDue();
+        long due = wheel.nextPollNanos();
         return due < 0 ? null : Duration.ofNanos(due);
     }
 
@@ -454,7 +454,7 @@
     private void letIn(QueuedTxn v, int row, Lane lane, long nanos, Duration now) {
         double tag = accounts.tags[row];
         lane.virtualTime = Math.max(lane.virtualTime, tag);
-        v.charged = works[v.type].usual(now);
+        v.charged = works[v.type].meanMs(now);
         accounts.letIn[row] = Lane.decayed(accounts.letIn[row], accounts.letInAt[row], nanos) + 1;
         accounts.letInAt[row] = nanos;
         accounts.in[row]++;
@@ -560,13 +560,13 @@
         }
         bookings++;
         accounts.booked[v.row]++;
-        wheel.set(b, nanos + (long) (1.25 * wait) + STANDS_ON);
+        wheel.schedule(b, nanos + (long) (1.25 * wait) + STANDS_ON);
         v.caller.booking = b;
         return Duration.ofNanos((long) wait);
     }
 
     private Duration spread(Duration most, double least) {
-        return Spans.times(most, least + (1 - least) * random.nextDouble());
+        return Durations.scale(most, least + (1 - least) * random.nextDouble());
     }
 
     private void drop(Booking b) {
@@ -698,18 +698,18 @@
      * How long it may wait at the door: by the module's own measure it can still be in time then.
      */
     private Duration mayWait(TxnType type, Duration now, Duration left) {
-        Duration takes = Spans.millis(usual(type.index(), now));
+        Duration takes = Durations.ofMillis(usual(type.index(), now));
         Duration most =
-                (type.lateShare() > 0 ? left : Spans.min(type.slaTime(), left)).minus(takes);
+                (type.lateShare() > 0 ? left : Durations.min(type.slaTime(), left)).minus(takes);
         if (type.lateShare() == 0) {
-            most = Spans.min(most, type.slaTime().minus(takes).dividedBy(2));
+            most = Durations.min(most, type.slaTime().minus(takes).dividedBy(2));
         }
-        most = Spans.times(most, DOORS_PART);
-        return drainBy == null ? most : Spans.min(most, drainBy.minus(now).minus(takes));
+        most = Durations.scale(most, DOORS_PART);
+        return drainBy == null ? most : Durations.min(most, drainBy.minus(now).minus(takes));
     }
 
     private double usual(int type, Duration now) {
-        return usual[type].usual(now);
+        return usual[type].meanMs(now);
     }
 
     // ---- for the log, the bench and the tests ----
--- a/src/main/java/wingroad/door/QueuedTxn.java
+++ b/src/main/java/wingroad/door/QueuedTxn.java
@@ -1,6 +1,6 @@
 package wingroad.door;
 
-import wingroad.state.Wheel;
+import wingroad.state.TimingWheel;
 
 import java.time.Duration;
 
@@ -8,7 +8,7 @@
  * One txn at the door: from its arrival to its final answer. Its timer tells when it has waited or
  * been out too long.
  */
-public final class QueuedTxn extends Wheel.Timer {
+public final class QueuedTxn extends TimingWheel.Timer {
     /** Where it is. */
     enum Place {
         WAITING,
--- a/src/main/java/wingroad/driver/Answer.java
+++ b/src/main/java/wingroad/driver/Answer.java
@@ -1,23 +1,24 @@
 package wingroad.driver;
 
-import java.time.Duration;
-import java.util.Map;
 import wingroad.driver.Exchange.MemberStatus;
 import wingroad.driver.Exchange.Report;
 import wingroad.protocol.Gauges;
 import wingroad.protocol.MemberInput;
 import wingroad.state.Member.Role;
-import wingroad.state.Submission.End;
-import wingroad.terms.Terms;
+import wingroad.state.Submission.Outcome;
+import wingroad.terms.RouterSettings;
+
+import java.time.Duration;
+import java.util.Map;
 
 /** What a member answered, in the module's words. */
 final class Answer {
     static final String TURNED_AWAY = "53300";
 
     /** One that can't be made use of, and may have run. */
-    static final Answer SPOILT = new Answer(End.ERROR);
+    static final Answer SPOILT = new Answer(Outcome.ERROR);
 
-    final End end;
+    final Outcome end;
     final MemberStatus status;
 
     /** The row's messages, where there is one. */
@@ -26,7 +27,7 @@
     /** The member's report, where the row itself is one. */
     final Report asked;
 
-    private Answer(End end) {
+    private Answer(Outcome end) {
         this.end = end;
         status = MemberStatus.NOTHING;
         row = null;
@@ -46,15 +47,15 @@
         asked = in.served() && probe && in.value() != null ? report(in.value(), clock) : null;
     }
 
-    private static End end(MemberInput in) {
+    private static Outcome end(MemberInput in) {
         if (in.served()) {
-            return End.COMMITTED;
+            return Outcome.COMMITTED;
         }
         String code = in.error() == null ? "" : in.error();
         return switch (code) {
-            case "25006", "72000" -> End.MISSED;
-            case TURNED_AWAY -> End.FULL;
-            default -> End.ERROR;
+            case "25006", "72000" -> Outcome.MISSED;
+            case TURNED_AWAY -> Outcome.FULL;
+            default -> Outcome.ERROR;
         };
     }
 
@@ -72,7 +73,7 @@
         double busy = Double.NaN;
         for (Map.Entry<String, Double> e : Gauges.parse(gauges).entrySet()) {
             double v = e.getValue();
-            switch (Terms.figure(e.getKey())) {
+            switch (RouterSettings.gaugeName(e.getKey())) {
                 case "position" -> position = clock.past(v * 1000);
                 case "primary" -> role = v == 1 ? Role.PRIMARY : Role.REPLICA;
                 case "held" -> held = v;
--- a/src/main/java/wingroad/driver/AttemptProgress.java
+++ b/src/main/java/wingroad/driver/AttemptProgress.java
@@ -1,6 +1,6 @@
 package wingroad.driver;
 
-import wingroad.state.Submission.End;
+import wingroad.state.Submission.Outcome;
 
 /**
  * How far an attempt had come when its connection was lost or given up: that tells whether it may
@@ -13,18 +13,18 @@
     ANSWERING;
 
     /** The end of an attempt whose connection was refused, never came up, or broke. */
-    End lost() {
-        return mayHaveRun() ? End.RESET : End.UNREACHABLE;
+    Outcome lost() {
+        return mayHaveRun() ? Outcome.RESET : Outcome.UNREACHABLE;
     }
 
     /** The end of an attempt that is not waited for any longer. */
-    End timedOut() {
-        return this == NOT_CONNECTED ? End.UNREACHABLE : End.TIMED_OUT;
+    Outcome timedOut() {
+        return this == NOT_CONNECTED ? Outcome.UNREACHABLE : Outcome.TIMED_OUT;
     }
 
     /** The end of an attempt that is called off. A write that is out may still go through. */
-    End calledOff() {
-        return this == NOT_CONNECTED ? End.MOOT : End.CANCELLED;
+    Outcome calledOff() {
+        return this == NOT_CONNECTED ? Outcome.MOOT : Outcome.CANCELLED;
     }
 
     private boolean mayHaveRun() {
--- a/src/main/java/wingroad/driver/ChoreExecutor.java
+++ b/src/main/java/wingroad/driver/ChoreExecutor.java
@@ -34,7 +34,7 @@
     ChoreExecutor(EventLoop loop, Exchange exchange, Map<String, Object> terms) {
         this.loop = loop;
         this.exchange = exchange;
-        TxnType[] types = TxnType.all(terms);
+        TxnType[] types = TxnType.fromSettings(terms);
         type = types.length;
         expiry = expiry(types);
     }
@@ -57,14 +57,14 @@
         return rules.withWork(
                 rules.work()
                         .in(
-                                expiry(TxnType.all(terms)),
+                                expiry(TxnType.fromSettings(terms)),
                                 (Duration) terms.get("cold"),
                                 (Duration) terms.get("drain-grace")));
     }
 
     /** The terms with one more txn type behind the clients' own, whose numbers stay. */
     static Map<String, Object> withType(Map<String, Object> terms) {
-        TxnType[] types = TxnType.all(terms);
+        TxnType[] types = TxnType.fromSettings(terms);
         Map<String, Object> more = new HashMap<>(terms);
         String t = "txn-type." + types.length + ".";
         double least = 1;
--- a/src/main/java/wingroad/driver/Clients.java
+++ b/src/main/java/wingroad/driver/Clients.java
@@ -1,6 +1,6 @@
 package wingroad.driver;
 
-import static wingroad.state.Spans.min;
+import static wingroad.state.Durations.min;
 
 import wingroad.door.ClientContext;
 import wingroad.door.FairQueueSettings;
--- a/src/main/java/wingroad/driver/Clock.java
+++ b/src/main/java/wingroad/driver/Clock.java
@@ -1,6 +1,6 @@
 package wingroad.driver;
 
-import static wingroad.state.Spans.min;
+import static wingroad.state.Durations.min;
 
 import java.time.Duration;
 import java.time.Instant;
--- a/src/main/java/wingroad/driver/Configuration.java
+++ b/src/main/java/wingroad/driver/Configuration.java
@@ -1,5 +1,9 @@
 package wingroad.driver;
 
+import wingroad.protocol.Json;
+import wingroad.protocol.MemberList;
+import wingroad.terms.SettingsValidator;
+
 import java.io.IOException;
 import java.io.InputStream;
 import java.net.InetSocketAddress;
@@ -8,9 +12,6 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import wingroad.protocol.Json;
-import wingroad.protocol.MemberList;
-import wingroad.terms.TermsCheck;
 
 /**
  * What a driver is told at its start: who it is, where it listens, whom it asks, and the
@@ -65,7 +66,7 @@
             int descriptors = (int) limit(limits, "sockets", USUAL_DESCRIPTORS);
             long memory = limit(limits, "memory_mb", USUAL_MEMORY_MB);
             Map<String, Object> settings = Json.object(Json.need(all, "settings"), "'settings'");
-            List<String> problems = TermsCheck.problems(settings);
+            List<String> problems = SettingsValidator.problems(settings);
             if (!problems.isEmpty()) {
                 throw new Refused("the settings can't be used: " + String.join("; ", problems));
             }
--- a/src/main/java/wingroad/driver/Driver.java
+++ b/src/main/java/wingroad/driver/Driver.java
@@ -1,6 +1,6 @@
 package wingroad.driver;
 
-import static wingroad.state.Spans.min;
+import static wingroad.state.Durations.min;
 
 import sun.misc.Signal;
 
@@ -11,7 +11,7 @@
 import wingroad.routing.Router;
 import wingroad.routing.TxnRouter;
 import wingroad.state.TxnType;
-import wingroad.terms.Terms;
+import wingroad.terms.RouterSettings;
 import wingroad.transport.EventLoop;
 
 import java.io.IOException;
@@ -111,7 +111,7 @@
         log = new Log(clock, out);
         zones = c.names("azs");
         kinds = c.names("shapes");
-        Map<String, Object> terms = Terms.of(c.settings());
+        Map<String, Object> terms = RouterSettings.fromWire(c.settings());
         asked = "ask".equals(terms.get("member-list"));
         // The rest is for what the program itself holds open: its archive, its polling, its log.
         // A quarter of the heap may be in flight, an eighth of all memory at most: a statement is
@@ -148,7 +148,7 @@
                         counters,
                         asked,
                         this::found,
-                        () -> exchange.router().listFailed(clock.now()));
+                        () -> exchange.router().memberListFailed(clock.now()));
         exchange.meet(members, discovery, clients::closeOneIdle);
         work =
                 operator == null || operator.fleet() == null || operator.fleet().work() == null
@@ -157,7 +157,7 @@
                                 loop,
                                 clock,
                                 ChoreExecutor.settled(operator.fleet(), terms),
-                                TxnType.all(terms),
+                                TxnType.fromSettings(terms),
                                 members,
                                 this::tell,
                                 log::line);
@@ -215,7 +215,7 @@
     public static int check(Map<String, String> env, PrintStream out, PrintStream err) {
         try {
             Configuration c = Configuration.read(env);
-            Map<String, Object> terms = Terms.of(c.settings());
+            Map<String, Object> terms = RouterSettings.fromWire(c.settings());
             out.println(
                     "list "
                             + terms.get("member-list")
@@ -245,7 +245,7 @@
             WarmUp.play(
                     new EventLoop(1, Runtime.getRuntime().maxMemory(), Throwable::printStackTrace),
                     c.names("grades"),
-                    Terms.of(c.settings()),
+                    RouterSettings.fromWire(c.settings()),
                     over::countDown);
             over.await();
             return 0;
@@ -280,7 +280,7 @@
         WarmUp.play(
                 loop,
                 configuration.names("grades"),
-                Terms.of(configuration.settings()),
+                RouterSettings.fromWire(configuration.settings()),
                 () -> {
                     rehearsed = true;
                     serveOnceReady(begun);
@@ -349,7 +349,8 @@
                     work == null
                             ? operator.fleet()
                             : ChoreExecutor.settled(
-                                    operator.fleet(), Terms.of(configuration.settings()));
+                                    operator.fleet(),
+                                    RouterSettings.fromWire(configuration.settings()));
             fleet =
                     FleetPart.begin(
                             rules,
@@ -371,7 +372,7 @@
         if (door == null && operator != null && operator.door() != null) {
             door =
                     new FairQueues(
-                            Terms.of(configuration.settings()),
+                            RouterSettings.fromWire(configuration.settings()),
                             operator.door(),
                             configuration.seed(),
                             log::line);
@@ -412,10 +413,10 @@
     private void takeIn(MemberList list) {
         Duration now = clock.now();
         Router router = exchange.router();
-        router.listStarts(now, list.whole());
+        router.memberListStarted(now, list.whole());
         for (MemberList.Entry e : list.entries()) {
             groups.add(e.group());
-            router.listed(
+            router.memberListed(
                     now,
                     members.listed(e),
                     e.group(),
@@ -427,8 +428,8 @@
                     e.gone(),
                     e.startedAt() > 0 ? clock.at(e.startedAt()) : null);
         }
-        router.listEnds(now);
-        members.forget(router::knows);
+        router.memberListEnded(now);
+        members.forget(router::knowsMember);
     }
 
     /**
--- a/src/main/java/wingroad/driver/Exchange.java
+++ b/src/main/java/wingroad/driver/Exchange.java
@@ -1,6 +1,6 @@
 package wingroad.driver;
 
-import static wingroad.state.Spans.min;
+import static wingroad.state.Durations.min;
 
 import wingroad.door.AdmissionDecision;
 import wingroad.door.ClientContext;
@@ -167,7 +167,7 @@
      */
     void endBy(Duration at) {
         endBy = at;
-        router().endBy(clock.now(), at);
+        router().answerAllBy(clock.now(), at);
         if (door != null) {
             door.drainBy(at);
             changed();
@@ -286,7 +286,7 @@
     boolean lapsed(String txn) {
         Open t = take(txn);
         if (t != null) {
-            router().txnLapsed(clock.now(), txn);
+            router().txnAbandoned(clock.now(), txn);
         }
         return t != null && !t.dispatched;
     }
@@ -295,7 +295,11 @@
 
     @Override
     public void ended(
-            MemberRequest e, Submission.End end, Duration took, MemberStatus status, byte[] row) {
+            MemberRequest e,
+            Submission.Outcome end,
+            Duration took,
+            MemberStatus status,
+            byte[] row) {
         Duration now = clock.now();
         report(now, e.member(), status.report());
         if (watcher != null) {
@@ -305,7 +309,7 @@
         if (known != null && known.queued != null) {
             door.onSubmissionEnded(now, known.queued, end, took);
         }
-        Open txn = end == Submission.End.COMMITTED ? take(e.txn()) : null;
+        Open txn = end == Submission.Outcome.COMMITTED ? take(e.txn()) : null;
         if (txn != null) {
             seen(txn, now, true);
             txn.callback.committed(row);
@@ -348,11 +352,11 @@
         }
     }
 
-    private void watch(long member, Submission.End end, Duration took, MemberStatus status) {
+    private void watch(long member, Submission.Outcome end, Duration took, MemberStatus status) {
         watcher.took(member, took);
-        if (end == Submission.End.COMMITTED || status.role() != Member.Role.UNKNOWN) {
+        if (end == Submission.Outcome.COMMITTED || status.role() != Member.Role.UNKNOWN) {
             watcher.told(member, status.role(), status.position());
-        } else if (end != Submission.End.MOOT && end != Submission.End.CANCELLED) {
+        } else if (end != Submission.Outcome.MOOT && end != Submission.Outcome.CANCELLED) {
             watcher.failed(member);
         }
     }
@@ -372,7 +376,8 @@
             watcher.look();
         }
         return e.probe()
-                || open.containsKey(e.txn()) && router.mayStillGo(clock.now(), e.txn(), e.member());
+                || open.containsKey(e.txn())
+                        && router.mayStillSend(clock.now(), e.txn(), e.member());
     }
 
     @Override
@@ -386,7 +391,7 @@
                 if (watcher != null) {
                     watcher.told(member, r.role(), r.position());
                 }
-                router().reported(
+                router().memberReported(
                                 now,
                                 member,
                                 r.role(),
@@ -451,14 +456,14 @@
 
     /** What the door lets in meanwhile is told to the module before it is asked again. */
     private Decision nextDecision(Duration now) {
-        Decision d = router.next(now);
+        Decision d = router.nextDecision(now);
         if (d != null || door == null) {
             return d;
         }
         for (AdmissionDecision v = door.nextDecision(now); v != null; v = door.nextDecision(now)) {
             pass(v, now);
         }
-        return router.next(now);
+        return router.nextDecision(now);
     }
 
     private void pass(AdmissionDecision v, Duration now) {
@@ -501,7 +506,7 @@
                             () ->
                                     ended(
                                             none,
-                                            Submission.End.MOOT,
+                                            Submission.Outcome.MOOT,
                                             Duration.ZERO,
                                             MemberStatus.NOTHING,
                                             null));
@@ -511,7 +516,10 @@
                     }
                     txn.dispatched = true;
                     Duration last = endBy == null ? txn.expiresAt : min(txn.expiresAt, endBy);
-                    Duration until = d.when() == null ? last : min(d.when(), last);
+                    Duration until =
+                            d.deadlineOrRetryDelay() == null
+                                    ? last
+                                    : min(d.deadlineOrRetryDelay(), last);
                     carrier.dispatch(
                             new MemberRequest(
                                     d.txn(), d.submission(), d.member(), txn.statement, until));
@@ -521,7 +529,9 @@
                 Open txn = open.get(d.txn());
                 if (txn != null) {
                     Duration advice =
-                            txn.queued == null ? d.when() : door.retryAfter(now, txn.queued);
+                            txn.queued == null
+                                    ? d.deadlineOrRetryDelay()
+                                    : door.retryAfter(now, txn.queued);
                     take(d.txn());
                     seen(txn, now, false);
                     txn.callback.declined(advice);
--- a/src/main/java/wingroad/driver/FleetPart.java
+++ b/src/main/java/wingroad/driver/FleetPart.java
@@ -3,7 +3,7 @@
 import wingroad.fleet.FleetConfig;
 import wingroad.fleet.FleetNode;
 import wingroad.protocol.MemberList;
-import wingroad.terms.Terms;
+import wingroad.terms.RouterSettings;
 import wingroad.transport.EventLoop;
 
 import java.io.IOException;
@@ -48,7 +48,8 @@
                         : new ListRelay(
                                 loop, clock, discovery, rules, discovery.holds(), learn, log::line);
         ChoreExecutor chores =
-                new ChoreExecutor(loop, exchange, Terms.of(configuration.settings()));
+                new ChoreExecutor(
+                        loop, exchange, RouterSettings.fromWire(configuration.settings()));
         FleetNode fleet =
                 FleetNode.start(
                         rules.withDefaultDriver(configuration.name()),
--- a/src/main/java/wingroad/driver/MemberConnection.java
+++ b/src/main/java/wingroad/driver/MemberConnection.java
@@ -1,16 +1,17 @@
 package wingroad.driver;
 
-import java.io.IOException;
-import java.net.InetSocketAddress;
-import java.nio.ByteBuffer;
-import java.time.Duration;
 import wingroad.driver.Exchange.MemberRequest;
 import wingroad.protocol.MemberInput;
 import wingroad.protocol.MemberOutput;
-import wingroad.state.Submission.End;
+import wingroad.state.Submission.Outcome;
 import wingroad.transport.Connection;
 import wingroad.transport.EventLoop;
 
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.nio.ByteBuffer;
+import java.time.Duration;
+
 /** One connection to a member. It carries one request at a time; whatever is in doubt closes it. */
 final class MemberConnection implements Connection.Owner {
     private enum Stage {
@@ -63,7 +64,7 @@
             throws IOException {
         MemberConnection m = new MemberConnection(side, pool, to, loop);
         m.connection = Connection.open(loop, to, m, MemberInput.MOST + 1024);
-        m.startTimer = loop.after(wait, () -> m.giveUp("not up in time", End.UNREACHABLE));
+        m.startTimer = loop.after(wait, () -> m.giveUp("not up in time", Outcome.UNREACHABLE));
         m.takeOn(first);
         return m;
     }
@@ -195,7 +196,7 @@
             requestTimer.cancel();
             request = null;
             idle();
-            side.failed(late, End.MOOT, Duration.ZERO, "no longer to be sent");
+            side.failed(late, Outcome.MOOT, Duration.ZERO, "no longer to be sent");
         }
     }
 
@@ -264,11 +265,11 @@
         }
         if (was == Stage.RESTING && e != null) {
             // Nothing of it was sent, and the member is there: no fault of the txn's path.
-            side.failed(e, End.MOOT, Duration.ZERO, how);
+            side.failed(e, Outcome.MOOT, Duration.ZERO, how);
         } else if (was == Stage.SENT && input.why() != null) {
             // It speaks, but nonsense: that is an error of its, which may have run, and no broken
             // connection.
-            side.failed(e, End.ERROR, side.now().minus(since), how);
+            side.failed(e, Outcome.ERROR, side.now().minus(since), how);
         } else if (was == Stage.SENT && (input.served() || input.error() != null)) {
             // The answer itself was whole; only the word that the member is ready is missing.
             side.answered(e, answer(e), side.now().minus(since));
@@ -276,19 +277,19 @@
             boolean turnedAway = was == Stage.STARTING && Answer.TURNED_AWAY.equals(input.error());
             side.failed(
                     e,
-                    turnedAway ? End.FULL : movedAway(was) ? End.MOOT : progress.lost(),
+                    turnedAway ? Outcome.FULL : movedAway(was) ? Outcome.MOOT : progress.lost(),
                     side.now().minus(since),
                     how);
         }
     }
 
-    private void giveUp(String how, End end) {
+    private void giveUp(String how, Outcome end) {
         if (stage != Stage.CLOSED) {
             MemberRequest e = request;
             Stage was = stage;
             shut();
             if (e != null) {
-                side.failed(e, movedAway(was) ? End.MOOT : end, side.now().minus(since), how);
+                side.failed(e, movedAway(was) ? Outcome.MOOT : end, side.now().minus(since), how);
             }
         }
     }
--- a/src/main/java/wingroad/driver/Members.java
+++ b/src/main/java/wingroad/driver/Members.java
@@ -1,6 +1,11 @@
 package wingroad.driver;
 
-import static wingroad.state.Spans.max;
+import static wingroad.state.Durations.max;
+
+import wingroad.driver.Exchange.MemberRequest;
+import wingroad.protocol.MemberList;
+import wingroad.state.Submission.Outcome;
+import wingroad.transport.EventLoop;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -16,10 +21,6 @@
 import java.util.Set;
 import java.util.function.LongPredicate;
 import java.util.function.Predicate;
-import wingroad.driver.Exchange.MemberRequest;
-import wingroad.protocol.MemberList;
-import wingroad.state.Submission.End;
-import wingroad.transport.EventLoop;
 
 /** The member side: who the members are, where they are, and the connections to them. */
 final class Members implements Exchange.MemberTransport {
@@ -178,7 +179,7 @@
         // The last sixteenth is for clients that are only let in to be declined.
         while (loop.channelsLeft() <= loop.mostChannels() / 16) {
             if (!closeOldestIdle() && !results.makeRoom()) {
-                loop.run(() -> failed(e, End.UNREACHABLE, Duration.ZERO, "no descriptor left"));
+                loop.run(() -> failed(e, Outcome.UNREACHABLE, Duration.ZERO, "no descriptor left"));
                 return;
             }
         }
@@ -189,7 +190,7 @@
                     () ->
                             failed(
                                     e,
-                                    End.UNREACHABLE,
+                                    Outcome.UNREACHABLE,
                                     Duration.ZERO,
                                     "cannot open: " + cause.getMessage()));
         }
@@ -320,7 +321,7 @@
         }
     }
 
-    void failed(MemberRequest e, End end, Duration took, String how) {
+    void failed(MemberRequest e, Outcome end, Duration took, String how) {
         if (e.probe() && e.submission() == ROLE_PROBE) {
             results.roleProbed(e.member(), false, null);
         } else if (e.probe()) {
--- a/src/main/java/wingroad/driver/Results.java
+++ b/src/main/java/wingroad/driver/Results.java
@@ -1,13 +1,15 @@
 package wingroad.driver;
 
-import java.time.Duration;
 import wingroad.driver.Exchange.MemberRequest;
-import wingroad.state.Submission.End;
+import wingroad.state.Submission.Outcome;
+
+import java.time.Duration;
 
 /** What the member side tells of the errands that it was given, and what it asks for. */
 interface Results {
     /** A submission has ended; {@code row} is what the client gets where it is committed. */
-    void ended(MemberRequest e, End end, Duration took, Exchange.MemberStatus status, byte[] row);
+    void ended(
+            MemberRequest e, Outcome end, Duration took, Exchange.MemberStatus status, byte[] row);
 
     /** A probe has ended; {@code report} is null where it found nothing. */
     void probed(long member, boolean answered, Duration took, Exchange.Report report);
--- a/src/main/java/wingroad/driver/WarmUp.java
+++ b/src/main/java/wingroad/driver/WarmUp.java
@@ -1,20 +1,21 @@
 package wingroad.driver;
 
-import java.io.ByteArrayOutputStream;
-import java.nio.ByteBuffer;
-import java.nio.charset.StandardCharsets;
-import java.time.Duration;
-import java.util.List;
-import java.util.Map;
 import wingroad.protocol.ClientInput;
 import wingroad.protocol.ClientOutput;
 import wingroad.protocol.MemberInput;
 import wingroad.protocol.MemberOutput;
 import wingroad.protocol.Statement;
 import wingroad.routing.TxnRouter;
-import wingroad.state.Submission.End;
+import wingroad.state.Submission.Outcome;
 import wingroad.transport.EventLoop;
 
+import java.io.ByteArrayOutputStream;
+import java.nio.ByteBuffer;
+import java.nio.charset.StandardCharsets;
+import java.time.Duration;
+import java.util.List;
+import java.util.Map;
+
 /**
  * Plays made-up txns through parsers, exchange and a module of its own before anybody is let in:
  * without it the first clients after a start meet code that is still interpreted, and take several
@@ -116,11 +117,11 @@
 
     private void begin() {
         Duration now = clock.now();
-        exchange.router().listStarts(now, true);
+        exchange.router().memberListStarted(now, true);
         for (long m = 1; m <= MEMBERS; m++) {
-            exchange.router().listed(now, m, 0, 0, 0, 1, m == 1, false, false, null);
+            exchange.router().memberListed(now, m, 0, 0, 0, 1, m == 1, false, false, null);
         }
-        exchange.router().listEnds(now);
+        exchange.router().memberListEnded(now);
         for (int i = 0; i < AT_ONCE; i++) {
             next();
         }
@@ -146,7 +147,8 @@
                 MemberOutput.query(
                         (comment
                                         + (writes
-                                                ? "INSERT INTO records (k, v) VALUES ('ab', '\\x00') RETURNING v"
+                                                ? "INSERT INTO records (k, v) VALUES ('ab',"
+                                                      + " '\\x00') RETURNING v"
                                                 : "SELECT v FROM records WHERE k = 'ab'"))
                                 .getBytes(StandardCharsets.ISO_8859_1));
         ClientInput input = new ClientInput();
@@ -200,7 +202,7 @@
                     new Exchange.Report(status.role(), clock.now(), 1, 0, 0));
         } else {
             MemberOutput.query(e.statement().withLeft(2000));
-            exchange.ended(e, End.COMMITTED, Duration.ofMillis(10), status, a.row);
+            exchange.ended(e, Outcome.COMMITTED, Duration.ofMillis(10), status, a.row);
         }
     }
 
--- a/src/main/java/wingroad/routing/Decision.java
+++ b/src/main/java/wingroad/routing/Decision.java
@@ -3,7 +3,8 @@
 import java.time.Duration;
 
 /** One thing for the host to do. Fields that a kind does not use are null or -1. */
-public record Decision(Kind kind, String txn, long member, int submission, Duration when) {
+public record Decision(
+        Kind kind, String txn, long member, int submission, Duration deadlineOrRetryDelay) {
 
     /** What is to be done. */
     public enum Kind {
--- a/src/main/java/wingroad/routing/Router.java
+++ b/src/main/java/wingroad/routing/Router.java
@@ -1,9 +1,10 @@
 package wingroad.routing;
 
-import java.time.Duration;
 import wingroad.state.Member;
 import wingroad.state.Submission;
 
+import java.time.Duration;
+
 /**
  * What a host (a protocol's front, or a simulator's adapter) says to the module, and how it gets
  * decisions.
@@ -14,10 +15,10 @@
  */
 public interface Router {
     /** A member list begins; {@code whole}: what is not named in it is gone. */
-    void listStarts(Duration now, boolean whole);
+    void memberListStarted(Duration now, boolean whole);
 
     /** One entry of the list that has begun. {@code startedAt} is null for long ago. */
-    void listed(
+    void memberListed(
             Duration now,
             long member,
             int group,
@@ -30,16 +31,16 @@
             Duration startedAt);
 
     /** The list that has begun is complete. */
-    void listEnds(Duration now);
+    void memberListEnded(Duration now);
 
     /**
      * Whether the member is still thought of; one that is gone and has no work out is let go when a
      * list ends.
      */
-    boolean knows(long member);
+    boolean knowsMember(long member);
 
     /** A call for the list failed; the one held stays. */
-    void listFailed(Duration now);
+    void memberListFailed(Duration now);
 
     /**
      * A client's txn was accepted; one final answer is owed within {@code left}.
@@ -74,14 +75,14 @@
             String txn,
             int submission,
             long member,
-            Submission.End end,
+            Submission.Outcome end,
             Duration took,
             boolean over,
             Member.Role role,
             Duration position);
 
     /** A member's own report came with an answer or a probe; figures not in it are NaN. */
-    void reported(
+    void memberReported(
             Duration now,
             long member,
             Member.Role role,
@@ -90,7 +91,7 @@
             double waiting,
             double busy);
 
-    /** A probe has ended; what it found was given to {@link #reported} before. */
+    /** A probe has ended; what it found was given to {@link #memberReported} before. */
     void probeEnded(Duration now, long member, boolean answered, Duration took);
 
     /**
@@ -98,20 +99,20 @@
      * a connection has to be opened: whether the submission is still to be sent. If not, it ends as
      * never sent.
      */
-    boolean mayStillGo(Duration now, String txn, long member);
+    boolean mayStillSend(Duration now, String txn, long member);
 
     /**
      * The host ends: all that is open has its final answer by then, whatever its client would wait
      * for.
      */
-    void endBy(Duration now, Duration by);
+    void answerAllBy(Duration now, Duration by);
 
     /** The client has left; no answer is owed. */
-    void txnLapsed(Duration now, String txn);
+    void txnAbandoned(Duration now, String txn);
 
     /** The next decision, or null when there is none for now. */
-    Decision next(Duration now);
+    Decision nextDecision(Duration now);
 
-    /** When to call {@link #next} again even if nothing comes in, or null. */
+    /** When to call {@link #nextDecision} again even if nothing comes in, or null. */
     Duration wakeAt();
 }
--- a/src/main/java/wingroad/routing/TxnRouter.java
+++ b/src/main/java/wingroad/routing/TxnRouter.java
@@ -4,11 +4,25 @@
 // docs/design.md.
 package wingroad.routing;
 
-import static wingroad.state.Spans.max;
-import static wingroad.state.Spans.millis;
-import static wingroad.state.Spans.min;
-import static wingroad.state.Spans.ms;
-import static wingroad.state.Spans.times;
+import static wingroad.state.Durations.max;
+import static wingroad.state.Durations.min;
+import static wingroad.state.Durations.ofMillis;
+import static wingroad.state.Durations.scale;
+import static wingroad.state.Durations.toMillis;
+
+import wingroad.state.DecayingSum;
+import wingroad.state.Durations;
+import wingroad.state.Group;
+import wingroad.state.HostClassLoad;
+import wingroad.state.Member;
+import wingroad.state.Member.Role;
+import wingroad.state.ResponseTimes;
+import wingroad.state.Submission;
+import wingroad.state.Submission.Outcome;
+import wingroad.state.Txn;
+import wingroad.state.TxnType;
+import wingroad.state.TxnType.Freshness;
+import wingroad.state.TxnType.Repeatability;
 
 import java.time.Duration;
 import java.util.ArrayDeque;
@@ -22,19 +36,6 @@
 import java.util.PriorityQueue;
 import java.util.Random;
 import java.util.function.Consumer;
-import wingroad.state.DecayingSum;
-import wingroad.state.Group;
-import wingroad.state.Load;
-import wingroad.state.Member;
-import wingroad.state.Member.Role;
-import wingroad.state.Spans;
-import wingroad.state.Submission;
-import wingroad.state.Submission.End;
-import wingroad.state.Took;
-import wingroad.state.Txn;
-import wingroad.state.TxnType;
-import wingroad.state.TxnType.Freshness;
-import wingroad.state.TxnType.Repeat;
 
 /**
  * Decides by the Failover Plugin v2 mechanism: roles per group, writer search, held writes, fresh
@@ -73,10 +74,10 @@
     private final TxnType[] types;
 
     /** How long each txn type takes, over all members and by their kind. */
-    private final Took[] took;
+    private final ResponseTimes[] took;
 
-    private final Map<Integer, Took[]> tookByKind = new HashMap<>();
-    private final Map<Integer, Load> sentToKind = new LinkedHashMap<>();
+    private final Map<Integer, ResponseTimes[]> tookByKind = new HashMap<>();
+    private final Map<Integer, HostClassLoad> sentToKind = new LinkedHashMap<>();
     private final DecayingSum firsts;
     private final DecayingSum furthers;
     private final DecayingSum ended;
@@ -126,7 +127,7 @@
         this.cold = time("cold");
         this.checked = !terms.getOrDefault("members-check", "silent").equals("silent");
         this.ask = "ask".equals(terms.get("member-list"));
-        this.types = TxnType.all(terms);
+        this.types = TxnType.fromSettings(terms);
         this.longestTry = new Duration[types.length];
         Arrays.fill(longestTry, Duration.ZERO);
         // Updates set the pace, since the roles are about their member: guards against one txn type
@@ -135,8 +136,8 @@
         Duration pace = Duration.ofSeconds(1);
         Duration shortest = null;
         for (TxnType type : types) {
-            pace = type.update() ? max(pace, type.slaTime()) : pace;
-            Duration age = type.oldestData();
+            pace = type.isUpdate() ? max(pace, type.slaTime()) : pace;
+            Duration age = type.maxDataAge();
             shortest = age.isZero() ? shortest : shortest == null ? age : min(shortest, age);
         }
         this.memory = pace;
@@ -153,13 +154,13 @@
     // ---- inputs: they only update what is known ----
 
     @Override
-    public void listStarts(Duration now, boolean whole) {
+    public void memberListStarted(Duration now, boolean whole) {
         listWhole = whole;
         listNamed.clear();
     }
 
     @Override
-    public void listed(
+    public void memberListed(
             Duration now,
             long id,
             int group,
@@ -174,18 +175,19 @@
         if (m.group == null) {
             m.group = groups.computeIfAbsent(group, i -> new Group(i, SPILL_SHARE));
             m.group.members.add(m);
-            m.limit = FIRST_LIMIT;
+            m.concurrencyLimit = FIRST_LIMIT;
         }
         m.zone = zone;
-        m.kind = kind;
-        sentToKind.computeIfAbsent(kind, k -> new Load(memory.multipliedBy(4)));
-        m.seenDraining |= draining;
+        m.hostClass = kind;
+        sentToKind.computeIfAbsent(kind, k -> new HostClassLoad(memory.multipliedBy(4)));
+        m.drainSeen |= draining;
         if (startedAt != null && (m.startedAt == null || startedAt.compareTo(m.startedAt) > 0)) {
             m.startedAt = startedAt;
-            m.creditAt = null;
-            m.limit = Math.max(1, FIRST_LIMIT * warmth(m, now));
+            m.creditUpdatedAt = null;
+            m.concurrencyLimit = Math.max(1, FIRST_LIMIT * warmth(m, now));
         }
-        m.stopTold = !draining && !gone ? null : m.stopTold == null ? now : m.stopTold;
+        m.stopLearnedAt =
+                !draining && !gone ? null : m.stopLearnedAt == null ? now : m.stopLearnedAt;
         m.gone = gone;
         m.listed = !gone;
         listNamed.add(m);
@@ -199,19 +201,20 @@
     }
 
     @Override
-    public void listEnds(Duration now) {
+    public void memberListEnded(Duration now) {
         for (Iterator<Member> i = members.values().iterator(); i.hasNext(); ) {
             Member m = i.next();
             if (listWhole && !listNamed.contains(m)) {
                 m.listed = false;
-                m.stopTold = m.stopTold == null ? now : m.stopTold;
+                m.stopLearnedAt = m.stopLearnedAt == null ? now : m.stopLearnedAt;
                 m.gone = true;
             }
             // What is gone and holds nothing is let go; where the list does not bind, once it is
             // lost long.
             boolean lost =
-                    m.lostSince != null && now.minus(m.lostSince).compareTo(max(cold, memory)) > 0;
-            boolean held = !m.out.isEmpty() || m.probeOut || m == m.group.primary;
+                    m.unreachableSince != null
+                            && now.minus(m.unreachableSince).compareTo(max(cold, memory)) > 0;
+            boolean held = !m.outstanding.isEmpty() || m.probeInFlight || m == m.group.primary;
             if (m.gone && !held && (lost || mustStop(m, now, false))) {
                 m.group.members.remove(m);
                 i.remove();
@@ -224,15 +227,15 @@
     }
 
     @Override
-    public void listFailed(Duration now) {
+    public void memberListFailed(Duration now) {
         // Guards against asking without a pause: where lists are pushed, the settings name no time
         // for it.
         if (!ask) {
             return;
         }
         listFailures++;
-        Duration pause = times(time("ask-within"), Math.pow(2, Math.min(listFailures, 4) - 6));
-        askListAt(now.plus(times(pause, 0.5 + random.nextDouble())));
+        Duration pause = scale(time("ask-within"), Math.pow(2, Math.min(listFailures, 4) - 6));
+        askListAt(now.plus(scale(pause, 0.5 + random.nextDouble())));
     }
 
     @Override
@@ -256,10 +259,10 @@
         longestTry[type] = max(longestTry[type], given);
         if (given.plus(step).compareTo(longestTry[type]) < 0
                 && (retry || !flag("clients-mark-retries"))) {
-            t.aimAt = t.aimAt.minus(max(Duration.ZERO, t.type.expiry().minus(given)));
+            t.slaDeadline = t.slaDeadline.minus(max(Duration.ZERO, t.type.expiry().minus(given)));
         }
         if (t.type.freshness() == Freshness.OWN_WRITES) {
-            t.mustReflect =
+            t.requiredPosition =
                     "client".equals(terms.get("session-marks"))
                             ? sinceWrite == null ? null : now.minus(sinceWrite)
                             : sessionWrites.getOrDefault(session, oldWrites);
@@ -275,7 +278,7 @@
             String id,
             int number,
             long member,
-            End end,
+            Outcome end,
             Duration took,
             boolean over,
             Role role,
@@ -283,46 +286,51 @@
         Member m = members.get(member);
         Txn t = txns.get(id);
         Submission s =
-                m.out.stream()
+                m.outstanding.stream()
                         .filter(o -> o.txn.id.equals(id) && o.number == number)
                         .findAny()
                         .get();
-        m.out.remove(s);
-        m.ended = true;
-        s.end = end;
+        m.outstanding.remove(s);
+        m.endedSinceLastPass = true;
+        s.outcome = end;
         // Guards against a member that lives but takes no further connection: a no at once, and
         // nothing ran.
         boolean turnedAway =
-                end == End.UNREACHABLE && took.compareTo(time("connect-time-out").dividedBy(2)) < 0;
+                end == Outcome.UNREACHABLE
+                        && took.compareTo(time("connect-time-out").dividedBy(2)) < 0;
         ended.add(now, 1);
-        if (end == End.COMMITTED) {
+        if (end == Outcome.COMMITTED) {
             committed.add(now, 1);
             measure(m, s.txn, took, now);
             if (warmth(m, now) >= 1 && took.compareTo(s.txn.type.slaTime()) <= 0) {
-                m.credit += IN_TIME_MULTIPLE * calm(s.txn.type);
+                m.creditMs += IN_TIME_MULTIPLE * calm(s.txn.type);
             }
-            if (s.txn.type.update()
+            if (s.txn.type.isUpdate()
                     && s.txn.session >= 0
                     && position != null
                     && "router".equals(terms.get("session-marks"))) {
-                sessionWrites.merge(s.txn.session, position, Spans::max);
+                sessionWrites.merge(s.txn.session, position, Durations::max);
                 forgetWrites(now);
             }
         }
-        if (end == End.TIMED_OUT) {
-            m.limit = Math.max(1, Math.min(m.limit, m.out.size() + 1) * 0.75);
+        if (end == Outcome.TIMED_OUT) {
+            m.concurrencyLimit =
+                    Math.max(1, Math.min(m.concurrencyLimit, m.outstanding.size() + 1) * 0.75);
         }
-        if (end == End.COMMITTED || end == End.MISSED || end == End.ERROR || end == End.FULL) {
+        if (end == Outcome.COMMITTED
+                || end == Outcome.MISSED
+                || end == Outcome.ERROR
+                || end == Outcome.FULL) {
             signOfLife(m, now, end);
         } else if (turnedAway) {
             turnedAway(m, now);
-        } else if (end != End.CANCELLED
-                && end != End.MOOT
-                && !(end == End.TIMED_OUT && m.quietSince.compareTo(s.sentAt) > 0)) {
+        } else if (end != Outcome.CANCELLED
+                && end != Outcome.MOOT
+                && !(end == Outcome.TIMED_OUT && m.lastProgressAt.compareTo(s.sentAt) > 0)) {
             fault(m, now, end);
         }
-        if (m.silent && m.out.isEmpty()) {
-            m.silent = false;
+        if (m.unresponsive && m.outstanding.isEmpty()) {
+            m.unresponsive = false;
             fault(m, now, end);
         }
         if (role != Role.UNKNOWN) {
@@ -330,19 +338,19 @@
         }
         heardPosition(m, position, now);
         Group g = m.group;
-        if (s.txn.type.update()
+        if (s.txn.type.isUpdate()
                 && g.primary == m
-                && (end == End.MISSED
-                        || end == End.ERROR
-                        || end == End.UNREACHABLE && !turnedAway
-                        || end == End.RESET
-                        || end == End.TIMED_OUT)) {
+                && (end == Outcome.MISSED
+                        || end == Outcome.ERROR
+                        || end == Outcome.UNREACHABLE && !turnedAway
+                        || end == Outcome.RESET
+                        || end == Outcome.TIMED_OUT)) {
             search(g, now, "write " + end + " at " + m.id);
         }
         touch(g);
         if (t != null && over) {
             close(t);
-        } else if (t != null && t.out() == 0) {
+        } else if (t != null && t.outstandingCount() == 0) {
             hold(t, now);
         }
     }
@@ -358,12 +366,12 @@
     }
 
     @Override
-    public boolean knows(long member) {
+    public boolean knowsMember(long member) {
         return members.containsKey(member);
     }
 
     @Override
-    public void reported(
+    public void memberReported(
             Duration now,
             long member,
             Role role,
@@ -379,8 +387,8 @@
         }
         heardPosition(m, position, now);
         if (!Double.isNaN(waiting)) {
-            m.waiting = waiting;
-            m.waitingAt = now;
+            m.queueLength = waiting;
+            m.queueReportedAt = now;
         }
         touch(m.group);
     }
@@ -388,9 +396,9 @@
     @Override
     public void probeEnded(Duration now, long member, boolean answered, Duration took) {
         Member m = members.get(member);
-        m.probeOut = false;
+        m.probeInFlight = false;
         if (!answered) {
-            m.lostSince = m.lostSince == null ? now : m.lostSince;
+            m.unreachableSince = m.unreachableSince == null ? now : m.unreachableSince;
             if (m.group.primary == m) {
                 search(m.group, now, "probe failed at " + m.id);
             }
@@ -399,7 +407,7 @@
     }
 
     @Override
-    public void txnLapsed(Duration now, String id) {
+    public void txnAbandoned(Duration now, String id) {
         Txn t = txns.get(id);
         if (t != null) {
             // Nobody waits for it: what is still out would only be work for nothing.
@@ -409,7 +417,7 @@
     }
 
     @Override
-    public void endBy(Duration now, Duration by) {
+    public void answerAllBy(Duration now, Duration by) {
         for (Txn t : txns.values()) {
             if (t.expiresAt.compareTo(by) > 0) {
                 t.expiresAt = by;
@@ -423,22 +431,24 @@
      * that has moved, against changes while a connection opens: a window may end meanwhile.
      */
     @Override
-    public boolean mayStillGo(Duration now, String id, long member) {
+    public boolean mayStillSend(Duration now, String id, long member) {
         Txn t = txns.get(id);
         Member m = members.get(member);
         Duration need = t == null || checked || stands(m) ? null : needs(t, now);
         return t != null
                 && !mustStop(m, now, m == m.group.primary)
-                && (!t.type.toPrimary() || (t.type.update() ? m == m.group.primary : stands(m)))
+                && (!t.type.requiresPrimary()
+                        || (t.type.isUpdate() ? m == m.group.primary : stands(m)))
                 && (mayRepeat(t, now)
-                        || t.submissions.stream().noneMatch(s -> !s.out() && s.mayHaveRun()))
+                        || t.submissions.stream()
+                                .noneMatch(s -> !s.isOutstanding() && s.mayHaveRun()))
                 && (need == null || m.position != null && m.position.compareTo(need) >= 0);
     }
 
     // ---- decisions ----
 
     @Override
-    public Decision next(Duration now) {
+    public Decision nextDecision(Duration now) {
         while (true) {
             if (!ready.isEmpty()) {
                 return ready.poll();
@@ -449,7 +459,7 @@
                 if (a.what instanceof Txn t) {
                     check(t, now);
                 } else if (a.what instanceof Group g) {
-                    g.wakeAsked = null;
+                    g.nextPassAt = null;
                     touch(g);
                 } else if (a.what == listAt) {
                     askListAt(now.plus(time("ask-within").dividedBy(4)));
@@ -485,10 +495,10 @@
         // Guards against members that take few connections: one that stands idle here keeps all
         // others out.
         for (Member m : g.members) {
-            if (m.ended && m.out.isEmpty() && refused.read(now) > 1) {
+            if (m.endedSinceLastPass && m.outstanding.isEmpty() && refused.valueAt(now) > 1) {
                 ready.add(Decision.release(m.id));
             }
-            m.ended = false;
+            m.endedSinceLastPass = false;
         }
     }
 
@@ -499,36 +509,41 @@
      */
     private void heard(Member m, Role role, Duration at, Duration now) {
         Group g = m.group;
-        m.replicaAt = role == Role.REPLICA ? now : m.replicaAt;
-        if (m.roleAt != null && at.compareTo(m.roleAt) < 0) {
+        m.replicaReportedAt = role == Role.REPLICA ? now : m.replicaReportedAt;
+        if (m.roleProvenAt != null && at.compareTo(m.roleProvenAt) < 0) {
             return;
         }
-        m.roleAt = at;
+        m.roleProvenAt = at;
         if (role == Role.REPLICA) {
-            if (g.primary == m && (g.claimAt == null || at.compareTo(g.claimAt) > 0)) {
+            if (g.primary == m
+                    && (g.primaryClaimAt == null || at.compareTo(g.primaryClaimAt) > 0)) {
                 search(g, now, "primary says replica " + m.id);
             }
             return;
         }
         // Guards against confirming a primary that is gone or hangs by a report from before it
         // went.
-        if (g.claimAt != null && at.compareTo(g.claimAt) < 0
+        if (g.primaryClaimAt != null && at.compareTo(g.primaryClaimAt) < 0
                 || g.primary == m
                         && g.searching
-                        && (at.compareTo(g.searchSince) <= 0
-                                || m.silent
-                                || m.lostSince == null && m.shunnedUntil.compareTo(now) > 0)) {
+                        && (at.compareTo(g.searchStartedAt) <= 0
+                                || m.unresponsive
+                                || m.unreachableSince == null
+                                        && m.backoffUntil.compareTo(now) > 0)) {
             return;
         }
-        m.replicaAt = m.replicaAt != null && at.compareTo(m.replicaAt) < 0 ? m.replicaAt : null;
+        m.replicaReportedAt =
+                m.replicaReportedAt != null && at.compareTo(m.replicaReportedAt) < 0
+                        ? m.replicaReportedAt
+                        : null;
         if (g.primary == m && !g.searching) {
-            g.claimAt = at;
+            g.primaryClaimAt = at;
             return;
         }
         Member old = g.primary;
         g.primary = m;
-        g.claimAt = at;
-        m.shunnedUntil = min(m.shunnedUntil, now);
+        g.primaryClaimAt = at;
+        m.backoffUntil = min(m.backoffUntil, now);
         log.accept(
                 "group "
                         + g.id
@@ -536,17 +551,17 @@
                         + m.id
                         + (g.searching
                                 ? " found after "
-                                        + (long) ms(now.minus(g.searchSince))
+                                        + (long) toMillis(now.minus(g.searchStartedAt))
                                         + " ms, held "
-                                        + g.writes.size()
+                                        + g.heldWrites.size()
                                 : " by claim"));
         g.searching = false;
         // The same primary found again, or a fresh driver's first one, leaves nothing to settle.
         if (old != null && old != m) {
-            g.watchUntil = now.plus(WATCH_SPAN);
+            g.fastProbeUntil = now.plus(WATCH_SPAN);
             // What a former primary still holds of referenced txns goes to the new one.
-            for (Submission s : old.out) {
-                if (s.txn.type.repeat() == Repeat.REFERENCED && !s.txn.answered) {
+            for (Submission s : old.outstanding) {
+                if (s.txn.type.repeatability() == Repeatability.REFERENCED && !s.txn.answered) {
                     cancel(s);
                 }
             }
@@ -560,26 +575,26 @@
      * stays on record.
      */
     private static boolean stands(Member m) {
-        return m == m.group.primary && m.replicaAt == null;
+        return m == m.group.primary && m.replicaReportedAt == null;
     }
 
     private void search(Group g, Duration now, String cause) {
         if (!g.searching) {
             g.searching = true;
-            g.searchSince = now;
+            g.searchStartedAt = now;
             g.searchRounds = 0;
-            g.nextProbe = now;
+            g.nextSearchProbeAt = now;
             log.accept("group " + g.id + " search: " + cause);
             touch(g);
         }
     }
 
     private void searchOn(Group g, Duration now) {
-        g.writes.removeIf(t -> t.answered);
+        g.heldWrites.removeIf(t -> t.answered);
         // Guards against many drivers' probes that wait for nothing: after one round the rate is
         // steady.
-        boolean idle = g.searchRounds > 0 && g.writes.isEmpty();
-        Duration due = idle ? g.nextProbe.plus(STEADY_PROBE) : g.nextProbe;
+        boolean idle = g.searchRounds > 0 && g.heldWrites.isEmpty();
+        Duration due = idle ? g.nextSearchProbeAt.plus(STEADY_PROBE) : g.nextSearchProbeAt;
         if (now.compareTo(due) >= 0) {
             for (Member m : g.members) {
                 probe(m, now);
@@ -588,9 +603,9 @@
             // probe takes.
             g.searchRounds++;
             Duration most = max(SEARCH_PAUSE, time("connect-time-out").multipliedBy(2));
-            g.nextProbe =
-                    now.plus(min(most, times(SEARCH_PAUSE, Math.pow(1.4, g.searchRounds - 1))));
-            due = g.nextProbe;
+            g.nextSearchProbeAt =
+                    now.plus(min(most, scale(SEARCH_PAUSE, Math.pow(1.4, g.searchRounds - 1))));
+            due = g.nextSearchProbeAt;
         }
         wake(g, due);
     }
@@ -600,12 +615,12 @@
      * nothing.
      */
     private void watch(Group g, Member p, Duration now) {
-        boolean fast = now.compareTo(g.watchUntil) < 0 && !p.out.isEmpty();
+        boolean fast = now.compareTo(g.fastProbeUntil) < 0 && !p.outstanding.isEmpty();
         // All drivers together ask a primary ten times a second at rest, a hundred after a change,
         // at most.
-        Duration all = times(WATCH_PROBE, number("drivers"));
+        Duration all = scale(WATCH_PROBE, number("drivers"));
         Duration every = fast ? max(WATCH_PROBE, all.dividedBy(10)) : max(STEADY_PROBE, all);
-        Duration last = p.probedAt == null ? g.claimAt : p.probedAt;
+        Duration last = p.lastProbeAt == null ? g.primaryClaimAt : p.lastProbeAt;
         Duration due = last == null ? now : last.plus(every);
         if (now.compareTo(due) >= 0) {
             probe(p, now);
@@ -615,17 +630,17 @@
     }
 
     private boolean probe(Member m, Duration now) {
-        if (m.probeOut || !flag("may-probe") || mustStop(m, now, true)) {
+        if (m.probeInFlight || !flag("may-probe") || mustStop(m, now, true)) {
             return false;
         }
-        m.probeOut = true;
-        m.probedAt = now;
+        m.probeInFlight = true;
+        m.lastProbeAt = now;
         ready.add(Decision.probe(m.id));
         return true;
     }
 
     private void placeWrites(Group g, Duration now) {
-        if (g.writes.isEmpty()) {
+        if (g.heldWrites.isEmpty()) {
             return;
         }
         Member p = g.primary;
@@ -633,13 +648,13 @@
         if (p == null) {
             search(g, now, "no primary known");
         } else if (quiet(p, now)) {
-            search(g, now, "primary silent " + p.id + " holding " + p.out.size());
+            search(g, now, "primary silent " + p.id + " holding " + p.outstanding.size());
         }
         if (g.searching) {
             return;
         }
         for (int pass = 0; pass < 2; pass++) {
-            for (Iterator<Txn> i = g.writes.iterator(); i.hasNext(); ) {
+            for (Iterator<Txn> i = g.heldWrites.iterator(); i.hasNext(); ) {
                 Txn t = i.next();
                 if (t.answered) {
                     i.remove();
@@ -649,14 +664,14 @@
                     probe(p, now);
                     continue;
                 }
-                if (p.out.size() >= room(p, now) || now.compareTo(p.shunnedUntil) < 0) {
+                if (p.outstanding.size() >= room(p, now) || now.compareTo(p.backoffUntil) < 0) {
                     // Guards against writes held for a crowd that is over: only a newer report ends
                     // it.
                     if (crowded(p, now)
-                            && now.minus(p.waitingAt).compareTo(memory.dividedBy(2)) > 0) {
+                            && now.minus(p.queueReportedAt).compareTo(memory.dividedBy(2)) > 0) {
                         probe(p, now);
                     }
-                    wake(g, max(p.shunnedUntil, now.plus(Duration.ofMillis(50))));
+                    wake(g, max(p.backoffUntil, now.plus(Duration.ofMillis(50))));
                     return;
                 }
                 // First those that can still be in time; those too late for that take what is left.
@@ -673,14 +688,14 @@
 
     private void placeReads(Group g, Duration now) {
         // Guards a fresh driver whose first list was empty: a group without members holds its txns.
-        if (g.reads.isEmpty() || g.members.isEmpty()) {
+        if (g.heldReads.isEmpty() || g.members.isEmpty()) {
             return;
         }
         // Newest first: under overload those that waited long are late anyway, and get what the
         // others leave.
         for (int pass = 0; pass < 2; pass++) {
             int looked = 0;
-            for (Iterator<Txn> i = g.reads.descendingIterator(); i.hasNext() && looked < 32; ) {
+            for (Iterator<Txn> i = g.heldReads.descendingIterator(); i.hasNext() && looked < 32; ) {
                 Txn t = i.next();
                 if (t.answered) {
                     i.remove();
@@ -702,7 +717,7 @@
 
     /** What it asks for can hardly be had in time any more. */
     private boolean late(Txn t, Duration now) {
-        return ms(t.aimAt.minus(now)) < calm(t.type);
+        return toMillis(t.slaDeadline.minus(now)) < calm(t.type);
     }
 
     /** The member for a read, which may fill the given part of its room, or null: it waits. */
@@ -715,11 +730,12 @@
         if (crowd() < 1
                 && g.searching
                 && p != null
-                && p.silent
+                && p.unresponsive
                 && stands(p)
                 && !mustStop(p, now, true)
-                && t.type.repeat() == Repeat.REPEATABLE
-                && p.out.stream().allMatch(s -> s.sentAt.compareTo(g.searchSince) < 0)) {
+                && t.type.repeatability() == Repeatability.REPEATABLE
+                && p.outstanding.stream()
+                        .allMatch(s -> s.sentAt.compareTo(g.searchStartedAt) < 0)) {
             return p;
         }
         Member best = null;
@@ -738,10 +754,10 @@
                 continue;
             }
             boolean ok = need == null || m.position != null && m.position.compareTo(need) >= 0;
-            if (!ok && checked && m.behind != null) {
-                ok = now.minus(m.behind).compareTo(need) >= 0;
+            if (!ok && checked && m.lag != null) {
+                ok = now.minus(m.lag).compareTo(need) >= 0;
             }
-            boolean room = m.out.size() < part * room(m, now);
+            boolean room = m.outstanding.size() < part * room(m, now);
             if (!ok) {
                 if (room
                         && !missedAt(t, m)
@@ -764,9 +780,9 @@
         // late work.
         if (best != null
                 && crowd() > 1
-                && best.limit < FIRST_LIMIT / 2
-                && best.waitingAt != null
-                && now.minus(best.waitingAt).compareTo(memory) > 0
+                && best.concurrencyLimit < FIRST_LIMIT / 2
+                && best.queueReportedAt != null
+                && now.minus(best.queueReportedAt).compareTo(memory) > 0
                 && probe(best, now)) {
             return null;
         }
@@ -788,33 +804,36 @@
         // Reads that need the primary leave a part of its room to the writes.
         double room = part * room(p, now);
         if (replicas == 0) {
-            return p.out.size() < room ? p : null;
+            return p.outstanding.size() < room ? p : null;
         }
-        if (p.out.size() + 1 > Math.max(Math.min(1, room), room * 0.75)) {
+        if (p.outstanding.size() + 1 > Math.max(Math.min(1, room), room * 0.75)) {
             return null;
         }
         if (t.type.freshness() == Freshness.OWN_WRITES) {
             return p;
         }
         // By chance, not by turns: a driver with few reads would wait long for its turn.
-        t.spill = t.spill == null ? random.nextDouble() < g.spillShare : t.spill;
-        return t.spill ? p : null;
+        t.maySpillToPrimary =
+                t.maySpillToPrimary == null
+                        ? random.nextDouble() < g.spillShare
+                        : t.maySpillToPrimary;
+        return t.maySpillToPrimary ? p : null;
     }
 
     /** It was heard lately to be further behind than it would wait for. */
     private boolean sureMiss(Member m, Duration need, Duration now) {
-        return m.behind != null
-                && m.positionHeard.plus(memory.dividedBy(2)).compareTo(now) > 0
-                && now.minus(m.behind).plus(time("members-hold-for")).compareTo(need) < 0;
+        return m.lag != null
+                && m.positionReportedAt.plus(memory.dividedBy(2)).compareTo(now) > 0
+                && now.minus(m.lag).plus(time("members-hold-for")).compareTo(need) < 0;
     }
 
     private static Duration behind(Member m) {
-        return m.behind == null ? Duration.ZERO : m.behind;
+        return m.lag == null ? Duration.ZERO : m.lag;
     }
 
     private static boolean missedAt(Txn t, Member m) {
         return t.submissions.stream()
-                .anyMatch(s -> s.member == m && (s.out() || s.end == End.MISSED));
+                .anyMatch(s -> s.member == m && (s.isOutstanding() || s.outcome == Outcome.MISSED));
     }
 
     /**
@@ -823,8 +842,8 @@
      */
     private Duration needs(Txn t, Duration now) {
         return switch (t.type.freshness()) {
-            case RECENT -> now.minus(t.type.oldestData()).plus(step);
-            case OWN_WRITES -> t.mustReflect == null ? null : t.mustReflect.plus(step);
+            case RECENT -> now.minus(t.type.maxDataAge()).plus(step);
+            case OWN_WRITES -> t.requiredPosition == null ? null : t.requiredPosition.plus(step);
             default -> null;
         };
     }
@@ -835,19 +854,20 @@
      */
     private boolean refresh(Group g, Txn t, Duration now) {
         Duration bound =
-                t.type.freshness() == Freshness.RECENT ? t.type.oldestData() : t.type.slaTime();
+                t.type.freshness() == Freshness.RECENT ? t.type.maxDataAge() : t.type.slaTime();
         int asked = 0;
         int start = random.nextInt(g.members.size());
         for (int i = 0; i < g.members.size() && asked < 2; i++) {
             Member m = g.members.get((start + i) % g.members.size());
             if (m != g.primary
                     && !away(m, now)
-                    && (m.probeOut
-                            || (m.probedAt == null
-                                            || now.minus(m.probedAt).compareTo(bound.dividedBy(4))
+                    && (m.probeInFlight
+                            || (m.lastProbeAt == null
+                                            || now.minus(m.lastProbeAt)
+                                                            .compareTo(bound.dividedBy(4))
                                                     > 0)
-                                    && (m.positionHeard == null
-                                            || now.minus(m.positionHeard)
+                                    && (m.positionReportedAt == null
+                                            || now.minus(m.positionReportedAt)
                                                             .compareTo(bound.dividedBy(4))
                                                     > 0)
                                     && probe(m, now))) {
@@ -861,7 +881,9 @@
     private double cost(Member m, Duration now) {
         double slow = Math.min(4, Math.max(0.5, ratio(m, now)));
         double away = m.zone != (int) number("zone") && number("price.cross-zone") > 0 ? 0.25 : 0;
-        return (m.out.size() + 0.5) / room(m, now) * slow + away + random.nextDouble() * 0.02;
+        return (m.outstanding.size() + 0.5) / room(m, now) * slow
+                + away
+                + random.nextDouble() * 0.02;
     }
 
     private void submit(Txn t, Member m, Duration now) {
@@ -869,18 +891,18 @@
         Submission s = new Submission(t, t.submissions.size(), m, now);
         (t.submissions.isEmpty() ? firsts : furthers).add(now, 1);
         t.submissions.add(s);
-        m.quietSince = m.out.isEmpty() ? now : m.quietSince;
-        m.out.add(s);
-        sentToKind.get(m.kind).sent.add(now, calm(t.type));
-        m.credit = Math.max(0, m.credit - calm(t.type));
+        m.lastProgressAt = m.outstanding.isEmpty() ? now : m.lastProgressAt;
+        m.outstanding.add(s);
+        sentToKind.get(m.hostClass).submittedWorkMs.add(now, calm(t.type));
+        m.creditMs = Math.max(0, m.creditMs - calm(t.type));
         ready.add(Decision.submit(t.id, m.id, s.number, null));
-        alarm(min(endAt(t), now.plus(millis(2 * usual(t.type, now)))), t);
+        alarm(min(endAt(t), now.plus(ofMillis(2 * usual(t.type, now)))), t);
     }
 
     private void hold(Txn t, Duration now) {
         if (!t.answered && !t.held) {
             t.held = true;
-            (t.type.toPrimary() ? t.group.writes : t.group.reads).add(t);
+            (t.type.requiresPrimary() ? t.group.heldWrites : t.group.heldReads).add(t);
             touch(t.group);
             if (!t.submissions.isEmpty()) {
                 alarm(now, t);
@@ -906,21 +928,24 @@
             return;
         }
         for (Submission s : t.submissions) {
-            if (s.out() && quiet(s.member, now)) {
+            if (s.isOutstanding() && quiet(s.member, now)) {
                 moveOn(t, s, now);
             }
         }
-        alarm(min(endAt(t), now.plus(millis(usual(t.type, now)))), t);
+        alarm(min(endAt(t), now.plus(ofMillis(usual(t.type, now)))), t);
     }
 
     /** A submission is out at a member that has gone silent. */
     private void moveOn(Txn t, Submission s, Duration now) {
         Group g = t.group;
         if (g.primary == s.member) {
-            search(g, now, "primary silent " + s.member.id + " holding " + s.member.out.size());
+            search(
+                    g,
+                    now,
+                    "primary silent " + s.member.id + " holding " + s.member.outstanding.size());
         }
-        if (t.type.repeat() != Repeat.REPEATABLE
-                || s.cancelled
+        if (t.type.repeatability() != Repeatability.REPEATABLE
+                || s.cancelRequested
                 || late(t, now)
                 || t.held
                 || t.submissions.size() >= number("most-submissions")
@@ -929,16 +954,16 @@
         }
         if (!flag("second-copies")) {
             cancel(s);
-        } else if (t.out() < 2) {
+        } else if (t.outstandingCount() < 2) {
             t.held = true;
-            (t.type.toPrimary() ? g.writes : g.reads).add(t);
+            (t.type.requiresPrimary() ? g.heldWrites : g.heldReads).add(t);
             touch(g);
         }
     }
 
     private void cancel(Submission s) {
-        if (s.out() && !s.cancelled && flag("may-cancel")) {
-            s.cancelled = true;
+        if (s.isOutstanding() && !s.cancelRequested && flag("may-cancel")) {
+            s.cancelRequested = true;
             ready.add(Decision.cancel(s.txn.id, s.number));
         }
     }
@@ -946,9 +971,10 @@
     /** The final answer: a decline where a retry is harmless, else a rollback. */
     private void finish(Txn t, Duration now) {
         boolean harmless =
-                t.type.repeat() == Repeat.REPEATABLE
+                t.type.repeatability() == Repeatability.REPEATABLE
                         || !t.mayHaveRun()
-                        || t.type.repeat() == Repeat.REFERENCED && t.type.anyMemberDropsRepeats();
+                        || t.type.repeatability() == Repeatability.REFERENCED
+                                && t.type.everyMemberDropsRepeats();
         // A client that can still be in time may come back at once; one that is too late better
         // waits.
         boolean away = flag("may-advise-come-back") && late(t, now);
@@ -967,9 +993,10 @@
 
     /** When a held txn is given up: what it waits for could no longer be of use by then. */
     private Duration giveUpAt(Txn t, Duration now) {
-        Duration takes = millis(Math.max(calm(t.type), usual(t.type, now)));
+        Duration takes = ofMillis(Math.max(calm(t.type), usual(t.type, now)));
         Duration last =
-                (t.type.lateShare() > 0 ? t.expiresAt : min(t.aimAt, t.expiresAt)).minus(takes);
+                (t.type.lateShare() > 0 ? t.expiresAt : min(t.slaDeadline, t.expiresAt))
+                        .minus(takes);
         if (t.type.lateShare() == 0) {
             // Half of it: a client that asks again may then still be served in time.
             last = min(last, t.arrivedAt.plus(t.type.slaTime().minus(takes).dividedBy(2)));
@@ -982,37 +1009,44 @@
     }
 
     private boolean mayRepeat(Txn t, Duration now) {
-        return t.type.repeat() == Repeat.REPEATABLE
+        return t.type.repeatability() == Repeatability.REPEATABLE
                 || !t.mayHaveRun()
-                || t.type.repeat() == Repeat.REFERENCED
-                        && now.plus(step).compareTo(t.firstMayHaveRunAt().plus(t.type.window()))
+                || t.type.repeatability() == Repeatability.REFERENCED
+                        && now.plus(step)
+                                        .compareTo(
+                                                t.earliestPossibleRunAt()
+                                                        .plus(t.type.repeatWindow()))
                                 < 0;
     }
 
     private boolean mayGoAgain(Txn t, Duration now) {
         return t.submissions.isEmpty()
                 || mayRepeat(t, now)
-                        && (t.out() == 0 || flag("second-copies"))
+                        && (t.outstandingCount() == 0 || flag("second-copies"))
                         && t.submissions.size() < number("most-submissions")
                         && budget(now);
     }
 
     /** Further submissions follow the share of recent ones that succeeded. */
     private boolean budget(Duration now) {
-        double share = (committed.read(now) + 1) / (ended.read(now) + 1);
-        return furthers.read(now) < 4 + 0.5 * share * firsts.read(now);
+        double share = (committed.valueAt(now) + 1) / (ended.valueAt(now) + 1);
+        return furthers.valueAt(now) < 4 + 0.5 * share * firsts.valueAt(now);
     }
 
     // ---- members' health ----
 
     private void measure(Member m, Txn t, Duration time, Duration now) {
-        for (Took of : new Took[] {took[t.type.index()], kind(m)[t.type.index()]}) {
-            of.add(now, ms(time));
+        for (ResponseTimes of :
+                new ResponseTimes[] {took[t.type.index()], kind(m)[t.type.index()]}) {
+            of.add(now, toMillis(time));
             // A low mean that rises only slowly; the mean of a few is no ground for it.
-            of.calm = of.count.read(now) < 16 ? of.calm : Math.min(of.calm * 1.0002, of.usual(now));
+            of.baselineMs =
+                    of.sampleCount.valueAt(now) < 16
+                            ? of.baselineMs
+                            : Math.min(of.baselineMs * 1.0002, of.meanMs(now));
         }
-        m.answers.add(now, 1);
-        m.slowness.add(now, ms(time) / target(m, t.type));
+        m.answerCount.add(now, 1);
+        m.slownessSum.add(now, toMillis(time) / target(m, t.type));
         // Guards against replicas that fall behind as they are crowded: a lag well inside the bound
         // lowers
         // the limit while it grows, else keeps it from rising. Where answers are quick it has
@@ -1021,14 +1055,15 @@
                 m != m.group.primary
                         && behind(m).compareTo(bound.dividedBy(4)) > 0
                         && ratio(m, now) > 0.75;
-        boolean growing = behind(m).compareTo(m.behindBefore) > 0;
-        m.behindBefore = behind(m);
+        boolean growing = behind(m).compareTo(m.previousLag) > 0;
+        m.previousLag = behind(m);
         if (ratio(m, now) > 1 || behind && growing) {
-            m.limit = Math.max(1, Math.min(m.limit, m.out.size() + 1) * 0.75);
-        } else if (!behind && m.out.size() + 1 >= m.limit - 1) {
-            m.limit += 1 / m.limit;
+            m.concurrencyLimit =
+                    Math.max(1, Math.min(m.concurrencyLimit, m.outstanding.size() + 1) * 0.75);
+        } else if (!behind && m.outstanding.size() + 1 >= m.concurrencyLimit - 1) {
+            m.concurrencyLimit += 1 / m.concurrencyLimit;
         }
-        if (m == t.group.primary && !t.type.update()) {
+        if (m == t.group.primary && !t.type.isUpdate()) {
             t.group.spillShare =
                     ratio(m, now) > 1
                             ? Math.max(SPILL_SHARE, t.group.spillShare * 0.8)
@@ -1038,90 +1073,90 @@
 
     /** What an answer may take of a member that is used but not crowded. */
     private double target(Member m, TxnType type) {
-        double calm = kind(m)[type.index()].calm;
-        return Math.sqrt(calm * ms(type.slaTime()));
+        double calm = kind(m)[type.index()].baselineMs;
+        return Math.sqrt(calm * toMillis(type.slaTime()));
     }
 
-    private Took[] kind(Member m) {
-        return tookByKind.computeIfAbsent(m.kind, k -> newTook());
+    private ResponseTimes[] kind(Member m) {
+        return tookByKind.computeIfAbsent(m.hostClass, k -> newTook());
     }
 
-    private Took[] newTook() {
-        Took[] all = new Took[types.length];
+    private ResponseTimes[] newTook() {
+        ResponseTimes[] all = new ResponseTimes[types.length];
         for (int i = 0; i < all.length; i++) {
-            all[i] = new Took(memory.multipliedBy(4), ms(types[i].slaTime()) / 4);
+            all[i] = new ResponseTimes(memory.multipliedBy(4), toMillis(types[i].slaTime()) / 4);
         }
         return all;
     }
 
     private double ratio(Member m, Duration now) {
-        return (m.slowness.read(now) + 0.5) / (m.answers.read(now) + 1);
+        return (m.slownessSum.valueAt(now) + 0.5) / (m.answerCount.valueAt(now) + 1);
     }
 
     private double usual(TxnType type, Duration now) {
-        return took[type.index()].usual(now);
+        return took[type.index()].meanMs(now);
     }
 
     private double calm(TxnType type) {
-        return took[type.index()].calm;
+        return took[type.index()].baselineMs;
     }
 
     /**
      * Silent: its work has waited, all together, several usual answer times since its last sign.
      */
     private boolean quiet(Member m, Duration now) {
-        if (m.silent || m.out.isEmpty()) {
-            return m.silent;
+        if (m.unresponsive || m.outstanding.isEmpty()) {
+            return m.unresponsive;
         }
         double waited = 0;
-        for (Submission s : m.out) {
+        for (Submission s : m.outstanding) {
             // One that later answers have overtaken by far is stuck by itself: it says nothing of
             // the member.
             double usual = usual(s.txn.type, now);
             waited +=
-                    ms(m.quietSince.minus(s.sentAt)) > PATIENCE * usual
+                    toMillis(m.lastProgressAt.minus(s.sentAt)) > PATIENCE * usual
                             ? 0
-                            : ms(now.minus(max(s.sentAt, m.quietSince))) / usual;
+                            : toMillis(now.minus(max(s.sentAt, m.lastProgressAt))) / usual;
         }
         // The last sign must be a usual answer time away as well: many out are no reason to doubt
         // sooner.
-        Txn any = m.out.iterator().next().txn;
-        if (waited > PATIENCE && ms(now.minus(m.quietSince)) > usual(any.type, now)) {
-            m.silent = true;
+        Txn any = m.outstanding.iterator().next().txn;
+        if (waited > PATIENCE && toMillis(now.minus(m.lastProgressAt)) > usual(any.type, now)) {
+            m.unresponsive = true;
             log.accept(
                     "member "
                             + m.id
                             + " silent for "
-                            + (long) ms(now.minus(m.quietSince))
+                            + (long) toMillis(now.minus(m.lastProgressAt))
                             + " ms holding "
-                            + m.out.size());
+                            + m.outstanding.size());
         }
-        return m.silent;
+        return m.unresponsive;
     }
 
     /** Not to be used now: silent, or left alone after faults. */
     private boolean away(Member m, Duration now) {
-        return now.compareTo(m.shunnedUntil) < 0 || quiet(m, now);
+        return now.compareTo(m.backoffUntil) < 0 || quiet(m, now);
     }
 
-    private void signOfLife(Member m, Duration now, End end) {
-        m.quietSince = now;
-        if (m.silent) {
-            m.silent = false;
+    private void signOfLife(Member m, Duration now, Outcome end) {
+        m.lastProgressAt = now;
+        if (m.unresponsive) {
+            m.unresponsive = false;
             log.accept("member " + m.id + " answers again");
         }
-        if (end == End.FULL) {
-            m.limit = Math.max(1, m.limit / 2);
-            m.shunnedUntil = max(m.shunnedUntil, now.plus(millis(calm(types[0]))));
+        if (end == Outcome.FULL) {
+            m.concurrencyLimit = Math.max(1, m.concurrencyLimit / 2);
+            m.backoffUntil = max(m.backoffUntil, now.plus(ofMillis(calm(types[0]))));
         } else {
-            m.failures = 0;
+            m.consecutiveFailures = 0;
             // Guards against pushing over one that is back before the list says so: out of reach
             // for a while.
-            if (m.lostSince != null && now.minus(m.lostSince).compareTo(memory) > 0) {
+            if (m.unreachableSince != null && now.minus(m.unreachableSince).compareTo(memory) > 0) {
                 m.startedAt = now;
-                m.creditAt = null;
+                m.creditUpdatedAt = null;
             }
-            m.lostSince = null;
+            m.unreachableSince = null;
         }
     }
 
@@ -1130,30 +1165,32 @@
      */
     private void turnedAway(Member m, Duration now) {
         refused.add(now, 1);
-        m.failures++;
-        m.lostSince = m.lostSince == null && m.out.isEmpty() ? now : m.lostSince;
-        Duration pause = millis(calm(types[0]) / 4 * Math.pow(2, Math.min(m.failures, 4)));
-        m.shunnedUntil = now.plus(times(pause, 0.75 + 0.5 * random.nextDouble()));
+        m.consecutiveFailures++;
+        m.unreachableSince =
+                m.unreachableSince == null && m.outstanding.isEmpty() ? now : m.unreachableSince;
+        Duration pause =
+                ofMillis(calm(types[0]) / 4 * Math.pow(2, Math.min(m.consecutiveFailures, 4)));
+        m.backoffUntil = now.plus(scale(pause, 0.75 + 0.5 * random.nextDouble()));
         if (m == m.group.primary && !m.group.searching && !probe(m, now)) {
             search(m.group, now, "no connection to " + m.id);
         }
     }
 
-    private void fault(Member m, Duration now, End end) {
-        m.failures++;
-        if (m.lostSince == null && (end == End.UNREACHABLE || end == End.RESET)) {
-            m.lostSince = now;
+    private void fault(Member m, Duration now, Outcome end) {
+        m.consecutiveFailures++;
+        if (m.unreachableSince == null && (end == Outcome.UNREACHABLE || end == Outcome.RESET)) {
+            m.unreachableSince = now;
         }
         // One broken connection among answers is no loss; with the next it is left alone for a
         // while.
-        if (m.failures < 2 && (end == End.RESET || end == End.UNREACHABLE)) {
+        if (m.consecutiveFailures < 2 && (end == Outcome.RESET || end == Outcome.UNREACHABLE)) {
             return;
         }
         Duration pause =
-                times(
+                scale(
                         max(Duration.ofMillis(250), time("connect-time-out")),
-                        Math.pow(2, Math.min(m.failures - 1, 3)));
-        m.shunnedUntil = now.plus(times(pause, 0.75 + 0.5 * random.nextDouble()));
+                        Math.pow(2, Math.min(m.consecutiveFailures - 1, 3)));
+        m.backoffUntil = now.plus(scale(pause, 0.75 + 0.5 * random.nextDouble()));
     }
 
     /** How many submissions the member may hold of this driver. */
@@ -1163,11 +1200,14 @@
         if (crowded(m, now) && crowd() > 1) {
             return 0;
         }
-        if ((m.limit < least || warmth(m, now) < 1 || crowded(m, now))
+        if ((m.concurrencyLimit < least || warmth(m, now) < 1 || crowded(m, now))
                 && credit(m, now) < calm(types[0])) {
             return 0;
         }
-        return m.failures > 1 || m.failures > 0 && now.compareTo(m.shunnedUntil) < 0 ? 1 : m.limit;
+        return m.consecutiveFailures > 1
+                        || m.consecutiveFailures > 0 && now.compareTo(m.backoffUntil) < 0
+                ? 1
+                : m.concurrencyLimit;
     }
 
     /**
@@ -1175,9 +1215,9 @@
      * nothing.
      */
     private boolean crowded(Member m, Duration now) {
-        return m.waitingAt != null
-                && m.waiting * calm(types[0]) > ms(memory) / 2
-                && now.minus(m.waitingAt).compareTo(times(memory, Math.max(4, crowd()))) < 0;
+        return m.queueReportedAt != null
+                && m.queueLength * calm(types[0]) > toMillis(memory) / 2
+                && now.minus(m.queueReportedAt).compareTo(scale(memory, Math.max(4, crowd()))) < 0;
     }
 
     /**
@@ -1185,7 +1225,7 @@
      * come to.
      */
     private double crowd() {
-        return number("drivers") * calm(types[0]) / ms(memory);
+        return number("drivers") * calm(types[0]) / toMillis(memory);
     }
 
     // Work that may be sent, saved up at a rate, as rates add up over many drivers. A cold member
@@ -1195,43 +1235,45 @@
     private double credit(Member m, Duration now) {
         double calm = calm(types[0]);
         double warm = warmth(m, now);
-        double rate = Math.min(calm / ms(memory.multipliedBy(8)), 0.5 / number("drivers"));
+        double rate = Math.min(calm / toMillis(memory.multipliedBy(8)), 0.5 / number("drivers"));
         double most = 2 * calm;
         if (warm < 1) {
-            Load load = sentToKind.get(m.kind);
+            HostClassLoad load = sentToKind.get(m.hostClass);
             if (load.countedAt == null || now.minus(load.countedAt).compareTo(time("fall")) > 0) {
                 load.countedAt = now;
                 // Each counts whole: by warm parts, many that start at once would each get the
                 // share of few.
-                load.members =
-                        members.values().stream().filter(o -> o.listed && o.kind == m.kind).count();
+                load.memberCount =
+                        members.values().stream()
+                                .filter(o -> o.listed && o.hostClass == m.hostClass)
+                                .count();
             }
             rate =
                     Math.max(
-                            calm / ms(cold),
+                            calm / toMillis(cold),
                             warm
                                     * number("fall-multiple")
                                     * 0.6
-                                    * load.sent.read(now)
+                                    * load.submittedWorkMs.valueAt(now)
                                     * Math.log(2)
-                                    / ms(load.span)
-                                    / Math.max(1, load.members));
-            most = calm + rate * ms(time("fall")) / 4;
+                                    / toMillis(load.halfLife)
+                                    / Math.max(1, load.memberCount));
+            most = calm + rate * toMillis(time("fall")) / 4;
         }
-        if (m.creditAt == null) {
-            m.credit = warm < 1 || crowd() > 1 ? random.nextDouble() * calm : most;
+        if (m.creditUpdatedAt == null) {
+            m.creditMs = warm < 1 || crowd() > 1 ? random.nextDouble() * calm : most;
         } else {
-            m.credit = Math.min(most, m.credit + rate * ms(now.minus(m.creditAt)));
+            m.creditMs = Math.min(most, m.creditMs + rate * toMillis(now.minus(m.creditUpdatedAt)));
         }
-        m.creditAt = now;
-        return m.credit;
+        m.creditUpdatedAt = now;
+        return m.creditMs;
     }
 
     private double warmth(Member m, Duration now) {
         if (m.startedAt == null || cold.isZero()) {
             return 1;
         }
-        double age = ms(now.minus(m.startedAt)) / ms(cold);
+        double age = toMillis(now.minus(m.startedAt)) / toMillis(cold);
         return age >= 1 ? 1 : number("cold-share") + (1 - number("cold-share")) * Math.max(0, age);
     }
 
@@ -1241,14 +1283,14 @@
     private boolean mustStop(Member m, Duration now, boolean asPrimary) {
         // Where the list does not prove who is gone, the txn path does: faults there leave a member
         // alone.
-        if (m.stopTold == null || m.gone && !m.seenDraining && flag("removal-not-binding")) {
+        if (m.stopLearnedAt == null || m.gone && !m.drainSeen && flag("removal-not-binding")) {
             return false;
         }
         Duration grace =
                 asPrimary && !m.gone
                         ? time("drain-grace").minus(step.multipliedBy(2))
                         : Duration.ZERO;
-        return now.compareTo(m.stopTold.plus(grace)) >= 0;
+        return now.compareTo(m.stopLearnedAt.plus(grace)) >= 0;
     }
 
     private void heardPosition(Member m, Duration position, Duration now) {
@@ -1256,8 +1298,8 @@
             return;
         }
         m.position = m.position == null ? position : max(m.position, position);
-        m.behind = now.minus(m.position);
-        m.positionHeard = now;
+        m.lag = now.minus(m.position);
+        m.positionReportedAt = now;
     }
 
     /**
@@ -1277,8 +1319,8 @@
     }
 
     private void wake(Group g, Duration at) {
-        if (g.wakeAsked == null || at.compareTo(g.wakeAsked) < 0) {
-            g.wakeAsked = at;
+        if (g.nextPassAt == null || at.compareTo(g.nextPassAt) < 0) {
+            g.nextPassAt = at;
             alarm(at, g);
         }
     }
--- a/src/main/java/wingroad/simhost/Instance.java
+++ b/src/main/java/wingroad/simhost/Instance.java
@@ -1,18 +1,20 @@
 package wingroad.simhost;
 
 import com.fasterxml.jackson.core.JsonGenerator;
-import java.io.IOException;
-import java.io.UncheckedIOException;
-import java.time.Duration;
-import java.util.List;
-import java.util.Map;
+
 import wingroad.protocol.Json;
 import wingroad.routing.Decision;
 import wingroad.routing.Router;
 import wingroad.routing.TxnRouter;
 import wingroad.state.Member;
 import wingroad.state.Submission;
-import wingroad.terms.Terms;
+import wingroad.terms.RouterSettings;
+
+import java.io.IOException;
+import java.io.UncheckedIOException;
+import java.time.Duration;
+import java.util.List;
+import java.util.Map;
 
 /**
  * One driver on the wire: its module, its clock's start, and the one wake-up that it keeps armed.
@@ -42,7 +44,7 @@
                         ? names
                         : List.of();
         this.log = steps;
-        this.router = new TxnRouter(Terms.of(profile), seed, this::writeLog);
+        this.router = new TxnRouter(RouterSettings.fromWire(profile), seed, this::writeLog);
     }
 
     private Duration sinceStart(double wall) {
@@ -86,7 +88,7 @@
                                     || "full".equals(event.get("state-code"));
                     router.probeEnded(now, member, lives, took(event));
                 }
-                case "lapsed" -> router.txnLapsed(now, Json.text(event, "op-id"));
+                case "lapsed" -> router.txnAbandoned(now, Json.text(event, "op-id"));
                 case "fired" -> {
                     if (Long.toString(armedNumber).equals(event.get("token"))) {
                         armed = null;
@@ -115,19 +117,19 @@
     private void view(Duration now, Map<String, Object> event, Map<Long, List<?>> lists) {
         String kind = Json.text(event, "kind");
         if (kind.equals("broken")) {
-            router.listFailed(now);
+            router.memberListFailed(now);
             return;
         }
         List<?> entries = lists.get(Json.number(event, "buffer").longValue());
         if (entries == null) {
             throw new Json.Malformed("no list of that number");
         }
-        router.listStarts(now, !kind.equals("patch"));
+        router.memberListStarted(now, !kind.equals("patch"));
         for (Object e : entries) {
             Map<String, Object> entry = Json.object(e, "a list entry");
             double launched = Json.number(entry, "launched", 0).doubleValue();
             String readiness = entry.get("readiness") instanceof String s ? s : "in_service";
-            router.listed(
+            router.memberListed(
                     now,
                     Json.number(entry, "member").longValue(),
                     Json.number(entry, "group", 0).intValue(),
@@ -139,23 +141,23 @@
                     readiness.equals("terminated"),
                     launched > 0 ? sinceStart(launched) : null);
         }
-        router.listEnds(now);
+        router.memberListEnded(now);
     }
 
     private void result(Duration now, Map<String, Object> event) {
         long member = Json.number(event, "member").longValue();
         report(now, member, event);
-        Submission.End end =
+        Submission.Outcome end =
                 switch (Json.text(event, "state-code")) {
-                    case "ok" -> Submission.End.COMMITTED;
-                    case "full" -> Submission.End.FULL;
-                    case "timeout" -> Submission.End.TIMED_OUT;
-                    case "connect_failed" -> Submission.End.UNREACHABLE;
-                    case "reset" -> Submission.End.RESET;
-                    case "cancelled" -> Submission.End.CANCELLED;
-                    case "moot" -> Submission.End.MOOT;
-                    case "miss" -> Submission.End.MISSED;
-                    default -> Submission.End.ERROR;
+                    case "ok" -> Submission.Outcome.COMMITTED;
+                    case "full" -> Submission.Outcome.FULL;
+                    case "timeout" -> Submission.Outcome.TIMED_OUT;
+                    case "connect_failed" -> Submission.Outcome.UNREACHABLE;
+                    case "reset" -> Submission.Outcome.RESET;
+                    case "cancelled" -> Submission.Outcome.CANCELLED;
+                    case "moot" -> Submission.Outcome.MOOT;
+                    case "miss" -> Submission.Outcome.MISSED;
+                    default -> Submission.Outcome.ERROR;
                 };
         long stand = Json.number(event, "stand", 0).longValue();
         Duration position = stand >> 2 == 0 ? null : sinceStart(zero + (stand >> 2));
@@ -191,7 +193,7 @@
                 continue;
             }
             double v = n.doubleValue();
-            switch (Terms.figure(String.valueOf(reportNames.get(i)))) {
+            switch (RouterSettings.gaugeName(String.valueOf(reportNames.get(i)))) {
                 case "position" -> position = sinceStart(zero + v * 1000);
                 case "primary" -> role = v == 1 ? Member.Role.PRIMARY : Member.Role.REPLICA;
                 case "held" -> held = v;
@@ -202,7 +204,7 @@
                 }
             }
         }
-        router.reported(now, member, role, position, held, waiting, busy);
+        router.memberReported(now, member, role, position, held, waiting, busy);
     }
 
     /** Pulls the decisions until there is none and keeps the next wake-up armed. */
@@ -210,7 +212,7 @@
         log = steps;
         Duration now = sinceStart(wall);
         try {
-            for (Decision d = router.next(now); d != null; d = router.next(now)) {
+            for (Decision d = router.nextDecision(now); d != null; d = router.nextDecision(now)) {
                 write(steps, d);
             }
             Duration wake = router.wakeAt();
@@ -236,15 +238,15 @@
                 steps.writeStringField("msg", "submit-to");
                 steps.writeStringField("op-id", d.txn());
                 steps.writeNumberField("member", d.member());
-                if (d.when() != null) {
-                    steps.writeNumberField("until", wall(d.when()));
+                if (d.deadlineOrRetryDelay() != null) {
+                    steps.writeNumberField("until", wall(d.deadlineOrRetryDelay()));
                 }
             }
             case DECLINE -> {
                 steps.writeStringField("msg", "refuse");
                 steps.writeStringField("op-id", d.txn());
-                if (d.when() != null) {
-                    steps.writeNumberField("come-back", Json.ms(d.when()));
+                if (d.deadlineOrRetryDelay() != null) {
+                    steps.writeNumberField("come-back", Json.ms(d.deadlineOrRetryDelay()));
                 }
             }
             case ROLL_BACK -> {
--- a/src/main/java/wingroad/state/DecayingSum.java
+++ b/src/main/java/wingroad/state/DecayingSum.java
@@ -13,10 +13,10 @@
     }
 
     public void add(Duration now, double amount) {
-        sum = read(now) + amount;
+        sum = valueAt(now) + amount;
     }
 
-    public double read(Duration now) {
+    public double valueAt(Duration now) {
         long nanos = now.toNanos();
         if (nanos > at) {
             if (sum != 0) {
--- a/src/main/java/wingroad/state/Spans.java
+++ b/src/main/java/wingroad/state/Durations.java
@@ -3,18 +3,18 @@
 import java.time.Duration;
 
 /** Arithmetic on spans of time. */
-public final class Spans {
-    private Spans() {}
+public final class Durations {
+    private Durations() {}
 
-    public static double ms(Duration d) {
+    public static double toMillis(Duration d) {
         return d.toNanos() / 1e6;
     }
 
-    public static Duration millis(double ms) {
+    public static Duration ofMillis(double ms) {
         return Duration.ofNanos((long) (ms * 1e6));
     }
 
-    public static Duration times(Duration d, double by) {
+    public static Duration scale(Duration d, double by) {
         return Duration.ofNanos((long) (d.toNanos() * by));
     }
 
--- a/src/main/java/wingroad/state/Group.java
+++ b/src/main/java/wingroad/state/Group.java
@@ -11,26 +11,26 @@
     public final List<Member> members = new ArrayList<>();
     public Member primary;
     public boolean searching;
-    public Duration searchSince;
+    public Duration searchStartedAt;
     public int searchRounds;
-    public Duration nextProbe;
+    public Duration nextSearchProbeAt;
 
     /** Probe at the fast rate until then. */
-    public Duration watchUntil = Duration.ZERO;
+    public Duration fastProbeUntil = Duration.ZERO;
 
     /** Txns that wait for a member, in the order in which they came. */
-    public final ArrayDeque<Txn> writes = new ArrayDeque<>();
+    public final ArrayDeque<Txn> heldWrites = new ArrayDeque<>();
 
-    public final ArrayDeque<Txn> reads = new ArrayDeque<>();
+    public final ArrayDeque<Txn> heldReads = new ArrayDeque<>();
 
     /** The part of the reads without a fit replica that may go to the primary. */
     public double spillShare;
 
     /** The time for which the newest claim to be primary was proven. */
-    public Duration claimAt;
+    public Duration primaryClaimAt;
 
     /** When this group asked to be looked at again, or null. */
-    public Duration wakeAsked;
+    public Duration nextPassAt;
 
     public boolean dirty;
 
--- a/src/main/java/wingroad/state/Submission.java
+++ b/src/main/java/wingroad/state/Submission.java
@@ -5,7 +5,7 @@
 /** One attempt at a txn. */
 public final class Submission {
     /** How a submission ended. */
-    public enum End {
+    public enum Outcome {
         COMMITTED,
         ERROR,
         FULL,
@@ -26,8 +26,8 @@
     public final int number;
     public final Member member;
     public final Duration sentAt;
-    public boolean cancelled;
-    public End end;
+    public boolean cancelRequested;
+    public Outcome outcome;
 
     public Submission(Txn txn, int number, Member member, Duration sentAt) {
         this.txn = txn;
@@ -36,11 +36,11 @@
         this.sentAt = sentAt;
     }
 
-    public boolean out() {
-        return end == null;
+    public boolean isOutstanding() {
+        return outcome == null;
     }
 
     public boolean mayHaveRun() {
-        return end == null || !end.neverRan();
+        return outcome == null || !outcome.neverRan();
     }
 }
--- a/src/main/java/wingroad/state/Wheel.java
+++ b/src/main/java/wingroad/state/TimingWheel.java
@@ -6,24 +6,24 @@
  * order of the slots, within one in the order in which it was added. A timer is its own link in the
  * wheel, so nothing is allocated for it. Measured against a heap in bench/fair-queues.sh.
  */
-public final class Wheel {
+public final class TimingWheel {
     private static final int SLOT_BITS = 22;
     private static final int SLOTS = 1024;
 
     /** What is due at a time; it is in one wheel at most. */
     public static class Timer {
-        private long due;
+        private long dueNanos;
         private Timer before;
         private Timer behind;
-        private Wheel wheel;
+        private TimingWheel wheel;
         private int at;
 
         /** In nanoseconds; counts only while it is set. */
-        public final long due() {
-            return due;
+        public final long dueNanos() {
+            return dueNanos;
         }
 
-        public final boolean isSet() {
+        public final boolean isScheduled() {
             return wheel != null;
         }
     }
@@ -43,9 +43,9 @@
      * Sets the timer, anew where it was set. One that is due in the past comes out with the present
      * slot.
      */
-    public void set(Timer t, long due) {
+    public void schedule(Timer t, long due) {
         cancel(t);
-        t.due = due;
+        t.dueNanos = due;
         t.wheel = this;
         int at = (int) Math.max(due >> SLOT_BITS, slot) & SLOTS - 1;
         t.at = at;
@@ -96,7 +96,7 @@
             if ((used[at >> 6] & 1L << at) != 0) {
                 Timer last = slots[at];
                 for (Timer t = last.behind; t != last; t = t.behind) {
-                    if (t.due <= now) {
+                    if (t.dueNanos <= now) {
                         cancel(t);
                         return t;
                     }
@@ -110,7 +110,7 @@
      * When to poll next, in nanoseconds: no later than the end of the slot in which the first is
      * due; -1 where none is set.
      */
-    public long nextDue() {
+    public long nextPollNanos() {
         if (size == 0) {
             return -1;
         }
--- a/src/main/java/wingroad/state/Txn.java
+++ b/src/main/java/wingroad/state/Txn.java
@@ -13,7 +13,7 @@
     public Duration expiresAt;
 
     /** Until when an answer has its full value, as far as is known. */
-    public Duration aimAt;
+    public Duration slaDeadline;
 
     /** The client says that it has asked before. */
     public final boolean retry;
@@ -22,7 +22,7 @@
     public final long session;
 
     /** The position that the session has written up to, or null. */
-    public Duration mustReflect;
+    public Duration requiredPosition;
 
     public final List<Submission> submissions = new ArrayList<>(2);
     public boolean answered;
@@ -33,7 +33,7 @@
     /**
      * Whether it is of the part of reads without a fit replica that may spill; null: not asked yet.
      */
-    public Boolean spill;
+    public Boolean maySpillToPrimary;
 
     public Txn(
             String id,
@@ -47,16 +47,16 @@
         this.type = type;
         this.group = group;
         this.arrivedAt = arrivedAt;
-        this.aimAt = arrivedAt.plus(type.slaTime());
+        this.slaDeadline = arrivedAt.plus(type.slaTime());
         this.expiresAt = expiresAt;
         this.session = session;
         this.retry = retry;
     }
 
-    public int out() {
+    public int outstandingCount() {
         int n = 0;
         for (Submission s : submissions) {
-            if (s.out()) {
+            if (s.isOutstanding()) {
                 n++;
             }
         }
@@ -73,7 +73,7 @@
     }
 
     /** When the earliest submission that may have run was sent, or null. */
-    public Duration firstMayHaveRunAt() {
+    public Duration earliestPossibleRunAt() {
         for (Submission s : submissions) {
             if (s.mayHaveRun()) {
                 return s.sentAt;
--- a/src/main/java/wingroad/state/TxnType.java
+++ b/src/main/java/wingroad/state/TxnType.java
@@ -11,20 +11,20 @@
         Duration expiry,
         double value,
         double lateShare,
-        Repeat repeat,
+        Repeatability repeatability,
         Freshness freshness,
-        Duration oldestData,
-        Duration window,
-        boolean anyMemberDropsRepeats) {
+        Duration maxDataAge,
+        Duration repeatWindow,
+        boolean everyMemberDropsRepeats) {
 
     /** What running a txn twice would do. */
-    public enum Repeat {
+    public enum Repeatability {
         REPEATABLE,
         REFERENCED,
         ONCE_ONLY;
 
         /** The kind that the word names; one that is not known must never run twice. */
-        public static Repeat of(Object word) {
+        public static Repeatability fromSetting(Object word) {
             return "repeatable".equals(word)
                     ? REPEATABLE
                     : "referenced".equals(word) ? REFERENCED : ONCE_ONLY;
@@ -39,7 +39,7 @@
         RECENT,
         LOOSE;
 
-        public static Freshness of(Object word) {
+        public static Freshness fromSetting(Object word) {
             for (Freshness f : values()) {
                 if (f.name().toLowerCase(Locale.ROOT).replace('_', '-').equals(word)) {
                     return f;
@@ -50,7 +50,7 @@
     }
 
     /** The types that the terms describe, by their numbers. */
-    public static TxnType[] all(Map<String, Object> terms) {
+    public static TxnType[] fromSettings(Map<String, Object> terms) {
         TxnType[] all = new TxnType[terms.get("txn-types") instanceof Double n ? n.intValue() : 0];
         for (int i = 0; i < all.length; i++) {
             String t = "txn-type." + i + ".";
@@ -61,8 +61,8 @@
                             time(terms, t + "expiry"),
                             number(terms, t + "value"),
                             number(terms, t + "late-share"),
-                            Repeat.of(terms.get(t + "repeat")),
-                            Freshness.of(terms.get(t + "reads")),
+                            Repeatability.fromSetting(terms.get(t + "repeat")),
+                            Freshness.fromSetting(terms.get(t + "reads")),
                             time(terms, t + "oldest-data"),
                             time(terms, t + "window"),
                             "all".equals(terms.get(t + "repeats-dropped-by")));
@@ -78,12 +78,12 @@
         return terms.get(name) instanceof Duration d ? d : Duration.ZERO;
     }
 
-    public boolean update() {
+    public boolean isUpdate() {
         return freshness == Freshness.UPDATE;
     }
 
     /** Only the primary can serve it. */
-    public boolean toPrimary() {
-        return update() || freshness == Freshness.LATEST;
+    public boolean requiresPrimary() {
+        return isUpdate() || freshness == Freshness.LATEST;
     }
 }
--- a/src/main/java/wingroad/terms/Terms.java
+++ b/src/main/java/wingroad/terms/RouterSettings.java
@@ -1,17 +1,18 @@
 package wingroad.terms;
 
+import wingroad.protocol.Json;
+
 import java.time.Duration;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import wingroad.protocol.Json;
 
 /**
  * Renames the start-up object, the same on the simulator's wire and in a driver's configuration,
  * into the flat map of names to values that the module reads: the users' words, times as Durations.
  * What has no name here is skipped; what is absent takes the wire's default.
  */
-public final class Terms {
+public final class RouterSettings {
     private static final int NUMBER = 0;
     private static final int TIME = 1;
     private static final int WORD = 2;
@@ -102,16 +103,16 @@
                     "util",
                     "busy");
 
-    private Terms() {}
+    private RouterSettings() {}
 
-    public static String figure(String wire) {
+    public static String gaugeName(String wire) {
         return FIGURES.getOrDefault(wire, wire);
     }
 
-    public static Map<String, Object> of(Map<String, Object> wire) {
+    public static Map<String, Object> fromWire(Map<String, Object> wire) {
         Map<String, Object> terms = new HashMap<>();
         for (Name name : WHOLE) {
-            terms.put(name.ours, value(name, at(wire, name.wire)));
+            terms.put(name.ours, value(name, valueAt(wire, name.wire)));
         }
         List<?> types = wire.get("grades") instanceof List<?> l ? l : List.of();
         terms.put("txn-types", (double) types.size());
@@ -121,11 +122,11 @@
                 Object v = types.get(i) instanceof Map<?, ?> m ? m.get(name.wire) : null;
                 terms.put(prefix + name.ours, value(name, v));
             }
-            Object fresh = element(at(wire, "family-info.consistency"), i);
+            Object fresh = element(valueAt(wire, "family-info.consistency"), i);
             terms.put(prefix + "reads", fresh instanceof String s ? word(s) : "loose");
             terms.put(
                     prefix + "oldest-data",
-                    element(at(wire, "family-info.oldest-data"), i) instanceof Number n
+                    element(valueAt(wire, "family-info.oldest-data"), i) instanceof Number n
                             ? Json.span(n)
                             : Duration.ZERO);
         }
@@ -137,7 +138,7 @@
     }
 
     /** What stands at this path, such as {@code grades[0].aim}, or null. */
-    static Object at(Map<String, Object> wire, String path) {
+    static Object valueAt(Map<String, Object> wire, String path) {
         Object v = wire;
         for (String part : path.split("\\.")) {
             int open = part.indexOf('[');
--- a/src/main/java/wingroad/terms/TermsCheck.java
+++ b/src/main/java/wingroad/terms/SettingsValidator.java
@@ -11,20 +11,20 @@
  * they are of two shapes of deployment. What is absent takes its default; keys that are not read
  * are not looked at, as the wire asks.
  */
-public final class TermsCheck {
+public final class SettingsValidator {
     private static final double DAY_MS = 86_400_000;
     private static final double MANY = 1e6;
 
     private final Map<String, Object> settings;
     private final List<String> problems = new ArrayList<>();
 
-    private TermsCheck(Map<String, Object> settings) {
+    private SettingsValidator(Map<String, Object> settings) {
         this.settings = settings;
     }
 
     /** The problems, in the order of the wire's page; none where the settings can be used. */
     public static List<String> problems(Map<String, Object> settings) {
-        TermsCheck check = new TermsCheck(settings);
+        SettingsValidator check = new SettingsValidator(settings);
         check.whole();
         check.types();
         check.shapes();
@@ -67,7 +67,8 @@
     }
 
     private void types() {
-        if (!(Terms.at(settings, "grades") instanceof List<?> types) || types.isEmpty()) {
+        if (!(RouterSettings.valueAt(settings, "grades") instanceof List<?> types)
+                || types.isEmpty()) {
             problems.add("grades: a list of the txn types, one at the least, is needed");
             return;
         }
@@ -124,7 +125,7 @@
                                                 n ->
                                                         "position"
                                                                 .equals(
-                                                                        Terms.figure(
+                                                                        RouterSettings.gaugeName(
                                                                                 String.valueOf(
                                                                                         n))));
         int types = get("grades") instanceof List<?> l ? l.size() : 0;
@@ -138,13 +139,14 @@
             }
             if (recent && !proven) {
                 problems.add(
-                        "family-info.stamps: members neither check nor tell a position, so no replica may be read");
+                        "family-info.stamps: members neither check nor tell a position, so no"
+                            + " replica may be read");
             }
         }
     }
 
     private Object get(String path) {
-        return Terms.at(settings, path);
+        return RouterSettings.valueAt(settings, path);
     }
 
     private String text(String path, String absent) {
--- a/src/test/java/wingroad/Fixtures.java
+++ b/src/test/java/wingroad/Fixtures.java
@@ -2,6 +2,11 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
+import wingroad.routing.Decision;
+import wingroad.routing.TxnRouter;
+import wingroad.state.Member.Role;
+import wingroad.state.Submission.Outcome;
+
 import java.io.BufferedReader;
 import java.io.ByteArrayOutputStream;
 import java.io.DataInputStream;
@@ -22,10 +27,6 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
-import wingroad.routing.Decision;
-import wingroad.routing.TxnRouter;
-import wingroad.state.Member.Role;
-import wingroad.state.Submission.End;
 
 /**
  * What the tests share: terms of a small deployment, a router and short ways to tell it things, and
@@ -82,21 +83,22 @@
     /** A router whose list names these members of group 7, all long up, in zone 0. */
     public Fixtures group(long... members) {
         router = new TxnRouter(terms, 42, log::add);
-        router.listStarts(at(0), true);
+        router.memberListStarted(at(0), true);
         for (long m : members) {
             listed(0, m, false, null);
         }
-        router.listEnds(at(0));
+        router.memberListEnded(at(0));
         return this;
     }
 
     public void listed(long now, long member, boolean draining, Duration startedAt) {
-        router.listed(at(now), member, 7, 0, 0, 1, false, draining, false, startedAt);
+        router.memberListed(at(now), member, 7, 0, 0, 1, false, draining, false, startedAt);
     }
 
     /** A probe's answer: the member's role and position, as of now. */
     public void says(long now, long member, Role role, long position) {
-        router.reported(at(now), member, role, at(position), Double.NaN, Double.NaN, Double.NaN);
+        router.memberReported(
+                at(now), member, role, at(position), Double.NaN, Double.NaN, Double.NaN);
         router.probeEnded(at(now), member, true, at(1));
     }
 
@@ -113,14 +115,16 @@
         router.txnArrived(at(now), id, type, 7, at(left), -1, null, false, Duration.ZERO);
     }
 
-    public void ends(long now, String id, int submission, long member, End end, Role role) {
+    public void ends(long now, String id, int submission, long member, Outcome end, Role role) {
         router.submissionEnded(
-                at(now), id, submission, member, end, ANSWER, end == End.COMMITTED, role, null);
+                at(now), id, submission, member, end, ANSWER, end == Outcome.COMMITTED, role, null);
     }
 
     public List<Decision> decisions(long now) {
         List<Decision> all = new ArrayList<>();
-        for (Decision d = router.next(at(now)); d != null; d = router.next(at(now))) {
+        for (Decision d = router.nextDecision(at(now));
+                d != null;
+                d = router.nextDecision(at(now))) {
             all.add(d);
         }
         return all;
@@ -492,22 +496,23 @@
     public static String write(String id) {
         return "/* id="
                 + id
-                + ",c=change,d=4000,cluster=7 */ INSERT INTO records (k, v) VALUES ('ab', '\\x9f03')"
-                + " RETURNING v";
+                + ",c=change,d=4000,cluster=7 */ INSERT INTO records (k, v) VALUES ('ab',"
+                + " '\\x9f03') RETURNING v";
     }
 
     public static final String SETTINGS =
             """
-        {"azs":["a"],"shapes":["std"],"balancers":1,"index":0,"zone":0,"granularity":5,"discovery":"push",
-         "grades":[{"name":"look","aim":750,"deadline":3000,"semantics":"repeatable","worth":1,"window":5000},
-          {"name":"change","aim":1200,"deadline":5000,"semantics":"once","worth":6,"late-share":0.3,"window":5000}],
-         "family-info":{"checks":"silent","consistency":["recent","update"],"oldest-data":[1500,0],"stamps":true,
-          "write-marks":"client","role-in-list":"silent"},
-         "report":{"source":"piggyback","names":["x0","x1"]},
-         "limits":{"cancelling":true,"probes":true,"retry-after":true,"second-copies":true,"max-attempts":6,
-          "max-retry-after":500,"connect-timeout":250,"keepalive":30000},
-         "rules":{"cold":16000,"cold-share":0.26,"drain-grace":1000,"fall":1500,"fall-multiple":2.5,
-          "ask-within":10000,"answer-slack":20}}""";
+            {"azs":["a"],"shapes":["std"],"balancers":1,"index":0,"zone":0,"granularity":5,"discovery":"push",
+             "grades":[{"name":"look","aim":750,"deadline":3000,"semantics":"repeatable","worth":1,"window":5000},
+              {"name":"change","aim":1200,"deadline":5000,"semantics":"once","worth":6,"late-share":0.3,"window":5000}],
+             "family-info":{"checks":"silent","consistency":["recent","update"],"oldest-data":[1500,0],"stamps":true,
+              "write-marks":"client","role-in-list":"silent"},
+             "report":{"source":"piggyback","names":["x0","x1"]},
+             "limits":{"cancelling":true,"probes":true,"retry-after":true,"second-copies":true,"max-attempts":6,
+              "max-retry-after":500,"connect-timeout":250,"keepalive":30000},
+             "rules":{"cold":16000,"cold-share":0.26,"drain-grace":1000,"fall":1500,"fall-multiple":2.5,
+              "ask-within":10000,"answer-slack":20}}\
+            """;
 
     private interface Task {
         void run() throws Exception;
--- a/src/test/java/wingroad/door/FairQueuesTest.java
+++ b/src/test/java/wingroad/door/FairQueuesTest.java
@@ -11,7 +11,7 @@
 
 import wingroad.door.FairQueueSettings.TenantSettings;
 import wingroad.door.Play.Crowd;
-import wingroad.state.Submission.End;
+import wingroad.state.Submission.Outcome;
 
 import java.time.Duration;
 import java.util.ArrayList;
@@ -383,7 +383,7 @@
             }
             if (!in.isEmpty() && now % 50 == 0) {
                 for (QueuedTxn v : in) {
-                    play.door.onSubmissionEnded(at(now), v, End.COMMITTED, at(50));
+                    play.door.onSubmissionEnded(at(now), v, Outcome.COMMITTED, at(50));
                     play.door.onTxnClosed(at(now), v);
                 }
                 in.clear();
@@ -411,7 +411,7 @@
         // Their ends come after all, and change nothing twice.
         stuck.forEach(
                 v -> {
-                    play.door.onSubmissionEnded(at(3000), v, End.TIMED_OUT, at(2900));
+                    play.door.onSubmissionEnded(at(3000), v, Outcome.TIMED_OUT, at(2900));
                     play.door.onTxnClosed(at(3000), v);
                     play.door.onTxnClosed(at(3000), v);
                 });
--- a/src/test/java/wingroad/door/Play.java
+++ b/src/test/java/wingroad/door/Play.java
@@ -1,6 +1,6 @@
 package wingroad.door;
 
-import wingroad.state.Submission.End;
+import wingroad.state.Submission.Outcome;
 
 import java.time.Duration;
 import java.util.ArrayList;
@@ -286,7 +286,7 @@
         busy--;
         out--;
         Asker a = asked.remove(id);
-        door.onSubmissionEnded(at(now), a.queued, End.COMMITTED, at(now - sentAt.remove(id)));
+        door.onSubmissionEnded(at(now), a.queued, Outcome.COMMITTED, at(now - sentAt.remove(id)));
         door.onTxnClosed(at(now), a.queued);
         later(now, () -> a.answered(true, null));
         submit();
--- a/src/test/java/wingroad/driver/ClientsTest.java
+++ b/src/test/java/wingroad/driver/ClientsTest.java
@@ -1,11 +1,22 @@
 package wingroad.driver;
 
 import static org.assertj.core.api.Assertions.assertThat;
+
 import static wingroad.Fixtures.message;
 import static wingroad.Fixtures.read;
 import static wingroad.Fixtures.text;
 import static wingroad.Fixtures.write;
 
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+
+import wingroad.Fixtures;
+import wingroad.rig.Peer;
+import wingroad.routing.TxnRouter;
+import wingroad.state.Member.Role;
+import wingroad.state.Submission.Outcome;
+import wingroad.transport.EventLoop;
+
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -17,14 +28,6 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
-import org.junit.jupiter.api.BeforeEach;
-import org.junit.jupiter.api.Test;
-import wingroad.Fixtures;
-import wingroad.rig.Peer;
-import wingroad.routing.TxnRouter;
-import wingroad.state.Member.Role;
-import wingroad.state.Submission.End;
-import wingroad.transport.EventLoop;
 
 /**
  * Clients that leave, send, and are told the end, at moments that the test chooses; the members are
@@ -103,9 +106,10 @@
                         bugs.add(e);
                     }
                     Duration now = clock.now();
-                    exchange.router().listStarts(now, true);
-                    exchange.router().listed(now, MEMBER, 7, 0, 0, 1, false, false, false, null);
-                    exchange.router().listEnds(now);
+                    exchange.router().memberListStarted(now, true);
+                    exchange.router()
+                            .memberListed(now, MEMBER, 7, 0, 0, 1, false, false, false, null);
+                    exchange.router().memberListEnded(now);
                 });
         port = at.poll(20, TimeUnit.SECONDS);
     }
@@ -115,7 +119,7 @@
         loop.run(
                 () ->
                         exchange.router()
-                                .reported(
+                                .memberReported(
                                         clock.now(),
                                         MEMBER,
                                         Role.PRIMARY,
@@ -158,7 +162,7 @@
                 () ->
                         exchange.ended(
                                 e,
-                                End.COMMITTED,
+                                Outcome.COMMITTED,
                                 Duration.ofMillis(1),
                                 new Exchange.MemberStatus(Role.PRIMARY, null, null),
                                 row));
@@ -189,7 +193,7 @@
             loop.run(
                     () ->
                             exchange.router()
-                                    .reported(
+                                    .memberReported(
                                             clock.now(),
                                             MEMBER,
                                             Role.REPLICA,
@@ -319,7 +323,7 @@
                 () -> {
                     exchange.ended(
                             e,
-                            End.COMMITTED,
+                            Outcome.COMMITTED,
                             Duration.ofMillis(1),
                             new Exchange.MemberStatus(Role.PRIMARY, null, null),
                             row);
--- a/src/test/java/wingroad/driver/MembersTest.java
+++ b/src/test/java/wingroad/driver/MembersTest.java
@@ -1,6 +1,7 @@
 package wingroad.driver;
 
 import static org.assertj.core.api.Assertions.assertThat;
+
 import static wingroad.Fixtures.DESCRIPTION;
 import static wingroad.Fixtures.READY;
 import static wingroad.Fixtures.column;
@@ -8,6 +9,16 @@
 import static wingroad.Fixtures.message;
 import static wingroad.Fixtures.text;
 
+import org.junit.jupiter.api.Test;
+
+import wingroad.Fixtures.Script;
+import wingroad.Fixtures.StandInMember;
+import wingroad.protocol.MemberList;
+import wingroad.protocol.Statement;
+import wingroad.rig.Peer;
+import wingroad.state.Submission.Outcome;
+import wingroad.transport.EventLoop;
+
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.ServerSocket;
@@ -19,14 +30,6 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
-import org.junit.jupiter.api.Test;
-import wingroad.Fixtures.Script;
-import wingroad.Fixtures.StandInMember;
-import wingroad.protocol.MemberList;
-import wingroad.protocol.Statement;
-import wingroad.rig.Peer;
-import wingroad.state.Submission.End;
-import wingroad.transport.EventLoop;
 
 /** How each way in which a member can answer, or not answer, ends a submission. */
 class MembersTest {
@@ -43,7 +46,7 @@
     /** Runs once, in the turn of the loop in which the next submission ends. */
     private volatile Runnable atItsEnd;
 
-    private record Ended(End end, Exchange.MemberStatus status, byte[] row) {}
+    private record Ended(Outcome end, Exchange.MemberStatus status, byte[] row) {}
 
     private static EventLoop loop(int most) {
         try {
@@ -77,7 +80,7 @@
                     @Override
                     public void ended(
                             Exchange.MemberRequest e,
-                            End end,
+                            Outcome end,
                             Duration took,
                             Exchange.MemberStatus status,
                             byte[] row) {
@@ -94,7 +97,7 @@
                             long member, boolean answered, Duration took, Exchange.Report report) {
                         ends.add(
                                 new Ended(
-                                        answered ? End.COMMITTED : End.ERROR,
+                                        answered ? Outcome.COMMITTED : Outcome.ERROR,
                                         new Exchange.MemberStatus(
                                                 report.role(), report.position(), report),
                                         null));
@@ -156,7 +159,7 @@
     @Test
     void aRowIsCommittedWithItsRoleAndPosition() throws Exception {
         Ended e = end((sql, s) -> s.row("val", true));
-        assertThat(e.end()).isEqualTo(End.COMMITTED);
+        assertThat(e.end()).isEqualTo(Outcome.COMMITTED);
         assertThat(e.status().role().name()).isEqualTo("PRIMARY");
         assertThat(e.status().position()).isBetween(clock.now().minusSeconds(20), clock.now());
         assertThat(e.row()).startsWith(message('T', DESCRIPTION));
@@ -164,16 +167,16 @@
 
     @Test
     void eachErrorCodeHasItsEnd() throws Exception {
-        assertThat(end((sql, s) -> s.error("25006", false)).end()).isEqualTo(End.MISSED);
-        assertThat(end((sql, s) -> s.error("72000", false)).end()).isEqualTo(End.MISSED);
-        assertThat(end((sql, s) -> s.error("53300", false)).end()).isEqualTo(End.FULL);
-        assertThat(end((sql, s) -> s.error("XX000", false)).end()).isEqualTo(End.ERROR);
-        assertThat(end((sql, s) -> s.error("08P01", false)).end()).isEqualTo(End.ERROR);
+        assertThat(end((sql, s) -> s.error("25006", false)).end()).isEqualTo(Outcome.MISSED);
+        assertThat(end((sql, s) -> s.error("72000", false)).end()).isEqualTo(Outcome.MISSED);
+        assertThat(end((sql, s) -> s.error("53300", false)).end()).isEqualTo(Outcome.FULL);
+        assertThat(end((sql, s) -> s.error("XX000", false)).end()).isEqualTo(Outcome.ERROR);
+        assertThat(end((sql, s) -> s.error("08P01", false)).end()).isEqualTo(Outcome.ERROR);
     }
 
     @Test
     void aConnectionThatBreaksAfterTheLastByteMayHaveRun() throws Exception {
-        assertThat(end((sql, s) -> s.end()).end()).isEqualTo(End.RESET);
+        assertThat(end((sql, s) -> s.end()).end()).isEqualTo(Outcome.RESET);
         assertThat(
                         end((sql, s) -> {
                                     s.raw(
@@ -182,7 +185,7 @@
                                     s.end();
                                 })
                                 .end())
-                .isEqualTo(End.RESET);
+                .isEqualTo(Outcome.RESET);
     }
 
     @Test
@@ -191,7 +194,7 @@
                 new byte[][] {
                     READY, message('?'), {'D', 127, 0, 0, 0}, message('D', column("x"))
                 }) {
-            assertThat(end((sql, s) -> s.raw(bad)).end()).isEqualTo(End.ERROR);
+            assertThat(end((sql, s) -> s.raw(bad)).end()).isEqualTo(Outcome.ERROR);
         }
     }
 
@@ -217,7 +220,7 @@
                                         s.awaitEnd();
                                     })
                                     .end())
-                    .isEqualTo(End.ERROR);
+                    .isEqualTo(Outcome.ERROR);
         }
     }
 
@@ -238,15 +241,15 @@
             try (StandInMember m =
                     new StandInMember(false, (sql, s) -> s.row("first", false, more))) {
                 dispatch(m.port(), LONG);
-                assertThat(next().end()).isEqualTo(End.COMMITTED);
+                assertThat(next().end()).isEqualTo(Outcome.COMMITTED);
                 dispatch(m.port(), LONG);
                 Ended second = next();
-                if (second.end() == End.MOOT) {
+                if (second.end() == Outcome.MOOT) {
                     // Nothing of it had been sent.
                     dispatch(m.port(), LONG);
                     second = next();
                 }
-                assertThat(second.end()).isEqualTo(End.COMMITTED);
+                assertThat(second.end()).isEqualTo(Outcome.COMMITTED);
                 assertThat(new String(second.row(), StandardCharsets.ISO_8859_1)).contains("first");
                 assertThat(m.connections).hasValue(2);
             }
@@ -257,7 +260,7 @@
     void aLargeRowComesThroughWhole() throws Exception {
         String large = "z".repeat(1_000_000);
         Ended e = end((sql, s) -> s.row(large, false));
-        assertThat(e.end()).isEqualTo(End.COMMITTED);
+        assertThat(e.end()).isEqualTo(Outcome.COMMITTED);
         assertThat(e.row()).hasSizeGreaterThan(1_000_000);
         // Asked on the loop's own thread, behind the task that the answer came with: that one gives
         // its buffer back at its end.
@@ -270,7 +273,7 @@
     void oneThatIsNoLongerThoughtOfIsLetGoWithItsConnections() throws Exception {
         try (StandInMember m = new StandInMember(false, (sql, s) -> s.row("x", false))) {
             dispatch(m.port(), LONG);
-            assertThat(next().end()).isEqualTo(End.COMMITTED);
+            assertThat(next().end()).isEqualTo(Outcome.COMMITTED);
             BlockingQueue<Integer> left = new LinkedBlockingQueue<>();
             loop.run(
                     () -> {
@@ -279,7 +282,7 @@
                     });
             assertThat(left.poll(20, TimeUnit.SECONDS)).isZero();
             dispatch(m.port(), LONG);
-            assertThat(next().end()).isEqualTo(End.COMMITTED);
+            assertThat(next().end()).isEqualTo(Outcome.COMMITTED);
             assertThat(m.connections).hasValue(2);
         }
     }
@@ -304,7 +307,7 @@
                                             wingroad.Fixtures.parameter(
                                                     "gauges", "x0=" + absurd + ",x1=1"),
                                             READY));
-            assertThat(e.end()).isEqualTo(End.COMMITTED);
+            assertThat(e.end()).isEqualTo(Outcome.COMMITTED);
             assertThat(e.status().position()).isNull();
             assertThat(e.status().report().position()).isNull();
         }
@@ -321,7 +324,7 @@
                                     s.end();
                                 })
                                 .end())
-                .isEqualTo(End.COMMITTED);
+                .isEqualTo(Outcome.COMMITTED);
     }
 
     @Test
@@ -329,10 +332,10 @@
         try (StandInMember m = new StandInMember(false, (sql, s) -> s.row("x", false))) {
             m.welcome = new byte[] {'E', 0, 0, 0, 14, 'C', '5', '7', 'P', '0', '3', 0, 0, 0, 0};
             dispatch(m.port(), LONG);
-            assertThat(next().end()).isEqualTo(End.UNREACHABLE);
+            assertThat(next().end()).isEqualTo(Outcome.UNREACHABLE);
             m.welcome = message('E', text("SFATAL"), text("C53300"), new byte[1]);
             dispatch(m.port(), LONG);
-            assertThat(next().end()).isEqualTo(End.FULL);
+            assertThat(next().end()).isEqualTo(Outcome.FULL);
             assertThat(m.queries).isEmpty();
         }
         int nobody;
@@ -340,7 +343,7 @@
             nobody = s.getLocalPort();
         }
         dispatch(nobody, LONG);
-        assertThat(next().end()).isEqualTo(End.UNREACHABLE);
+        assertThat(next().end()).isEqualTo(Outcome.UNREACHABLE);
     }
 
     @Test
@@ -348,7 +351,7 @@
         members = members(Duration.ofMillis(50));
         try (ServerSocket silent = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
             dispatch(silent.getLocalPort(), LONG);
-            assertThat(next().end()).isEqualTo(End.UNREACHABLE);
+            assertThat(next().end()).isEqualTo(Outcome.UNREACHABLE);
         }
     }
 
@@ -363,7 +366,7 @@
                             closed.add(sql);
                         })) {
             dispatch(m.port(), Duration.ofMillis(100));
-            assertThat(next().end()).isEqualTo(End.TIMED_OUT);
+            assertThat(next().end()).isEqualTo(Outcome.TIMED_OUT);
             assertThat(closed.poll(20, TimeUnit.SECONDS)).contains("id=r0");
         }
     }
@@ -381,7 +384,7 @@
             dispatch(m.port(), LONG);
             m.await();
             loop.run(() -> members.callOff("t", 0));
-            assertThat(next().end()).isEqualTo(End.CANCELLED);
+            assertThat(next().end()).isEqualTo(Outcome.CANCELLED);
             assertThat(closed.poll(20, TimeUnit.SECONDS)).contains("id=r0");
         }
     }
@@ -391,15 +394,15 @@
         try (StandInMember m = new StandInMember(false, (sql, s) -> s.row("x", false))) {
             for (int i = 0; i < 3; i++) {
                 dispatch(m.port(), LONG);
-                assertThat(next().end()).isEqualTo(End.COMMITTED);
+                assertThat(next().end()).isEqualTo(Outcome.COMMITTED);
             }
             assertThat(m.connections).hasValue(1);
             m.script((sql, s) -> s.end());
             dispatch(m.port(), LONG);
-            assertThat(next().end()).isEqualTo(End.RESET);
+            assertThat(next().end()).isEqualTo(Outcome.RESET);
             m.script((sql, s) -> s.error("25006", false));
             dispatch(m.port(), LONG);
-            assertThat(next().end()).isEqualTo(End.MISSED);
+            assertThat(next().end()).isEqualTo(Outcome.MISSED);
             assertThat(m.connections).hasValue(2);
             assertThat(m.queries).hasSize(5);
         }
@@ -410,10 +413,10 @@
         mayGo = false;
         try (StandInMember m = new StandInMember(false, (sql, s) -> s.row("x", false))) {
             dispatch(m.port(), LONG);
-            assertThat(next().end()).isEqualTo(End.MOOT);
+            assertThat(next().end()).isEqualTo(Outcome.MOOT);
             mayGo = true;
             dispatch(m.port(), LONG);
-            assertThat(next().end()).isEqualTo(End.COMMITTED);
+            assertThat(next().end()).isEqualTo(Outcome.COMMITTED);
             assertThat(m.connections).hasValue(1);
             assertThat(m.queries).hasSize(1).first().asString().contains("id=r1");
         }
@@ -435,7 +438,7 @@
     void releasedConnectionsAreClosedAndTheNextSubmissionOpensOne() throws Exception {
         try (StandInMember m = new StandInMember(false, (sql, s) -> s.row("val", false))) {
             dispatch(m.port(), LONG);
-            assertThat(next().end()).isEqualTo(End.COMMITTED);
+            assertThat(next().end()).isEqualTo(Outcome.COMMITTED);
             CompletableFuture<Integer> left = new CompletableFuture<>();
             loop.run(
                     () -> {
@@ -444,7 +447,7 @@
                     });
             assertThat(left.get(20, TimeUnit.SECONDS)).isZero();
             dispatch(m.port(), LONG);
-            assertThat(next().end()).isEqualTo(End.COMMITTED);
+            assertThat(next().end()).isEqualTo(Outcome.COMMITTED);
             assertThat(m.connections.get()).isEqualTo(2);
         }
     }
@@ -528,7 +531,7 @@
                 } else {
                     at.reset();
                 }
-                assertThat(next().end()).isEqualTo(End.MOOT);
+                assertThat(next().end()).isEqualTo(Outcome.MOOT);
                 if (comesUp) {
                     assertThat(at.awaitEnd()).doesNotContain("Q");
                 }
@@ -555,7 +558,7 @@
                     message('D', column("x")),
                     message('C', text("SELECT 1")),
                     READY);
-            assertThat(next().end()).isEqualTo(End.COMMITTED);
+            assertThat(next().end()).isEqualTo(Outcome.COMMITTED);
             at.awaitEnd();
         }
     }
@@ -583,7 +586,7 @@
             standing.await();
             at.send(message('R', new byte[4]), READY);
             goes.countDown();
-            assertThat(next().end()).isEqualTo(End.MOOT);
+            assertThat(next().end()).isEqualTo(Outcome.MOOT);
             loop.run(() -> members.forget(id -> false));
             assertThat(at.awaitEnd()).doesNotContain("Q");
         }
@@ -608,7 +611,7 @@
                                     })
                                     .end())
                     .as(bytes + " bytes")
-                    .isEqualTo(bytes >= whole ? End.COMMITTED : End.RESET);
+                    .isEqualTo(bytes >= whole ? Outcome.COMMITTED : Outcome.RESET);
         }
         assertThat(ends).isEmpty();
     }
@@ -631,7 +634,7 @@
                     message('D', column("x")),
                     message('C', text("SELECT 1")),
                     READY);
-            assertThat(next().end()).isEqualTo(End.COMMITTED);
+            assertThat(next().end()).isEqualTo(Outcome.COMMITTED);
             at.send(new byte[] {'S', 0, 0});
             at.awaitEnd();
             carryToTheOne();
@@ -640,7 +643,7 @@
             second.send(message('R', new byte[4]), READY);
             second.until("'\0");
             second.reset();
-            assertThat(next().end()).isEqualTo(End.RESET);
+            assertThat(next().end()).isEqualTo(Outcome.RESET);
         }
     }
 
@@ -674,15 +677,15 @@
                         members.dispatch(requestToTheOne());
                     };
             answer(at);
-            assertThat(next().end()).isEqualTo(End.COMMITTED);
-            assertThat(next().end()).isEqualTo(End.MOOT);
+            assertThat(next().end()).isEqualTo(Outcome.COMMITTED);
+            assertThat(next().end()).isEqualTo(Outcome.MOOT);
             mayGo = true;
             carryToTheOne();
             assertThat(at.until("'\0"))
                     .contains("id=r" + (submissions - 1))
                     .doesNotContain("id=r" + (submissions - 2));
             answer(at);
-            assertThat(next().end()).isEqualTo(End.COMMITTED);
+            assertThat(next().end()).isEqualTo(Outcome.COMMITTED);
         }
     }
 
@@ -709,7 +712,7 @@
             carryToTheOne();
             Peer before = letIn(member.accept());
             answer(before);
-            assertThat(next().end()).isEqualTo(End.COMMITTED);
+            assertThat(next().end()).isEqualTo(Outcome.COMMITTED);
             loop.run(
                     () ->
                             members.listed(
@@ -728,7 +731,7 @@
             listed(member.port());
             carryToTheOne();
             answer(letIn(member.accept()));
-            assertThat(next().end()).isEqualTo(End.COMMITTED);
+            assertThat(next().end()).isEqualTo(Outcome.COMMITTED);
         }
     }
 
@@ -744,7 +747,7 @@
                 carryToTheOne();
                 Peer at = letIn(member.accept());
                 answer(at);
-                assertThat(next().end()).isEqualTo(End.COMMITTED);
+                assertThat(next().end()).isEqualTo(Outcome.COMMITTED);
                 carryToTheOne();
                 at.until("'\0");
                 if (resets) {
@@ -752,7 +755,7 @@
                 } else {
                     at.close();
                 }
-                assertThat(next().end()).isEqualTo(End.RESET);
+                assertThat(next().end()).isEqualTo(Outcome.RESET);
                 assertThat(ends).isEmpty();
             }
         }
@@ -775,7 +778,7 @@
                     at.send(notice);
                 }
             } catch (IOException brokenOff) {
-                assertThat(next().end()).isEqualTo(End.ERROR);
+                assertThat(next().end()).isEqualTo(Outcome.ERROR);
             }
         }
     }
@@ -790,7 +793,7 @@
         try (StandInMember m = new StandInMember(false, (sql, s) -> s.row("x", false))) {
             for (int i = 0; i < 3; i++) {
                 dispatch(m.port(), LONG);
-                assertThat(next().end()).isEqualTo(End.COMMITTED);
+                assertThat(next().end()).isEqualTo(Outcome.COMMITTED);
             }
             assertThat(m.connections.get()).isEqualTo(1);
         }
--- a/src/test/java/wingroad/routing/TxnRouterTest.java
+++ b/src/test/java/wingroad/routing/TxnRouterTest.java
@@ -1,18 +1,21 @@
 package wingroad.routing;
 
 import static org.assertj.core.api.Assertions.assertThat;
+
 import static wingroad.Fixtures.READ;
 import static wingroad.Fixtures.WRITE;
 import static wingroad.Fixtures.at;
 
-import java.time.Duration;
-import java.util.List;
 import org.assertj.core.groups.Tuple;
 import org.junit.jupiter.api.Test;
+
 import wingroad.Fixtures;
 import wingroad.routing.Decision.Kind;
 import wingroad.state.Member.Role;
-import wingroad.state.Submission.End;
+import wingroad.state.Submission.Outcome;
+
+import java.time.Duration;
+import java.util.List;
 
 class TxnRouterTest {
 
@@ -48,7 +51,7 @@
         Fixtures g = new Fixtures().group(1, 2).roles(5, 2);
         g.txn(10, "w", WRITE, 3000);
         g.decisions(10);
-        g.ends(20, "w", 0, 1, End.MISSED, Role.REPLICA);
+        g.ends(20, "w", 0, 1, Outcome.MISSED, Role.REPLICA);
         g.decisions(20);
         g.says(30, 2, Role.PRIMARY, 28);
         g.decisions(30);
@@ -65,7 +68,7 @@
         g.says(20, 1, Role.PRIMARY, 18);
         g.says(20, 2, Role.REPLICA, 18);
         assertThat(of(Kind.PROBE, g.decisions(135))).isEmpty();
-        g.ends(140, "w", 0, 1, End.COMMITTED, Role.PRIMARY);
+        g.ends(140, "w", 0, 1, Outcome.COMMITTED, Role.PRIMARY);
         assertThat(of(Kind.PROBE, g.until(5100))).extracting(Decision::member).containsExactly(1L);
     }
 
@@ -84,7 +87,7 @@
         Fixtures g = new Fixtures().group(1, 2).roles(5, 2);
         g.txn(10, "a", WRITE, 3000);
         g.decisions(10);
-        g.ends(20, "a", 0, 1, End.ERROR, Role.UNKNOWN);
+        g.ends(20, "a", 0, 1, Outcome.ERROR, Role.UNKNOWN);
         g.txn(21, "b", WRITE, 3000);
         List<Decision> all = g.decisions(21);
         assertThat(of(Kind.SUBMIT, all)).isEmpty();
@@ -96,7 +99,7 @@
         Fixtures g = new Fixtures().group(1, 2).roles(5, 2);
         g.txn(10, "a", WRITE, 3000);
         g.decisions(10);
-        g.ends(20, "a", 0, 1, End.RESET, Role.UNKNOWN);
+        g.ends(20, "a", 0, 1, Outcome.RESET, Role.UNKNOWN);
         List<Decision> all = g.until(3100);
         assertThat(of(Kind.ROLL_BACK, all)).extracting(Decision::txn).containsExactly("a");
         assertThat(of(Kind.DECLINE, all)).isEmpty();
@@ -117,7 +120,7 @@
         Fixtures g = new Fixtures().group(1, 2).roles(5, 2);
         g.txn(10, "a", WRITE, 3000);
         g.decisions(10);
-        g.ends(20, "a", 0, 1, End.MISSED, Role.REPLICA);
+        g.ends(20, "a", 0, 1, Outcome.MISSED, Role.REPLICA);
         assertThat(of(Kind.SUBMIT, g.decisions(20))).isEmpty();
         g.says(40, 2, Role.PRIMARY, 38);
         assertThat(of(Kind.SUBMIT, g.decisions(40)))
@@ -141,7 +144,7 @@
                         .roles(5, 2);
         g.txn(10, "a", WRITE, 9000);
         g.decisions(10);
-        g.ends(4500, "a", 0, 1, End.TIMED_OUT, Role.UNKNOWN);
+        g.ends(4500, "a", 0, 1, Outcome.TIMED_OUT, Role.UNKNOWN);
         List<Decision> all = g.until(4500);
         assertThat(of(Kind.SUBMIT, all)).isEmpty();
         assertThat(of(Kind.ROLL_BACK, all)).hasSize(1);
@@ -171,7 +174,7 @@
         long quiet = first.get(0).member();
         for (Decision d : first) {
             if (d.member() != quiet) {
-                g.ends(20, d.txn(), 0, d.member(), End.COMMITTED, Role.REPLICA);
+                g.ends(20, d.txn(), 0, d.member(), Outcome.COMMITTED, Role.REPLICA);
             }
         }
         assertThat(of(Kind.SUBMIT, g.until(1500)))
@@ -215,7 +218,7 @@
                     "r" + i,
                     0,
                     2,
-                    End.COMMITTED,
+                    Outcome.COMMITTED,
                     at(400),
                     true,
                     Role.REPLICA,
@@ -233,7 +236,7 @@
         Fixtures g = new Fixtures().group(1, 2).roles(5, 2);
         g.txn(10, "a", WRITE, 3000);
         g.decisions(10);
-        g.ends(500, "a", 0, 1, End.COMMITTED, Role.PRIMARY);
+        g.ends(500, "a", 0, 1, Outcome.COMMITTED, Role.PRIMARY);
         g.says(510, 2, Role.PRIMARY, 300);
         g.txn(520, "b", WRITE, 3000);
         assertThat(of(Kind.SUBMIT, g.decisions(520)))
@@ -253,7 +256,7 @@
         // Its own probe's yes is no proof that it serves; an answer on the txn path is.
         g.says(710, 1, Role.PRIMARY, 709);
         assertThat(of(Kind.SUBMIT, g.decisions(710))).isEmpty();
-        g.ends(720, "w0", 0, 1, End.COMMITTED, Role.PRIMARY);
+        g.ends(720, "w0", 0, 1, Outcome.COMMITTED, Role.PRIMARY);
         assertThat(of(Kind.SUBMIT, g.decisions(720)))
                 .extracting(Decision::txn)
                 .containsExactly("late");
@@ -262,9 +265,9 @@
     @Test
     void nothingNewGoesToADrainingReplica() {
         Fixtures g = new Fixtures().group(1, 2, 3).roles(5, 2, 3);
-        g.router.listStarts(at(10), false);
+        g.router.memberListStarted(at(10), false);
         g.listed(10, 2, true, null);
-        g.router.listEnds(at(10));
+        g.router.memberListEnded(at(10));
         for (int i = 0; i < 5; i++) {
             g.txn(11, "r" + i, READ, 2000);
         }
@@ -274,12 +277,12 @@
     @Test
     void aDrainingPrimaryIsUsedWithinTheGraceOnly() {
         Fixtures g = new Fixtures().group(1, 2).roles(5, 2);
-        g.router.listStarts(at(10), false);
+        g.router.memberListStarted(at(10), false);
         g.listed(10, 1, true, null);
-        g.router.listEnds(at(10));
+        g.router.memberListEnded(at(10));
         g.txn(500, "a", WRITE, 3000);
         assertThat(of(Kind.SUBMIT, g.decisions(500))).hasSize(1);
-        g.ends(600, "a", 0, 1, End.COMMITTED, Role.PRIMARY);
+        g.ends(600, "a", 0, 1, Outcome.COMMITTED, Role.PRIMARY);
         g.txn(1001, "b", WRITE, 3000);
         assertThat(of(Kind.SUBMIT, g.decisions(1001))).isEmpty();
     }
@@ -290,9 +293,9 @@
         // bound; and
         // what each driver may send at once would add up over many of them.
         Fixtures g = new Fixtures().with("members-check", "hold").group(1).roles(5);
-        g.router.listStarts(at(6), false);
+        g.router.memberListStarted(at(6), false);
         g.listed(6, 2, false, at(6));
-        g.router.listEnds(at(6));
+        g.router.memberListEnded(at(6));
         int sent = 0;
         int early = 0;
         for (int i = 10; i < 9000; i += 20) {
@@ -300,7 +303,7 @@
             for (Decision d : of(Kind.SUBMIT, g.decisions(i))) {
                 sent += d.member() == 2 ? 1 : 0;
                 early += d.member() == 2 && i < 500 ? 1 : 0;
-                g.ends(i, d.txn(), d.submission(), d.member(), End.MISSED, Role.REPLICA);
+                g.ends(i, d.txn(), d.submission(), d.member(), Outcome.MISSED, Role.REPLICA);
             }
         }
         assertThat(early).isLessThan(3);
@@ -312,7 +315,7 @@
         Fixtures g = new Fixtures().group(1, 2).roles(5, 2);
         g.txn(10, "a", READ, 2000);
         g.decisions(10);
-        g.ends(15, "a", 0, 2, End.RESET, Role.UNKNOWN);
+        g.ends(15, "a", 0, 2, Outcome.RESET, Role.UNKNOWN);
         assertThat(of(Kind.SUBMIT, g.decisions(15)))
                 .extracting(Decision::member)
                 .containsExactly(2L);
@@ -322,7 +325,7 @@
     void aSubscriptionThatFailsIsAskedForAgainLater() {
         Fixtures g = new Fixtures().with("member-list", "ask").group(1, 2);
         assertThat(of(Kind.FOLLOW_LIST, g.decisions(1))).hasSize(1);
-        g.router.listFailed(at(1000));
+        g.router.memberListFailed(at(1000));
         assertThat(of(Kind.FOLLOW_LIST, g.decisions(1000))).isEmpty();
         assertThat(of(Kind.FOLLOW_LIST, g.until(2000))).hasSize(1);
     }
@@ -337,7 +340,7 @@
             g.txn(10 + i, "r" + i, READ, 2000);
             for (Decision d : of(Kind.SUBMIT, g.decisions(10 + i))) {
                 further += d.submission() > 0 ? 1 : 0;
-                g.ends(10 + i, d.txn(), d.submission(), d.member(), End.ERROR, Role.REPLICA);
+                g.ends(10 + i, d.txn(), d.submission(), d.member(), Outcome.ERROR, Role.REPLICA);
             }
         }
         assertThat(further).isLessThan(10);
@@ -355,7 +358,7 @@
         g.txn(10, "r", READ, 2000);
         List<Decision> declined = of(Kind.DECLINE, g.until(400));
         assertThat(declined).extracting(Decision::txn).containsExactly("r");
-        assertThat(declined.get(0).when()).isNull();
+        assertThat(declined.get(0).deadlineOrRetryDelay()).isNull();
     }
 
     @Test
@@ -385,7 +388,7 @@
         assertThat(of(Kind.CANCEL, g.decisions(500)))
                 .extracting(Decision::txn)
                 .containsExactly("a");
-        g.ends(505, "a", 0, 1, End.CANCELLED, Role.UNKNOWN);
+        g.ends(505, "a", 0, 1, Outcome.CANCELLED, Role.UNKNOWN);
         assertThat(of(Kind.SUBMIT, g.decisions(505)))
                 .extracting(Decision::member)
                 .containsExactly(2L);
@@ -395,7 +398,7 @@
     void aLapsedTxnGetsNoAnswer() {
         Fixtures g = new Fixtures().group(1, 2);
         g.txn(10, "w", WRITE, 1000);
-        g.router.txnLapsed(at(20), "w");
+        g.router.txnAbandoned(at(20), "w");
         assertThat(g.until(2000)).noneMatch(d -> "w".equals(d.txn()));
     }
 
@@ -415,7 +418,7 @@
                         d.txn(),
                         d.submission(),
                         d.member(),
-                        End.COMMITTED,
+                        Outcome.COMMITTED,
                         at(900),
                         true,
                         Role.REPLICA,
@@ -466,7 +469,7 @@
                         d.txn(),
                         d.submission(),
                         d.member(),
-                        sign ? End.MISSED : End.TIMED_OUT,
+                        sign ? Outcome.MISSED : Outcome.TIMED_OUT,
                         Role.REPLICA);
             }
         }
@@ -489,9 +492,9 @@
         Fixtures g = new Fixtures().group(1, 2).roles(5, 2);
         g.txn(10, "w", WRITE, 3000);
         assertThat(of(Kind.SUBMIT, g.decisions(10))).hasSize(1);
-        g.router.txnLapsed(at(20), "w");
+        g.router.txnAbandoned(at(20), "w");
         assertThat(of(Kind.CANCEL, g.decisions(20))).extracting(Decision::txn).containsExactly("w");
-        g.ends(21, "w", 0, 1, End.CANCELLED, Role.UNKNOWN);
+        g.ends(21, "w", 0, 1, Outcome.CANCELLED, Role.UNKNOWN);
         assertThat(g.decisions(21)).isEmpty();
     }
 
@@ -500,17 +503,17 @@
         Fixtures g = new Fixtures().group(1, 2, 3).roles(5, 2, 3);
         g.txn(10, "r", READ, 2000);
         long m = of(Kind.SUBMIT, g.decisions(10)).get(0).member();
-        assertThat(g.router.mayStillGo(at(200), "r", m)).isTrue();
-        assertThat(g.router.mayStillGo(at(1100), "r", m))
+        assertThat(g.router.mayStillSend(at(200), "r", m)).isTrue();
+        assertThat(g.router.mayStillSend(at(1100), "r", m))
                 .as("its data is too old by then")
                 .isFalse();
-        assertThat(g.router.mayStillGo(at(1100), "r", 1)).as("the primary's never is").isTrue();
-        g.router.listStarts(at(300), false);
+        assertThat(g.router.mayStillSend(at(1100), "r", 1)).as("the primary's never is").isTrue();
+        g.router.memberListStarted(at(300), false);
         g.listed(300, m, true, null);
-        g.router.listEnds(at(300));
-        assertThat(g.router.mayStillGo(at(300), "r", m)).as("it drains").isFalse();
-        g.router.txnLapsed(at(301), "r");
-        assertThat(g.router.mayStillGo(at(301), "r", 1)).as("nobody waits for it").isFalse();
+        g.router.memberListEnded(at(300));
+        assertThat(g.router.mayStillSend(at(300), "r", m)).as("it drains").isFalse();
+        g.router.txnAbandoned(at(301), "r");
+        assertThat(g.router.mayStillSend(at(301), "r", 1)).as("nobody waits for it").isFalse();
     }
 
     @Test
@@ -521,13 +524,13 @@
                 .extracting(Decision::member)
                 .containsExactly(2L);
         gone(g, 20);
-        assertThat(g.router.knows(2)).isTrue();
-        g.ends(30, "r", 0, 2, End.COMMITTED, Role.REPLICA);
+        assertThat(g.router.knowsMember(2)).isTrue();
+        g.ends(30, "r", 0, 2, Outcome.COMMITTED, Role.REPLICA);
         gone(g, 40);
-        assertThat(g.router.knows(2)).isFalse();
+        assertThat(g.router.knowsMember(2)).isFalse();
         // Under its id it may come again, and then it is what the list says of it.
         g.listed(50, 2, true, null);
-        g.router.listEnds(at(50));
+        g.router.memberListEnded(at(50));
         g.says(60, 2, Role.REPLICA, 60);
         g.txn(70, "s", READ, 2000);
         assertThat(of(Kind.SUBMIT, g.decisions(70)))
@@ -536,21 +539,21 @@
     }
 
     private static void gone(Fixtures g, long now) {
-        g.router.listStarts(at(now), false);
-        g.router.listed(at(now), 2, 7, 0, 0, 1, false, false, true, null);
-        g.router.listEnds(at(now));
+        g.router.memberListStarted(at(now), false);
+        g.router.memberListed(at(now), 2, 7, 0, 0, 1, false, false, true, null);
+        g.router.memberListEnded(at(now));
     }
 
     @Test
     void whereTheListDoesNotBindOneThatIsGoneStaysUntilItIsLost() {
         Fixtures g = new Fixtures().with("removal-not-binding", true).group(1, 2).roles(5, 2);
         gone(g, 20);
-        assertThat(g.router.knows(2)).isTrue();
+        assertThat(g.router.knowsMember(2)).isTrue();
         g.router.probeEnded(at(30), 2, false, at(250));
         gone(g, 9000);
-        assertThat(g.router.knows(2)).isTrue();
+        assertThat(g.router.knowsMember(2)).isTrue();
         gone(g, 20_000);
-        assertThat(g.router.knows(2)).isFalse();
+        assertThat(g.router.knowsMember(2)).isFalse();
     }
 
     @Test
@@ -578,7 +581,7 @@
         g.router.txnArrived(at(now), id, WRITE, 7, at(3000), session, null, false, at(0));
         g.decisions(now);
         g.router.submissionEnded(
-                at(now + 5), id, 0, 1, End.COMMITTED, at(5), true, Role.PRIMARY, at(now));
+                at(now + 5), id, 0, 1, Outcome.COMMITTED, at(5), true, Role.PRIMARY, at(now));
         g.decisions(now + 5);
     }
 
@@ -596,9 +599,9 @@
         List<Decision> submitted = of(Kind.SUBMIT, g.decisions(1410));
         assertThat(submitted).extracting(Decision::member).containsOnlyOnce(1L);
         String test = submitted.stream().filter(d -> d.member() == 1).findFirst().get().txn();
-        g.ends(1420, test, 0, 1, End.COMMITTED, Role.PRIMARY);
+        g.ends(1420, test, 0, 1, Outcome.COMMITTED, Role.PRIMARY);
         assertThat(of(Kind.SUBMIT, g.decisions(1420))).extracting(Decision::txn).contains("held");
-        g.ends(1430, "held", 0, 1, End.COMMITTED, Role.PRIMARY);
+        g.ends(1430, "held", 0, 1, Outcome.COMMITTED, Role.PRIMARY);
         g.txn(2900, "next", WRITE, 3000);
         assertThat(of(Kind.SUBMIT, g.decisions(2900))).extracting(Decision::txn).contains("next");
     }
@@ -608,7 +611,7 @@
         Fixtures g = new Fixtures().group(1, 2).roles(5);
         g.txn(10, "w", WRITE, 3000);
         g.decisions(10);
-        g.ends(20, "w", 0, 1, End.RESET, Role.UNKNOWN);
+        g.ends(20, "w", 0, 1, Outcome.RESET, Role.UNKNOWN);
         // Nothing is known of the replica; the primary's position is proven for 5, which the bound
         // of 1000 allows yet.
         g.txn(30, "r", READ, 2000);
@@ -626,8 +629,8 @@
             g.txn(10 + i, "w" + i, WRITE, 3000);
         }
         g.decisions(12);
-        g.ends(20, "w0", 0, 1, End.RESET, Role.UNKNOWN);
-        g.ends(21, "w1", 0, 1, End.RESET, Role.UNKNOWN);
+        g.ends(20, "w0", 0, 1, Outcome.RESET, Role.UNKNOWN);
+        g.ends(21, "w1", 0, 1, Outcome.RESET, Role.UNKNOWN);
         g.txn(30, "next", WRITE, 3000);
         assertThat(of(Kind.SUBMIT, g.decisions(30))).isEmpty();
         g.says(40, 1, Role.PRIMARY, 38);
@@ -642,7 +645,7 @@
         g.txn(10, "r", READ, 2000);
         g.decisions(10);
         g.router.submissionEnded(
-                at(200), "r", 0, 2, End.UNREACHABLE, at(190), false, Role.UNKNOWN, null);
+                at(200), "r", 0, 2, Outcome.UNREACHABLE, at(190), false, Role.UNKNOWN, null);
         assertThat(of(Kind.SUBMIT, g.decisions(200)))
                 .extracting(Decision::member)
                 .containsExactly(2L);
@@ -694,7 +697,7 @@
                         d.txn(),
                         d.submission(),
                         d.member(),
-                        End.COMMITTED,
+                        Outcome.COMMITTED,
                         at(2500),
                         true,
                         Role.PRIMARY,
@@ -706,7 +709,15 @@
 
     private static void turnedAway(Fixtures g, long now, String id, int submission, long member) {
         g.router.submissionEnded(
-                at(now), id, submission, member, End.UNREACHABLE, at(0), false, Role.UNKNOWN, null);
+                at(now),
+                id,
+                submission,
+                member,
+                Outcome.UNREACHABLE,
+                at(0),
+                false,
+                Role.UNKNOWN,
+                null);
     }
 
     /**
@@ -758,14 +769,14 @@
         }
         g.decisions(10);
         g.router.submissionEnded(
-                at(710), "a", 0, 2, End.COMMITTED, at(700), true, Role.REPLICA, at(710));
+                at(710), "a", 0, 2, Outcome.COMMITTED, at(700), true, Role.REPLICA, at(710));
         int sent = 0;
         for (int i = 711; i < 717; i++) {
             g.txn(i, "d" + i, READ, 2000);
             for (Decision d : of(Kind.SUBMIT, g.decisions(i))) {
                 sent++;
-                g.router.txnLapsed(at(i), d.txn());
-                g.ends(i, d.txn(), d.submission(), d.member(), End.CANCELLED, Role.UNKNOWN);
+                g.router.txnAbandoned(at(i), d.txn());
+                g.ends(i, d.txn(), d.submission(), d.member(), Outcome.CANCELLED, Role.UNKNOWN);
             }
         }
         return sent;
@@ -792,7 +803,7 @@
         Fixtures g = new Fixtures().with("drivers", 250.0).group(1, 2).roles(5, 2);
         g.txn(10, "w", WRITE, 3000);
         g.decisions(10);
-        g.ends(20, "w", 0, 1, End.MISSED, Role.REPLICA);
+        g.ends(20, "w", 0, 1, Outcome.MISSED, Role.REPLICA);
         g.decisions(20);
         g.says(30, 2, Role.PRIMARY, 28);
         g.decisions(30);
@@ -806,12 +817,12 @@
     @Test
     void aMemberThatReportsMoreWaitingThanItAnswersInTimeGetsNothing() {
         Fixtures g = new Fixtures().with("drivers", 250.0).group(1, 2).roles(5, 2);
-        g.router.reported(at(8), 2, Role.REPLICA, at(8), Double.NaN, 20, 0.3);
+        g.router.memberReported(at(8), 2, Role.REPLICA, at(8), Double.NaN, 20, 0.3);
         g.txn(10, "r", READ, 2000);
         assertThat(of(Kind.SUBMIT, g.decisions(10)))
                 .extracting(Decision::member)
                 .doesNotContain(2L);
-        g.router.reported(at(20), 2, Role.REPLICA, at(20), Double.NaN, 0, 0.3);
+        g.router.memberReported(at(20), 2, Role.REPLICA, at(20), Double.NaN, 0, 0.3);
         g.txn(21, "s", READ, 2000);
         assertThat(of(Kind.SUBMIT, g.decisions(21))).extracting(Decision::member).contains(2L);
     }
@@ -825,18 +836,18 @@
         Fixtures g = new Fixtures().group(1, 2, 3).roles(5, 2, 3);
         g.txn(10, "a", READ, 2000);
         Decision first = of(Kind.SUBMIT, g.decisions(10)).get(0);
-        g.ends(20, "a", 0, first.member(), End.COMMITTED, Role.REPLICA);
+        g.ends(20, "a", 0, first.member(), Outcome.COMMITTED, Role.REPLICA);
         assertThat(of(Kind.RELEASE, g.decisions(20))).isEmpty();
         for (String id : List.of("b", "c")) {
             g.txn(30, id, READ, 2000);
             Decision refused = of(Kind.SUBMIT, g.decisions(30)).get(0);
             turnedAway(g, 31, id, 0, refused.member());
-            g.router.txnLapsed(at(31), id);
+            g.router.txnAbandoned(at(31), id);
         }
         g.decisions(31);
         g.txn(400, "d", READ, 2000);
         Decision last = of(Kind.SUBMIT, g.decisions(400)).get(0);
-        g.ends(410, "d", 0, last.member(), End.COMMITTED, Role.REPLICA);
+        g.ends(410, "d", 0, last.member(), Outcome.COMMITTED, Role.REPLICA);
         assertThat(of(Kind.RELEASE, g.decisions(410)))
                 .extracting(Decision::member)
                 .containsExactly(last.member());
@@ -854,12 +865,12 @@
                         .type(READ, "repeatable", "loose", 600, 2000)
                         .group(1, 2)
                         .roles(5, 2);
-        g.router.reported(at(8), 2, Role.REPLICA, at(8), Double.NaN, 0, 0.3);
+        g.router.memberReported(at(8), 2, Role.REPLICA, at(8), Double.NaN, 0, 0.3);
         g.txn(10, "a", READ, 2000);
         g.decisions(10);
         g.router.submissionEnded(
-                at(700), "a", 0, 2, End.TIMED_OUT, at(690), false, Role.UNKNOWN, null);
-        g.router.txnLapsed(at(701), "a");
+                at(700), "a", 0, 2, Outcome.TIMED_OUT, at(690), false, Role.UNKNOWN, null);
+        g.router.txnAbandoned(at(701), "a");
         // Work for it is saved up slowly; until there is enough, nothing is sent and nobody is
         // asked.
         List<Decision> all = List.of();
@@ -871,11 +882,11 @@
             g.txn(now, "b" + now, READ, 2000);
             all = g.decisions(now);
             for (Decision d : of(Kind.SUBMIT, all)) {
-                g.ends(now, d.txn(), d.submission(), d.member(), End.COMMITTED, Role.PRIMARY);
+                g.ends(now, d.txn(), d.submission(), d.member(), Outcome.COMMITTED, Role.PRIMARY);
             }
         }
         assertThat(of(Kind.SUBMIT, all)).extracting(Decision::member).doesNotContain(2L);
-        g.router.reported(at(now), 2, Role.REPLICA, at(now), Double.NaN, 0, 0.3);
+        g.router.memberReported(at(now), 2, Role.REPLICA, at(now), Double.NaN, 0, 0.3);
         g.router.probeEnded(at(now), 2, true, at(1));
         g.txn(now, "c", READ, 2000);
         assertThat(of(Kind.SUBMIT, g.decisions(now))).extracting(Decision::member).contains(2L);
@@ -896,9 +907,9 @@
         assertThat(of(Kind.SUBMIT, g.decisions(10)))
                 .extracting(Decision::member)
                 .containsExactly(1L);
-        assertThat(g.router.mayStillGo(at(20), "r", 1)).isTrue();
+        assertThat(g.router.mayStillSend(at(20), "r", 1)).isTrue();
         g.says(30, 2, Role.PRIMARY, 28);
-        assertThat(g.router.mayStillGo(at(40), "r", 1)).isFalse();
+        assertThat(g.router.mayStillSend(at(40), "r", 1)).isFalse();
     }
 
     /**
@@ -908,11 +919,11 @@
     @Test
     void aCrowdedPrimaryIsAskedAgainWhileWritesWaitAndUsedOnceItReportsLittle() {
         Fixtures g = new Fixtures().with("drivers", 250.0).group(1, 2).roles(5, 2);
-        g.router.reported(at(8), 1, Role.PRIMARY, at(8), Double.NaN, 20, 0.3);
+        g.router.memberReported(at(8), 1, Role.PRIMARY, at(8), Double.NaN, 20, 0.3);
         g.txn(10, "w", WRITE, 3000);
         assertThat(of(Kind.SUBMIT, g.decisions(10))).isEmpty();
         assertThat(of(Kind.PROBE, g.until(700))).extracting(Decision::member).containsExactly(1L);
-        g.router.reported(at(702), 1, Role.PRIMARY, at(702), Double.NaN, 0, 0.3);
+        g.router.memberReported(at(702), 1, Role.PRIMARY, at(702), Double.NaN, 0, 0.3);
         g.router.probeEnded(at(702), 1, true, at(1));
         assertThat(of(Kind.SUBMIT, g.decisions(702)))
                 .extracting(Decision::member)
@@ -935,17 +946,17 @@
                         .roles(5, 2);
         g.txn(10, "w", WRITE, 3000);
         assertThat(of(Kind.SUBMIT, g.decisions(10))).hasSize(1);
-        assertThat(g.router.mayStillGo(at(400), "w", 1))
+        assertThat(g.router.mayStillSend(at(400), "w", 1))
                 .as("the first attempt is bound by no window")
                 .isTrue();
-        g.ends(200, "w", 0, 1, End.ERROR, Role.PRIMARY);
+        g.ends(200, "w", 0, 1, Outcome.ERROR, Role.PRIMARY);
         g.says(205, 1, Role.PRIMARY, 205);
         assertThat(of(Kind.SUBMIT, g.decisions(206)))
                 .extracting(Decision::submission)
                 .containsExactly(1);
-        assertThat(g.router.mayStillGo(at(290), "w", 1)).isTrue();
-        assertThat(g.router.mayStillGo(at(310), "w", 1)).isFalse();
-        g.ends(310, "w", 1, 1, End.MOOT, Role.UNKNOWN);
+        assertThat(g.router.mayStillSend(at(290), "w", 1)).isTrue();
+        assertThat(g.router.mayStillSend(at(310), "w", 1)).isFalse();
+        g.ends(310, "w", 1, 1, Outcome.MOOT, Role.UNKNOWN);
         assertThat(g.decisions(311))
                 .extracting(Decision::kind)
                 .contains(Kind.ROLL_BACK)
@@ -962,9 +973,9 @@
                         .roles(5, 2, 3);
         g.txn(10, "r", READ, 2000);
         long first = of(Kind.SUBMIT, g.decisions(10)).get(0).member();
-        g.ends(50, "r", 0, first, End.RESET, Role.UNKNOWN);
+        g.ends(50, "r", 0, first, Outcome.RESET, Role.UNKNOWN);
         Decision again = of(Kind.SUBMIT, g.decisions(50)).get(0);
-        assertThat(g.router.mayStillGo(at(400), "r", again.member())).isTrue();
+        assertThat(g.router.mayStillSend(at(400), "r", again.member())).isTrue();
     }
 
     /**
@@ -977,10 +988,10 @@
         assertThat(of(Kind.SUBMIT, g.decisions(10)))
                 .extracting(Decision::member)
                 .containsExactly(1L);
-        assertThat(g.router.mayStillGo(at(20), "w", 1)).isTrue();
+        assertThat(g.router.mayStillSend(at(20), "w", 1)).isTrue();
         g.says(30, 2, Role.PRIMARY, 28);
-        assertThat(g.router.mayStillGo(at(40), "w", 1)).isFalse();
-        g.ends(40, "w", 0, 1, End.MOOT, Role.UNKNOWN);
+        assertThat(g.router.mayStillSend(at(40), "w", 1)).isFalse();
+        g.ends(40, "w", 0, 1, Outcome.MOOT, Role.UNKNOWN);
         assertThat(of(Kind.SUBMIT, g.decisions(40)))
                 .extracting(Decision::member)
                 .containsExactly(2L);
@@ -999,11 +1010,12 @@
                         .roles(5, 2);
         g.txn(10, "out", WRITE, 60_000);
         assertThat(of(Kind.SUBMIT, g.decisions(10))).hasSize(1);
-        g.router.reported(at(20), 1, Role.REPLICA, at(20), Double.NaN, Double.NaN, Double.NaN);
+        g.router.memberReported(
+                at(20), 1, Role.REPLICA, at(20), Double.NaN, Double.NaN, Double.NaN);
         g.txn(30, "held", WRITE, 60_000);
         g.txn(30, "short", WRITE, 500);
         assertThat(of(Kind.SUBMIT, g.until(40))).isEmpty();
-        g.router.endBy(at(50), at(3000));
+        g.router.answerAllBy(at(50), at(3000));
         assertThat(g.until(2900))
                 .extracting(Decision::txn)
                 .doesNotContain("out", "held")
@@ -1026,9 +1038,9 @@
                         .group(1, 2)
                         .roles(5, 2);
         g.decisions(10);
-        g.router.listFailed(at(20));
+        g.router.memberListFailed(at(20));
         for (long now = 20; now < 40; now++) {
-            Decision d = g.router.next(at(now));
+            Decision d = g.router.nextDecision(at(now));
             assertThat(d == null ? null : d.kind()).isNotEqualTo(Kind.FOLLOW_LIST);
         }
     }
@@ -1042,7 +1054,7 @@
         Fixtures g = new Fixtures().group(1, 2, 3).roles(5, 2, 3);
         g.txn(10, "w", WRITE, 3000);
         g.decisions(10);
-        g.ends(20, "w", 0, 1, End.MISSED, Role.REPLICA);
+        g.ends(20, "w", 0, 1, Outcome.MISSED, Role.REPLICA);
         g.decisions(20);
         g.says(60, 2, Role.PRIMARY, 55);
         assertThat(of(Kind.SUBMIT, g.decisions(60)))
@@ -1062,7 +1074,7 @@
     @Test
     void writesThatAreWokenTwiceGoOutOnce() {
         Fixtures g = new Fixtures().group(1, 2, 3).roles(5, 2, 3);
-        g.router.reported(at(8), 1, Role.REPLICA, at(8), Double.NaN, Double.NaN, Double.NaN);
+        g.router.memberReported(at(8), 1, Role.REPLICA, at(8), Double.NaN, Double.NaN, Double.NaN);
         g.txn(10, "w", WRITE, 3000);
         assertThat(of(Kind.SUBMIT, g.decisions(10))).isEmpty();
         g.says(30, 2, Role.PRIMARY, 28);
@@ -1081,10 +1093,10 @@
     @Test
     void aSearchWhoseLastWriteHasLeftEndsWithoutIt() {
         Fixtures g = new Fixtures().group(1, 2).roles(5, 2);
-        g.router.reported(at(8), 1, Role.REPLICA, at(8), Double.NaN, Double.NaN, Double.NaN);
+        g.router.memberReported(at(8), 1, Role.REPLICA, at(8), Double.NaN, Double.NaN, Double.NaN);
         g.txn(10, "gone", WRITE, 3000);
         g.decisions(10);
-        g.router.txnLapsed(at(29), "gone");
+        g.router.txnAbandoned(at(29), "gone");
         g.says(30, 2, Role.PRIMARY, 28);
         assertThat(of(Kind.SUBMIT, g.decisions(30))).isEmpty();
         g.txn(31, "next", WRITE, 3000);
@@ -1099,16 +1111,21 @@
      */
     @Test
     void whateverEndsFirstNothingFollowsTheClientsLeaving() {
-        for (End late :
-                new End[] {
-                    End.COMMITTED, End.TIMED_OUT, End.CANCELLED, End.RESET, End.MOOT, End.ERROR
+        for (Outcome late :
+                new Outcome[] {
+                    Outcome.COMMITTED,
+                    Outcome.TIMED_OUT,
+                    Outcome.CANCELLED,
+                    Outcome.RESET,
+                    Outcome.MOOT,
+                    Outcome.ERROR
                 }) {
             Fixtures g = new Fixtures().group(1, 2, 3).roles(5, 2, 3);
             g.txn(10, "r", READ, 2000);
             Decision first = of(Kind.SUBMIT, g.decisions(10)).get(0);
-            g.router.txnLapsed(at(20), "r");
+            g.router.txnAbandoned(at(20), "r");
             assertThat(of(Kind.CANCEL, g.decisions(20))).hasSize(1);
-            assertThat(g.router.mayStillGo(at(21), "r", first.member())).isFalse();
+            assertThat(g.router.mayStillSend(at(21), "r", first.member())).isFalse();
             g.router.submissionEnded(
                     at(30), "r", 0, first.member(), late, at(20), false, Role.UNKNOWN, null);
             assertThat(g.until(3000))
@@ -1140,7 +1157,7 @@
         assertThat(of(Kind.SUBMIT, g.decisions(1900)))
                 .extracting(Decision::txn, Decision::member)
                 .containsExactly(Tuple.tuple("r", 1L));
-        g.ends(1950, "r", 0, 1, End.RESET, Role.UNKNOWN);
+        g.ends(1950, "r", 0, 1, Outcome.RESET, Role.UNKNOWN);
         // Back from its pause it is a replica, with data from before; its write has not answered
         // yet.
         g.says(2000, 1, Role.REPLICA, 20);
@@ -1164,7 +1181,7 @@
             g.says(100, 1, Role.PRIMARY, 100);
             g.txn(110, "r", READ, 3000);
             assertThat(of(Kind.SUBMIT, g.decisions(110))).as(reads).hasSize(1);
-            g.ends(150, "r", 0, 1, End.COMMITTED, Role.UNKNOWN);
+            g.ends(150, "r", 0, 1, Outcome.COMMITTED, Role.UNKNOWN);
             g.until(1999);
             g.says(2000, 1, Role.REPLICA, 90);
             g.txn(2001, "s", READ, 3000);
@@ -1190,9 +1207,9 @@
             g.says(2000, 1, Role.PRIMARY, 2000);
             g.txn(2010, "r", READ, 3000);
             assertThat(of(Kind.SUBMIT, g.decisions(2010))).hasSize(1);
-            assertThat(g.router.mayStillGo(at(2015), "r", 1)).isTrue();
+            assertThat(g.router.mayStillSend(at(2015), "r", 1)).isTrue();
             g.says(2020, 1, Role.REPLICA, 90);
-            assertThat(g.router.mayStillGo(at(3100), "r", 1)).as(reads).isFalse();
+            assertThat(g.router.mayStillSend(at(3100), "r", 1)).as(reads).isFalse();
         }
     }
 
@@ -1211,16 +1228,16 @@
         int[] perMember = new int[11];
         for (int ms = 10; ms < 6000; ms += 5) {
             if (ms == 5000) {
-                g.router.listStarts(at(ms), false);
+                g.router.memberListStarted(at(ms), false);
                 for (long m = 2; m <= 10; m++) {
                     g.listed(ms, m, false, at(ms));
                 }
-                g.router.listEnds(at(ms));
+                g.router.memberListEnded(at(ms));
             }
             g.txn(ms, "r" + ms, READ, 2000);
             for (Decision d : of(Kind.SUBMIT, g.decisions(ms))) {
                 perMember[(int) d.member()] += ms < 5000 ? 0 : 1;
-                g.ends(ms, d.txn(), d.submission(), d.member(), End.COMMITTED, Role.UNKNOWN);
+                g.ends(ms, d.txn(), d.submission(), d.member(), Outcome.COMMITTED, Role.UNKNOWN);
             }
         }
         // Twice what a quarter to a third of a warm one's 22 comes to: at 0.35 of them, 15.
--- a/src/test/java/wingroad/state/WheelTest.java
+++ b/src/test/java/wingroad/state/TimingWheelTest.java
@@ -3,14 +3,15 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
+import org.junit.jupiter.api.Test;
+
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
-import org.junit.jupiter.api.Test;
 
-class WheelTest {
+class TimingWheelTest {
     private static final long SLOT = 1 << 22;
-    private final Wheel wheel = new Wheel();
+    private final TimingWheel wheel = new TimingWheel();
 
     /**
      * Against a list of all that is set: nothing early, nothing more than a slot late, nothing
@@ -19,28 +20,28 @@
     @Test
     void whatIsDueComesOutOnceAndAtItsTime() {
         Random random = new Random(4);
-        List<Wheel.Timer> set = new ArrayList<>();
+        List<TimingWheel.Timer> set = new ArrayList<>();
         long now = 0;
         for (int i = 0; i < 30_000; i++) {
             now +=
                     random.nextInt(100) == 0
                             ? random.nextInt(2_000_000_000)
                             : random.nextInt(3_000_000);
-            for (Wheel.Timer t = wheel.poll(now); t != null; t = wheel.poll(now)) {
+            for (TimingWheel.Timer t = wheel.poll(now); t != null; t = wheel.poll(now)) {
                 assertThat(set.remove(t)).isTrue();
-                assertThat(t.due()).isLessThanOrEqualTo(now);
-                assertThat(t.isSet()).isFalse();
+                assertThat(t.dueNanos()).isLessThanOrEqualTo(now);
+                assertThat(t.isScheduled()).isFalse();
             }
-            for (Wheel.Timer t : set) {
-                assertThat(t.due()).isGreaterThan(now - 2 * SLOT);
+            for (TimingWheel.Timer t : set) {
+                assertThat(t.dueNanos()).isGreaterThan(now - 2 * SLOT);
             }
             assertThat(wheel.size()).isEqualTo(set.size());
             if (set.size() > 40) {
-                Wheel.Timer gone = set.remove(random.nextInt(set.size()));
+                TimingWheel.Timer gone = set.remove(random.nextInt(set.size()));
                 wheel.cancel(gone);
             } else {
-                Wheel.Timer t = new Wheel.Timer();
-                wheel.set(
+                TimingWheel.Timer t = new TimingWheel.Timer();
+                wheel.schedule(
                         t,
                         now
                                 + (random.nextInt(20) == 0
@@ -48,8 +49,8 @@
                                         : random.nextInt(500_000_000)));
                 set.add(t);
             }
-            long next = wheel.nextDue();
-            long first = set.stream().mapToLong(Wheel.Timer::due).min().orElse(-1);
+            long next = wheel.nextPollNanos();
+            long first = set.stream().mapToLong(TimingWheel.Timer::dueNanos).min().orElse(-1);
             if (first < 0) {
                 assertThat(next).isEqualTo(-1);
             } else {
@@ -62,18 +63,19 @@
 
     @Test
     void aTimerThatIsSetAgainCountsByItsLaterTime() {
-        Wheel.Timer t = new Wheel.Timer();
-        wheel.set(t, SLOT);
-        wheel.set(t, 10 * SLOT);
+        TimingWheel.Timer t = new TimingWheel.Timer();
+        wheel.schedule(t, SLOT);
+        wheel.schedule(t, 10 * SLOT);
         assertThat(wheel.poll(5 * SLOT)).isNull();
         assertThat(wheel.poll(11 * SLOT)).isSameAs(t);
-        assertThat(wheel.nextDue()).isEqualTo(-1);
+        assertThat(wheel.nextPollNanos()).isEqualTo(-1);
     }
 
     @Test
     void aTimerOfAnotherWheelIsRefused() {
-        Wheel.Timer t = new Wheel.Timer();
-        new Wheel().set(t, SLOT);
-        assertThatThrownBy(() -> wheel.set(t, SLOT)).isInstanceOf(IllegalArgumentException.class);
+        TimingWheel.Timer t = new TimingWheel.Timer();
+        new TimingWheel().schedule(t, SLOT);
+        assertThatThrownBy(() -> wheel.schedule(t, SLOT))
+                .isInstanceOf(IllegalArgumentException.class);
     }
 }
--- a/src/test/java/wingroad/terms/TermsCheckTest.java
+++ b/src/test/java/wingroad/terms/SettingsValidatorTest.java
@@ -2,6 +2,12 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+
+import wingroad.protocol.Json;
+
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
@@ -9,31 +15,29 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import org.junit.jupiter.api.Test;
-import org.junit.jupiter.params.ParameterizedTest;
-import org.junit.jupiter.params.provider.CsvSource;
-import wingroad.protocol.Json;
 
-class TermsCheckTest {
+class SettingsValidatorTest {
     private static final String PUSHED =
             """
-        {"balancers": 12, "granularity": 5, "discovery": "push",
-         "grades": [{"name": "a", "aim": 500, "deadline": 1000, "semantics": "repeatable"},
-                    {"name": "b", "aim": 900, "deadline": 4000, "semantics": "by_key", "group": "cell", "window": 3000}],
-         "family-info": {"consistency": ["own_writes", "update"], "checks": "silent", "role-in-list": "delayed",
-                         "stamps": true, "write-marks": "router"},
-         "report": {"source": "piggyback", "names": ["x0", "x1", "q"]},
-         "limits": {"peers": true, "probes": true, "retry-after": true}, "rules": {"drain-grace": 250}}""";
+            {"balancers": 12, "granularity": 5, "discovery": "push",
+             "grades": [{"name": "a", "aim": 500, "deadline": 1000, "semantics": "repeatable"},
+                        {"name": "b", "aim": 900, "deadline": 4000, "semantics": "by_key", "group": "cell", "window": 3000}],
+             "family-info": {"consistency": ["own_writes", "update"], "checks": "silent", "role-in-list": "delayed",
+                             "stamps": true, "write-marks": "router"},
+             "report": {"source": "piggyback", "names": ["x0", "x1", "q"]},
+             "limits": {"peers": true, "probes": true, "retry-after": true}, "rules": {"drain-grace": 250}}\
+            """;
     private static final String ASKED =
             """
-        {"balancers": 3, "granularity": 5, "discovery": "ask",
-         "grades": [{"name": "a", "aim": 500, "deadline": 1000, "semantics": "repeatable"},
-                    {"name": "b", "aim": 900, "deadline": 4000, "semantics": "once"}],
-         "family-info": {"consistency": ["recent", "update"], "oldest-data": [700, 0], "checks": "hold", "holds-for": 40,
-                         "role-in-list": "delayed", "stamps": true},
-         "report": {"source": "pull", "names": ["x0", "x1"]},
-         "limits": {"probes": true, "retry-after": false},
-         "rules": {"ask-within": 9000, "drain-grace": 250, "removal-not-binding": true}}""";
+            {"balancers": 3, "granularity": 5, "discovery": "ask",
+             "grades": [{"name": "a", "aim": 500, "deadline": 1000, "semantics": "repeatable"},
+                        {"name": "b", "aim": 900, "deadline": 4000, "semantics": "once"}],
+             "family-info": {"consistency": ["recent", "update"], "oldest-data": [700, 0], "checks": "hold", "holds-for": 40,
+                             "role-in-list": "delayed", "stamps": true},
+             "report": {"source": "pull", "names": ["x0", "x1"]},
+             "limits": {"probes": true, "retry-after": false},
+             "rules": {"ask-within": 9000, "drain-grace": 250, "removal-not-binding": true}}\
+            """;
 
     private static Map<String, Object> settings(String text) {
         try {
@@ -45,11 +49,11 @@
 
     @Test
     void bothShapesAndTheExampleCanBeUsed() throws IOException {
-        assertThat(TermsCheck.problems(settings(PUSHED))).isEmpty();
-        assertThat(TermsCheck.problems(settings(ASKED))).isEmpty();
+        assertThat(SettingsValidator.problems(settings(PUSHED))).isEmpty();
+        assertThat(SettingsValidator.problems(settings(ASKED))).isEmpty();
         Map<String, Object> example =
                 Json.object(Files.readAllBytes(Path.of("examples/config.json")), "the example");
-        assertThat(TermsCheck.problems(Json.object(example.get("settings"), "its settings")))
+        assertThat(SettingsValidator.problems(Json.object(example.get("settings"), "its settings")))
                 .isEmpty();
     }
 
@@ -59,9 +63,10 @@
                 new HashMap<>(
                         settings(
                                 """
-            {"grades": [{"name": "a"}], "something-new": {"x": [1]}}"""));
-        assertThat(TermsCheck.problems(few)).isEmpty();
-        assertThat(Terms.of(few))
+                                {"grades": [{"name": "a"}], "something-new": {"x": [1]}}\
+                                """));
+        assertThat(SettingsValidator.problems(few)).isEmpty();
+        assertThat(RouterSettings.fromWire(few))
                 .containsEntry("drivers", 1.0)
                 .containsEntry("may-advise-come-back", false);
     }
@@ -84,19 +89,20 @@
                 "\"own_writes\" | \"recent\" | family-info.oldest-data[0]",
                 "\"discovery\": \"push\" | \"discovery\": \"ask\" | rules.ask-within",
                 "\"checks\": \"silent\" | \"checks\": \"hold\" | family-info.holds-for",
-                "\"checks\": \"silent\" | \"checks\": \"silent\", \"holds-for\": 40 | family-info.holds-for",
+                "\"checks\": \"silent\" | \"checks\": \"silent\", \"holds-for\": 40 |"
+                    + " family-info.holds-for",
                 "\"source\": \"piggyback\" | \"source\": \"answers\" | report.source"
             })
     void aWrongValueOrAMixOfShapesIsRefusedByItsKey(String here, String instead, String key) {
         assertThat(PUSHED).contains(here);
-        List<String> problems = TermsCheck.problems(settings(PUSHED.replace(here, instead)));
+        List<String> problems = SettingsValidator.problems(settings(PUSHED.replace(here, instead)));
         assertThat(problems).anyMatch(p -> p.startsWith(key + ": "));
     }
 
     @Test
     void reportsByProbesNeedProbes() {
         assertThat(
-                        TermsCheck.problems(
+                        SettingsValidator.problems(
                                 settings(ASKED.replace("\"probes\": true", "\"probes\": false"))))
                 .containsExactly("limits.probes: needed where report.source is pull");
     }
@@ -107,8 +113,9 @@
                 ASKED.replace("\"stamps\": true", "\"stamps\": false")
                         .replace("\"hold\", \"holds-for\": 40", "\"silent\"")
                         .replace("[\"x0\", \"x1\"]", "[\"x1\"]");
-        assertThat(TermsCheck.problems(settings(mute)))
+        assertThat(SettingsValidator.problems(settings(mute)))
                 .containsExactly(
-                        "family-info.stamps: members neither check nor tell a position, so no replica may be read");
+                        "family-info.stamps: members neither check nor tell a position, so no"
+                            + " replica may be read");
     }
 }
