--- a/src/main/java/wingroad/driver/Driver.java
+++ b/src/main/java/wingroad/driver/Driver.java
@@ -1,6 +1,18 @@
 package wingroad.driver;
 
-import static wingroad.state.Spans.min;
+import static wingroad.state.Durations.min;
+
+import sun.misc.Signal;
+
+import wingroad.door.FairQueues;
+import wingroad.fleet.FleetConfig;
+import wingroad.operator.OperatorFile;
+import wingroad.protocol.MemberList;
+import wingroad.routing.Router;
+import wingroad.routing.TxnRouter;
+import wingroad.state.TxnType;
+import wingroad.terms.RouterSettings;
+import wingroad.transport.EventLoop;
 
 import java.io.IOException;
 import java.io.PrintStream;
@@ -17,16 +29,6 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.concurrent.atomic.AtomicReference;
-import sun.misc.Signal;
-import wingroad.door.FairQueues;
-import wingroad.fleet.FleetRules;
-import wingroad.operator.OperatorFile;
-import wingroad.protocol.MemberList;
-import wingroad.routing.Router;
-import wingroad.routing.TxnRouter;
-import wingroad.state.TxnType;
-import wingroad.terms.Terms;
-import wingroad.transport.EventLoop;
 
 /** The program on sockets: puts its parts together, and takes them down when it is told to stop. */
 public final class Driver {
@@ -109,7 +111,7 @@
         log = new Log(clock, out);
         zones = c.names("azs");
         kinds = c.names("shapes");
-        Map<String, Object> terms = Terms.of(c.settings());
+        Map<String, Object> terms = RouterSettings.fromWire(c.settings());
         asked = "ask".equals(terms.get("member-list"));
         // The rest is for what the program itself holds open: its archive, its polling, its log.
         // A quarter of the heap may be in flight, an eighth of all memory at most: a statement is
@@ -146,7 +148,7 @@
                         counters,
                         asked,
                         this::found,
-                        () -> exchange.router().listFailed(clock.now()));
+                        () -> exchange.router().memberListFailed(clock.now()));
         exchange.meet(members, discovery, clients::closeOneIdle);
         work =
                 operator == null || operator.fleet() == null || operator.fleet().work() == null
@@ -155,7 +157,7 @@
                                 loop,
                                 clock,
                                 ChoreExecutor.settled(operator.fleet(), terms),
-                                TxnType.all(terms),
+                                TxnType.fromSettings(terms),
                                 members,
                                 this::tell,
                                 log::line);
@@ -213,7 +215,7 @@
     public static int check(Map<String, String> env, PrintStream out, PrintStream err) {
         try {
             Configuration c = Configuration.read(env);
-            Map<String, Object> terms = Terms.of(c.settings());
+            Map<String, Object> terms = RouterSettings.fromWire(c.settings());
             out.println(
                     "list "
                             + terms.get("member-list")
@@ -243,7 +245,7 @@
             WarmUp.play(
                     new EventLoop(1, Runtime.getRuntime().maxMemory(), Throwable::printStackTrace),
                     c.names("grades"),
-                    Terms.of(c.settings()),
+                    RouterSettings.fromWire(c.settings()),
                     over::countDown);
             over.await();
             return 0;
@@ -278,7 +280,7 @@
         WarmUp.play(
                 loop,
                 configuration.names("grades"),
-                Terms.of(configuration.settings()),
+                RouterSettings.fromWire(configuration.settings()),
                 () -> {
                     rehearsed = true;
                     serveOnceReady(begun);
@@ -343,11 +345,12 @@
     /** Where it can't begin, clients are served all the same. */
     private void joinFleet() {
         try {
-            FleetRules rules =
+            FleetConfig rules =
                     work == null
                             ? operator.fleet()
                             : ChoreExecutor.settled(
-                                    operator.fleet(), Terms.of(configuration.settings()));
+                                    operator.fleet(),
+                                    RouterSettings.fromWire(configuration.settings()));
             fleet =
                     FleetPart.begin(
                             rules,
@@ -369,7 +372,7 @@
         if (door == null && operator != null && operator.door() != null) {
             door =
                     new FairQueues(
-                            Terms.of(configuration.settings()),
+                            RouterSettings.fromWire(configuration.settings()),
                             operator.door(),
                             configuration.seed(),
                             log::line);
@@ -379,7 +382,7 @@
                     "door: "
                             + operator.door().tenants().size()
                             + " tenants listed, "
-                            + operator.door().mostWaiting()
+                            + operator.door().maxQueuedTxns()
                             + " txns may wait");
         }
     }
@@ -410,10 +413,10 @@
     private void takeIn(MemberList list) {
         Duration now = clock.now();
         Router router = exchange.router();
-        router.listStarts(now, list.whole());
+        router.memberListStarted(now, list.whole());
         for (MemberList.Entry e : list.entries()) {
             groups.add(e.group());
-            router.listed(
+            router.memberListed(
                     now,
                     members.listed(e),
                     e.group(),
@@ -425,8 +428,8 @@
                     e.gone(),
                     e.startedAt() > 0 ? clock.at(e.startedAt()) : null);
         }
-        router.listEnds(now);
-        members.forget(router::knows);
+        router.memberListEnded(now);
+        members.forget(router::knowsMember);
     }
 
     /**
@@ -459,7 +462,8 @@
         }
         if (read.file().door() == null && door != null) {
             log.line(
-                    "operator's file not taken, the old one stays: the door closes only with the next start");
+                    "operator's file not taken, the old one stays: the door closes only with the"
+                            + " next start");
             return;
         }
         if (!Objects.equals(read.file().fleet(), operator.fleet())) {
@@ -469,7 +473,7 @@
         if (door == null) {
             openDoor();
         } else {
-            door.rules(clock.now(), operator.door());
+            door.updateSettings(clock.now(), operator.door());
             clients.tellWhoAsks(operator.door());
         }
         log.line(
@@ -479,7 +483,7 @@
                                 : ", "
                                         + operator.door().tenants().size()
                                         + " tenants listed, waiting "
-                                        + door.waiting()));
+                                        + door.queuedCount()));
     }
 
     private void reloadConfiguration() {
@@ -513,7 +517,7 @@
                             + ", open "
                             + exchange.openTxns());
         }
-        String fair = door == null ? null : door.report();
+        String fair = door == null ? null : door.takeStatsLine();
         if (fair != null) {
             log.line(fair);
         }
--- a/src/main/java/wingroad/driver/Exchange.java
+++ b/src/main/java/wingroad/driver/Exchange.java
@@ -1,14 +1,9 @@
 package wingroad.driver;
 
-import static wingroad.state.Spans.min;
+import static wingroad.state.Durations.min;
 
-import java.time.Duration;
-import java.util.HashMap;
-import java.util.Map;
-import java.util.function.BooleanSupplier;
-import java.util.function.Consumer;
 import wingroad.door.AdmissionDecision;
-import wingroad.door.Caller;
+import wingroad.door.ClientContext;
 import wingroad.door.FairQueues;
 import wingroad.door.QueuedTxn;
 import wingroad.protocol.Statement;
@@ -18,6 +13,12 @@
 import wingroad.state.Submission;
 import wingroad.transport.EventLoop;
 
+import java.time.Duration;
+import java.util.HashMap;
+import java.util.Map;
+import java.util.function.BooleanSupplier;
+import java.util.function.Consumer;
+
 /**
  * Where the client side, the member side and discovery meet, with the module between them. It says
  * to the module what happens, pulls its decisions and hands them to whom they concern; it decides
@@ -166,9 +167,9 @@
      */
     void endBy(Duration at) {
         endBy = at;
-        router().endBy(clock.now(), at);
+        router().answerAllBy(clock.now(), at);
         if (door != null) {
-            door.endBy(at);
+            door.drainBy(at);
             changed();
         }
     }
@@ -177,7 +178,7 @@
     void passBy(FairQueues fair) {
         door = fair;
         if (endBy != null) {
-            fair.endBy(endBy);
+            fair.drainBy(endBy);
         }
     }
 
@@ -218,7 +219,12 @@
 
     /** The same, with who asks and under which name, for the door. */
     String arrived(
-            Statement s, int type, long session, TxnCallback callback, Caller caller, String name) {
+            Statement s,
+            int type,
+            long session,
+            TxnCallback callback,
+            ClientContext caller,
+            String name) {
         return arrived(s, type, session, callback, caller, name, door != null);
     }
 
@@ -227,7 +233,7 @@
             int type,
             long session,
             TxnCallback callback,
-            Caller caller,
+            ClientContext caller,
             String name,
             boolean byDoor) {
         Duration now = clock.now();
@@ -242,7 +248,8 @@
             if (!byDoor) {
                 letIn(now, txn, t, Duration.ZERO);
             } else {
-                t.queued = door.arrived(now, txn, type, s.group(), left, caller, name, s.retry());
+                t.queued =
+                        door.onTxnArrived(now, txn, type, s.group(), left, caller, name, s.retry());
                 changed();
             }
         } catch (RuntimeException bug) {
@@ -279,7 +286,7 @@
     boolean lapsed(String txn) {
         Open t = take(txn);
         if (t != null) {
-            router().txnLapsed(clock.now(), txn);
+            router().txnAbandoned(clock.now(), txn);
         }
         return t != null && !t.dispatched;
     }
@@ -288,7 +295,11 @@
 
     @Override
     public void ended(
-            MemberRequest e, Submission.End end, Duration took, MemberStatus status, byte[] row) {
+            MemberRequest e,
+            Submission.Outcome end,
+            Duration took,
+            MemberStatus status,
+            byte[] row) {
         Duration now = clock.now();
         report(now, e.member(), status.report());
         if (watcher != null) {
@@ -296,9 +307,9 @@
         }
         Open known = open.get(e.txn());
         if (known != null && known.queued != null) {
-            door.ended(now, known.queued, end, took);
+            door.onSubmissionEnded(now, known.queued, end, took);
         }
-        Open txn = end == Submission.End.COMMITTED ? take(e.txn()) : null;
+        Open txn = end == Submission.Outcome.COMMITTED ? take(e.txn()) : null;
         if (txn != null) {
             seen(txn, now, true);
             txn.callback.committed(row);
@@ -341,11 +352,11 @@
         }
     }
 
-    private void watch(long member, Submission.End end, Duration took, MemberStatus status) {
+    private void watch(long member, Submission.Outcome end, Duration took, MemberStatus status) {
         watcher.took(member, took);
-        if (end == Submission.End.COMMITTED || status.role() != Member.Role.UNKNOWN) {
+        if (end == Submission.Outcome.COMMITTED || status.role() != Member.Role.UNKNOWN) {
             watcher.told(member, status.role(), status.position());
-        } else if (end != Submission.End.MOOT && end != Submission.End.CANCELLED) {
+        } else if (end != Submission.Outcome.MOOT && end != Submission.Outcome.CANCELLED) {
             watcher.failed(member);
         }
     }
@@ -365,7 +376,8 @@
             watcher.look();
         }
         return e.probe()
-                || open.containsKey(e.txn()) && router.mayStillGo(clock.now(), e.txn(), e.member());
+                || open.containsKey(e.txn())
+                        && router.mayStillSend(clock.now(), e.txn(), e.member());
     }
 
     @Override
@@ -379,7 +391,7 @@
                 if (watcher != null) {
                     watcher.told(member, r.role(), r.position());
                 }
-                router().reported(
+                router().memberReported(
                                 now,
                                 member,
                                 r.role(),
@@ -424,7 +436,7 @@
             changed();
         }
         Duration at = router.wakeAt();
-        Duration doorAt = door == null ? null : door.wakeAt();
+        Duration doorAt = door == null ? null : door.nextWakeUp();
         at = at == null || doorAt != null && doorAt.compareTo(at) < 0 ? doorAt : at;
         if (at != null && (wakeAt == null || at.compareTo(wakeAt) < 0)) {
             if (wake != null) {
@@ -444,30 +456,30 @@
 
     /** What the door lets in meanwhile is told to the module before it is asked again. */
     private Decision nextDecision(Duration now) {
-        Decision d = router.next(now);
+        Decision d = router.nextDecision(now);
         if (d != null || door == null) {
             return d;
         }
-        for (AdmissionDecision v = door.next(now); v != null; v = door.next(now)) {
+        for (AdmissionDecision v = door.nextDecision(now); v != null; v = door.nextDecision(now)) {
             pass(v, now);
         }
-        return router.next(now);
+        return router.nextDecision(now);
     }
 
     private void pass(AdmissionDecision v, Duration now) {
-        Open t = open.get(v.queued().txn());
+        Open t = open.get(v.queuedTxn().txnId());
         if (t == null) {
-            door.closed(now, v.queued());
-        } else if (!v.letIn()) {
-            take(v.queued().txn());
+            door.onTxnClosed(now, v.queuedTxn());
+        } else if (!v.admitted()) {
+            take(v.queuedTxn().txnId());
             seen(t, now, false);
-            t.callback.declined(v.comeBack());
+            t.callback.declined(v.retryAfter());
         } else {
             try {
-                letIn(now, v.queued().txn(), t, v.queued().waited(now));
+                letIn(now, v.queuedTxn().txnId(), t, v.queuedTxn().queueTime(now));
             } catch (RuntimeException bug) {
                 onBug.accept(bug);
-                take(v.queued().txn());
+                take(v.queuedTxn().txnId());
                 t.callback.rolledBack();
             }
         }
@@ -477,7 +489,7 @@
     private Open take(String txn) {
         Open t = open.remove(txn);
         if (t != null && t.queued != null) {
-            door.closed(clock.now(), t.queued);
+            door.onTxnClosed(clock.now(), t.queued);
             changed();
         }
         return t;
@@ -494,17 +506,20 @@
                             () ->
                                     ended(
                                             none,
-                                            Submission.End.MOOT,
+                                            Submission.Outcome.MOOT,
                                             Duration.ZERO,
                                             MemberStatus.NOTHING,
                                             null));
                 } else {
                     if (txn.queued != null) {
-                        door.submitted(now, txn.queued);
+                        door.onSubmitted(now, txn.queued);
                     }
                     txn.dispatched = true;
                     Duration last = endBy == null ? txn.expiresAt : min(txn.expiresAt, endBy);
-                    Duration until = d.when() == null ? last : min(d.when(), last);
+                    Duration until =
+                            d.deadlineOrRetryDelay() == null
+                                    ? last
+                                    : min(d.deadlineOrRetryDelay(), last);
                     carrier.dispatch(
                             new MemberRequest(
                                     d.txn(), d.submission(), d.member(), txn.statement, until));
@@ -513,7 +528,10 @@
             case DECLINE -> {
                 Open txn = open.get(d.txn());
                 if (txn != null) {
-                    Duration advice = txn.queued == null ? d.when() : door.advice(now, txn.queued);
+                    Duration advice =
+                            txn.queued == null
+                                    ? d.deadlineOrRetryDelay()
+                                    : door.retryAfter(now, txn.queued);
                     take(d.txn());
                     seen(txn, now, false);
                     txn.callback.declined(advice);
