--- a/src/main/java/wingroad/driver/ChoreExecutor.java
+++ b/src/main/java/wingroad/driver/ChoreExecutor.java
@@ -56,7 +56,7 @@
     static FleetConfig settled(FleetConfig rules, Map<String, Object> terms) {
         return rules.withWork(
                 rules.work()
-                        .in(
+                        .withDeploymentSettings(
                                 expiry(TxnType.fromSettings(terms)),
                                 (Duration) terms.get("cold"),
                                 (Duration) terms.get("drain-grace")));
--- a/src/main/java/wingroad/driver/ListRelay.java
+++ b/src/main/java/wingroad/driver/ListRelay.java
@@ -44,15 +44,15 @@
         this.discovery = discovery;
         this.learn = learn;
         this.log = log;
-        look = rules.lease().beat().dividedBy(2);
+        look = rules.lease().heartbeatInterval().dividedBy(2);
         // Three of the owner's words may be lost; as long may it be behind what is known here.
         relayHealth =
                 new RelayHealth(
-                        rules.lease().beat().multipliedBy(3),
-                        rules.lease().beat().multipliedBy(3),
+                        rules.lease().heartbeatInterval().multipliedBy(3),
+                        rules.lease().heartbeatInterval().multipliedBy(3),
                         rules.listCheckInterval());
         version = known;
-        relayHealth.found(known, clock.now());
+        relayHealth.onDirectFetch(known, clock.now());
     }
 
     void begin(FleetNode with) {
@@ -62,7 +62,7 @@
 
     /** A list that this driver has found by itself. */
     void found(MemberList list) {
-        relayHealth.found(list.version(), clock.now());
+        relayHealth.onDirectFetch(list.version(), clock.now());
         if (list.version() > version) {
             hand(version, list);
             version = list.version();
@@ -102,7 +102,7 @@
 
     private void look() {
         Duration now = clock.now();
-        boolean by = relayHealth.goesByOwner(now);
+        boolean by = relayHealth.trustsOwner(now);
         if (by != goesBy) {
             goesBy = by;
             log.accept(
@@ -112,8 +112,8 @@
         }
         if (by) {
             discovery.followNoMore();
-            if (relayHealth.checkDue(now)) {
-                relayHealth.checks(now);
+            if (relayHealth.isCheckDue(now)) {
+                relayHealth.onCheckStarted(now);
                 discovery.fetch();
             }
         } else {
@@ -161,19 +161,19 @@
                                 (Boolean) l.get(9)));
             }
         }
-        switch (relayHealth.told(
+        switch (relayHealth.onOwnerUpdate(
                 epoch,
                 Json.number(m, "since").longValue(),
                 rev,
                 whole,
                 m.containsKey("news"),
                 clock.now())) {
-            case TAKE -> {
+            case APPLY -> {
                 version = rev;
                 discovery.holds(rev);
                 learn.accept(new MemberList(rev, whole, entries));
             }
-            case ASK -> discovery.fetch();
+            case FETCH -> discovery.fetch();
             default -> {
                 // nothing new
             }
--- a/src/main/java/wingroad/driver/WorkAgent.java
+++ b/src/main/java/wingroad/driver/WorkAgent.java
@@ -8,15 +8,15 @@
 import wingroad.state.Member;
 import wingroad.state.TxnType;
 import wingroad.transport.EventLoop;
-import wingroad.work.Conductor;
+import wingroad.work.DriverReport;
 import wingroad.work.Machine;
+import wingroad.work.MaintenanceController;
+import wingroad.work.MaintenancePlan;
+import wingroad.work.MaintenanceSettings;
+import wingroad.work.MaintenanceStage;
+import wingroad.work.MemberAvailability;
 import wingroad.work.MemberObservations;
-import wingroad.work.Plan;
 import wingroad.work.PlanCopy;
-import wingroad.work.Report;
-import wingroad.work.Stage;
-import wingroad.work.View;
-import wingroad.work.WorkRules;
 
 import java.time.Duration;
 import java.util.ArrayList;
@@ -41,7 +41,7 @@
 
     private final EventLoop loop;
     private final Clock clock;
-    private final WorkRules rules;
+    private final MaintenanceSettings rules;
     private final Collection<String> voters;
     private final TxnType[] types;
     private final Members members;
@@ -50,7 +50,7 @@
     private final Duration lease;
     private final Duration look;
     private final Duration askEvery;
-    private final View view;
+    private final MemberAvailability view;
     private final PlanCopy planCopy = new PlanCopy();
     private final MemberObservations observations;
 
@@ -59,14 +59,14 @@
 
     private final Map<String, Entry> told = new TreeMap<>();
     private final Map<String, Duration> leftSince = new TreeMap<>();
-    private final Map<String, Stage> stages = new TreeMap<>();
+    private final Map<String, MaintenanceStage> stages = new TreeMap<>();
     private final Map<Integer, Long> busy = new TreeMap<>();
     private final Map<String, Duration> askedAt = new TreeMap<>();
     private FleetNode fleet;
     private Runnable onKnown;
     private Duration nextAt;
     private long epoch;
-    private Conductor conductor;
+    private MaintenanceController conductor;
     private long conducts;
     private long knows;
     private long served;
@@ -89,12 +89,12 @@
         this.members = members;
         this.learn = learn;
         this.log = log;
-        lease = fleet.lease().held();
-        look = fleet.lease().beat().dividedBy(2);
-        askEvery = fleet.lease().held().dividedBy(ASKS);
-        view = new View(rules, now(), fleet.lease().held());
-        observations = new MemberObservations(fleet.lease().held());
-        nextAt = view.next(now());
+        lease = fleet.lease().duration();
+        look = fleet.lease().heartbeatInterval().dividedBy(2);
+        askEvery = fleet.lease().duration().dividedBy(ASKS);
+        view = new MemberAvailability(rules, now(), fleet.lease().duration());
+        observations = new MemberObservations(fleet.lease().duration());
+        nextAt = view.nextChangeAt(now());
     }
 
     /** The same clock as the fleet's: its leases are spans on it. */
@@ -132,12 +132,12 @@
                 if (!named.contains(uid)) {
                     listed.remove(uid);
                     told.remove(uid);
-                    observations.listed(uid, 0, true, false);
+                    observations.updateListing(uid, 0, true, false);
                 }
             }
         }
         for (Entry e : list.entries()) {
-            observations.listed(e.uid(), e.group(), e.gone(), !e.draining());
+            observations.updateListing(e.uid(), e.group(), e.gone(), !e.draining());
             if (e.gone()) {
                 listed.remove(e.uid());
             } else {
@@ -159,7 +159,7 @@
     }
 
     private Entry effective(Entry e, Duration now) {
-        View.State s = view.state(e.uid(), () -> others(e), now);
+        MemberAvailability.State s = view.state(e.uid(), () -> others(e), now);
         return switch (s) {
             case AS_LISTED -> e;
             case DRAINING -> with(e, "draining", e.startedAt());
@@ -201,11 +201,11 @@
                                         && !o.uid().equals(e.uid())
                                         && !o.draining()
                                         && (view.planCopy() == null
-                                                || view.planCopy().holder(o.uid()) == null
+                                                || view.planCopy().machineOf(o.uid()) == null
                                                 || view.planCopy()
                                                                 .entry(
                                                                         view.planCopy()
-                                                                                .holder(o.uid())
+                                                                                .machineOf(o.uid())
                                                                                 .name())
                                                         == null));
     }
@@ -226,8 +226,8 @@
         if (!changed.isEmpty()) {
             learn.accept(new MemberList(0, false, changed));
         }
-        nextAt = view.next(now);
-        boolean current = view.current(now);
+        nextAt = view.nextChangeAt(now);
+        boolean current = view.isCurrent(now);
         if (current != wasCurrent) {
             wasCurrent = current;
             log.accept(
@@ -240,7 +240,9 @@
                             : "work: the view of the plan has ended at revision "
                                     + view.revision()
                                     + ": "
-                                    + stages.values().stream().filter(Stage::announced).count()
+                                    + stages.values().stream()
+                                            .filter(MaintenanceStage::announced)
+                                            .count()
                                     + " announced machines are left alone");
         }
         if (current) {
@@ -252,7 +254,7 @@
 
     private void left(Duration now) {
         Set<String> leaving = new TreeSet<>();
-        view.leaving().forEach(e -> leaving.add(e.machine()));
+        view.drainingEntries().forEach(e -> leaving.add(e.machine()));
         leftSince.keySet().retainAll(leaving);
         leaving.forEach(m -> leftSince.putIfAbsent(m, now));
     }
@@ -271,7 +273,7 @@
         String uid = members.uid(member);
         if (uid != null) {
             boolean primary = role == Member.Role.PRIMARY;
-            observations.said(
+            observations.recordReport(
                     uid,
                     role == Member.Role.UNKNOWN ? null : primary,
                     primary ? Duration.ZERO : position == null ? null : clock.now().minus(position),
@@ -283,7 +285,7 @@
     public void failed(long member) {
         String uid = members.uid(member);
         if (uid != null) {
-            observations.failed(uid, now());
+            observations.recordFailure(uid, now());
         }
     }
 
@@ -310,12 +312,12 @@
     public void planUpdated(Map<String, Object> news, List<?> sums, List<?> live) {
         loop.run(
                 () -> {
-                    boolean grown = planCopy.news(news);
+                    boolean grown = planCopy.applyChanges(news);
                     if (sums != null) {
-                        planCopy.fleet(sums, live);
+                        planCopy.updateFleetFigures(sums, live);
                     }
                     if (grown || view.planCopy() == null) {
-                        view.told(planCopy, now());
+                        view.updatePlan(planCopy, now());
                         tellStages();
                         relist();
                         report();
@@ -324,7 +326,7 @@
     }
 
     private void tellStages() {
-        Map<String, Stage> now = new LinkedHashMap<>();
+        Map<String, MaintenanceStage> now = new LinkedHashMap<>();
         planCopy.entries().forEach(e -> now.put(e.machine(), e.stage()));
         now.forEach(
                 (m, s) -> {
@@ -357,15 +359,15 @@
                 () -> {
                     epoch = over ? 0 : conductsUnder;
                     if (over) {
-                        view.ended();
+                        view.endLease();
                     } else {
-                        view.leased(ends);
+                        view.extendLease(ends);
                     }
-                    if (view.current(now()) != wasCurrent) {
+                    if (view.isCurrent(now()) != wasCurrent) {
                         relist();
                         report();
                     } else {
-                        nextAt = view.next(now());
+                        nextAt = view.nextChangeAt(now());
                     }
                 });
     }
@@ -379,18 +381,18 @@
 
     /** What this driver says of itself. */
     private void report() {
-        if (fleet == null || !view.known()) {
+        if (fleet == null || !view.isKnown()) {
             return;
         }
         Duration now = now();
         Set<String> clear = new TreeSet<>();
         Map<Integer, String> believes = new TreeMap<>();
         Map<Integer, Long> use = new TreeMap<>();
-        if (view.current(now)) {
+        if (view.isCurrent(now)) {
             for (Map.Entry<String, Duration> l : leftSince.entrySet()) {
                 Machine m = planCopy.machines().get(l.getKey());
                 if (m != null
-                        && now.minus(l.getValue()).compareTo(rules.grace()) > 0
+                        && now.minus(l.getValue()).compareTo(rules.drainGrace()) > 0
                         && !members.busy(m::holds)) {
                     clear.add(l.getKey());
                 }
@@ -403,13 +405,13 @@
             }
             use.put(g, busy.getOrDefault(g, 0L));
         }
-        fleet.report(new Report(knows, clear, believes, served, harmed, use));
+        fleet.report(new DriverReport(knows, clear, believes, served, harmed, use));
     }
 
     /** The groups that have a member on a machine that is announced. */
     private Set<Integer> touched() {
         Set<Integer> groups = new TreeSet<>();
-        for (Plan.Entry e : planCopy.entries()) {
+        for (MaintenancePlan.Entry e : planCopy.entries()) {
             Machine m = e.stage().announced() ? planCopy.machines().get(e.machine()) : null;
             if (m != null) {
                 groups.addAll(m.groups());
@@ -421,12 +423,12 @@
     // ---- conducting ----
 
     private void conduct() {
-        if (epoch == 0 || fleet == null || !view.current(now())) {
+        if (epoch == 0 || fleet == null || !view.isCurrent(now())) {
             conductor = null;
             return;
         }
         if (conductor == null || conducts != epoch) {
-            conductor = new Conductor(rules, voters);
+            conductor = new MaintenanceController(rules, voters);
             conducts = epoch;
             log.accept(
                     "work: conducts under epoch "
@@ -435,14 +437,14 @@
                             + planCopy.entries().size()
                             + " machines asked for");
         }
-        if (!Objects.equals(planCopy.lines(), rules.lines())) {
-            fleet.proposeMachines(epoch, rules.lines());
+        if (!Objects.equals(planCopy.inventoryLines(), rules.toLines())) {
+            fleet.proposeMachines(epoch, rules.toLines());
             return;
         }
-        List<Conductor.Step> steps =
-                conductor.next(planCopy, observations, System.currentTimeMillis(), now());
+        List<MaintenanceController.Step> steps =
+                conductor.nextSteps(planCopy, observations, System.currentTimeMillis(), now());
         askMembers();
-        conductor.pages().forEach((m, text) -> log.accept("work: " + m + " " + text));
+        conductor.takeAlerts().forEach((m, text) -> log.accept("work: " + m + " " + text));
         if (!steps.isEmpty()) {
             fleet.proposeSteps(epoch, steps);
         }
@@ -454,7 +456,7 @@
      */
     private void askMembers() {
         Duration now = now();
-        Set<Integer> groups = conductor.groups(planCopy);
+        Set<Integer> groups = conductor.groupsToObserve(planCopy);
         askedAt.keySet().retainAll(listed.keySet());
         for (Entry e : listed.values()) {
             Duration at = askedAt.get(e.uid());
--- a/src/main/java/wingroad/duty/Register.java
+++ b/src/main/java/wingroad/duty/DutyStateMachine.java
@@ -1,5 +1,8 @@
 package wingroad.duty;
 
+import wingroad.work.MaintenancePlan;
+import wingroad.work.MaintenanceSettings;
+
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Collection;
@@ -10,8 +13,6 @@
 import java.util.TreeSet;
 import java.util.function.Predicate;
 import java.util.function.Supplier;
-import wingroad.work.Plan;
-import wingroad.work.WorkRules;
 
 /**
  * What the council has settled: sessions, duties, their owners and epochs. Fed with the agreed
@@ -20,7 +21,7 @@
  *
  * <p>Rounds, the number of settled beats, are its only time: coarse, and alike everywhere.
  */
-public class Register {
+public class DutyStateMachine {
     private static final int MOST_SESSIONS = 1024;
     private static final int MOST_DUTIES = 1024;
     private static final int HISTORY = 32;
@@ -43,15 +44,15 @@
         final String id;
         final String identity;
         final SortedSet<String> duties;
-        long beat;
-        final long since;
+        long lastHeartbeat;
+        final long openedAtMs;
 
         Session(String id, String identity, Collection<String> duties, long beat, long since) {
             this.id = id;
             this.identity = identity;
             this.duties = new TreeSet<>(duties);
-            this.beat = beat;
-            this.since = since;
+            this.lastHeartbeat = beat;
+            this.openedAtMs = since;
         }
 
         public String id() {
@@ -59,17 +60,17 @@
         }
 
         /** The driver's name: a session is "name/run". */
-        public String name() {
-            return driver(id);
+        public String driverName() {
+            return driverNameOf(id);
         }
 
-        public long beat() {
-            return beat;
+        public long lastHeartbeat() {
+            return lastHeartbeat;
         }
 
         /** Unix milliseconds by the wall clock of whoever proposed it. */
-        public long since() {
-            return since;
+        public long openedAtMs() {
+            return openedAtMs;
         }
     }
 
@@ -78,17 +79,17 @@
         final String name;
         String owner = "";
         long epoch;
-        long since;
-        long turn;
+        long ownedSinceMs;
+        long run;
 
         /** How the last turn ended; empty while it has not been told. */
         String outcome = "";
 
         /** Its owner is to give it up: to the driver named, or with "*" to any other. */
-        String wanted = "";
+        String handOverTarget = "";
 
         /** The session that had it last. */
-        String left = "";
+        String previousOwner = "";
 
         /** Changed by the op of this number. */
         long revision;
@@ -111,20 +112,20 @@
             return epoch;
         }
 
-        public long since() {
-            return since;
+        public long ownedSinceMs() {
+            return ownedSinceMs;
         }
 
-        public long turn() {
-            return turn;
+        public long run() {
+            return run;
         }
 
         public String outcome() {
             return outcome;
         }
 
-        public String wanted() {
-            return wanted;
+        public String handOverTarget() {
+            return handOverTarget;
         }
 
         public long revision() {
@@ -149,34 +150,34 @@
     /**
      * What was changed of the voters that the files name: an address, or empty for one taken out.
      */
-    private final TreeMap<String, String> voters = new TreeMap<>();
+    private final TreeMap<String, String> voterChanges = new TreeMap<>();
 
     private final TreeMap<String, Losses> losses = new TreeMap<>();
 
     /** The results of the newest asks that have a name, oldest first. */
     private final ArrayDeque<String[]> answers = new ArrayDeque<>();
 
-    private final Plan plan;
+    private final MaintenancePlan plan;
     private long epochs;
-    private long rounds;
+    private long heartbeatRounds;
     private long revision;
-    private long lateOrders;
+    private long staleCommandCount;
 
     /**
      * @param first the council's first epoch is the next one
      */
-    public Register(long first) {
-        this(first, new Plan());
+    public DutyStateMachine(long first) {
+        this(first, new MaintenancePlan());
     }
 
     /** The same with a plan of its own, for tests. */
-    protected Register(long first, Plan plan) {
+    protected DutyStateMachine(long first, MaintenancePlan plan) {
         epochs = first;
         this.plan = plan;
     }
 
     /** The driver that a session is of. */
-    public static String driver(String session) {
+    public static String driverNameOf(String session) {
         int slash = session.indexOf('/');
         return slash < 0 ? session : session.substring(0, slash);
     }
@@ -189,18 +190,18 @@
      * The changes of the voters since the founding: names with their addresses, empty for those
      * taken out.
      */
-    public Map<String, String> voters() {
-        return voters;
+    public Map<String, String> voterChanges() {
+        return voterChanges;
     }
 
     /** What is settled of the work on machines. */
-    public Plan plan() {
+    public MaintenancePlan plan() {
         return plan;
     }
 
     /** How many of a conductor's orders came under an epoch that was over. */
-    public long lateOrders() {
-        return lateOrders;
+    public long staleCommandCount() {
+        return staleCommandCount;
     }
 
     public Session session(String id) {
@@ -220,18 +221,18 @@
         return revision;
     }
 
-    public long rounds() {
-        return rounds;
+    public long heartbeatRounds() {
+        return heartbeatRounds;
     }
 
     /**
      * Applies one settled entry; empty where it took effect or had done so before, else why it did
      * not.
      */
-    public String apply(Op op) {
-        if (!op.ask().isEmpty()) {
+    public String apply(Command op) {
+        if (!op.requestId().isEmpty()) {
             for (String[] a : answers) {
-                if (a[0].equals(op.ask())) {
+                if (a[0].equals(op.requestId())) {
                     return a[1];
                 }
             }
@@ -243,64 +244,66 @@
                     case OPEN -> open(op);
                     case BEAT -> beat(op);
                     case EXPIRE -> expire(op);
-                    case LEAVE -> end(op.by(), LEFT, op.wall());
+                    case LEAVE -> end(op.sessionId(), LEFT, op.proposedAtMs());
                     case GIVE_UP -> giveUp(op);
                     case HAND_OVER -> handOver(op);
                     case TURN -> turn(op);
                     case TOLD -> told(op);
                     case VOTER -> voter(op);
-                    case WORK_MACHINES -> ordered(op, () -> plan.inventory(op.duties()));
+                    case WORK_MACHINES -> ordered(op, () -> plan.applyInventory(op.items()));
                     case WORK_ASK ->
-                            plan.ask(
-                                    op.duty(),
-                                    op.ask(),
-                                    op.to(),
+                            plan.addRequest(
+                                    op.subject(),
+                                    op.requestId(),
+                                    op.argument(),
                                     op.number(),
                                     op.epoch(),
-                                    op.duties(),
-                                    op.wall());
-                    case WORK_WORD -> plan.word(op.to(), op.duty(), op.wall());
+                                    op.items(),
+                                    op.proposedAtMs());
+                    case WORK_WORD ->
+                            plan.applyOperatorCommand(
+                                    op.argument(), op.subject(), op.proposedAtMs());
                     case WORK_STEP ->
                             ordered(
                                     op,
                                     () ->
-                                            plan.step(
-                                                    op.duty(),
-                                                    op.to(),
+                                            plan.applyStep(
+                                                    op.subject(),
+                                                    op.argument(),
                                                     op.number(),
-                                                    op.duties().get(0),
-                                                    idle(op.duty()),
-                                                    op.wall()));
-                    case WORK_REPORTS -> plan.reports(op.duties());
-                    case WORK_STOPPED -> plan.stopped(op.to(), op.number(), op.epoch());
+                                                    op.items().get(0),
+                                                    idle(op.subject()),
+                                                    op.proposedAtMs()));
+                    case WORK_REPORTS -> plan.applyReports(op.items());
+                    case WORK_STOPPED -> plan.driverStopped(op.argument(), op.number(), op.epoch());
                 };
-        if (!op.ask().isEmpty()) {
-            answers.add(new String[] {op.ask(), result});
+        if (!op.requestId().isEmpty()) {
+            answers.add(new String[] {op.requestId(), result});
             if (answers.size() > MOST_ANSWERS) {
                 answers.poll();
             }
         }
         // Beats are most of all ops, and change who has what only where somebody's wait has ended.
-        if (op.kind() != Op.Kind.BEAT && op.kind() != Op.Kind.WORK_REPORTS
-                || rounds % LOOK_AGAIN == 0) {
-            give(op.wall());
+        if (op.kind() != Command.Kind.BEAT && op.kind() != Command.Kind.WORK_REPORTS
+                || heartbeatRounds % LOOK_AGAIN == 0) {
+            give(op.proposedAtMs());
         }
         return result;
     }
 
     /** An order of the conductor's: only under the epoch that is in force. */
-    private String ordered(Op op, Supplier<String> what) {
-        if (!inForce(op)) {
-            lateOrders++;
+    private String ordered(Command op, Supplier<String> what) {
+        if (!isFromCurrentController(op)) {
+            staleCommandCount++;
             return "not the conductor under epoch " + op.epoch();
         }
         return what.get();
     }
 
     /** Whether an order comes from whoever conducts, under its epoch. */
-    protected boolean inForce(Op op) {
-        Duty d = duties.get(WorkRules.CONDUCTOR);
-        return d != null && d.epoch == op.epoch() && d.owner.equals(op.by());
+    protected boolean isFromCurrentController(Command op) {
+        Duty d = duties.get(MaintenanceSettings.CONTROLLER_DUTY);
+        return d != null && d.epoch == op.epoch() && d.owner.equals(op.sessionId());
     }
 
     /** Whether no driver on the machine owns a duty. */
@@ -313,30 +316,32 @@
                                                 && plan.machines()
                                                         .get(machine)
                                                         .drivers()
-                                                        .contains(driver(d.owner)));
+                                                        .contains(driverNameOf(d.owner)));
     }
 
-    private String open(Op op) {
-        if (sessions.containsKey(op.by())) {
+    private String open(Command op) {
+        if (sessions.containsKey(op.sessionId())) {
             return "";
         }
-        String name = driver(op.by());
+        String name = driverNameOf(op.sessionId());
         for (Session s : List.copyOf(sessions.values())) {
-            if (s.name().equals(name)) {
-                if (!s.identity.equals(op.to())) {
+            if (s.driverName().equals(name)) {
+                if (!s.identity.equals(op.argument())) {
                     return "another driver is known by the name '" + name + "'";
                 }
                 // The same state folder, whose lock only one process can have: the former one is
                 // dead.
-                end(s.id, "restarted", op.wall());
+                end(s.id, "restarted", op.proposedAtMs());
             }
         }
         if (sessions.size() >= MOST_SESSIONS) {
             return "there are " + MOST_SESSIONS + " sessions already";
         }
-        sessions.put(op.by(), new Session(op.by(), op.to(), op.duties(), 0, op.wall()));
-        plan.opened(op.by(), op.to(), name);
-        for (String d : op.duties()) {
+        sessions.put(
+                op.sessionId(),
+                new Session(op.sessionId(), op.argument(), op.items(), 0, op.proposedAtMs()));
+        plan.sessionOpened(op.sessionId(), op.argument(), name);
+        for (String d : op.items()) {
             if (duties.size() < MOST_DUTIES) {
                 duties.computeIfAbsent(d, Duty::new);
             }
@@ -344,40 +349,40 @@
         return "";
     }
 
-    private String beat(Op op) {
-        rounds++;
-        op.beats()
+    private String beat(Command op) {
+        heartbeatRounds++;
+        op.heartbeats()
                 .forEach(
                         (id, n) -> {
                             Session s = sessions.get(id);
                             if (s != null) {
-                                s.beat = Math.max(s.beat, n);
+                                s.lastHeartbeat = Math.max(s.lastHeartbeat, n);
                             }
                         });
-        losses.values().removeIf(l -> rounds - l.last > FORGIVEN);
+        losses.values().removeIf(l -> heartbeatRounds - l.last > FORGIVEN);
         return "";
     }
 
-    private String expire(Op op) {
-        Session s = sessions.get(op.by());
+    private String expire(Command op) {
+        Session s = sessions.get(op.sessionId());
         if (s == null) {
             return "";
         }
-        if (s.beat != op.number()) {
+        if (s.lastHeartbeat != op.number()) {
             return "it was renewed since";
         }
         if (duties.values().stream().anyMatch(d -> d.owner.equals(s.id))) {
-            Losses l = losses.computeIfAbsent(s.name(), n -> new Losses());
+            Losses l = losses.computeIfAbsent(s.driverName(), n -> new Losses());
             l.count = Math.min(l.count + 1, LONGEST_WAIT);
-            l.until = rounds + (1L << l.count);
-            l.last = rounds;
+            l.until = heartbeatRounds + (1L << l.count);
+            l.last = heartbeatRounds;
         }
-        return end(s.id, "lease ran out", op.wall());
+        return end(s.id, "lease ran out", op.proposedAtMs());
     }
 
     private String end(String id, String how, long wall) {
         if (sessions.remove(id) != null) {
-            plan.ended(id, how.equals(LEFT));
+            plan.sessionEnded(id, how.equals(LEFT));
             for (Duty d : duties.values()) {
                 if (d.owner.equals(id)) {
                     free(d, how, wall);
@@ -391,18 +396,18 @@
         note(
                 d,
                 wall,
-                driver(d.owner)
+                driverNameOf(d.owner)
                         + " has it no more, epoch "
                         + d.epoch
                         + ": "
                         + how
-                        + (d.turn > 0 && d.outcome.isEmpty()
-                                ? "; turn " + d.turn + " has run or not"
+                        + (d.run > 0 && d.outcome.isEmpty()
+                                ? "; turn " + d.run + " has run or not"
                                 : ""));
-        if (d.outcome.isEmpty() && d.turn > 0) {
+        if (d.outcome.isEmpty() && d.run > 0) {
             d.outcome = "unknown";
         }
-        d.left = d.owner;
+        d.previousOwner = d.owner;
         d.owner = "";
         d.revision = revision;
     }
@@ -414,36 +419,39 @@
         }
     }
 
-    private String giveUp(Op op) {
+    private String giveUp(Command op) {
         Duty d = held(op);
         if (d == null) {
             return "not held under epoch " + op.epoch();
         }
-        free(d, "given up", op.wall());
+        free(d, "given up", op.proposedAtMs());
         return "";
     }
 
-    private String voter(Op op) {
-        if (voters.size() >= MOST_VOTERS && !voters.containsKey(op.to())) {
+    private String voter(Command op) {
+        if (voterChanges.size() >= MOST_VOTERS && !voterChanges.containsKey(op.argument())) {
             return "more than " + MOST_VOTERS + " changes of voters";
         }
-        voters.put(op.to(), op.duty());
+        voterChanges.put(op.argument(), op.subject());
         return "";
     }
 
-    private Duty held(Op op) {
-        Duty d = duties.get(op.duty());
-        return d != null && d.epoch == op.epoch() && d.owner.equals(op.by()) && !op.by().isEmpty()
+    private Duty held(Command op) {
+        Duty d = duties.get(op.subject());
+        return d != null
+                        && d.epoch == op.epoch()
+                        && d.owner.equals(op.sessionId())
+                        && !op.sessionId().isEmpty()
                 ? d
                 : null;
     }
 
-    private String handOver(Op op) {
-        Duty d = duties.get(op.duty());
+    private String handOver(Command op) {
+        Duty d = duties.get(op.subject());
         if (d == null) {
-            return "there is no duty '" + op.duty() + "'";
+            return "there is no duty '" + op.subject() + "'";
         }
-        boolean any = op.to().isEmpty();
+        boolean any = op.argument().isEmpty();
         boolean there =
                 sessions.values().stream()
                         .anyMatch(
@@ -451,43 +459,46 @@
                                         s.duties.contains(d.name)
                                                 && (any
                                                         ? !s.id.equals(d.owner)
-                                                        : s.name().equals(op.to())));
+                                                        : s.driverName().equals(op.argument())));
         if (!there) {
             return any
                     ? "nobody else would do it"
-                    : "'" + op.to() + "' is not there or would not do it";
+                    : "'" + op.argument() + "' is not there or would not do it";
         }
-        if (!any && driver(d.owner).equals(op.to())) {
+        if (!any && driverNameOf(d.owner).equals(op.argument())) {
             return "";
         }
-        d.wanted = any ? "*" : op.to();
+        d.handOverTarget = any ? "*" : op.argument();
         d.revision = revision;
         return "";
     }
 
-    private String turn(Op op) {
+    private String turn(Command op) {
         Duty d = held(op);
         if (d == null) {
             return "not held under epoch " + op.epoch();
         }
-        if (op.number() != d.turn + 1) {
-            return op.number() == d.turn ? "" : "turn " + (d.turn + 1) + " is next";
+        if (op.number() != d.run + 1) {
+            return op.number() == d.run ? "" : "turn " + (d.run + 1) + " is next";
         }
-        d.turn = op.number();
+        d.run = op.number();
         d.outcome = "";
         d.revision = revision;
         return "";
     }
 
-    private String told(Op op) {
+    private String told(Command op) {
         Duty d = held(op);
-        if (d == null || d.turn != op.number()) {
+        if (d == null || d.run != op.number()) {
             return "not the turn that runs";
         }
         if (d.outcome.isEmpty()) {
-            d.outcome = op.to();
+            d.outcome = op.argument();
             d.revision = revision;
-            note(d, op.wall(), "turn " + d.turn + " of epoch " + d.epoch + ": " + op.to());
+            note(
+                    d,
+                    op.proposedAtMs(),
+                    "turn " + d.run + " of epoch " + d.epoch + ": " + op.argument());
         }
         return "";
     }
@@ -506,7 +517,7 @@
             load.computeIfPresent(d.owner, (s, n) -> n + 1);
         }
         int cap =
-                Shares.cap(
+                RendezvousHashing.cap(
                         (int) duties.keySet().stream().filter(wanted::contains).count(),
                         load.size());
         for (Duty d : duties.values()) {
@@ -515,10 +526,10 @@
                 if (next != null) {
                     d.owner = next.id;
                     d.epoch = ++epochs;
-                    d.since = wall;
-                    d.wanted = "";
+                    d.ownedSinceMs = wall;
+                    d.handOverTarget = "";
                     d.revision = revision;
-                    note(d, wall, next.name() + " has it, epoch " + d.epoch);
+                    note(d, wall, next.driverName() + " has it, epoch " + d.epoch);
                     load.merge(next.id, 1, Integer::sum);
                 }
             }
@@ -534,15 +545,15 @@
     private void leaveMachines() {
         for (Duty d : duties.values()) {
             if (!d.owner.isEmpty()
-                    && d.wanted.isEmpty()
-                    && plan.leaves(driver(d.owner))
+                    && d.handOverTarget.isEmpty()
+                    && plan.isOnDrainingMachine(driverNameOf(d.owner))
                     && sessions.values().stream()
                             .anyMatch(
                                     s ->
                                             !s.id.equals(d.owner)
                                                     && s.duties.contains(d.name)
-                                                    && !plan.leaves(s.name()))) {
-                d.wanted = "*";
+                                                    && !plan.isOnDrainingMachine(s.driverName()))) {
+                d.handOverTarget = "*";
                 d.revision = revision;
             }
         }
@@ -552,7 +563,7 @@
         List<Session> may = new ArrayList<>();
         for (Session s : sessions.values()) {
             if (s.duties.contains(d.name)) {
-                if (s.name().equals(d.wanted)) {
+                if (s.driverName().equals(d.handOverTarget)) {
                     return s;
                 }
                 may.add(s);
@@ -560,16 +571,16 @@
         }
         // Each of these only where it leaves somebody: better a driver that loses it again than
         // nobody.
-        keep(may, s -> !plan.leaves(s.name()));
-        keep(may, s -> !d.wanted.equals("*") || !s.id.equals(d.left));
-        keep(may, s -> !waits(s.name()));
+        keep(may, s -> !plan.isOnDrainingMachine(s.driverName()));
+        keep(may, s -> !d.handOverTarget.equals("*") || !s.id.equals(d.previousOwner));
+        keep(may, s -> !waits(s.driverName()));
         keep(may, s -> load.get(s.id) < cap);
         if (may.isEmpty()) {
             return null;
         }
         TreeMap<String, Session> byName = new TreeMap<>();
-        may.forEach(s -> byName.put(s.name(), s));
-        return byName.get(Shares.most(d.name, byName.keySet()));
+        may.forEach(s -> byName.put(s.driverName(), s));
+        return byName.get(RendezvousHashing.most(d.name, byName.keySet()));
     }
 
     private static void keep(List<Session> of, Predicate<Session> which) {
@@ -580,29 +591,31 @@
 
     private boolean waits(String driver) {
         Losses l = losses.get(driver);
-        return l != null && l.until > rounds;
+        return l != null && l.until > heartbeatRounds;
     }
 
     private void spread(String session, int surplus) {
         List<Duty> own =
                 new ArrayList<>(
                         duties.values().stream().filter(d -> d.owner.equals(session)).toList());
-        int asked = (int) own.stream().filter(d -> !d.wanted.isEmpty()).count();
-        String driver = driver(session);
+        int asked = (int) own.stream().filter(d -> !d.handOverTarget.isEmpty()).count();
+        String driver = driverNameOf(session);
         own.removeIf(
                 d ->
-                        !d.wanted.isEmpty()
+                        !d.handOverTarget.isEmpty()
                                 || sessions.values().stream()
                                         .noneMatch(
                                                 s ->
                                                         !s.id.equals(session)
                                                                 && s.duties.contains(d.name)
-                                                                && !waits(s.name())));
+                                                                && !waits(s.driverName())));
         own.sort(
                 (a, b) ->
-                        Long.compare(Shares.weight(a.name, driver), Shares.weight(b.name, driver)));
+                        Long.compare(
+                                RendezvousHashing.weight(a.name, driver),
+                                RendezvousHashing.weight(b.name, driver)));
         for (int i = 0; i < Math.min(surplus - asked, own.size()); i++) {
-            own.get(i).wanted = "*";
+            own.get(i).handOverTarget = "*";
             own.get(i).revision = revision;
         }
     }
@@ -610,15 +623,22 @@
     // ---- as a whole ----
 
     /** All of it, for a snapshot. */
-    public Map<String, Object> whole() {
+    public Map<String, Object> snapshot() {
         Map<String, Object> all = new TreeMap<>();
         all.put("epochs", epochs);
-        all.put("rounds", rounds);
+        all.put("rounds", heartbeatRounds);
         all.put("revision", revision);
         all.put(
                 "sessions",
                 sessions.values().stream()
-                        .map(s -> List.of(s.id, s.identity, List.copyOf(s.duties), s.beat, s.since))
+                        .map(
+                                s ->
+                                        List.of(
+                                                s.id,
+                                                s.identity,
+                                                List.copyOf(s.duties),
+                                                s.lastHeartbeat,
+                                                s.openedAtMs))
                         .toList());
         all.put(
                 "duties",
@@ -629,28 +649,28 @@
                                                 d.name,
                                                 d.owner,
                                                 d.epoch,
-                                                d.since,
-                                                d.turn,
+                                                d.ownedSinceMs,
+                                                d.run,
                                                 d.outcome,
-                                                d.wanted,
-                                                d.left,
+                                                d.handOverTarget,
+                                                d.previousOwner,
                                                 d.revision,
                                                 List.copyOf(d.history)))
                         .toList());
         List<Object> lost = new ArrayList<>();
         losses.forEach((n, l) -> lost.add(List.of(n, (long) l.count, l.until, l.last)));
         all.put("losses", lost);
-        all.put("voters", new TreeMap<>(voters));
-        all.put("late-orders", lateOrders);
-        all.put("work", plan.whole());
+        all.put("voters", new TreeMap<>(voterChanges));
+        all.put("late-orders", staleCommandCount);
+        all.put("work", plan.snapshot());
         all.put("answers", answers.stream().map(a -> List.of(a[0], a[1])).toList());
         return all;
     }
 
     /** Takes over a snapshot in place of all that is there. */
-    public void become(Map<?, ?> all) {
+    public void restore(Map<?, ?> all) {
         epochs = number(all.get("epochs"));
-        rounds = number(all.get("rounds"));
+        heartbeatRounds = number(all.get("rounds"));
         revision = number(all.get("revision"));
         sessions.clear();
         duties.clear();
@@ -672,11 +692,11 @@
             Duty d = new Duty((String) l.get(0));
             d.owner = (String) l.get(1);
             d.epoch = number(l.get(2));
-            d.since = number(l.get(3));
-            d.turn = number(l.get(4));
+            d.ownedSinceMs = number(l.get(3));
+            d.run = number(l.get(4));
             d.outcome = (String) l.get(5);
-            d.wanted = (String) l.get(6);
-            d.left = (String) l.get(7);
+            d.handOverTarget = (String) l.get(6);
+            d.previousOwner = (String) l.get(7);
             d.revision = number(l.get(8));
             ((List<?>) l.get(9)).forEach(h -> d.history.add((String) h));
             duties.put(d.name, d);
@@ -688,12 +708,12 @@
             lost.last = number(l.get(3));
             losses.put((String) l.get(0), lost);
         }
-        voters.clear();
-        ((Map<?, ?>) all.get("voters")).forEach((n, a) -> voters.put((String) n, (String) a));
-        lateOrders = all.get("late-orders") instanceof Number n ? n.longValue() : 0;
-        plan.become(all.get("work"));
+        voterChanges.clear();
+        ((Map<?, ?>) all.get("voters")).forEach((n, a) -> voterChanges.put((String) n, (String) a));
+        staleCommandCount = all.get("late-orders") instanceof Number n ? n.longValue() : 0;
+        plan.restore(all.get("work"));
         if (all.get("work") == null) {
-            sessions.values().forEach(s -> plan.opened(s.id, s.identity, s.name()));
+            sessions.values().forEach(s -> plan.sessionOpened(s.id, s.identity, s.driverName()));
         }
         for (List<?> a : lists(all.get("answers"))) {
             answers.add(new String[] {(String) a.get(0), (String) a.get(1)});
--- a/src/main/java/wingroad/duty/Fence.java
+++ b/src/main/java/wingroad/duty/EpochFence.java
@@ -8,33 +8,33 @@
  * a lower one comes from an owner that woke up late, and is refused. One entry for each duty that
  * is known here; others are refused.
  */
-public final class Fence {
-    private final Map<String, Long> highest = new HashMap<>();
-    private long refused;
+public final class EpochFence {
+    private final Map<String, Long> highestEpoch = new HashMap<>();
+    private long refusedCount;
 
     /**
      * An epoch is in force for a duty, by the council's word: nothing below it counts from now on.
      */
-    public void raise(String duty, long epoch) {
-        highest.merge(duty, epoch, Math::max);
+    public void advance(String duty, long epoch) {
+        highestEpoch.merge(duty, epoch, Math::max);
     }
 
     /** Whether an effect may take place; its epoch is seen from then on. */
     public boolean admits(String duty, long epoch) {
-        Long seen = highest.get(duty);
+        Long seen = highestEpoch.get(duty);
         if (seen == null || epoch < seen) {
-            refused++;
+            refusedCount++;
             return false;
         }
-        highest.put(duty, epoch);
+        highestEpoch.put(duty, epoch);
         return true;
     }
 
-    public long highest(String duty) {
-        return highest.getOrDefault(duty, 0L);
+    public long highestEpoch(String duty) {
+        return highestEpoch.getOrDefault(duty, 0L);
     }
 
-    public long refused() {
-        return refused;
+    public long refusedCount() {
+        return refusedCount;
     }
 }
--- a/src/main/java/wingroad/duty/RelayHealth.java
+++ b/src/main/java/wingroad/duty/RelayHealth.java
@@ -34,20 +34,20 @@
     }
 
     /** What is to be done with what the owner has handed on. */
-    public enum Use {
+    public enum Action {
         /** It is of an older epoch or an older revision: nothing. */
-        NONE,
+        IGNORE,
         /** It goes on from what is held. */
-        TAKE,
+        APPLY,
         /** What lies between is missing: discovery is to be asked. */
-        ASK
+        FETCH
     }
 
     /**
      * The owner under this epoch tells that the newest is this revision, with what is new since
      * another one.
      */
-    public Use told(
+    public Action onOwnerUpdate(
             long underEpoch,
             long since,
             long revision,
@@ -55,7 +55,7 @@
             boolean withNews,
             Duration now) {
         if (underEpoch < epoch) {
-            return Use.NONE;
+            return Action.IGNORE;
         }
         if (underEpoch > epoch) {
             epoch = underEpoch;
@@ -69,17 +69,17 @@
             aheadSince = now;
         }
         if (revision <= held) {
-            return Use.NONE;
+            return Action.IGNORE;
         }
         if (withNews && (whole || since <= held)) {
             held = revision;
-            return Use.TAKE;
+            return Action.APPLY;
         }
-        return Use.ASK;
+        return Action.FETCH;
     }
 
     /** The driver has found this revision by itself. */
-    public void found(long revision, Duration now) {
+    public void onDirectFetch(long revision, Duration now) {
         checkedAt = now;
         held = Math.max(held, revision);
         if (held > heard && aheadSince == null) {
@@ -88,19 +88,19 @@
     }
 
     /** Whether the owner is gone by. */
-    public boolean goesByOwner(Duration now) {
+    public boolean trustsOwner(Duration now) {
         return heardAt != null
                 && now.minus(heardAt).compareTo(silentAfter) < 0
                 && (aheadSince == null || now.minus(aheadSince).compareTo(staleAfter) < 0);
     }
 
     /** Whether the slow call is due. */
-    public boolean checkDue(Duration now) {
+    public boolean isCheckDue(Duration now) {
         return now.minus(checkedAt).compareTo(checkEvery) >= 0;
     }
 
     /** The slow call goes out. */
-    public void checks(Duration now) {
+    public void onCheckStarted(Duration now) {
         checkedAt = now;
     }
 }
--- a/src/main/java/wingroad/duty/Shares.java
+++ b/src/main/java/wingroad/duty/RendezvousHashing.java
@@ -2,6 +2,7 @@
 
 import com.dynatrace.hash4j.hashing.Hasher64;
 import com.dynatrace.hash4j.hashing.Hashing;
+
 import java.util.Collection;
 import java.util.Comparator;
 
@@ -9,10 +10,10 @@
  * Who gets a duty: rendezvous hashing, so that a driver's death moves its own duties and no others.
  * The hash has a fixed seed, since all voters must come to the same end.
  */
-final class Shares {
+final class RendezvousHashing {
     private static final Hasher64 HASH = Hashing.komihash5_0(0x77696e67726f6164L);
 
-    private Shares() {}
+    private RendezvousHashing() {}
 
     /** How much this driver is meant for this duty. */
     static long weight(String duty, String driver) {
--- a/src/main/java/wingroad/duty/Turns.java
+++ b/src/main/java/wingroad/duty/RunSchedule.java
@@ -7,17 +7,17 @@
  * heard that the last turn was settled; whoever owns the duty then is about a message's way apart
  * from the one before. A turn that is missed is told and not made up for.
  */
-public final class Turns {
+public final class RunSchedule {
     private final Duration every;
     private long turn = -1;
     private Duration heardAt;
 
-    public Turns(Duration every) {
+    public RunSchedule(Duration every) {
         this.every = every;
     }
 
     /** The newest turn that is settled; returns how many turns were missed before it. */
-    public long heard(long newest, Duration now) {
+    public long onRunCommitted(long newest, Duration now) {
         long missed = 0;
         if (newest != turn) {
             if (turn >= 0 && heardAt != null) {
@@ -30,12 +30,12 @@
     }
 
     /** The number of the turn that is due, or 0. */
-    public long due(Duration now) {
+    public long dueRun(Duration now) {
         return heardAt != null && now.minus(heardAt).compareTo(every) >= 0 ? turn + 1 : 0;
     }
 
     /** How long until the next one is due; zero where it is. */
-    public Duration left(Duration now) {
+    public Duration timeUntilDue(Duration now) {
         Duration left = heardAt == null ? every : every.minus(now.minus(heardAt));
         return left.isNegative() ? Duration.ZERO : left;
     }
--- a/src/main/java/wingroad/duty/Overdue.java
+++ b/src/main/java/wingroad/duty/SessionExpiryMonitor.java
@@ -11,42 +11,42 @@
  * ever asks for a session to be ended; that is settled by the log, where a later beat makes it
  * void. So a voter that restarts, or gets a snapshot, may count anew: later is safe.
  */
-public final class Overdue {
+public final class SessionExpiryMonitor {
     private record Seen(long beat, Duration at) {}
 
     private final Lease lease;
     private final Map<String, Seen> seen = new HashMap<>();
 
-    public Overdue(Lease lease) {
+    public SessionExpiryMonitor(Lease lease) {
         this.lease = lease;
     }
 
     /** Compares with what is settled now. */
-    public void look(Register register, Duration now) {
+    public void observe(DutyStateMachine register, Duration now) {
         seen.keySet().removeIf(s -> register.session(s) == null);
-        for (Register.Session s : register.sessions()) {
+        for (DutyStateMachine.Session s : register.sessions()) {
             Seen was = seen.get(s.id());
-            if (was == null || was.beat != s.beat()) {
-                seen.put(s.id(), new Seen(s.beat(), now));
+            if (was == null || was.beat != s.lastHeartbeat()) {
+                seen.put(s.id(), new Seen(s.lastHeartbeat(), now));
             }
         }
     }
 
     /** The sessions whose leases have run out for certain. */
-    public List<Op> ends(Duration now) {
-        List<Op> ends = new ArrayList<>();
+    public List<Command> expireCommands(Duration now) {
+        List<Command> ends = new ArrayList<>();
         seen.forEach(
                 (s, at) -> {
-                    if (now.minus(at.at).compareTo(lease.waited()) > 0) {
-                        ends.add(Op.expire(s, at.beat));
+                    if (now.minus(at.at).compareTo(lease.voterTimeout()) > 0) {
+                        ends.add(Command.expireSession(s, at.beat));
                     }
                 });
-        ends.sort((a, b) -> a.by().compareTo(b.by()));
+        ends.sort((a, b) -> a.sessionId().compareTo(b.sessionId()));
         return ends;
     }
 
     /** How long ago this session was renewed as this voter knows it, or null. */
-    public Duration quiet(String session, Duration now) {
+    public Duration timeSinceHeartbeat(String session, Duration now) {
         Seen s = seen.get(session);
         return s == null ? null : now.minus(s.at);
     }
--- a/src/main/java/wingroad/duty/SessionLease.java
+++ b/src/main/java/wingroad/duty/SessionLease.java
@@ -18,31 +18,36 @@
     private static final int MOST_OUT = 64;
 
     /** A duty as it is settled. */
-    public record Held(
-            String duty, String owner, long epoch, long turn, String outcome, String wanted) {}
+    public record DutyState(
+            String duty,
+            String owner,
+            long epoch,
+            long run,
+            String outcome,
+            String handOverTarget) {}
 
     private record Beat(long number, Duration askedAt) {}
 
     private final Lease lease;
-    private final String session;
+    private final String sessionId;
     private final ArrayDeque<Beat> out = new ArrayDeque<>();
-    private final Map<String, Held> known = new TreeMap<>();
+    private final Map<String, DutyState> current = new TreeMap<>();
     private long beats;
-    private Duration until = Duration.ZERO;
+    private Duration expiresAt = Duration.ZERO;
     private boolean open;
     private boolean over;
 
     public SessionLease(Lease lease, String session) {
         this.lease = lease;
-        this.session = session;
+        this.sessionId = session;
     }
 
-    public String session() {
-        return session;
+    public String sessionId() {
+        return sessionId;
     }
 
     /** The number of the next beat, which goes out now or later. */
-    public long beat(Duration now) {
+    public long nextHeartbeat(Duration now) {
         out.add(new Beat(++beats, now));
         if (out.size() > MOST_OUT) {
             out.poll();
@@ -51,30 +56,30 @@
     }
 
     /** The council has settled this beat: the lease runs from when it was asked for. */
-    public void settled(long beat, Duration now) {
+    public void heartbeatCommitted(long beat, Duration now) {
         while (!out.isEmpty() && out.peek().number <= beat) {
             Beat b = out.poll();
             if (b.number == beat) {
-                Duration runs = from(b.askedAt, now).plus(lease.held());
-                until = runs.compareTo(until) > 0 ? runs : until;
+                Duration runs = leaseStart(b.askedAt, now).plus(lease.duration());
+                expiresAt = runs.compareTo(expiresAt) > 0 ? runs : expiresAt;
             }
         }
     }
 
     /** Where a lease begins that was asked for and heard of at these times. */
-    protected Duration from(Duration askedAt, Duration heardAt) {
+    protected Duration leaseStart(Duration askedAt, Duration heardAt) {
         return askedAt;
     }
 
     /** Whether the council knows this session. */
-    public void opened() {
+    public void markOpen() {
         open = true;
     }
 
     /**
      * The council has ended the session, or it has been left: nothing is done under it any more.
      */
-    public void ended() {
+    public void markEnded() {
         over = true;
     }
 
@@ -82,29 +87,29 @@
         return open && !over;
     }
 
-    public boolean isOver() {
+    public boolean isEnded() {
         return over;
     }
 
     /** A duty as the council has settled it. */
-    public void told(Held duty) {
-        known.put(duty.duty, duty);
+    public void updateDuty(DutyState duty) {
+        current.put(duty.duty, duty);
     }
 
-    public Collection<Held> known() {
-        return known.values();
+    public Collection<DutyState> current() {
+        return current.values();
     }
 
-    public Held known(String duty) {
-        return known.get(duty);
+    public DutyState current(String duty) {
+        return current.get(duty);
     }
 
     /**
      * The duties that are this driver's to do, those that it is asked to give up not among them.
      */
-    public List<Held> mine(Duration now) {
-        List<Held> mine = new ArrayList<>();
-        for (Held h : known.values()) {
+    public List<DutyState> ownedDuties(Duration now) {
+        List<DutyState> mine = new ArrayList<>();
+        for (DutyState h : current.values()) {
             if (mayAct(h.duty, h.epoch, now)) {
                 mine.add(h);
             }
@@ -113,25 +118,25 @@
     }
 
     /** The duties that are to be given up. */
-    public List<Held> askedBack() {
-        return known.values().stream()
-                .filter(h -> h.owner.equals(session) && !h.wanted.isEmpty())
+    public List<DutyState> releaseRequests() {
+        return current.values().stream()
+                .filter(h -> h.owner.equals(sessionId) && !h.handOverTarget.isEmpty())
                 .toList();
     }
 
     /** Whether an effect under this epoch may be started at this time. */
     public boolean mayAct(String duty, long epoch, Duration now) {
-        Held h = known.get(duty);
+        DutyState h = current.get(duty);
         return h != null
                 && isOpen()
-                && h.owner.equals(session)
+                && h.owner.equals(sessionId)
                 && h.epoch == epoch
-                && h.wanted.isEmpty()
-                && now.compareTo(until) < 0;
+                && h.handOverTarget.isEmpty()
+                && now.compareTo(expiresAt) < 0;
     }
 
     /** Up to when the lease runs, on the driver's own clock. */
-    public Duration until() {
-        return until;
+    public Duration expiresAt() {
+        return expiresAt;
     }
 }
--- a/src/main/java/wingroad/fleet/Chores.java
+++ b/src/main/java/wingroad/fleet/Chores.java
@@ -1,8 +1,8 @@
 package wingroad.fleet;
 
-import wingroad.duty.Op;
+import wingroad.duty.Command;
+import wingroad.duty.RunSchedule;
 import wingroad.duty.SessionLease;
-import wingroad.duty.Turns;
 import wingroad.fleet.FleetConfig.Chore;
 
 import java.time.Duration;
@@ -19,7 +19,7 @@
 
     private static final class Course {
         final Chore chore;
-        final Turns turns;
+        final RunSchedule turns;
 
         /** The turn that was asked for, under which epoch. */
         long asked;
@@ -33,7 +33,7 @@
 
         Course(Chore chore) {
             this.chore = chore;
-            turns = new Turns(chore.interval());
+            turns = new RunSchedule(chore.interval());
         }
     }
 
@@ -60,22 +60,21 @@
         SessionLease sessionLease = councilSession.sessionLease();
         courses.forEach(
                 (duty, c) -> {
-                    SessionLease.Held h = sessionLease.known(duty);
+                    SessionLease.DutyState h = sessionLease.current(duty);
                     if (h != null) {
                         look(c, h, sessionLease);
                     }
                 });
     }
 
-    private void look(Course c, SessionLease.Held h, SessionLease sessionLease) {
+    private void look(Course c, SessionLease.DutyState h, SessionLease sessionLease) {
         Duration now = host.now();
-        long missed = c.turns.heard(h.turn(), now);
+        long missed = c.turns.onRunCommitted(h.run(), now);
         if (missed > 0) {
-            host.log(
-                    "fleet: " + h.duty() + ": " + missed + " turns missed before turn " + h.turn());
+            host.log("fleet: " + h.duty() + ": " + missed + " turns missed before turn " + h.run());
         }
         String told = "told " + h.duty();
-        if (!h.outcome().isEmpty() || !h.owner().equals(sessionLease.session())) {
+        if (!h.outcome().isEmpty() || !h.owner().equals(sessionLease.sessionId())) {
             councilSession.withdraw(told);
         }
         if (!sessionLease.mayAct(h.duty(), h.epoch(), now)) {
@@ -83,7 +82,7 @@
             c.asked = 0;
             return;
         }
-        if (c.asked > 0 && c.askedEpoch == h.epoch() && h.turn() == c.asked && c.begun < c.asked) {
+        if (c.asked > 0 && c.askedEpoch == h.epoch() && h.run() == c.asked && c.begun < c.asked) {
             councilSession.withdraw("turn " + h.duty());
             begin(c, h, sessionLease);
         }
@@ -91,31 +90,32 @@
             // Else the next turn would wait for a beat.
             c.waits = true;
             host.after(
-                    c.turns.left(now).plus(AFTER),
+                    c.turns.timeUntilDue(now).plus(AFTER),
                     () -> {
                         c.waits = false;
                         look();
                     });
         }
-        long due = c.turns.due(now);
+        long due = c.turns.dueRun(now);
         if (due > 0 && !c.running && due != c.asked) {
             c.asked = due;
             c.askedEpoch = h.epoch();
             councilSession.ask(
-                    "turn " + h.duty(), Op.turn(sessionLease.session(), h.duty(), h.epoch(), due));
+                    "turn " + h.duty(),
+                    Command.startRun(sessionLease.sessionId(), h.duty(), h.epoch(), due));
         }
     }
 
-    private void begin(Course c, SessionLease.Held h, SessionLease sessionLease) {
+    private void begin(Course c, SessionLease.DutyState h, SessionLease sessionLease) {
         c.begun = c.asked;
         c.running = true;
         long turn = c.asked;
-        String session = sessionLease.session();
+        String session = sessionLease.sessionId();
         runner.run(
                 c.chore,
                 h.epoch(),
                 turn,
-                sessionLease.until(),
+                sessionLease.expiresAt(),
                 outcome -> {
                     c.running = false;
                     host.log(
@@ -123,7 +123,7 @@
                                     + outcome);
                     councilSession.ask(
                             "told " + h.duty(),
-                            Op.told(session, h.duty(), h.epoch(), turn, outcome));
+                            Command.reportRunOutcome(session, h.duty(), h.epoch(), turn, outcome));
                     look();
                 });
     }
--- a/src/main/java/wingroad/fleet/ConsensusNode.java
+++ b/src/main/java/wingroad/fleet/ConsensusNode.java
@@ -17,13 +17,13 @@
 import io.microraft.statemachine.StateMachine;
 import io.microraft.transport.Transport;
 
-import wingroad.duty.Op;
-import wingroad.duty.Overdue;
-import wingroad.duty.Register;
+import wingroad.duty.Command;
+import wingroad.duty.DutyStateMachine;
+import wingroad.duty.SessionExpiryMonitor;
 import wingroad.fleet.MessageCodec.Endpoint;
 import wingroad.fleet.Net.Wire;
 import wingroad.protocol.Json;
-import wingroad.work.LostDrivers;
+import wingroad.work.LostDriverMonitor;
 
 import java.io.IOException;
 import java.time.Clock;
@@ -96,10 +96,10 @@
     private final FleetConfig rules;
     private final Random random;
     private final Reader reader;
-    private final LongFunction<Register> registers;
+    private final LongFunction<DutyStateMachine> registers;
     private ConsensusStore store;
-    private Register register = new Register(0);
-    private final Overdue overdue;
+    private DutyStateMachine register = new DutyStateMachine(0);
+    private final SessionExpiryMonitor overdue;
     private RaftNode node;
     private Phase phase;
 
@@ -114,7 +114,7 @@
     private final Map<String, String> reports = new TreeMap<>();
 
     /** The clock on drivers without a session, or null where there is no work on machines. */
-    private final LostDrivers lostDrivers;
+    private final LostDriverMonitor lostDrivers;
 
     private final Set<String> founding = new LinkedHashSet<>();
     private boolean pushAsked;
@@ -132,7 +132,7 @@
      */
     ConsensusNode(Host host, Net net, FleetConfig rules, Reader reader, long seed)
             throws IOException {
-        this(host, net, rules, reader, seed, Register::new);
+        this(host, net, rules, reader, seed, DutyStateMachine::new);
     }
 
     /**
@@ -144,7 +144,7 @@
             FleetConfig rules,
             Reader reader,
             long seed,
-            LongFunction<Register> registers)
+            LongFunction<DutyStateMachine> registers)
             throws IOException {
         this.registers = registers;
         this.host = host;
@@ -153,9 +153,11 @@
         this.reader = reader;
         this.store = reader.read();
         this.random = new Random(seed);
-        this.overdue = new Overdue(rules.lease());
+        this.overdue = new SessionExpiryMonitor(rules.lease());
         this.lostDrivers =
-                rules.work() == null ? null : new LostDrivers(rules.work(), rules.lease().drift());
+                rules.work() == null
+                        ? null
+                        : new LostDriverMonitor(rules.work(), rules.lease().maxClockDrift());
     }
 
     void start() {
@@ -176,7 +178,7 @@
 
     /** Whether the council is to have this voter, by the file and what was changed since. */
     private boolean votes(String name) {
-        Map<String, String> changes = node == null ? store.voters() : register.voters();
+        Map<String, String> changes = node == null ? store.voters() : register.voterChanges();
         return changes.containsKey(name)
                 ? !changes.get(name).isEmpty()
                 : rules.voterAddresses().containsKey(name);
@@ -219,7 +221,7 @@
         store.close();
     }
 
-    Register register() {
+    DutyStateMachine register() {
         return register;
     }
 
@@ -252,7 +254,7 @@
             p.look();
         }
         for (Guest g : List.copyOf(guests)) {
-            if (host.now().minus(g.heardAt).compareTo(rules.lease().held()) > 0) {
+            if (host.now().minus(g.heardAt).compareTo(rules.lease().duration()) > 0) {
                 g.wire.close();
                 guests.remove(g);
             }
@@ -263,8 +265,8 @@
         }
         tellLeader();
         if (phase == Phase.IN) {
-            knowPeers(register.voters());
-            store.saveVoters(register.voters());
+            knowPeers(register.voterChanges());
+            store.saveVoters(register.voterChanges());
             if (node.getStatus() == RaftNodeStatus.TERMINATED) {
                 takenOut();
             }
@@ -609,7 +611,7 @@
     // ---- the log ----
 
     /** Has an op settled, here or by the leader; whoever asks repeats it until it is seen. */
-    private void submit(Op op) {
+    private void submit(Command op) {
         if (node == null) {
             return;
         }
@@ -625,7 +627,7 @@
     }
 
     /** As if somebody attached here had asked for it, for plays. */
-    void inject(Op op) {
+    void inject(Command op) {
         submit(op);
     }
 
@@ -644,25 +646,27 @@
         if (node != null) {
             if (leads()) {
                 if (!beats.isEmpty()) {
-                    submit(Op.beat(beats).at(host.wall()));
+                    submit(Command.heartbeat(beats).withProposedAt(host.wall()));
                 }
                 if (!reports.isEmpty()) {
-                    submit(Op.workReports(List.copyOf(reports.values())).at(host.wall()));
+                    submit(
+                            Command.driverReports(List.copyOf(reports.values()))
+                                    .withProposedAt(host.wall()));
                 }
-                overdue.ends(host.now()).stream()
+                overdue.expireCommands(host.now()).stream()
                         .limit(MOST_ENDS)
-                        .forEach(op -> submit(op.at(host.wall())));
+                        .forEach(op -> submit(op.withProposedAt(host.wall())));
                 if (lostDrivers != null) {
-                    lostDrivers.stopped(register.plan(), host.now()).stream()
+                    lostDrivers.newlyStopped(register.plan(), host.now()).stream()
                             .limit(MOST_ENDS)
                             .forEach(
                                     x ->
                                             submit(
-                                                    Op.workStopped(
+                                                    Command.driverStopped(
                                                                     x.identity(),
-                                                                    x.number(),
+                                                                    x.lossNumber(),
                                                                     x.level())
-                                                            .at(host.wall())));
+                                                            .withProposedAt(host.wall())));
                 }
             } else {
                 if (!reports.isEmpty()) {
@@ -675,42 +679,46 @@
                 }
                 // A leader that has started lately counts anew; one that has been here all along
                 // knows earlier.
-                overdue.ends(host.now().minus(rules.lease().beat())).stream()
+                overdue.expireCommands(host.now().minus(rules.lease().heartbeatInterval())).stream()
                         .limit(MOST_ENDS)
-                        .forEach(op -> submit(op.at(host.wall())));
+                        .forEach(op -> submit(op.withProposedAt(host.wall())));
             }
         }
         // What did not get through comes again with the drivers' next beats.
         beats.clear();
         reports.clear();
-        host.after(rules.lease().beat().dividedBy(2), this::tick);
+        host.after(rules.lease().heartbeatInterval().dividedBy(2), this::tick);
     }
 
-    private void settled(Op op, String result) {
+    private void settled(Command op, String result) {
         lookAtSessions();
-        if (!result.isEmpty() && op.kind() == Op.Kind.OPEN) {
+        if (!result.isEmpty() && op.kind() == Command.Kind.OPEN) {
             guests.stream()
-                    .filter(g -> g.session.equals(op.by()))
+                    .filter(g -> g.session.equals(op.sessionId()))
                     .toList()
                     .forEach(g -> g.wire.send(MessageCodec.message("not-opened", "why", result)));
         }
-        if (!op.ask().isEmpty()) {
+        if (!op.requestId().isEmpty()) {
             guests.stream()
-                    .filter(g -> g.asks.remove(op.ask()))
+                    .filter(g -> g.asks.remove(op.requestId()))
                     .toList()
                     .forEach(
                             g ->
                                     g.wire.send(
                                             MessageCodec.message(
-                                                    "answer", "ask", op.ask(), "result", result)));
+                                                    "answer",
+                                                    "ask",
+                                                    op.requestId(),
+                                                    "result",
+                                                    result)));
         }
         askPush();
     }
 
     private void lookAtSessions() {
-        overdue.look(register, host.now());
+        overdue.observe(register, host.now());
         if (lostDrivers != null) {
-            lostDrivers.look(register.plan(), host.now());
+            lostDrivers.observe(register.plan(), host.now());
         }
     }
 
@@ -738,7 +746,7 @@
             if (mine != life) {
                 return "";
             }
-            Op op = (Op) operation;
+            Command op = (Command) operation;
             String result = register.apply(op);
             settled(op, result);
             return result;
@@ -746,13 +754,13 @@
 
         @Override
         public void takeSnapshot(long index, Consumer<Object> chunks) {
-            chunks.accept(register.whole());
+            chunks.accept(register.snapshot());
         }
 
         @Override
         public void installSnapshot(long index, List<Object> chunks) {
             if (mine == life) {
-                register.become(Json.object(chunks.get(0), "a snapshot"));
+                register.restore(Json.object(chunks.get(0), "a snapshot"));
                 lookAtSessions();
                 askPush();
             }
@@ -760,7 +768,7 @@
 
         @Override
         public Object getNewTermOperation() {
-            return Op.term();
+            return Command.noOp();
         }
     }
 
@@ -813,7 +821,7 @@
 
     /** How long one of the engine's seconds is, in seconds. */
     private double engineSecond() {
-        return rules.lease().held().toNanos() / 1e9 / ENGINE_SECONDS;
+        return rules.lease().duration().toNanos() / 1e9 / ENGINE_SECONDS;
     }
 
     /** The host's monotone clock in the engine's time; the engine only ever takes differences. */
@@ -852,7 +860,7 @@
                 "group",
                 store.group(),
                 "voters",
-                new TreeMap<>(node == null ? store.voters() : register.voters()),
+                new TreeMap<>(node == null ? store.voters() : register.voterChanges()),
                 "members",
                 members == null ? List.of() : MessageCodec.ids(members.getMembers()),
                 "members-at",
@@ -1084,7 +1092,7 @@
                     }
                 }
                 case "pass" -> {
-                    Op op = MessageCodec.op(Json.object(m.get("op"), "an op"));
+                    Command op = MessageCodec.op(Json.object(m.get("op"), "an op"));
                     if (node != null && leads()) {
                         submit(op);
                     }
@@ -1162,26 +1170,28 @@
                     }
                 }
                 case "ask" -> {
-                    Op op = MessageCodec.op(Json.object(m.get("op"), "an op"));
-                    boolean own = op.by().equals(session) && !session.isEmpty();
-                    String wrong = op.kind() == Op.Kind.VOTER ? whyNot(op) : "";
+                    Command op = MessageCodec.op(Json.object(m.get("op"), "an op"));
+                    boolean own = op.sessionId().equals(session) && !session.isEmpty();
+                    String wrong = op.kind() == Command.Kind.VOTER ? whyNot(op) : "";
                     if (!wrong.isEmpty()) {
-                        wire.send(MessageCodec.message("answer", "ask", op.ask(), "result", wrong));
+                        wire.send(
+                                MessageCodec.message(
+                                        "answer", "ask", op.requestId(), "result", wrong));
                     } else if (own
-                            || op.kind() == Op.Kind.HAND_OVER
-                            || op.kind() == Op.Kind.VOTER
-                            || op.kind() == Op.Kind.WORK_ASK
-                            || op.kind() == Op.Kind.WORK_WORD) {
-                        if (!op.ask().isEmpty()) {
-                            asks.add(op.ask());
+                            || op.kind() == Command.Kind.HAND_OVER
+                            || op.kind() == Command.Kind.VOTER
+                            || op.kind() == Command.Kind.WORK_ASK
+                            || op.kind() == Command.Kind.WORK_WORD) {
+                        if (!op.requestId().isEmpty()) {
+                            asks.add(op.requestId());
                         }
-                        submit(op.at(host.wall()));
+                        submit(op.withProposedAt(host.wall()));
                     } else {
                         refuse("not this session's");
                     }
                 }
                 case "publish" -> {
-                    Register.Duty d = register.duty(MessageCodec.text(m, "duty"));
+                    DutyStateMachine.Duty d = register.duty(MessageCodec.text(m, "duty"));
                     if (d != null
                             && d.owner().equals(session)
                             && d.epoch() == MessageCodec.number(m, "epoch")) {
@@ -1210,7 +1220,7 @@
         }
 
         /** Why the voters can't be changed like that now, or empty. */
-        private String whyNot(Op op) {
+        private String whyNot(Command op) {
             if (node == null) {
                 return "this voter takes no part now";
             }
@@ -1220,19 +1230,22 @@
                             .toList();
             boolean settled =
                     now.stream().allMatch(ConsensusNode.this::votes)
-                            && register.voters().entrySet().stream()
+                            && register.voterChanges().entrySet().stream()
                                     .allMatch(
                                             c -> c.getValue().isEmpty() || now.contains(c.getKey()))
                             && node.getEffectiveMembers().getLogIndex()
                                     == node.getCommittedMembers().getLogIndex();
-            if (!settled && !register.voters().getOrDefault(op.to(), "-").equals(op.duty())) {
+            if (!settled
+                    && !register.voterChanges()
+                            .getOrDefault(op.argument(), "-")
+                            .equals(op.subject())) {
                 return "the change before is not settled yet: one at a time";
             }
-            if (op.duty().isEmpty() && now.size() <= 1) {
+            if (op.subject().isEmpty() && now.size() <= 1) {
                 return "the last voter can't be taken out";
             }
-            return op.duty().isEmpty() && !now.contains(op.to())
-                    ? "'" + op.to() + "' does not vote"
+            return op.subject().isEmpty() && !now.contains(op.argument())
+                    ? "'" + op.argument() + "' does not vote"
                     : "";
         }
 
--- a/src/main/java/wingroad/fleet/CouncilSession.java
+++ b/src/main/java/wingroad/fleet/CouncilSession.java
@@ -1,12 +1,12 @@
 package wingroad.fleet;
 
-import wingroad.duty.Fence;
-import wingroad.duty.Op;
+import wingroad.duty.Command;
+import wingroad.duty.EpochFence;
 import wingroad.duty.SessionLease;
 import wingroad.fleet.Net.Wire;
 import wingroad.protocol.Json;
-import wingroad.work.Report;
-import wingroad.work.WorkRules;
+import wingroad.work.DriverReport;
+import wingroad.work.MaintenanceSettings;
 
 import java.time.Duration;
 import java.util.ArrayList;
@@ -54,10 +54,10 @@
     private final Supplier<String> runs;
     private final Function<String, SessionLease> sessionLeases;
     private final FleetNode.PublicationListener news;
-    private final Fence fence = new Fence();
+    private final EpochFence fence = new EpochFence();
     private final Map<String, String> addresses = new LinkedHashMap<>();
     private final List<String> order = new ArrayList<>();
-    private final Map<String, Op> asks = new LinkedHashMap<>();
+    private final Map<String, Command> asks = new LinkedHashMap<>();
     private Doer doer;
     private SessionLease sessionLease;
     private Wire wire;
@@ -90,7 +90,7 @@
      */
     private long planOf = -1;
 
-    private Report report;
+    private DriverReport report;
     private int reportIn;
     private int reports;
 
@@ -129,8 +129,8 @@
     }
 
     /** What this driver says of itself from now on: at once where it says more than new figures. */
-    void report(Report now) {
-        boolean news = report == null || now.differs(report);
+    void report(DriverReport now) {
+        boolean news = report == null || now.differsBeyondFigures(report);
         report = now;
         if (news) {
             reports = 0;
@@ -141,24 +141,29 @@
     private void sendReport() {
         if (greeted && opened && report != null) {
             // At rest, with no machine asked for, it is heard often enough by far less.
-            reportIn = report.busy().isEmpty() && ++reports > REPORTS ? REST_BEATS : REPORT_BEATS;
-            wire.send(MessageCodec.message("report", "line", report.line(sessionLease.session())));
+            reportIn =
+                    report.busyMsByGroup().isEmpty() && ++reports > REPORTS
+                            ? REST_BEATS
+                            : REPORT_BEATS;
+            wire.send(
+                    MessageCodec.message(
+                            "report", "line", report.toLine(sessionLease.sessionId())));
         }
     }
 
     /** An order of the conductor's, if this driver conducts under this epoch now. */
-    void order(long epoch, Function<String, Op> op) {
-        if (sessionLease.mayAct(WorkRules.CONDUCTOR, epoch, host.now())) {
-            send(op.apply(sessionLease.session()));
+    void order(long epoch, Function<String, Command> op) {
+        if (sessionLease.mayAct(MaintenanceSettings.CONTROLLER_DUTY, epoch, host.now())) {
+            send(op.apply(sessionLease.sessionId()));
         }
     }
 
     private void tellWorker() {
         if (worker != null) {
-            SessionLease.Held h = sessionLease.known(WorkRules.CONDUCTOR);
+            SessionLease.DutyState h = sessionLease.current(MaintenanceSettings.CONTROLLER_DUTY);
             boolean conducts = h != null && sessionLease.mayAct(h.duty(), h.epoch(), host.now());
             worker.leaseUpdated(
-                    sessionLease.until(), !sessionLease.isOpen(), conducts ? h.epoch() : 0);
+                    sessionLease.expiresAt(), !sessionLease.isOpen(), conducts ? h.epoch() : 0);
         }
     }
 
@@ -173,7 +178,7 @@
     }
 
     /** Asks for this until it is withdrawn; at most one ask by a name. */
-    void ask(String name, Op op) {
+    void ask(String name, Command op) {
         if (!op.equals(asks.put(name, op))) {
             send(op);
         }
@@ -189,7 +194,7 @@
     void leave(Runnable then) {
         leaving = true;
         left = then;
-        sessionLease.ended();
+        sessionLease.markEnded();
         tellWorker();
         asks.clear();
         leaveAgain(0);
@@ -206,7 +211,7 @@
         if (tries > 0 && tries % LEAVE_TRIES == 0) {
             next();
         } else {
-            send(Op.leave(sessionLease.session()));
+            send(Command.leaveSession(sessionLease.sessionId()));
         }
         host.after(LEAVE_AGAIN, () -> leaveAgain(tries + 1));
     }
@@ -218,7 +223,7 @@
 
     /** Hands something on, if the duty is this driver's at this time. */
     void publish(String duty, Map<String, Object> what) {
-        SessionLease.Held h = sessionLease.known(duty);
+        SessionLease.DutyState h = sessionLease.current(duty);
         if (greeted && h != null && sessionLease.mayAct(duty, h.epoch(), host.now())) {
             wire.send(
                     MessageCodec.message(
@@ -226,7 +231,7 @@
         }
     }
 
-    private void send(Op op) {
+    private void send(Command op) {
         if (greeted) {
             wire.send(MessageCodec.message("ask", "op", MessageCodec.of(op)));
         }
@@ -239,7 +244,8 @@
         Duration now = host.now();
         hurried = false;
         connect();
-        if (wire != null && now.minus(heardAt).compareTo(rules.lease().held().dividedBy(3)) > 0) {
+        if (wire != null
+                && now.minus(heardAt).compareTo(rules.lease().duration().dividedBy(3)) > 0) {
             // Nothing is settled there: it may be cut off itself.
             next();
         }
@@ -247,7 +253,7 @@
         tellLease(now);
         giveBack();
         doer.look();
-        host.after(rules.lease().beat(), this::beat);
+        host.after(rules.lease().heartbeatInterval(), this::beat);
     }
 
     private void connect() {
@@ -260,12 +266,12 @@
     /** All that is to be settled, once more. */
     private void askAll() {
         if (greeted && leaving) {
-            send(Op.leave(sessionLease.session()));
+            send(Command.leaveSession(sessionLease.sessionId()));
         } else if (greeted) {
             if (!opened) {
-                send(Op.open(sessionLease.session(), identity, rules.duties()));
+                send(Command.openSession(sessionLease.sessionId(), identity, rules.duties()));
             }
-            wire.send(MessageCodec.message("beat", "n", sessionLease.beat(host.now())));
+            wire.send(MessageCodec.message("beat", "n", sessionLease.nextHeartbeat(host.now())));
             asks.values().forEach(this::send);
             if (--reportIn <= 0) {
                 sendReport();
@@ -274,33 +280,35 @@
     }
 
     private void tellLease(Duration now) {
-        boolean has = sessionLease.isOpen() && now.compareTo(sessionLease.until()) < 0;
+        boolean has = sessionLease.isOpen() && now.compareTo(sessionLease.expiresAt()) < 0;
         if (has != hadLease) {
             hadLease = has;
             host.log(
                     has
                             ? "fleet: lease of "
-                                    + sessionLease.session()
+                                    + sessionLease.sessionId()
                                     + " runs, by "
                                     + order.get(at)
                             : "fleet: lease of "
-                                    + sessionLease.session()
+                                    + sessionLease.sessionId()
                                     + " has run out; its duties stand still here");
         }
     }
 
     /** What is asked back is given up as soon as nothing of it runs. */
     private void giveBack() {
-        for (SessionLease.Held h : sessionLease.askedBack()) {
+        for (SessionLease.DutyState h : sessionLease.releaseRequests()) {
             if (!doer.busy(h.duty())) {
-                ask("give " + h.duty(), Op.giveUp(sessionLease.session(), h.duty(), h.epoch()));
+                ask(
+                        "give " + h.duty(),
+                        Command.releaseDuty(sessionLease.sessionId(), h.duty(), h.epoch()));
             }
         }
         asks.keySet()
                 .removeIf(
                         n ->
                                 n.startsWith("give ")
-                                        && sessionLease.askedBack().stream()
+                                        && sessionLease.releaseRequests().stream()
                                                 .noneMatch(h -> n.equals("give " + h.duty())));
     }
 
@@ -363,7 +371,7 @@
     }
 
     private String run() {
-        return sessionLease.session().substring(sessionLease.session().indexOf('/') + 1);
+        return sessionLease.sessionId().substring(sessionLease.sessionId().indexOf('/') + 1);
     }
 
     @Override
@@ -421,9 +429,9 @@
         revision = rev;
         for (Object o : Json.list(m, "duties")) {
             List<?> d = (List<?>) o;
-            fence.raise((String) d.get(0), ((Number) d.get(2)).longValue());
-            sessionLease.told(
-                    new SessionLease.Held(
+            fence.advance((String) d.get(0), ((Number) d.get(2)).longValue());
+            sessionLease.updateDuty(
+                    new SessionLease.DutyState(
                             (String) d.get(0),
                             (String) d.get(1),
                             ((Number) d.get(2)).longValue(),
@@ -440,8 +448,8 @@
             }
             opened = true;
             refusal = "";
-            sessionLease.opened();
-            sessionLease.settled(MessageCodec.number(m, "beat"), host.now());
+            sessionLease.markOpen();
+            sessionLease.heartbeatCommitted(MessageCodec.number(m, "beat"), host.now());
         } else if (leaving) {
             if (left != null) {
                 left.run();
@@ -463,20 +471,20 @@
      */
     private void begin() {
         SessionLease old = sessionLease;
-        old.ended();
+        old.markEnded();
         tellWorker();
         asks.clear();
         opened = false;
         sessionLease = sessionLeases.apply(rules.driver() + "/" + runs.get());
-        old.known().forEach(sessionLease::told);
+        old.current().forEach(sessionLease::updateDuty);
         host.log(
                 "fleet: the council has ended "
-                        + old.session()
+                        + old.sessionId()
                         + "; opens "
-                        + sessionLease.session());
+                        + sessionLease.sessionId());
         if (greeted) {
             wire.send(MessageCodec.message("again", "run", run()));
-            send(Op.open(sessionLease.session(), identity, rules.duties()));
+            send(Command.openSession(sessionLease.sessionId(), identity, rules.duties()));
         }
     }
 
--- a/src/main/java/wingroad/fleet/CouncilStatus.java
+++ b/src/main/java/wingroad/fleet/CouncilStatus.java
@@ -1,33 +1,38 @@
 package wingroad.fleet;
 
+import wingroad.duty.DutyStateMachine;
+import wingroad.duty.SessionExpiryMonitor;
+import wingroad.work.MaintenancePlan;
+import wingroad.work.MaintenanceSettings;
+
 import java.time.Duration;
 import java.util.List;
 import java.util.Map;
-import wingroad.duty.Overdue;
-import wingroad.duty.Register;
-import wingroad.work.Plan;
-import wingroad.work.WorkRules;
 
 /** What an operator may want to know of what is settled, as plain values. */
 final class CouncilStatus {
     private CouncilStatus() {}
 
-    static void add(Map<String, Object> all, Register register, Overdue overdue, Duration now) {
+    static void add(
+            Map<String, Object> all,
+            DutyStateMachine register,
+            SessionExpiryMonitor overdue,
+            Duration now) {
         all.put("revision", register.revision());
         all.put(
                 "sessions",
                 register.sessions().stream()
                         .map(
                                 s -> {
-                                    Duration quiet = overdue.quiet(s.id(), now);
+                                    Duration quiet = overdue.timeSinceHeartbeat(s.id(), now);
                                     return MessageCodec.message(
                                             "session",
                                             "name",
-                                            s.name(),
+                                            s.driverName(),
                                             "run",
                                             s.id(),
                                             "since",
-                                            s.since(),
+                                            s.openedAtMs(),
                                             "quiet-ms",
                                             quiet == null ? -1 : quiet.toMillis());
                                 })
@@ -42,26 +47,26 @@
                                                 "name",
                                                 d.name(),
                                                 "owner",
-                                                Register.driver(d.owner()),
+                                                DutyStateMachine.driverNameOf(d.owner()),
                                                 "epoch",
                                                 d.epoch(),
                                                 "since",
-                                                d.since(),
+                                                d.ownedSinceMs(),
                                                 "turn",
-                                                d.turn(),
+                                                d.run(),
                                                 "outcome",
                                                 d.outcome(),
                                                 "wanted",
-                                                d.wanted(),
+                                                d.handOverTarget(),
                                                 "history",
                                                 List.copyOf(d.history())))
                         .toList());
-        if (register.duty(WorkRules.CONDUCTOR) != null) {
-            all.put("work", work(register.plan(), register.lateOrders()));
+        if (register.duty(MaintenanceSettings.CONTROLLER_DUTY) != null) {
+            all.put("work", work(register.plan(), register.staleCommandCount()));
         }
     }
 
-    private static Map<String, Object> work(Plan plan, long lateOrders) {
+    private static Map<String, Object> work(MaintenancePlan plan, long lateOrders) {
         return MessageCodec.message(
                 "work",
                 "held",
@@ -81,14 +86,14 @@
                                                 "drivers",
                                                 m.drivers(),
                                                 "members",
-                                                m.parts().stream()
+                                                m.members().stream()
                                                         .map(p -> p.uid() + "#" + p.group())
                                                         .toList()))
                         .toList(),
                 "entries",
-                plan.entries().stream().map(e -> e.page(plan.waitsFor(e))).toList(),
+                plan.entries().stream().map(e -> e.statusFields(plan.waitReason(e))).toList(),
                 "astray",
-                plan.astray().stream().map(Plan.LostDriver::known).toList(),
+                plan.lostDrivers().stream().map(MaintenancePlan.LostDriver::displayName).toList(),
                 "history",
                 List.copyOf(plan.history()));
     }
--- a/src/main/java/wingroad/fleet/FleetClient.java
+++ b/src/main/java/wingroad/fleet/FleetClient.java
@@ -1,6 +1,6 @@
 package wingroad.fleet;
 
-import wingroad.duty.Op;
+import wingroad.duty.Command;
 import wingroad.protocol.Json;
 
 import java.io.DataInputStream;
@@ -76,7 +76,7 @@
      * Safe to repeat.
      */
     public String handOver(String duty, String to, String ask) throws IOException {
-        send(MessageCodec.message("ask", "op", MessageCodec.of(Op.handOver(duty, to, ask))));
+        send(MessageCodec.message("ask", "op", MessageCodec.of(Command.handOver(duty, to, ask))));
         return MessageCodec.text(await("answer"), "result");
     }
 
@@ -85,7 +85,9 @@
      * hand-over.
      */
     public String changeVoter(String name, String address, String ask) throws IOException {
-        send(MessageCodec.message("ask", "op", MessageCodec.of(Op.voter(name, address, ask))));
+        send(
+                MessageCodec.message(
+                        "ask", "op", MessageCodec.of(Command.changeVoter(name, address, ask))));
         return MessageCodec.text(await("answer"), "result");
     }
 
@@ -105,13 +107,17 @@
                 MessageCodec.message(
                         "ask",
                         "op",
-                        MessageCodec.of(Op.workAsk(machine, why, forMs, before, after, ask))));
+                        MessageCodec.of(
+                                Command.requestMaintenance(
+                                        machine, why, forMs, before, after, ask))));
         return MessageCodec.text(await("answer"), "result");
     }
 
     /** Says a word on a machine, or on all as "*"; the answer as for an ask. */
     public String commandMachine(String word, String machine, String ask) throws IOException {
-        send(MessageCodec.message("ask", "op", MessageCodec.of(Op.workWord(word, machine, ask))));
+        send(
+                MessageCodec.message(
+                        "ask", "op", MessageCodec.of(Command.operatorCommand(word, machine, ask))));
         return MessageCodec.text(await("answer"), "result");
     }
 
--- a/src/main/java/wingroad/fleet/FleetConfig.java
+++ b/src/main/java/wingroad/fleet/FleetConfig.java
@@ -1,7 +1,7 @@
 package wingroad.fleet;
 
 import wingroad.duty.Lease;
-import wingroad.work.WorkRules;
+import wingroad.work.MaintenanceSettings;
 
 import java.nio.file.Path;
 import java.time.Duration;
@@ -32,7 +32,7 @@
         Lease lease,
         List<Chore> chores,
         Duration listCheckInterval,
-        WorkRules work) {
+        MaintenanceSettings work) {
     /** The duty of asking discovery for all. */
     public static final String LIST_DUTY = "list";
 
@@ -64,7 +64,7 @@
             all.add(LIST_DUTY);
         }
         if (work != null) {
-            all.add(WorkRules.CONDUCTOR);
+            all.add(MaintenanceSettings.CONTROLLER_DUTY);
         }
         return all;
     }
@@ -86,7 +86,7 @@
     }
 
     /** The same with these rules of work. */
-    public FleetConfig withWork(WorkRules of) {
+    public FleetConfig withWork(MaintenanceSettings of) {
         return new FleetConfig(
                 name,
                 driver,
--- a/src/main/java/wingroad/fleet/FleetNode.java
+++ b/src/main/java/wingroad/fleet/FleetNode.java
@@ -1,11 +1,11 @@
 package wingroad.fleet;
 
-import wingroad.duty.Op;
+import wingroad.duty.Command;
 import wingroad.duty.SessionLease;
 import wingroad.transport.EventLoop;
 import wingroad.transport.Listener;
-import wingroad.work.Conductor;
-import wingroad.work.Report;
+import wingroad.work.DriverReport;
+import wingroad.work.MaintenanceController;
 
 import java.io.IOException;
 import java.security.SecureRandom;
@@ -121,7 +121,7 @@
     }
 
     /** What this driver says of itself to whoever plans work. */
-    public void report(Report what) {
+    public void report(DriverReport what) {
         loop.run(
                 () -> {
                     if (councilSession != null) {
@@ -131,7 +131,7 @@
     }
 
     /** Proposes the conductor's steps, if this driver still conducts under this epoch. */
-    public void proposeSteps(long epoch, List<Conductor.Step> steps) {
+    public void proposeSteps(long epoch, List<MaintenanceController.Step> steps) {
         loop.run(
                 () -> {
                     if (councilSession != null) {
@@ -140,13 +140,13 @@
                                         councilSession.order(
                                                 epoch,
                                                 s ->
-                                                        Op.workStep(
+                                                        Command.maintenanceStep(
                                                                 s,
                                                                 epoch,
                                                                 x.machine(),
-                                                                x.to(),
-                                                                x.stageAt(),
-                                                                x.why())));
+                                                                x.target(),
+                                                                x.stageRevision(),
+                                                                x.reason())));
                     }
                 });
     }
@@ -156,7 +156,7 @@
         loop.run(
                 () -> {
                     if (councilSession != null) {
-                        councilSession.order(epoch, s -> Op.workMachines(s, epoch, lines));
+                        councilSession.order(epoch, s -> Command.setMachines(s, epoch, lines));
                     }
                 });
     }
@@ -209,7 +209,7 @@
                                             + ":"
                                             + door.at().getPort())
                             + ", lease "
-                            + rules.lease().held().toMillis()
+                            + rules.lease().duration().toMillis()
                             + " ms, "
                             + rules.duties().size()
                             + " duties");
--- a/src/main/java/wingroad/fleet/MessageCodec.java
+++ b/src/main/java/wingroad/fleet/MessageCodec.java
@@ -19,6 +19,10 @@
 import io.microraft.model.message.TriggerLeaderElectionRequest;
 import io.microraft.model.message.VoteRequest;
 import io.microraft.model.message.VoteResponse;
+
+import wingroad.duty.Command;
+import wingroad.protocol.Json;
+
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.HashMap;
@@ -27,8 +31,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import wingroad.duty.Op;
-import wingroad.protocol.Json;
 
 /** The consensus engine's models and our own ops as plain values, for the wire and the disk. */
 final class MessageCodec {
@@ -86,20 +88,20 @@
 
     // ---- ops ----
 
-    static Map<String, Object> of(Op op) {
+    static Map<String, Object> of(Command op) {
         Map<String, Object> m = message(op.kind().name());
-        put(m, "by", op.by());
-        put(m, "duty", op.duty());
-        put(m, "to", op.to());
-        put(m, "ask", op.ask());
+        put(m, "by", op.sessionId());
+        put(m, "duty", op.subject());
+        put(m, "to", op.argument());
+        put(m, "ask", op.requestId());
         putNumber(m, "epoch", op.epoch());
         putNumber(m, "n", op.number());
-        putNumber(m, "wall", op.wall());
-        if (!op.duties().isEmpty()) {
-            m.put("duties", op.duties());
+        putNumber(m, "wall", op.proposedAtMs());
+        if (!op.items().isEmpty()) {
+            m.put("duties", op.items());
         }
-        if (!op.beats().isEmpty()) {
-            m.put("beats", op.beats());
+        if (!op.heartbeats().isEmpty()) {
+            m.put("beats", op.heartbeats());
         }
         return m;
     }
@@ -116,14 +118,14 @@
         }
     }
 
-    static Op op(Map<String, Object> m) {
-        Op.Kind kind;
+    static Command op(Map<String, Object> m) {
+        Command.Kind kind;
         try {
-            kind = Op.Kind.valueOf(text(m, "k"));
+            kind = Command.Kind.valueOf(text(m, "k"));
         } catch (IllegalArgumentException e) {
             throw new Json.Malformed("no op: " + m.get("k"));
         }
-        return new Op(
+        return new Command(
                 kind,
                 text(m, "by"),
                 text(m, "duty"),
@@ -177,7 +179,7 @@
     }
 
     private static Map<String, Object> ofOperation(Object operation) {
-        if (operation instanceof Op op) {
+        if (operation instanceof Command op) {
             return of(op);
         }
         if (operation instanceof UpdateRaftGroupMembersOp u) {
--- a/src/main/java/wingroad/fleet/SessionFeed.java
+++ b/src/main/java/wingroad/fleet/SessionFeed.java
@@ -1,12 +1,13 @@
 package wingroad.fleet;
 
+import wingroad.duty.DutyStateMachine;
+import wingroad.fleet.Net.Wire;
+import wingroad.work.MaintenancePlan;
+import wingroad.work.MaintenanceSettings;
+
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import wingroad.duty.Register;
-import wingroad.fleet.Net.Wire;
-import wingroad.work.Plan;
-import wingroad.work.WorkRules;
 
 /**
  * What one driver's session has been told by the voter that it is attached to, so that it is told
@@ -25,18 +26,24 @@
     private List<Object> sentSums = List.of();
 
     /** Tells what is settled and not told yet. */
-    void push(Register register, Wire wire, String session) {
+    void push(DutyStateMachine register, Wire wire, String session) {
         // The plan goes before the beat that renews the lease on it: both come in one order.
         pushWork(register, wire, session);
         List<Object> duties = new ArrayList<>();
-        for (Register.Duty d : register.duties()) {
+        for (DutyStateMachine.Duty d : register.duties()) {
             if (d.revision() > sentRevision) {
                 duties.add(
-                        List.of(d.name(), d.owner(), d.epoch(), d.turn(), d.outcome(), d.wanted()));
+                        List.of(
+                                d.name(),
+                                d.owner(),
+                                d.epoch(),
+                                d.run(),
+                                d.outcome(),
+                                d.handOverTarget()));
             }
         }
-        Register.Session s = register.session(session);
-        long beat = s == null ? -1 : s.beat();
+        DutyStateMachine.Session s = register.session(session);
+        long beat = s == null ? -1 : s.lastHeartbeat();
         if (beat != sentBeat || !duties.isEmpty() || sentRevision < 0 || sentOpen != (s != null)) {
             sentBeat = beat;
             sentOpen = s != null;
@@ -55,30 +62,34 @@
         sentRevision = register.revision();
     }
 
-    private void pushWork(Register register, Wire wire, String session) {
-        Plan plan = register.plan();
-        Register.Duty d = register.duty(WorkRules.CONDUCTOR);
+    private void pushWork(DutyStateMachine register, Wire wire, String session) {
+        MaintenancePlan plan = register.plan();
+        DutyStateMachine.Duty d = register.duty(MaintenanceSettings.CONTROLLER_DUTY);
         if (d == null) {
             // Nobody's file says anything of work.
             return;
         }
         boolean conducts = d.owner().equals(session);
-        List<Object> sums = conducts ? plan.sums() : sentSums;
-        if (!toldWork || plan.changes() > sentWork || !sums.equals(sentSums)) {
+        List<Object> sums = conducts ? plan.totals() : sentSums;
+        if (!toldWork || plan.changeNumber() > sentWork || !sums.equals(sentSums)) {
             Map<String, Object> m =
                     MessageCodec.message(
                             "plan",
                             "news",
-                            plan.news(toldWork ? sentWork : 0),
+                            plan.changesSince(toldWork ? sentWork : 0),
                             "of",
                             register.revision());
             if (conducts) {
                 m.put("sums", sums);
-                m.put("live", register.sessions().stream().map(Register.Session::name).toList());
+                m.put(
+                        "live",
+                        register.sessions().stream()
+                                .map(DutyStateMachine.Session::driverName)
+                                .toList());
             }
             wire.send(m);
             toldWork = true;
-            sentWork = plan.changes();
+            sentWork = plan.changeNumber();
             sentSums = sums;
         }
     }
--- a/src/main/java/wingroad/fleet/WorkPlanListener.java
+++ b/src/main/java/wingroad/fleet/WorkPlanListener.java
@@ -9,7 +9,7 @@
     /**
      * Something of the plan is settled.
      *
-     * @param news for {@link wingroad.work.PlanCopy#news}
+     * @param news for {@link wingroad.work.PlanCopy#applyChanges}
      * @param sums the fleet's figures where this driver conducts, else null
      * @param live the drivers with a session, likewise
      */
--- a/src/main/java/wingroad/operator/FleetSection.java
+++ b/src/main/java/wingroad/operator/FleetSection.java
@@ -9,7 +9,7 @@
 import wingroad.kdl.Node;
 import wingroad.kdl.Value;
 import wingroad.protocol.MemberList;
-import wingroad.work.WorkRules;
+import wingroad.work.MaintenanceSettings;
 
 import java.nio.file.Path;
 import java.time.Duration;
@@ -47,7 +47,7 @@
         Map<String, String> voters = new LinkedHashMap<>();
         List<Chore> chores = new ArrayList<>();
         Duration listCheck = null;
-        WorkRules work = null;
+        MaintenanceSettings work = null;
         Set<String> once =
                 Set.of(
                         "driver",
@@ -131,7 +131,7 @@
                                                 || a.startsWith("[::1]"))) {
             fleet.problem(
                     "an address that is not loopback needs trusted-network #true: drivers' messages"
-                        + " are not signed");
+                            + " are not signed");
         }
         return new FleetConfig(
                 name,
@@ -183,7 +183,7 @@
         if (!statement.contains("{epoch}")) {
             s.problem(
                     "a chore's statement needs {epoch}: without it the member can't tell an owner"
-                        + " that woke up late");
+                            + " that woke up late");
         }
         if (statement.length() > LONGEST_STATEMENT
                 || statement.contains("*/")
@@ -218,8 +218,8 @@
                 .forEach(
                         (n, a) -> within.add(node("voter", List.of(value(n), value(a)), Map.of())));
         within.add(node("state", List.of(value(f.stateFolder().toString())), Map.of()));
-        within.add(node("lease-ms", List.of(value(f.lease().held().toMillis())), Map.of()));
-        within.add(node("drift", List.of(value(f.lease().drift())), Map.of()));
+        within.add(node("lease-ms", List.of(value(f.lease().duration().toMillis())), Map.of()));
+        within.add(node("drift", List.of(value(f.lease().maxClockDrift())), Map.of()));
         if (f.listCheckInterval() != null) {
             within.add(
                     node(
--- a/src/main/java/wingroad/operator/WorkSection.java
+++ b/src/main/java/wingroad/operator/WorkSection.java
@@ -3,6 +3,13 @@
 import static wingroad.operator.OperatorFile.node;
 import static wingroad.operator.OperatorFile.value;
 
+import wingroad.kdl.Node;
+import wingroad.kdl.Value;
+import wingroad.work.Machine;
+import wingroad.work.Machine.MemberPattern;
+import wingroad.work.MaintenanceSettings;
+import wingroad.work.MaintenanceSettings.LostViewPolicy;
+
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -10,12 +17,6 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.Set;
-import wingroad.kdl.Node;
-import wingroad.kdl.Value;
-import wingroad.work.Machine;
-import wingroad.work.Machine.Part;
-import wingroad.work.WorkRules;
-import wingroad.work.WorkRules.Lost;
 
 /**
  * The node {@code work} of the operator's fleet: the machines that there are, and the limits of
@@ -35,9 +36,9 @@
     private WorkSection() {}
 
     /** The rules; what is wrong stands in the section's problems. */
-    static WorkRules read(Section work) {
+    static MaintenanceSettings read(Section work) {
         int atOnce = 1;
-        Lost lost = Lost.STEADY;
+        LostViewPolicy lost = LostViewPolicy.STEADY;
         double horizon = USUAL_HORIZON_S;
         double watch = USUAL_WATCH_S;
         double harm = USUAL_HARM;
@@ -61,11 +62,11 @@
                 case "at-once" ->
                         atOnce = (int) s.whole("how many machines", 1, MOST_AT_ONCE, atOnce);
                 case "lost-view" -> {
-                    Map<String, Lost> words = new LinkedHashMap<>();
-                    for (Lost l : Lost.values()) {
+                    Map<String, LostViewPolicy> words = new LinkedHashMap<>();
+                    for (LostViewPolicy l : LostViewPolicy.values()) {
                         words.put(l.name().toLowerCase(Locale.ROOT), l);
                     }
-                    Lost l = s.oneOf("what a driver does whose view has ended", words);
+                    LostViewPolicy l = s.oneOf("what a driver does whose view has ended", words);
                     lost = l == null ? lost : l;
                     horizon = s.number("horizon", 5, 86_400, horizon);
                 }
@@ -86,7 +87,7 @@
         if (machines.isEmpty()) {
             work.problem("'work' needs machines");
         }
-        return new WorkRules(
+        return new MaintenanceSettings(
                 machines,
                 atOnce,
                 lost,
@@ -111,7 +112,7 @@
         if (!zone.matches(NAME)) {
             s.problem("a machine needs zone: no two zones are worked on together");
         }
-        List<Part> parts = new ArrayList<>();
+        List<MemberPattern> parts = new ArrayList<>();
         List<String> drivers = new ArrayList<>();
         for (Section p : s.within(Set.of("member", "driver"), Set.of())) {
             String what = named(p, p.name().equals("member") ? "a member's id" : "a driver's name");
@@ -133,7 +134,7 @@
                                 + "' already");
             }
             if (what != null && p.name().equals("member")) {
-                parts.add(new Part(what, group));
+                parts.add(new MemberPattern(what, group));
             } else if (what != null) {
                 drivers.add(what);
             }
@@ -163,21 +164,21 @@
     }
 
     /** All settings in force, in the file's own form. */
-    static Node whole(WorkRules w) {
+    static Node whole(MaintenanceSettings w) {
         List<Node> within = new ArrayList<>();
-        within.add(one("at-once", (long) w.atOnce()));
+        within.add(one("at-once", (long) w.maxConcurrent()));
         within.add(
                 node(
                         "lost-view",
-                        List.of(value(w.lost().name().toLowerCase(Locale.ROOT))),
-                        Map.of("horizon", value(w.horizon().toMillis() / 1000.0))));
-        within.add(one("watch", w.watch().toMillis() / 1000.0));
-        within.add(one("harm", w.harm()));
-        within.add(one("lag-ms", w.lag().toMillis()));
-        within.add(one("room", w.room()));
+                        List.of(value(w.lostViewPolicy().name().toLowerCase(Locale.ROOT))),
+                        Map.of("horizon", value(w.strictHorizon().toMillis() / 1000.0))));
+        within.add(one("watch", w.watchPeriod().toMillis() / 1000.0));
+        within.add(one("harm", w.maxHarmIncrease()));
+        within.add(one("lag-ms", w.maxReplicationLag().toMillis()));
+        within.add(one("room", w.memberCapacityTxns()));
         for (Machine m : w.machines().values()) {
             List<Node> holds = new ArrayList<>();
-            for (Part p : m.parts()) {
+            for (MemberPattern p : m.members()) {
                 Map<String, Value> group = Map.of("group", value((long) p.group()));
                 holds.add(node("member", List.of(value(p.uid())), group));
             }
--- a/src/main/java/wingroad/work/Report.java
+++ b/src/main/java/wingroad/work/DriverReport.java
@@ -10,47 +10,47 @@
 /**
  * What a driver says of itself under a session.
  *
- * @param knows the plan's revision that its module has been told of
- * @param clear machines that drain or are out where nothing new of its own goes and nothing of its
- *     own is
- * @param believes whom it takes for the primary, by group, of groups that the plan touches
- * @param served txns committed in time since its start
- * @param harmed txns declined, rolled back or late since its start
- * @param busy by group: milliseconds that its txns have been at members, all together
+ * @param planRevision the plan's revision that its module has been told of
+ * @param drainedMachines machines that drain or are out where nothing new of its own goes and
+ *     nothing of its own is
+ * @param primaries whom it takes for the primary, by group, of groups that the plan touches
+ * @param servedCount txns committed in time since its start
+ * @param harmedCount txns declined, rolled back or late since its start
+ * @param busyMsByGroup by group: milliseconds that its txns have been at members, all together
  */
-public record Report(
-        long knows,
-        Set<String> clear,
-        Map<Integer, String> believes,
-        long served,
-        long harmed,
-        Map<Integer, Long> busy) {
-    static final Report NONE = new Report(0, Set.of(), Map.of(), 0, 0, Map.of());
+public record DriverReport(
+        long planRevision,
+        Set<String> drainedMachines,
+        Map<Integer, String> primaries,
+        long servedCount,
+        long harmedCount,
+        Map<Integer, Long> busyMsByGroup) {
+    static final DriverReport NONE = new DriverReport(0, Set.of(), Map.of(), 0, 0, Map.of());
 
     /** Whether the other one says more than new figures. */
-    public boolean differs(Report other) {
-        return knows != other.knows
-                || !clear.equals(other.clear)
-                || !believes.equals(other.believes);
+    public boolean differsBeyondFigures(DriverReport other) {
+        return planRevision != other.planRevision
+                || !drainedMachines.equals(other.drainedMachines)
+                || !primaries.equals(other.primaries);
     }
 
     /** As a line behind its session. */
-    public String line(String session) {
+    public String toLine(String session) {
         List<String> b = new ArrayList<>();
-        believes.forEach((g, uid) -> b.add(g + "=" + uid));
+        primaries.forEach((g, uid) -> b.add(g + "=" + uid));
         List<String> u = new ArrayList<>();
-        busy.forEach((g, ms) -> u.add(g + "=" + ms));
+        busyMsByGroup.forEach((g, ms) -> u.add(g + "=" + ms));
         return session
                 + " "
-                + knows
+                + planRevision
                 + " "
-                + String.join(",", clear)
+                + String.join(",", drainedMachines)
                 + " "
                 + String.join(",", b)
                 + " "
-                + served
+                + servedCount
                 + " "
-                + harmed
+                + harmedCount
                 + " "
                 + String.join(",", u);
     }
@@ -60,7 +60,7 @@
     }
 
     /** Reads such a line; throws {@link IllegalArgumentException} where it is none. */
-    static Report of(String line) {
+    static DriverReport of(String line) {
         String[] w = line.split(" ", -1);
         if (w.length != 7) {
             throw new IllegalArgumentException("no report: " + line);
@@ -77,7 +77,7 @@
                     Integer.parseInt(p.substring(0, p.indexOf('='))),
                     Long.parseLong(p.substring(p.indexOf('=') + 1)));
         }
-        return new Report(
+        return new DriverReport(
                 Long.parseLong(w[1]),
                 new TreeSet<>(Machine.split(w[2])),
                 b,
--- a/src/main/java/wingroad/work/Holders.java
+++ b/src/main/java/wingroad/work/Holders.java
@@ -17,7 +17,7 @@
 
     Holders(Collection<Machine> machines) {
         for (Machine m : machines) {
-            for (Machine.Part p : m.parts()) {
+            for (Machine.MemberPattern p : m.members()) {
                 if (p.uid().endsWith("*")) {
                     beginnings.putIfAbsent(p.uid().substring(0, p.uid().length() - 1), m);
                 } else {
--- a/src/main/java/wingroad/work/Machine.java
+++ b/src/main/java/wingroad/work/Machine.java
@@ -6,12 +6,12 @@
 import java.util.TreeSet;
 
 /** A machine: the members that it holds, by id and group, and the drivers that run on it. */
-public record Machine(String name, String zone, List<Part> parts, List<String> drivers) {
+public record Machine(String name, String zone, List<MemberPattern> members, List<String> drivers) {
     /**
      * A member; an id that ends in {@code *} stands for all that begin so: machines come back under
      * new ids.
      */
-    public record Part(String uid, int group) {
+    public record MemberPattern(String uid, int group) {
         boolean is(String other) {
             return uid.endsWith("*")
                     ? other.startsWith(uid.substring(0, uid.length() - 1))
@@ -20,17 +20,18 @@
     }
 
     public boolean holds(String uid) {
-        return parts.stream().anyMatch(p -> p.is(uid));
+        return members.stream().anyMatch(p -> p.is(uid));
     }
 
     public Set<Integer> groups() {
         Set<Integer> all = new TreeSet<>();
-        parts.forEach(p -> all.add(p.group));
+        members.forEach(p -> all.add(p.group));
         return all;
     }
 
     boolean sharesGroup(Machine other) {
-        return parts.stream().anyMatch(p -> other.parts.stream().anyMatch(o -> o.group == p.group));
+        return members.stream()
+                .anyMatch(p -> other.members.stream().anyMatch(o -> o.group == p.group));
     }
 
     /** As one line, for the log: names hold neither blanks nor signs that part them. */
@@ -39,7 +40,7 @@
                 + " "
                 + zone
                 + " "
-                + String.join(",", parts.stream().map(p -> p.uid + "#" + p.group).toList())
+                + String.join(",", members.stream().map(p -> p.uid + "#" + p.group).toList())
                 + " "
                 + String.join(",", drivers);
     }
@@ -50,10 +51,10 @@
         if (w.length != 4) {
             throw new IllegalArgumentException("no machine: " + line);
         }
-        List<Part> parts = new ArrayList<>();
+        List<MemberPattern> parts = new ArrayList<>();
         for (String p : split(w[2])) {
             int at = p.lastIndexOf('#');
-            parts.add(new Part(p.substring(0, at), Integer.parseInt(p.substring(at + 1))));
+            parts.add(new MemberPattern(p.substring(0, at), Integer.parseInt(p.substring(at + 1))));
         }
         return new Machine(w[0], w[1], List.copyOf(parts), split(w[3]));
     }
--- a/src/main/java/wingroad/work/Conductor.java
+++ b/src/main/java/wingroad/work/MaintenanceController.java
@@ -18,7 +18,7 @@
  * seen of the members. It only proposes; the log refuses what breaks a limit, and whatever comes
  * under an older epoch. No I/O; the clock is handed in.
  */
-public final class Conductor {
+public final class MaintenanceController {
     /** A member may have this part of its room in use once another one of its group is away. */
     private static final double MOST_USE = 0.8;
 
@@ -42,16 +42,16 @@
     private static final int AND_SOME = 8;
 
     /** A step to be settled; {@code to} is a stage's name, "IN" or "note". */
-    public record Step(String machine, String to, long stageAt, String why) {}
+    public record Step(String machine, String target, long stageRevision, String reason) {}
 
-    private final WorkRules rules;
+    private final MaintenanceSettings rules;
     private final HarmMonitor harm;
     private final GroupCapacity capacity;
     private final Collection<String> voters;
     private final Map<String, Duration> returningSince = new TreeMap<>();
     private final Map<String, Duration> unfitSince = new HashMap<>();
     private final Map<String, Duration> restUntil = new HashMap<>();
-    private final Map<String, String> pages = new HashMap<>();
+    private final Map<String, String> takeAlerts = new HashMap<>();
     private final Map<Integer, Long> busyBefore = new TreeMap<>();
     private final Map<Integer, Double> use = new TreeMap<>();
     private final Map<String, Duration> plannedSince = new HashMap<>();
@@ -79,22 +79,22 @@
     /**
      * @param voters who decides in the council: never more of them away than a majority can spare
      */
-    public Conductor(WorkRules rules, Collection<String> voters) {
+    public MaintenanceController(MaintenanceSettings rules, Collection<String> voters) {
         this.rules = rules;
         this.voters = voters;
-        harm = new HarmMonitor(rules.watch(), rules.harm());
-        capacity = new GroupCapacity(rules.watch());
+        harm = new HarmMonitor(rules.watchPeriod(), rules.maxHarmIncrease());
+        capacity = new GroupCapacity(rules.watchPeriod());
     }
 
     /** Lines that somebody should be woken up for, each once: machine to text. */
-    public Map<String, String> pages() {
-        Map<String, String> all = new TreeMap<>(pages);
-        pages.clear();
+    public Map<String, String> takeAlerts() {
+        Map<String, String> all = new TreeMap<>(takeAlerts);
+        takeAlerts.clear();
         return all;
     }
 
     /** The groups whose members have to be seen for the next look. */
-    public Set<Integer> groups(PlanCopy plan) {
+    public Set<Integer> groupsToObserve(PlanCopy plan) {
         Set<Integer> all = new TreeSet<>();
         looked.stream()
                 .map(m -> plan.machines().get(m))
@@ -104,10 +104,10 @@
     }
 
     /** The steps that are next; asked again and again until they are seen settled. */
-    public List<Step> next(
+    public List<Step> nextSteps(
             PlanCopy plan, MemberObservations observations, long wall, Duration now) {
         List<Step> steps = new ArrayList<>();
-        List<Plan.Entry> all = new ArrayList<>(plan.entries());
+        List<MaintenancePlan.Entry> all = new ArrayList<>(plan.entries());
         chosen.clear();
         looked.clear();
         all.stream().filter(e -> e.stage.announced()).forEach(e -> looked.add(e.machine));
@@ -115,27 +115,33 @@
                 all.stream()
                         .anyMatch(
                                 e ->
-                                        e.stage == Stage.DRAINING
-                                                || e.stage == Stage.OUT
-                                                || e.stage == Stage.RETURNING);
+                                        e.stage == MaintenanceStage.DRAINING
+                                                || e.stage == MaintenanceStage.OUT
+                                                || e.stage == MaintenanceStage.RETURNING);
         harm.figures(plan.served(), plan.harmed(), atWork, now);
         uses(plan, now);
         Set<String> out = new HashSet<>();
-        all.stream().filter(e -> e.stage == Stage.OUT).forEach(e -> out.add(e.machine));
+        all.stream().filter(e -> e.stage == MaintenanceStage.OUT).forEach(e -> out.add(e.machine));
         if (!outs.containsAll(out)) {
             outAt = now;
         }
         outs = out;
         returningSince
                 .keySet()
-                .removeIf(m -> plan.entry(m) == null || plan.entry(m).stage != Stage.RETURNING);
+                .removeIf(
+                        m ->
+                                plan.entry(m) == null
+                                        || plan.entry(m).stage != MaintenanceStage.RETURNING);
         plannedSince
                 .keySet()
-                .removeIf(m -> plan.entry(m) == null || plan.entry(m).stage != Stage.PLANNED);
+                .removeIf(
+                        m ->
+                                plan.entry(m) == null
+                                        || plan.entry(m).stage != MaintenanceStage.PLANNED);
         told.retainAll(plannedSince.keySet());
         late.removeIf(m -> plan.entry(m) == null);
         restUntil.values().removeIf(t -> now.compareTo(t) >= 0);
-        for (Plan.Entry e : all) {
+        for (MaintenancePlan.Entry e : all) {
             Machine m = plan.machines().get(e.machine);
             if (m != null) {
                 switch (e.stage) {
@@ -157,23 +163,23 @@
      * One that has to be out before a time that it can't keep any more is told about, once; it goes
      * on waiting.
      */
-    private void soon(Plan.Entry e, long wall, List<Step> steps) {
-        long least = rules.grace().plus(rules.watch()).toMillis();
-        if (e.before > 0 && wall + least > e.before && late.add(e.machine)) {
-            pages.put(
+    private void soon(MaintenancePlan.Entry e, long wall, List<Step> steps) {
+        long least = rules.drainGrace().plus(rules.watchPeriod()).toMillis();
+        if (e.deadlineMs > 0 && wall + least > e.deadlineMs && late.add(e.machine)) {
+            takeAlerts.put(
                     e.machine,
                     "PAGE: wanted out before "
-                            + java.time.Instant.ofEpochMilli(e.before)
+                            + java.time.Instant.ofEpochMilli(e.deadlineMs)
                             + " and still "
                             + e.stage.name().toLowerCase(Locale.ROOT)
                             + (e.note.isEmpty() ? "" : ": " + e.note));
-            steps.add(new Step(e.machine, "note", e.stageAt, "PAGE: too late for its time"));
+            steps.add(new Step(e.machine, "note", e.stageRevision, "PAGE: too late for its time"));
         }
     }
 
     /** How many txns are at members of each group at a time, from the fleet's sums. */
     private void uses(PlanCopy plan, Duration now) {
-        if (busyAt != null && now.minus(busyAt).compareTo(rules.watch().dividedBy(4)) < 0) {
+        if (busyAt != null && now.minus(busyAt).compareTo(rules.watchPeriod().dividedBy(4)) < 0) {
             return;
         }
         if (busyAt != null) {
@@ -193,7 +199,7 @@
     }
 
     private void planned(
-            Plan.Entry e,
+            MaintenancePlan.Entry e,
             Machine m,
             PlanCopy plan,
             MemberObservations observations,
@@ -202,10 +208,10 @@
             List<Step> steps) {
         Duration since = plannedSince.computeIfAbsent(e.machine, k -> now);
         soon(e, wall, steps);
-        if (!e.known) {
-            if (now.minus(since).compareTo(rules.watch().multipliedBy(PATIENCE)) > 0
+        if (!e.confirmedByAll) {
+            if (now.minus(since).compareTo(rules.watchPeriod().multipliedBy(PATIENCE)) > 0
                     && told.add(e.machine)) {
-                pages.put(
+                takeAlerts.put(
                         e.machine,
                         "PAGE: drivers have not confirmed it for "
                                 + now.minus(since).toSeconds()
@@ -218,7 +224,11 @@
         if (not.isEmpty()) {
             chosen.add(e.machine);
             steps.add(
-                    new Step(e.machine, Stage.DRAINING.name(), e.stageAt, "everybody knows of it"));
+                    new Step(
+                            e.machine,
+                            MaintenanceStage.DRAINING.name(),
+                            e.stageRevision,
+                            "everybody knows of it"));
         } else {
             note(e, not, steps);
         }
@@ -226,8 +236,13 @@
 
     /** Why a machine can't be spared now, or empty. */
     private String whyNotDrain(
-            Plan.Entry e, Machine m, PlanCopy plan, MemberObservations observations, Duration now) {
-        if (!harm.calm(now) || outAt != null && now.minus(outAt).compareTo(rules.watch()) < 0) {
+            MaintenancePlan.Entry e,
+            Machine m,
+            PlanCopy plan,
+            MemberObservations observations,
+            Duration now) {
+        if (!harm.calm(now)
+                || outAt != null && now.minus(outAt).compareTo(rules.watchPeriod()) < 0) {
             return "watches for harm: "
                     + part(harm.part())
                     + " of the txns, before "
@@ -249,9 +264,9 @@
                         + couldLead(m, g, observations, now);
             }
             List<String> left = left(m, g, observations, now);
-            double most = rules.room() * left.size() * MOST_USE;
+            double most = rules.memberCapacityTxns() * left.size() * MOST_USE;
             double used = use.getOrDefault(g, 0.0);
-            if (rules.room() > 0 && used > most) {
+            if (rules.memberCapacityTxns() > 0 && used > most) {
                 return String.format(
                         Locale.ROOT,
                         "group %d has %.1f txns at work, room for %.1f without it",
@@ -267,7 +282,7 @@
                         used);
             }
         }
-        if (!e.unbelieved) {
+        if (!e.noPrimaryReported) {
             return "some driver still takes a member here for a primary";
         }
         // Those that are chosen in the same look count as well; two that only wait for each other's
@@ -276,8 +291,8 @@
         plan.entries().stream()
                 .filter(
                         o ->
-                                o.stage == Stage.DRAINING
-                                        || o.stage == Stage.OUT
+                                o.stage == MaintenanceStage.DRAINING
+                                        || o.stage == MaintenanceStage.OUT
                                         || chosen.contains(o.machine))
                 .map(o -> plan.machines().get(o.machine))
                 .filter(o -> o != null)
@@ -296,8 +311,8 @@
 
     /** The fit members of a group that are on other machines. */
     private List<String> left(Machine m, int group, MemberObservations observations, Duration now) {
-        return observations.of(group).stream()
-                .filter(u -> !m.holds(u) && observations.fit(u, now))
+        return observations.membersOf(group).stream()
+                .filter(u -> !m.holds(u) && observations.isHealthy(u, now))
                 .toList();
     }
 
@@ -306,10 +321,11 @@
                 left(m, group, observations, now).stream()
                         .filter(
                                 u ->
-                                        observations.behind(u, now) != null
+                                        observations.replicationLag(u, now) != null
                                                 && observations
-                                                                .behind(u, now)
-                                                                .compareTo(rules.lag())
+                                                                .replicationLag(u, now)
+                                                                .compareTo(
+                                                                        rules.maxReplicationLag())
                                                         <= 0)
                         .toList();
         return fit.isEmpty() ? "none that is fit and close on the log" : String.join(" or ", fit);
@@ -318,8 +334,8 @@
     /** What of its groups' others is not fit, or empty: one that fails by itself counts as away. */
     private String othersUnfit(Machine m, MemberObservations observations, Duration now) {
         for (int g : m.groups()) {
-            for (String u : observations.of(g)) {
-                if (!m.holds(u) && !observations.fit(u, now)) {
+            for (String u : observations.membersOf(g)) {
+                if (!m.holds(u) && !observations.isHealthy(u, now)) {
                     return "group " + g + ": " + u + " is not fit";
                 }
             }
@@ -331,7 +347,7 @@
     }
 
     private void draining(
-            Plan.Entry e,
+            MaintenancePlan.Entry e,
             Machine m,
             MemberObservations observations,
             Duration now,
@@ -353,24 +369,24 @@
                                                                         .size()),
                                                 now));
             }
-            restUntil.put(e.machine, now.plus(rules.watch().multipliedBy(REST)));
+            restUntil.put(e.machine, now.plus(rules.watchPeriod().multipliedBy(REST)));
             steps.add(
                     new Step(
                             e.machine,
-                            Stage.ASKED.name(),
-                            e.stageAt,
+                            MaintenanceStage.ASKED.name(),
+                            e.stageRevision,
                             "put back: "
                                     + (others.isEmpty()
                                             ? part(harm.part())
                                                     + " of the txns harmed, before "
                                                     + part(harm.before())
                                             : others)));
-        } else if (e.clear) {
+        } else if (e.drained) {
             steps.add(
                     new Step(
                             e.machine,
-                            Stage.OUT.name(),
-                            e.stageAt,
+                            MaintenanceStage.OUT.name(),
+                            e.stageRevision,
                             "nothing of anybody's is there"));
         }
     }
@@ -382,10 +398,10 @@
     private String behind(Machine m, MemberObservations observations, Duration now) {
         for (int g : m.groups()) {
             for (String u : left(m, g, observations, now)) {
-                Duration behind = observations.behind(u, now);
+                Duration behind = observations.replicationLag(u, now);
                 if (!u.equals(observations.primary(g, now))
                         && behind != null
-                        && behind.compareTo(rules.lag().multipliedBy(FAR)) > 0) {
+                        && behind.compareTo(rules.maxReplicationLag().multipliedBy(FAR)) > 0) {
                     return "group "
                             + g
                             + ": "
@@ -406,11 +422,11 @@
             return "";
         }
         Duration since = unfitSince.computeIfAbsent(machine, k -> now);
-        return now.minus(since).compareTo(rules.watch().dividedBy(2)) >= 0 ? what : "";
+        return now.minus(since).compareTo(rules.watchPeriod().dividedBy(2)) >= 0 ? what : "";
     }
 
     private void out(
-            Plan.Entry e,
+            MaintenancePlan.Entry e,
             Machine m,
             MemberObservations observations,
             long wall,
@@ -419,34 +435,34 @@
         String others = lasting(e.machine, othersUnfit(m, observations, now), now);
         if (!others.isEmpty()) {
             note(e, "PAGE: wanted back: " + others, steps);
-        } else if (e.forMs > 0 && wall - e.outSince > e.forMs) {
-            note(e, "PAGE: out for longer than " + e.forMs / 1000 + " s", steps);
+        } else if (e.durationMs > 0 && wall - e.outSinceMs > e.durationMs) {
+            note(e, "PAGE: out for longer than " + e.durationMs / 1000 + " s", steps);
         } else {
             note(e, "work on it", steps);
         }
     }
 
     private void returning(
-            Plan.Entry e,
+            MaintenancePlan.Entry e,
             Machine m,
             MemberObservations observations,
             Duration now,
             List<Step> steps) {
         Duration since = returningSince.computeIfAbsent(e.machine, k -> now);
         for (int g : m.groups()) {
-            List<String> here = observations.of(g).stream().filter(m::holds).toList();
+            List<String> here = observations.membersOf(g).stream().filter(m::holds).toList();
             if (here.isEmpty()) {
                 note(e, "no member of group " + g + " on it is listed", steps);
                 return;
             }
             for (String u : here) {
-                if (!observations.fit(u, now)) {
+                if (!observations.isHealthy(u, now)) {
                     note(e, u + " has not answered", steps);
                     return;
                 }
-                Duration behind = observations.behind(u, now);
+                Duration behind = observations.replicationLag(u, now);
                 if (!u.equals(observations.primary(g, now))
-                        && (behind == null || behind.compareTo(rules.lag()) > 0)) {
+                        && (behind == null || behind.compareTo(rules.maxReplicationLag()) > 0)) {
                     note(
                             e,
                             u
@@ -460,20 +476,20 @@
                 }
             }
         }
-        if (now.minus(since).compareTo(rules.cold()) < 0) {
+        if (now.minus(since).compareTo(rules.coldTime()) < 0) {
             note(e, "cold", steps);
             return;
         }
-        steps.add(new Step(e.machine, "IN", e.stageAt, "close on the log and warm"));
+        steps.add(new Step(e.machine, "IN", e.stageRevision, "close on the log and warm"));
     }
 
-    private void note(Plan.Entry e, String what, List<Step> steps) {
+    private void note(MaintenancePlan.Entry e, String what, List<Step> steps) {
         // Measured figures change with each look: what stands in the log is changed only where the
         // rest is another.
         if (!words(e.note).equals(words(what))) {
-            steps.add(new Step(e.machine, "note", e.stageAt, what));
+            steps.add(new Step(e.machine, "note", e.stageRevision, what));
             if (what.startsWith("PAGE")) {
-                pages.put(e.machine, what);
+                takeAlerts.put(e.machine, what);
             }
         }
     }
@@ -484,19 +500,19 @@
 
     /** Announces what may go next: as much together as the limits let. */
     private void begin(
-            List<Plan.Entry> all,
+            List<MaintenancePlan.Entry> all,
             PlanCopy plan,
             MemberObservations observations,
             Duration now,
             List<Step> steps) {
-        List<Plan.Entry> away =
+        List<MaintenancePlan.Entry> away =
                 new ArrayList<>(all.stream().filter(e -> e.stage.announced()).toList());
-        List<Plan.Entry> waiting =
+        List<MaintenancePlan.Entry> waiting =
                 new ArrayList<>(
                         all.stream()
                                 .filter(
                                         e ->
-                                                e.stage == Stage.ASKED
+                                                e.stage == MaintenanceStage.ASKED
                                                         && !e.held
                                                         && !restUntil.containsKey(e.machine)
                                                         && plan.machines().containsKey(e.machine))
@@ -504,14 +520,15 @@
         // Whoever has a time to keep first, then replicas before primaries, then whoever has waited
         // longest.
         waiting.sort(
-                Comparator.<Plan.Entry>comparingLong(e -> e.before > 0 ? e.before : Long.MAX_VALUE)
+                Comparator.<MaintenancePlan.Entry>comparingLong(
+                                e -> e.deadlineMs > 0 ? e.deadlineMs : Long.MAX_VALUE)
                         .thenComparingLong(
                                 e -> primaries(plan.machines().get(e.machine), observations, now))
-                        .thenComparingLong(e -> e.number));
+                        .thenComparingLong(e -> e.requestNumber));
         Set<String> stillThere = new HashSet<>();
         all.forEach(e -> stillThere.add(e.machine));
         int most = limit(plan) * LOOKS + AND_SOME + looked.size();
-        for (Plan.Entry e : waiting) {
+        for (MaintenancePlan.Entry e : waiting) {
             Machine m = plan.machines().get(e.machine);
             if (away.size() >= limit(plan) || looked.size() >= most) {
                 break;
@@ -524,7 +541,7 @@
                                                     o != null
                                                             && o.zone().equals(m.zone())
                                                             && !o.sharesGroup(m))
-                            && e.after.stream().noneMatch(stillThere::contains);
+                            && e.afterMachines.stream().noneMatch(stillThere::contains);
             if (!fits) {
                 continue;
             }
@@ -532,11 +549,16 @@
             String others = othersUnfit(m, observations, now);
             if (others.isEmpty()) {
                 away.add(e);
-                steps.add(new Step(e.machine, Stage.PLANNED.name(), e.stageAt, "its turn"));
+                steps.add(
+                        new Step(
+                                e.machine,
+                                MaintenanceStage.PLANNED.name(),
+                                e.stageRevision,
+                                "its turn"));
             } else {
                 if (!lasting(e.machine, others, now).isEmpty()) {
                     // Those behind it have their turn meanwhile.
-                    restUntil.put(e.machine, now.plus(rules.watch()));
+                    restUntil.put(e.machine, now.plus(rules.watchPeriod()));
                 }
                 note(e, others, steps);
             }
@@ -544,7 +566,9 @@
     }
 
     private int limit(PlanCopy plan) {
-        return plan.lines().isEmpty() ? 1 : Integer.parseInt(plan.lines().get(0).split(" ")[0]);
+        return plan.inventoryLines().isEmpty()
+                ? 1
+                : Integer.parseInt(plan.inventoryLines().get(0).split(" ")[0]);
     }
 
     private static long primaries(Machine m, MemberObservations observations, Duration now) {
--- a/src/main/java/wingroad/work/Plan.java
+++ b/src/main/java/wingroad/work/MaintenancePlan.java
@@ -16,7 +16,7 @@
  * nothing and iterates in order of names, and it refuses each step that breaks a limit, whoever
  * proposes it.
  */
-public class Plan {
+public class MaintenancePlan {
     private static final int MOST_ASKS = 4096;
     private static final int MOST_ASTRAY = 1024;
     private static final String MANY = "many";
@@ -25,44 +25,44 @@
     private static final int LONGEST_TEXT = 200;
 
     /** What a word or step is called that concerns all. */
-    public static final String ALL = "*";
+    public static final String ALL_MACHINES = "*";
 
     /** One machine that is asked for. */
     public static final class Entry {
         final String machine;
-        final String ask;
-        final String why;
-        final long forMs;
-        final long before;
-        final List<String> after;
-        final long askedAt;
-        final long number;
-        Stage stage = Stage.ASKED;
+        final String requestId;
+        final String reason;
+        final long durationMs;
+        final long deadlineMs;
+        final List<String> afterMachines;
+        final long requestedAtMs;
+        final long requestNumber;
+        MaintenanceStage stage = MaintenanceStage.ASKED;
 
         /** The plan's revision when it was planned, and when its stage changed last. */
-        long mark;
+        long announcedRevision;
 
-        long stageAt;
+        long stageRevision;
 
         /** Wall clock of the last change, and of when it was out, for people. */
-        long since;
+        long changedAtMs;
 
-        long outSince;
+        long outSinceMs;
         boolean held;
 
         /**
          * Derived: each driver knows that it is planned; each has nothing there; nobody believes in
          * a primary there.
          */
-        boolean known;
+        boolean confirmedByAll;
 
-        boolean clear;
-        boolean unbelieved;
+        boolean drained;
+        boolean noPrimaryReported;
 
         /** The conductor's word on what it waits for. */
         String note = "";
 
-        long changed;
+        long lastChange;
 
         Entry(
                 String machine,
@@ -74,20 +74,20 @@
                 long askedAt,
                 long number) {
             this.machine = machine;
-            this.ask = ask;
-            this.why = why;
-            this.forMs = forMs;
-            this.before = before;
-            this.after = List.copyOf(after);
-            this.askedAt = askedAt;
-            this.number = number;
+            this.requestId = ask;
+            this.reason = why;
+            this.durationMs = forMs;
+            this.deadlineMs = before;
+            this.afterMachines = List.copyOf(after);
+            this.requestedAtMs = askedAt;
+            this.requestNumber = number;
         }
 
         public String machine() {
             return machine;
         }
 
-        public Stage stage() {
+        public MaintenanceStage stage() {
             return stage;
         }
 
@@ -96,48 +96,48 @@
         }
 
         /** For people. */
-        public Map<String, Object> page(String waits) {
+        public Map<String, Object> statusFields(String waits) {
             Map<String, Object> m = new TreeMap<>();
             m.put("machine", machine);
             m.put("stage", stage.name().toLowerCase(java.util.Locale.ROOT));
-            m.put("why", why);
-            m.put("for-ms", forMs);
-            m.put("before", before);
-            m.put("after", after);
-            m.put("asked", askedAt);
-            m.put("since", since);
-            m.put("out-since", outSince);
+            m.put("why", reason);
+            m.put("for-ms", durationMs);
+            m.put("before", deadlineMs);
+            m.put("after", afterMachines);
+            m.put("asked", requestedAtMs);
+            m.put("since", changedAtMs);
+            m.put("out-since", outSinceMs);
             m.put("held", held);
             m.put("waits", waits);
             return m;
         }
 
         /** As plain values, for drivers and snapshots. */
-        public List<Object> values() {
+        public List<Object> toValues() {
             return List.of(
                     machine,
-                    ask,
-                    why,
-                    forMs,
-                    before,
-                    after,
-                    askedAt,
-                    number,
+                    requestId,
+                    reason,
+                    durationMs,
+                    deadlineMs,
+                    afterMachines,
+                    requestedAtMs,
+                    requestNumber,
                     stage.name(),
-                    mark,
-                    stageAt,
-                    since,
-                    outSince,
+                    announcedRevision,
+                    stageRevision,
+                    changedAtMs,
+                    outSinceMs,
                     held,
-                    known,
-                    clear,
-                    unbelieved,
+                    confirmedByAll,
+                    drained,
+                    noPrimaryReported,
                     note,
-                    changed);
+                    lastChange);
         }
 
         /** Reads what {@link #values} has written. */
-        public static Entry of(List<?> v) {
+        public static Entry fromValues(List<?> v) {
             List<String> after = new ArrayList<>();
             ((List<?>) v.get(5)).forEach(a -> after.add((String) a));
             Entry e =
@@ -150,17 +150,17 @@
                             after,
                             number(v.get(6)),
                             number(v.get(7)));
-            e.stage = Stage.valueOf((String) v.get(8));
-            e.mark = number(v.get(9));
-            e.stageAt = number(v.get(10));
-            e.since = number(v.get(11));
-            e.outSince = number(v.get(12));
+            e.stage = MaintenanceStage.valueOf((String) v.get(8));
+            e.announcedRevision = number(v.get(9));
+            e.stageRevision = number(v.get(10));
+            e.changedAtMs = number(v.get(11));
+            e.outSinceMs = number(v.get(12));
             e.held = (Boolean) v.get(13);
-            e.known = (Boolean) v.get(14);
-            e.clear = (Boolean) v.get(15);
-            e.unbelieved = (Boolean) v.get(16);
+            e.confirmedByAll = (Boolean) v.get(14);
+            e.drained = (Boolean) v.get(15);
+            e.noPrimaryReported = (Boolean) v.get(16);
             e.note = (String) v.get(17);
-            e.changed = number(v.get(18));
+            e.lastChange = number(v.get(18));
             return e;
         }
     }
@@ -169,28 +169,28 @@
     public static final class LostDriver {
         final String identity;
         final String name;
-        final long knows;
-        final long number;
+        final long planRevision;
+        final long lossNumber;
 
         /**
          * It has said that it ends: its process does, within the time that such an end takes at the
          * most.
          */
-        final boolean ends;
+        final boolean exiting;
 
         /** 0: lately lost; 1: what it knew to be announced has nothing of it any more. */
-        int level;
+        int stoppedLevel;
 
         LostDriver(String identity, String name, long knows, long number, boolean ends) {
             this.identity = identity;
             this.name = name;
-            this.knows = knows;
-            this.number = number;
-            this.ends = ends;
+            this.planRevision = knows;
+            this.lossNumber = number;
+            this.exiting = ends;
         }
 
-        public boolean ends() {
-            return ends;
+        public boolean exiting() {
+            return exiting;
         }
 
         public String identity() {
@@ -198,7 +198,7 @@
         }
 
         /** By which people tell it from another one of the name. */
-        public String known() {
+        public String displayName() {
             return name + "/" + identity;
         }
 
@@ -206,19 +206,19 @@
             return name;
         }
 
-        public long number() {
-            return number;
+        public long lossNumber() {
+            return lossNumber;
         }
 
-        public int level() {
-            return level;
+        public int stoppedLevel() {
+            return stoppedLevel;
         }
     }
 
     private static final class Live {
         final String identity;
         final String name;
-        Report report = Report.NONE;
+        DriverReport report = DriverReport.NONE;
 
         Live(String identity, String name) {
             this.identity = identity;
@@ -235,7 +235,7 @@
     private final TreeMap<Long, Entry> byChange = new TreeMap<>();
 
     private final TreeMap<String, Live> live = new TreeMap<>();
-    private final TreeMap<String, LostDriver> astray = new TreeMap<>();
+    private final TreeMap<String, LostDriver> lostDrivers = new TreeMap<>();
 
     /** Machines that were taken off the plan, with the change's number, oldest first. */
     private final ArrayDeque<Object[]> gone = new ArrayDeque<>();
@@ -244,10 +244,11 @@
     private List<String> lines = List.of();
     private long linesChanged;
     private int atOnce = 1;
-    private WorkRules.Lost lost = WorkRules.Lost.STEADY;
+    private MaintenanceSettings.LostViewPolicy lostViewPolicy =
+            MaintenanceSettings.LostViewPolicy.STEADY;
     private boolean held;
     private long revision;
-    private long changes;
+    private long changeNumber;
     private long asks;
     private long losses;
 
@@ -259,16 +260,16 @@
         return entries.get(machine);
     }
 
-    public Collection<LostDriver> astray() {
-        return astray.values();
+    public Collection<LostDriver> lostDrivers() {
+        return lostDrivers.values();
     }
 
     public Map<String, Machine> machines() {
         return machines;
     }
 
-    public WorkRules.Lost lost() {
-        return lost;
+    public MaintenanceSettings.LostViewPolicy lostViewPolicy() {
+        return lostViewPolicy;
     }
 
     public boolean held() {
@@ -281,8 +282,8 @@
     }
 
     /** Counts what anybody is to be told of. */
-    public long changes() {
-        return changes;
+    public long changeNumber() {
+        return changeNumber;
     }
 
     public Collection<String> history() {
@@ -295,8 +296,8 @@
      * A driver has a session from now on; where it had another one, that one's process has ended or
      * is the same.
      */
-    public void opened(String session, String identity, String name) {
-        astray.remove(identity);
+    public void sessionOpened(String session, String identity, String name) {
+        lostDrivers.remove(identity);
         live.put(session, new Live(identity, name));
         derive();
     }
@@ -304,19 +305,19 @@
     /**
      * A session has ended, by itself where {@code ends}: its process may run on, and is waited for.
      */
-    public void ended(String session, boolean ends) {
+    public void sessionEnded(String session, boolean ends) {
         Live l = live.remove(session);
         if (l != null) {
             // More than there can be drivers: one stands for the rest, and nothing goes out until
             // somebody has looked.
-            boolean room = astray.size() < MOST_ASTRAY || astray.containsKey(l.identity);
+            boolean room = lostDrivers.size() < MOST_ASTRAY || lostDrivers.containsKey(l.identity);
             String identity = room ? l.identity : MANY;
-            astray.put(
+            lostDrivers.put(
                     identity,
                     new LostDriver(
                             identity,
                             room ? l.name : MANY,
-                            room ? l.report.knows() : 0,
+                            room ? l.report.planRevision() : 0,
                             ++losses,
                             room && ends));
         }
@@ -327,26 +328,26 @@
      * By the voters' clocks: level 1, nothing of it is left at what it knew to be announced; level
      * 2, nothing at all.
      */
-    public String stopped(String identity, long number, long level) {
-        LostDriver a = astray.get(identity);
-        if (a == null || a.number != number) {
+    public String driverStopped(String identity, long number, long level) {
+        LostDriver a = lostDrivers.get(identity);
+        if (a == null || a.lossNumber != number) {
             return "not lost, or lost anew";
         }
         if (level >= 2) {
-            astray.remove(identity);
+            lostDrivers.remove(identity);
         } else {
-            a.level = 1;
+            a.stoppedLevel = 1;
         }
         derive();
         return "";
     }
 
     /** Drivers' reports, a line each; those without a session count for nothing. */
-    public String reports(List<String> all) {
+    public String applyReports(List<String> all) {
         for (String line : all) {
-            Live l = live.get(Report.sessionOf(line));
+            Live l = live.get(DriverReport.sessionOf(line));
             if (l != null) {
-                l.report = Report.of(line);
+                l.report = DriverReport.of(line);
             }
         }
         derive();
@@ -359,7 +360,7 @@
      * The machines that there are, and the limits, by the conductor's file; what is away stays as
      * it was.
      */
-    public String inventory(List<String> all) {
+    public String applyInventory(List<String> all) {
         if (all.equals(lines)) {
             return "";
         }
@@ -382,18 +383,18 @@
                             return over;
                         });
         atOnce = Integer.parseInt(limits[0]);
-        lost = WorkRules.Lost.valueOf(limits[1]);
+        lostViewPolicy = MaintenanceSettings.LostViewPolicy.valueOf(limits[1]);
         machines.clear();
         machines.putAll(next);
         lines = List.copyOf(all);
         revision++;
-        linesChanged = ++changes;
+        linesChanged = ++changeNumber;
         derive();
         return "";
     }
 
     /** Somebody wants a machine; empty, or why it can never be had. */
-    public String ask(
+    public String addRequest(
             String machine,
             String ask,
             String why,
@@ -409,14 +410,14 @@
         }
         Entry old = entries.get(machine);
         if (old != null) {
-            return old.ask.equals(ask)
+            return old.requestId.equals(ask)
                     ? ""
                     : "'"
                             + machine
                             + "' is "
                             + old.stage.name().toLowerCase(java.util.Locale.ROOT)
                             + " already: "
-                            + old.why;
+                            + old.reason;
         }
         if (entries.size() >= MOST_ASKS) {
             return "more than " + MOST_ASKS + " machines are asked for";
@@ -425,7 +426,7 @@
             return "the time before which it is wanted has passed";
         }
         for (int g : m.groups()) {
-            if (m.parts().stream().filter(p -> p.group() == g).count() > 1) {
+            if (m.members().stream().filter(p -> p.group() == g).count() > 1) {
                 return "it holds more than one member of group "
                         + g
                         + ": no two of a group are away together";
@@ -445,7 +446,7 @@
         }
         Entry e = new Entry(machine, ask, text(why), forMs, before, after, wall, ++asks);
         entries.put(machine, e);
-        moved(e, wall, "asked: " + e.why);
+        moved(e, wall, "asked: " + e.reason);
         derive();
         return "";
     }
@@ -454,18 +455,21 @@
         Entry e = entries.get(first);
         return e != null
                 && seen.add(first)
-                && e.after.stream().anyMatch(a -> a.equals(second) || comesAfter(a, second, seen));
+                && e.afterMachines.stream()
+                        .anyMatch(a -> a.equals(second) || comesAfter(a, second, seen));
     }
 
     /** An operator's word on a machine, or on all. */
-    public String word(String word, String machine, long wall) {
+    public String applyOperatorCommand(String word, String machine, long wall) {
         if (word.equals("gone")) {
-            return astray.values()
-                            .removeIf(a -> a.name.equals(machine) || a.known().equals(machine))
+            return lostDrivers
+                            .values()
+                            .removeIf(
+                                    a -> a.name.equals(machine) || a.displayName().equals(machine))
                     ? derived()
                     : "no driver '" + machine + "' is waited for without a session";
         }
-        if (machine.equals(ALL)) {
+        if (machine.equals(ALL_MACHINES)) {
             return all(word, wall);
         }
         Entry e = entries.get(machine);
@@ -476,7 +480,7 @@
                             : "'" + machine + "' is not asked for"
                     : "there is no machine '" + machine + "'";
         }
-        boolean out = e.stage == Stage.OUT || e.stage == Stage.RETURNING;
+        boolean out = e.stage == MaintenanceStage.OUT || e.stage == MaintenanceStage.RETURNING;
         switch (word) {
             case "hold" -> {
                 e.held = true;
@@ -488,13 +492,13 @@
                 moved(e, wall, "goes on");
             }
             case "done", "back" -> {
-                if (e.stage == Stage.OUT) {
+                if (e.stage == MaintenanceStage.OUT) {
                     turn(
                             e,
-                            Stage.RETURNING,
+                            MaintenanceStage.RETURNING,
                             wall,
                             word.equals("done") ? "work is done" : "called back");
-                } else if (e.stage == Stage.DRAINING && word.equals("back")
+                } else if (e.stage == MaintenanceStage.DRAINING && word.equals("back")
                         || !out && word.equals("back")) {
                     withdraw(e, wall, "called back");
                 } else if (!out) {
@@ -520,8 +524,8 @@
         }
         held = word.equals("hold");
         revision++;
-        changes++;
-        note(wall, ALL, held ? "all held" : "all go on");
+        changeNumber++;
+        note(wall, ALL_MACHINES, held ? "all held" : "all go on");
         if (held) {
             entries.values().forEach(e -> putBack(e, wall, "all held"));
         }
@@ -529,8 +533,8 @@
     }
 
     private void putBack(Entry e, long wall, String why) {
-        if (e.stage == Stage.PLANNED || e.stage == Stage.DRAINING) {
-            turn(e, Stage.ASKED, wall, why);
+        if (e.stage == MaintenanceStage.PLANNED || e.stage == MaintenanceStage.DRAINING) {
+            turn(e, MaintenanceStage.ASKED, wall, why);
         }
     }
 
@@ -541,10 +545,10 @@
     }
 
     private void remove(Entry e) {
-        byChange.remove(e.changed);
+        byChange.remove(e.lastChange);
         revision++;
-        changes++;
-        gone.add(new Object[] {e.machine, changes});
+        changeNumber++;
+        gone.add(new Object[] {e.machine, changeNumber});
         if (gone.size() > MOST_GONE) {
             gone.poll();
         }
@@ -557,10 +561,10 @@
      * conductor knew of the machine, {@code idle} whether no driver on it owns a duty. Empty, or
      * why it is not taken.
      */
-    public String step(
+    public String applyStep(
             String machine, String to, long stageAt, String why, boolean idle, long wall) {
         Entry e = entries.get(machine);
-        if (e == null || e.stageAt != stageAt) {
+        if (e == null || e.stageRevision != stageAt) {
             return "'" + machine + "' has moved on";
         }
         if (to.equals("note")) {
@@ -573,28 +577,32 @@
         String not =
                 switch (to) {
                     case "ASKED" ->
-                            e.stage == Stage.PLANNED || e.stage == Stage.DRAINING
+                            e.stage == MaintenanceStage.PLANNED
+                                            || e.stage == MaintenanceStage.DRAINING
                                     ? ""
                                     : "it can't be put back";
                     case "PLANNED" ->
-                            e.stage != Stage.ASKED ? "it is not waiting" : whyNotPlanned(e);
+                            e.stage != MaintenanceStage.ASKED
+                                    ? "it is not waiting"
+                                    : whyNotPlanned(e);
                     case "DRAINING" ->
-                            e.stage != Stage.PLANNED
+                            e.stage != MaintenanceStage.PLANNED
                                     ? "it is not planned"
                                     : e.held || held
                                             ? "held"
-                                            : !e.known
+                                            : !e.confirmedByAll
                                                     ? "not everybody knows of it"
-                                                    : !e.unbelieved
-                                                            ? "somebody believes its member to be primary"
+                                                    : !e.noPrimaryReported
+                                                            ? "somebody believes its member to be"
+                                                                  + " primary"
                                                             : "";
                     case "OUT" ->
-                            e.stage != Stage.DRAINING
+                            e.stage != MaintenanceStage.DRAINING
                                     ? "it does not drain"
-                                    : !e.clear
+                                    : !e.drained
                                             ? "not everybody has left it"
                                             : idle ? "" : "a driver on it has a duty";
-                    case "IN" -> e.stage == Stage.RETURNING ? "" : "it does not return";
+                    case "IN" -> e.stage == MaintenanceStage.RETURNING ? "" : "it does not return";
                     default -> "no stage '" + to + "'";
                 };
         if (!not.isEmpty()) {
@@ -603,7 +611,7 @@
         if (to.equals("IN")) {
             withdraw(e, wall, "in: " + text(why));
         } else {
-            turn(e, Stage.valueOf(to), wall, text(why));
+            turn(e, MaintenanceStage.valueOf(to), wall, text(why));
         }
         return derived();
     }
@@ -622,7 +630,7 @@
                     return "it shares a group with " + o.machine;
                 }
             }
-            if (e.after.contains(o.machine)) {
+            if (e.afterMachines.contains(o.machine)) {
                 return "it comes after " + o.machine;
             }
         }
@@ -631,31 +639,31 @@
                 : away >= atOnce ? "there are " + away + " on their way, at most " + atOnce : "";
     }
 
-    private void turn(Entry e, Stage to, long wall, String why) {
+    private void turn(Entry e, MaintenanceStage to, long wall, String why) {
         e.stage = to;
         e.note = "";
         moved(e, wall, to.name().toLowerCase(java.util.Locale.ROOT) + ": " + why);
-        e.stageAt = revision;
-        e.mark = to == Stage.PLANNED ? revision : e.mark;
-        e.outSince = to == Stage.OUT ? wall : e.outSince;
-        e.known = false;
-        e.clear = false;
+        e.stageRevision = revision;
+        e.announcedRevision = to == MaintenanceStage.PLANNED ? revision : e.announcedRevision;
+        e.outSinceMs = to == MaintenanceStage.OUT ? wall : e.outSinceMs;
+        e.confirmedByAll = false;
+        e.drained = false;
     }
 
     private void moved(Entry e, long wall, String what) {
         revision++;
         changed(e);
-        e.since = wall;
-        if (e.stageAt == 0) {
-            e.stageAt = revision;
+        e.changedAtMs = wall;
+        if (e.stageRevision == 0) {
+            e.stageRevision = revision;
         }
         note(wall, e.machine, what);
     }
 
     private void changed(Entry e) {
-        byChange.remove(e.changed);
-        e.changed = ++changes;
-        byChange.put(e.changed, e);
+        byChange.remove(e.lastChange);
+        e.lastChange = ++changeNumber;
+        byChange.put(e.lastChange, e);
     }
 
     private void note(long wall, String machine, String what) {
@@ -678,65 +686,73 @@
 
     private void derive() {
         for (Entry e : entries.values()) {
-            boolean known = e.stage.announced() && enough(whoKnowsNot(e));
-            boolean clear = e.stage == Stage.DRAINING && enough(whoIsThere(e));
+            boolean known = e.stage.announced() && mayProceedWithout(unconfirmedDrivers(e));
+            boolean clear =
+                    e.stage == MaintenanceStage.DRAINING && mayProceedWithout(undrainedDrivers(e));
             // Of what only waits nothing is asked: there may be a thousand of them.
             boolean unbelieved =
                     e.stage.announced()
                             && live.values().stream()
                                     .noneMatch(l -> believes(l.report, machines.get(e.machine)));
-            if (known != e.known || clear != e.clear || unbelieved != e.unbelieved) {
-                e.known = known;
-                e.clear = clear;
-                e.unbelieved = unbelieved;
+            if (known != e.confirmedByAll
+                    || clear != e.drained
+                    || unbelieved != e.noPrimaryReported) {
+                e.confirmedByAll = known;
+                e.drained = clear;
+                e.noPrimaryReported = unbelieved;
                 changed(e);
             }
         }
     }
 
     /** Whether those who have not said so may be left out of account: nobody may. */
-    protected boolean enough(Set<String> missing) {
+    protected boolean mayProceedWithout(Set<String> missing) {
         return missing.isEmpty();
     }
 
-    private static boolean believes(Report r, Machine m) {
+    private static boolean believes(DriverReport r, Machine m) {
         return m != null
-                && m.parts().stream()
+                && m.members().stream()
                         .anyMatch(
                                 p ->
-                                        r.believes().containsKey(p.group())
-                                                && p.is(r.believes().get(p.group())));
+                                        r.primaries().containsKey(p.group())
+                                                && p.is(r.primaries().get(p.group())));
     }
 
     /** Those who have not confirmed that the machine is announced. */
-    public Set<String> whoKnowsNot(Entry e) {
+    public Set<String> unconfirmedDrivers(Entry e) {
         Set<String> not = new TreeSet<>();
-        live.values().stream().filter(l -> l.report.knows() < e.mark).forEach(l -> not.add(l.name));
-        astray.values().stream()
-                .filter(a -> a.knows < e.mark)
+        live.values().stream()
+                .filter(l -> l.report.planRevision() < e.announcedRevision)
+                .forEach(l -> not.add(l.name));
+        lostDrivers.values().stream()
+                .filter(a -> a.planRevision < e.announcedRevision)
                 .forEach(a -> not.add(a.name + " (without a session)"));
         return not;
     }
 
     /** How many drivers have a session. */
-    protected int sessions() {
+    protected int sessionCount() {
         return live.size();
     }
 
     /** Those who may have something at a machine that drains. */
-    public Set<String> whoIsThere(Entry e) {
+    public Set<String> undrainedDrivers(Entry e) {
         Set<String> there = new TreeSet<>();
         live.values().stream()
-                .filter(l -> l.report.knows() < e.stageAt || !l.report.clear().contains(e.machine))
+                .filter(
+                        l ->
+                                l.report.planRevision() < e.stageRevision
+                                        || !l.report.drainedMachines().contains(e.machine))
                 .forEach(l -> there.add(l.name));
-        astray.values().stream()
-                .filter(a -> a.level < 1 || a.knows < e.mark)
+        lostDrivers.values().stream()
+                .filter(a -> a.stoppedLevel < 1 || a.planRevision < e.announcedRevision)
                 .forEach(a -> there.add(a.name + " (without a session)"));
         return there;
     }
 
     /** What a machine waits for, for people. */
-    public String waitsFor(Entry e) {
+    public String waitReason(Entry e) {
         if (e.held || held) {
             return "held";
         }
@@ -745,20 +761,20 @@
                 String not = whyNotPlanned(e);
                 yield not.isEmpty() ? e.note : not;
             }
-            case PLANNED -> e.known ? e.note : "to know of it: " + whoKnowsNot(e);
-            case DRAINING -> e.clear ? e.note : "to leave it: " + whoIsThere(e);
+            case PLANNED -> e.confirmedByAll ? e.note : "to know of it: " + unconfirmedDrivers(e);
+            case DRAINING -> e.drained ? e.note : "to leave it: " + undrainedDrivers(e);
             default -> e.note;
         };
     }
 
     /** Whether a driver runs on a machine that drains or is out: it gets no duties. */
-    public boolean leaves(String driver) {
+    public boolean isOnDrainingMachine(String driver) {
         return entries.values().stream()
                 .anyMatch(
                         e ->
-                                e.stage != Stage.ASKED
-                                        && e.stage != Stage.PLANNED
-                                        && e.stage != Stage.RETURNING
+                                e.stage != MaintenanceStage.ASKED
+                                        && e.stage != MaintenanceStage.PLANNED
+                                        && e.stage != MaintenanceStage.RETURNING
                                         && machines.get(e.machine).drivers().contains(driver));
     }
 
@@ -766,14 +782,16 @@
      * The fleet's figures, all drivers together: served, harmed, and by group the milliseconds at
      * members.
      */
-    public List<Object> sums() {
+    public List<Object> totals() {
         long served = 0;
         long harmed = 0;
         TreeMap<String, Long> busy = new TreeMap<>();
         for (Live l : live.values()) {
-            served += l.report.served();
-            harmed += l.report.harmed();
-            l.report.busy().forEach((g, ms) -> busy.merge(Integer.toString(g), ms, Long::sum));
+            served += l.report.servedCount();
+            harmed += l.report.harmedCount();
+            l.report
+                    .busyMsByGroup()
+                    .forEach((g, ms) -> busy.merge(Integer.toString(g), ms, Long::sum));
         }
         return List.of(served, harmed, busy);
     }
@@ -781,7 +799,7 @@
     /**
      * What has changed for drivers since a change's number; all of it where that lies too far back.
      */
-    public Map<String, Object> news(long since) {
+    public Map<String, Object> changesSince(long since) {
         Map<String, Object> m = new TreeMap<>();
         boolean whole =
                 since <= 0
@@ -794,7 +812,7 @@
         m.put(
                 "entries",
                 (whole ? entries : byChange.tailMap(since, false))
-                        .values().stream().map(Entry::values).toList());
+                        .values().stream().map(Entry::toValues).toList());
         m.put(
                 "gone",
                 whole
@@ -815,26 +833,26 @@
     // ---- as a whole ----
 
     /** All of it, for a snapshot. */
-    public Map<String, Object> whole() {
+    public Map<String, Object> snapshot() {
         Map<String, Object> all = new TreeMap<>();
         all.put("lines", lines);
-        all.put("figures", List.of(revision, changes, asks, losses, linesChanged, held));
-        all.put("entries", entries.values().stream().map(Entry::values).toList());
+        all.put("figures", List.of(revision, changeNumber, asks, losses, linesChanged, held));
+        all.put("entries", entries.values().stream().map(Entry::toValues).toList());
         List<Object> l = new ArrayList<>();
-        live.forEach((s, v) -> l.add(List.of(s, v.identity, v.name, v.report.line(s))));
+        live.forEach((s, v) -> l.add(List.of(s, v.identity, v.name, v.report.toLine(s))));
         all.put("live", l);
         all.put(
                 "astray",
-                astray.values().stream()
+                lostDrivers.values().stream()
                         .map(
                                 a ->
                                         List.of(
                                                 a.identity,
                                                 a.name,
-                                                a.knows,
-                                                a.number,
-                                                (long) a.level,
-                                                a.ends))
+                                                a.planRevision,
+                                                a.lossNumber,
+                                                (long) a.stoppedLevel,
+                                                a.exiting))
                         .toList());
         all.put("gone", gone.stream().map(g -> List.of(g[0], g[1])).toList());
         all.put("history", List.copyOf(history));
@@ -845,12 +863,12 @@
      * Takes over a snapshot in place of all that is there; one from before there was a plan is
      * empty.
      */
-    public void become(Object of) {
+    public void restore(Object of) {
         machines.clear();
         entries.clear();
         byChange.clear();
         live.clear();
-        astray.clear();
+        lostDrivers.clear();
         gone.clear();
         history.clear();
         lines = List.of();
@@ -863,11 +881,11 @@
         lines.stream().skip(1).map(Machine::of).forEach(m -> machines.put(m.name(), m));
         if (!lines.isEmpty()) {
             atOnce = Integer.parseInt(lines.get(0).split(" ")[0]);
-            lost = WorkRules.Lost.valueOf(lines.get(0).split(" ")[1]);
+            lostViewPolicy = MaintenanceSettings.LostViewPolicy.valueOf(lines.get(0).split(" ")[1]);
         }
         List<?> f = (List<?>) all.get("figures");
         revision = number(f.get(0));
-        changes = number(f.get(1));
+        changeNumber = number(f.get(1));
         asks = number(f.get(2));
         losses = number(f.get(3));
         linesChanged = number(f.get(4));
@@ -875,16 +893,16 @@
         ((List<?>) all.get("entries"))
                 .forEach(
                         v -> {
-                            Entry e = Entry.of((List<?>) v);
+                            Entry e = Entry.fromValues((List<?>) v);
                             entries.put(e.machine, e);
-                            byChange.put(e.changed, e);
+                            byChange.put(e.lastChange, e);
                         });
         ((List<?>) all.get("live"))
                 .forEach(
                         o -> {
                             List<?> v = (List<?>) o;
                             Live one = new Live((String) v.get(1), (String) v.get(2));
-                            one.report = Report.of((String) v.get(3));
+                            one.report = DriverReport.of((String) v.get(3));
                             live.put((String) v.get(0), one);
                         });
         ((List<?>) all.get("astray"))
@@ -898,8 +916,8 @@
                                             number(v.get(2)),
                                             number(v.get(3)),
                                             (Boolean) v.get(5));
-                            a.level = (int) number(v.get(4));
-                            astray.put(a.identity, a);
+                            a.stoppedLevel = (int) number(v.get(4));
+                            lostDrivers.put(a.identity, a);
                         });
         ((List<?>) all.get("gone"))
                 .forEach(
--- a/src/main/java/wingroad/work/Stage.java
+++ b/src/main/java/wingroad/work/MaintenanceStage.java
@@ -1,7 +1,7 @@
 package wingroad.work;
 
 /** How far a machine has come on its way; one that is in, and not asked for, has none. */
-public enum Stage {
+public enum MaintenanceStage {
     /** Somebody wants it; nobody but the conductor does anything. */
     ASKED,
     /** Announced: each driver confirms that it knows, and goes on sending. */
--- a/src/main/java/wingroad/work/View.java
+++ b/src/main/java/wingroad/work/MemberAvailability.java
@@ -11,7 +11,7 @@
  * is told. It holds only as long as the driver's lease runs: the plan may have gone on since. The
  * table is in docs/notes/work.md. No I/O; the clock is handed in.
  */
-public final class View {
+public final class MemberAvailability {
     /** What a member counts as. */
     public enum State {
         AS_LISTED,
@@ -20,7 +20,7 @@
         COLD
     }
 
-    private final WorkRules rules;
+    private final MaintenanceSettings rules;
     private final Duration began;
     private final Duration patience;
     private final Holders own;
@@ -40,10 +40,10 @@
 
     /**
      * @param began when the driver started
-     * @param patience with {@link WorkRules.Lost#SERVE}: how long after a start the plan is waited
-     *     for
+     * @param patience with {@link MaintenanceSettings.LostViewPolicy#SERVE}: how long after a start
+     *     the plan is waited for
      */
-    public View(WorkRules rules, Duration began, Duration patience) {
+    public MemberAvailability(MaintenanceSettings rules, Duration began, Duration patience) {
         this.rules = rules;
         this.own = new Holders(rules.machines().values());
         this.began = began;
@@ -51,13 +51,16 @@
     }
 
     /** The plan as it is settled. */
-    public void told(PlanCopy plan, Duration now) {
+    public void updatePlan(PlanCopy plan, Duration now) {
         planCopy = plan;
         returning
                 .keySet()
-                .removeIf(m -> plan.entry(m) == null || plan.entry(m).stage != Stage.RETURNING);
+                .removeIf(
+                        m ->
+                                plan.entry(m) == null
+                                        || plan.entry(m).stage != MaintenanceStage.RETURNING);
         plan.entries().stream()
-                .filter(e -> e.stage == Stage.RETURNING)
+                .filter(e -> e.stage == MaintenanceStage.RETURNING)
                 .forEach(e -> returning.putIfAbsent(e.machine, now));
     }
 
@@ -65,34 +68,38 @@
      * What was told last holds so long. Only a lease makes a view that has ended hold again, not
      * what is told.
      */
-    public void leased(Duration ends) {
+    public void extendLease(Duration ends) {
         until = ends;
         over = false;
         learned |= planCopy != null;
     }
 
     /** Nothing is renewed any more: the session is left or has been ended. */
-    public void ended() {
+    public void endLease() {
         over = true;
     }
 
-    public boolean known() {
+    public boolean isKnown() {
         return learned;
     }
 
     /** Whether the plan is known and has not gone on unseen. */
-    public boolean current(Duration now) {
+    public boolean isCurrent(Duration now) {
         return learned && !over && now.compareTo(until) < 0;
     }
 
     /** When this driver's lists have to be looked at again though nothing is heard, or null. */
-    public Duration next(Duration now) {
+    public Duration nextChangeAt(Duration now) {
         if (!learned) {
-            return rules.lost() == WorkRules.Lost.SERVE ? began.plus(patience) : null;
+            return rules.lostViewPolicy() == MaintenanceSettings.LostViewPolicy.SERVE
+                    ? began.plus(patience)
+                    : null;
         }
-        return current(now)
+        return isCurrent(now)
                 ? until
-                : rules.lost() == WorkRules.Lost.STRICT ? until.plus(rules.horizon()) : null;
+                : rules.lostViewPolicy() == MaintenanceSettings.LostViewPolicy.STRICT
+                        ? until.plus(rules.strictHorizon())
+                        : null;
     }
 
     /**
@@ -104,15 +111,16 @@
         if (!learned) {
             boolean planned = own.of(uid) != null;
             boolean waits =
-                    rules.lost() != WorkRules.Lost.SERVE || now.compareTo(began.plus(patience)) < 0;
+                    rules.lostViewPolicy() != MaintenanceSettings.LostViewPolicy.SERVE
+                            || now.compareTo(began.plus(patience)) < 0;
             return planned && waits ? State.GONE : State.AS_LISTED;
         }
-        Machine m = planCopy.holder(uid);
-        Plan.Entry e = m == null ? null : planCopy.entry(m.name());
+        Machine m = planCopy.machineOf(uid);
+        MaintenancePlan.Entry e = m == null ? null : planCopy.entry(m.name());
         if (m == null) {
             return State.AS_LISTED;
         }
-        if (current(now)) {
+        if (isCurrent(now)) {
             return e == null
                     ? State.AS_LISTED
                     : switch (e.stage) {
@@ -124,29 +132,34 @@
         }
         if (e != null && e.stage.announced()) {
             boolean serves =
-                    rules.lost() == WorkRules.Lost.SERVE
-                            && e.stage != Stage.OUT
+                    rules.lostViewPolicy() == MaintenanceSettings.LostViewPolicy.SERVE
+                            && e.stage != MaintenanceStage.OUT
                             && !others.getAsBoolean();
-            return !serves ? State.GONE : e.stage == Stage.RETURNING ? State.COLD : State.AS_LISTED;
+            return !serves
+                    ? State.GONE
+                    : e.stage == MaintenanceStage.RETURNING ? State.COLD : State.AS_LISTED;
         }
         boolean past =
-                rules.lost() == WorkRules.Lost.STRICT
-                        && now.compareTo(until.plus(rules.horizon())) >= 0;
+                rules.lostViewPolicy() == MaintenanceSettings.LostViewPolicy.STRICT
+                        && now.compareTo(until.plus(rules.strictHorizon())) >= 0;
         return past ? State.GONE : State.AS_LISTED;
     }
 
     /** Since when a machine that returns has been known to; for a member that counts as cold. */
     public Duration returningSince(String uid) {
-        Machine m = planCopy == null ? null : planCopy.holder(uid);
+        Machine m = planCopy == null ? null : planCopy.machineOf(uid);
         return m == null ? null : returning.get(m.name());
     }
 
     /** The machines at which this driver must have nothing. */
-    public Collection<Plan.Entry> leaving() {
+    public Collection<MaintenancePlan.Entry> drainingEntries() {
         return planCopy == null
                 ? java.util.List.of()
                 : planCopy.entries().stream()
-                        .filter(e -> e.stage == Stage.DRAINING || e.stage == Stage.OUT)
+                        .filter(
+                                e ->
+                                        e.stage == MaintenanceStage.DRAINING
+                                                || e.stage == MaintenanceStage.OUT)
                         .toList();
     }
 
--- a/src/main/java/wingroad/work/MemberObservations.java
+++ b/src/main/java/wingroad/work/MemberObservations.java
@@ -14,7 +14,7 @@
  */
 public final class MemberObservations {
     /** What a member said last. */
-    public static final class Seen {
+    public static final class Observation {
         final String uid;
         final int group;
         boolean listed;
@@ -27,14 +27,14 @@
         Duration failedAt;
         int failures;
 
-        Seen(String uid, int group) {
+        Observation(String uid, int group) {
             this.uid = uid;
             this.group = group;
         }
     }
 
-    private final Map<String, Seen> all = new TreeMap<>();
-    private final Map<Integer, Map<String, Seen>> byGroup = new HashMap<>();
+    private final Map<String, Observation> all = new TreeMap<>();
+    private final Map<Integer, Map<String, Observation>> byGroup = new HashMap<>();
     private final Duration fresh;
 
     /**
@@ -45,9 +45,9 @@
     }
 
     /** Discovery lists a member, as fit or not; one that is gone is forgotten. */
-    public void listed(String uid, int group, boolean gone, boolean fit) {
+    public void updateListing(String uid, int group, boolean gone, boolean fit) {
         if (gone) {
-            Seen s = all.remove(uid);
+            Observation s = all.remove(uid);
             if (s != null
                     && byGroup.get(s.group).remove(uid) != null
                     && byGroup.get(s.group).isEmpty()) {
@@ -55,15 +55,17 @@
             }
             return;
         }
-        Seen s = all.computeIfAbsent(uid, u -> new Seen(u, group));
+        Observation s = all.computeIfAbsent(uid, u -> new Observation(u, group));
         byGroup.computeIfAbsent(s.group, g -> new TreeMap<>()).put(uid, s);
         s.listed = true;
         s.fitListed = fit;
     }
 
-    /** It has said of itself; {@code primary} and {@code behind} are null where it did not. */
-    public void said(String uid, Boolean primary, Duration behind, Duration now) {
-        Seen s = all.get(uid);
+    /**
+     * It has said of itself; {@code primary} and {@code replicationLag} are null where it did not.
+     */
+    public void recordReport(String uid, Boolean primary, Duration behind, Duration now) {
+        Observation s = all.get(uid);
         if (s == null) {
             return;
         }
@@ -80,8 +82,8 @@
     }
 
     /** It gave no answer. */
-    public void failed(String uid, Duration now) {
-        Seen s = all.get(uid);
+    public void recordFailure(String uid, Duration now) {
+        Observation s = all.get(uid);
         if (s != null) {
             s.failures++;
             s.failedAt = now;
@@ -94,8 +96,8 @@
 
     /** Whom this driver takes for the group's primary, or null. */
     public String primary(int group, Duration now) {
-        Seen best = null;
-        for (Seen s : byGroup.getOrDefault(group, Map.of()).values()) {
+        Observation best = null;
+        for (Observation s : byGroup.getOrDefault(group, Map.of()).values()) {
             if (Boolean.TRUE.equals(s.primary)
                     && isFresh(s.roleAt, now)
                     && (best == null || s.roleAt.compareTo(best.roleAt) > 0)) {
@@ -106,18 +108,18 @@
     }
 
     /** Whether it has answered lately, and not failed several times since. */
-    public boolean fit(String uid, Duration now) {
-        Seen s = all.get(uid);
+    public boolean isHealthy(String uid, Duration now) {
+        Observation s = all.get(uid);
         return s != null && s.listed && s.fitListed && isFresh(s.answeredAt, now) && s.failures < 3;
     }
 
     /** How far behind the log it was when it said so last; null where that is not known. */
-    public Duration behind(String uid, Duration now) {
-        Seen s = all.get(uid);
+    public Duration replicationLag(String uid, Duration now) {
+        Observation s = all.get(uid);
         return s == null || !isFresh(s.behindAt, now) ? null : s.behind;
     }
 
-    public Collection<String> of(int group) {
+    public Collection<String> membersOf(int group) {
         return List.copyOf(byGroup.getOrDefault(group, Map.of()).keySet());
     }
 
--- a/src/main/java/wingroad/work/PlanCopy.java
+++ b/src/main/java/wingroad/work/PlanCopy.java
@@ -11,9 +11,9 @@
 /** A driver's copy of what is settled of the plan, kept by the news that its voter sends. */
 public final class PlanCopy {
     private final TreeMap<String, Machine> machines = new TreeMap<>();
-    private final TreeMap<String, Plan.Entry> entries = new TreeMap<>();
+    private final TreeMap<String, MaintenancePlan.Entry> entries = new TreeMap<>();
     private Holders holders = new Holders(List.of());
-    private List<String> lines = List.of();
+    private List<String> inventoryLines = List.of();
     private long revision = -1;
     private boolean held;
     private long served;
@@ -22,7 +22,7 @@
     private Set<String> live = Set.of();
 
     /** Takes news over; returns whether something of it is new. */
-    public boolean news(Map<?, ?> m) {
+    public boolean applyChanges(Map<?, ?> m) {
         if (Boolean.TRUE.equals(m.get("whole"))) {
             entries.clear();
         }
@@ -30,15 +30,18 @@
         ((List<?>) m.get("entries"))
                 .forEach(
                         v -> {
-                            Plan.Entry e = Plan.Entry.of((List<?>) v);
+                            MaintenancePlan.Entry e = MaintenancePlan.Entry.fromValues((List<?>) v);
                             entries.put(e.machine, e);
                         });
         if (m.get("lines") instanceof List<?> l) {
             List<String> next = new ArrayList<>();
             l.forEach(o -> next.add((String) o));
-            lines = next;
+            inventoryLines = next;
             machines.clear();
-            lines.stream().skip(1).map(Machine::of).forEach(x -> machines.put(x.name(), x));
+            inventoryLines.stream()
+                    .skip(1)
+                    .map(Machine::of)
+                    .forEach(x -> machines.put(x.name(), x));
             holders = new Holders(machines.values());
         }
         boolean grown = number(m.get("rev")) != revision;
@@ -48,7 +51,7 @@
     }
 
     /** What only the conductor is told: the fleet's figures and who has a session. */
-    public void fleet(List<?> sums, Collection<?> names) {
+    public void updateFleetFigures(List<?> sums, Collection<?> names) {
         served = number(sums.get(0));
         harmed = number(sums.get(1));
         busy.clear();
@@ -64,7 +67,7 @@
     }
 
     /** Whether anything has been learned. */
-    public boolean known() {
+    public boolean isKnown() {
         return revision >= 0;
     }
 
@@ -76,15 +79,15 @@
         return held;
     }
 
-    public List<String> lines() {
-        return lines;
+    public List<String> inventoryLines() {
+        return inventoryLines;
     }
 
-    public Collection<Plan.Entry> entries() {
+    public Collection<MaintenancePlan.Entry> entries() {
         return entries.values();
     }
 
-    public Plan.Entry entry(String machine) {
+    public MaintenancePlan.Entry entry(String machine) {
         return entries.get(machine);
     }
 
@@ -93,7 +96,7 @@
     }
 
     /** The machine that holds this member, or null. */
-    public Machine holder(String uid) {
+    public Machine machineOf(String uid) {
         return holders.of(uid);
     }
 
