--- a/src/test/java/wingroad/duty/RelayHealthTest.java
+++ b/src/test/java/wingroad/duty/RelayHealthTest.java
@@ -1,13 +1,15 @@
 package wingroad.duty;
 
 import static org.assertj.core.api.Assertions.assertThat;
-import static wingroad.duty.RelayHealth.Use.ASK;
-import static wingroad.duty.RelayHealth.Use.NONE;
-import static wingroad.duty.RelayHealth.Use.TAKE;
 
-import java.time.Duration;
+import static wingroad.duty.RelayHealth.Action.APPLY;
+import static wingroad.duty.RelayHealth.Action.FETCH;
+import static wingroad.duty.RelayHealth.Action.IGNORE;
+
 import org.junit.jupiter.api.Test;
 
+import java.time.Duration;
+
 /** Whether a driver goes by the owner of discovery's list. */
 class RelayHealthTest {
     private final RelayHealth h =
@@ -19,37 +21,45 @@
 
     @Test
     void anOwnerThatFallsSilentIsNotGoneBy() {
-        assertThat(h.goesByOwner(at(0))).isFalse();
-        h.told(5, 3, 3, false, false, at(100));
-        assertThat(h.goesByOwner(at(900))).isTrue();
-        assertThat(h.goesByOwner(at(1000))).isFalse();
+        assertThat(h.trustsOwner(at(0))).isFalse();
+        h.onOwnerUpdate(5, 3, 3, false, false, at(100));
+        assertThat(h.trustsOwner(at(900))).isTrue();
+        assertThat(h.trustsOwner(at(1000))).isFalse();
     }
 
     @Test
     void anOldOwnersListIsNotTaken() {
-        assertThat(h.told(5, 0, 4, true, true, at(0))).isEqualTo(TAKE);
-        assertThat(h.told(4, 0, 9, true, true, at(1))).as("an older epoch").isEqualTo(NONE);
-        assertThat(h.told(5, 0, 3, true, true, at(2))).as("an older revision").isEqualTo(NONE);
+        assertThat(h.onOwnerUpdate(5, 0, 4, true, true, at(0))).isEqualTo(APPLY);
+        assertThat(h.onOwnerUpdate(4, 0, 9, true, true, at(1)))
+                .as("an older epoch")
+                .isEqualTo(IGNORE);
+        assertThat(h.onOwnerUpdate(5, 0, 3, true, true, at(2)))
+                .as("an older revision")
+                .isEqualTo(IGNORE);
     }
 
     @Test
     void whatDoesNotGoOnFromWhatIsHeldIsAskedFor() {
-        h.found(3, at(0));
-        assertThat(h.told(5, 3, 4, false, true, at(1))).isEqualTo(TAKE);
-        assertThat(h.told(5, 5, 6, false, true, at(2))).as("5 is missing").isEqualTo(ASK);
-        assertThat(h.told(5, 7, 7, false, false, at(3))).as("no news with it").isEqualTo(ASK);
+        h.onDirectFetch(3, at(0));
+        assertThat(h.onOwnerUpdate(5, 3, 4, false, true, at(1))).isEqualTo(APPLY);
+        assertThat(h.onOwnerUpdate(5, 5, 6, false, true, at(2)))
+                .as("5 is missing")
+                .isEqualTo(FETCH);
+        assertThat(h.onOwnerUpdate(5, 7, 7, false, false, at(3)))
+                .as("no news with it")
+                .isEqualTo(FETCH);
     }
 
     @Test
     void anOwnerThatOneKnowsBetterThanIsNotGoneByForLong() {
-        h.told(5, 3, 3, false, false, at(0));
-        h.found(4, at(10));
-        assertThat(h.goesByOwner(at(20))).isTrue();
-        h.told(5, 3, 3, false, false, at(800));
-        assertThat(h.goesByOwner(at(900))).isTrue();
-        h.told(5, 3, 3, false, false, at(1000));
-        assertThat(h.goesByOwner(at(1000))).as("behind for too long").isFalse();
-        h.told(5, 3, 4, false, true, at(1100));
-        assertThat(h.goesByOwner(at(1200))).isTrue();
+        h.onOwnerUpdate(5, 3, 3, false, false, at(0));
+        h.onDirectFetch(4, at(10));
+        assertThat(h.trustsOwner(at(20))).isTrue();
+        h.onOwnerUpdate(5, 3, 3, false, false, at(800));
+        assertThat(h.trustsOwner(at(900))).isTrue();
+        h.onOwnerUpdate(5, 3, 3, false, false, at(1000));
+        assertThat(h.trustsOwner(at(1000))).as("behind for too long").isFalse();
+        h.onOwnerUpdate(5, 3, 4, false, true, at(1100));
+        assertThat(h.trustsOwner(at(1200))).isTrue();
     }
 }
--- a/src/test/java/wingroad/fleet/ConsensusStoreTest.java
+++ b/src/test/java/wingroad/fleet/ConsensusStoreTest.java
@@ -3,14 +3,16 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import java.io.IOException;
-import java.nio.file.Path;
-import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import wingroad.duty.Op;
+
+import wingroad.duty.Command;
 import wingroad.fleet.MessageCodec.Endpoint;
 
+import java.io.IOException;
+import java.nio.file.Path;
+import java.util.List;
+
 /** A voter's state: what it survives, and when it is not trusted. */
 class ConsensusStoreTest {
     private static ConsensusStore with(RowStore rows, int term, long entries) throws IOException {
@@ -38,7 +40,7 @@
                                     .createLogEntryBuilder()
                                     .setIndex(i)
                                     .setTerm(term)
-                                    .setOperation(Op.turn("a/1", "x", 5, i))
+                                    .setOperation(Command.startRun("a/1", "x", 5, i))
                                     .build()));
         }
         k.flush();
@@ -55,13 +57,13 @@
                                 .createLogEntryBuilder()
                                 .setIndex(5)
                                 .setTerm(3)
-                                .setOperation(Op.term())
+                                .setOperation(Command.noOp())
                                 .build()));
         ConsensusStore again = new ConsensusStore(rows.afterKill(), () -> "i2");
         assertThat(again.identity()).isEqualTo("i1");
         assertThat(again.restored().getLogEntries()).hasSize(4);
         assertThat(again.restored().getLogEntries().get(3).getOperation())
-                .isEqualTo(Op.turn("a/1", "x", 5, 4));
+                .isEqualTo(Command.startRun("a/1", "x", 5, 4));
         assertThat(again.restored().getTermPersistentState().getTerm()).isEqualTo(3);
     }
 
--- a/src/test/java/wingroad/fleet/SimFleet.java
+++ b/src/test/java/wingroad/fleet/SimFleet.java
@@ -3,7 +3,7 @@
 import io.microraft.model.message.VoteRequest;
 import io.microraft.model.message.VoteResponse;
 
-import wingroad.duty.Fence;
+import wingroad.duty.EpochFence;
 import wingroad.duty.Lease;
 import wingroad.duty.SessionLease;
 
@@ -390,21 +390,21 @@
         }
 
         @Override
-        protected Duration from(Duration askedAt, Duration heardAt) {
+        protected Duration leaseStart(Duration askedAt, Duration heardAt) {
             return heardAt;
         }
     }
 
     /** What effects come to: a fence, and a ledger of what was accepted. */
     final class Receiver {
-        private final Fence fence = new Fence();
+        private final EpochFence fence = new EpochFence();
         private final Map<String, Long> highest = new HashMap<>();
         private final Map<String, String> turns = new HashMap<>();
         private final Map<Long, String> epochs = new HashMap<>();
         int accepted;
 
         String effect(String duty, long epoch, long turn, String who) {
-            fence.raise(duty, 0);
+            fence.advance(duty, 0);
             if (wrong != Wrong.NO_FENCE && !fence.admits(duty, epoch)) {
                 lateRefused++;
                 return "refused: epoch " + epoch + " is over";
@@ -686,7 +686,7 @@
             for (Proc p : procs.values()) {
                 if (p.alive && p.councilSession != null) {
                     SessionLease t = p.councilSession.sessionLease();
-                    SessionLease.Held h = t.known(c.duty());
+                    SessionLease.DutyState h = t.current(c.duty());
                     if (h != null && t.mayAct(c.duty(), h.epoch(), p.now())) {
                         if (one != null) {
                             breaks(
--- a/src/test/java/wingroad/fleet/SimWork.java
+++ b/src/test/java/wingroad/fleet/SimWork.java
@@ -1,18 +1,18 @@
 package wingroad.fleet;
 
-import wingroad.duty.Op;
-import wingroad.duty.Register;
+import wingroad.duty.Command;
+import wingroad.duty.DutyStateMachine;
 import wingroad.fleet.SimFleet.Proc;
 import wingroad.fleet.SimFleet.Wrong;
-import wingroad.work.Conductor;
+import wingroad.work.DriverReport;
 import wingroad.work.Machine;
+import wingroad.work.MaintenanceController;
+import wingroad.work.MaintenancePlan;
+import wingroad.work.MaintenanceSettings;
+import wingroad.work.MaintenanceStage;
+import wingroad.work.MemberAvailability;
 import wingroad.work.MemberObservations;
-import wingroad.work.Plan;
 import wingroad.work.PlanCopy;
-import wingroad.work.Report;
-import wingroad.work.Stage;
-import wingroad.work.View;
-import wingroad.work.WorkRules;
 
 import java.time.Duration;
 import java.util.ArrayList;
@@ -35,7 +35,7 @@
     private static final Duration GRACE = Duration.ofSeconds(1);
     private static final Duration LOOK = Duration.ofMillis(250);
 
-    final WorkRules rules;
+    final MaintenanceSettings rules;
     private final SimFleet fleet;
     private final Random random;
     private final Map<String, Member> members = new TreeMap<>();
@@ -43,7 +43,7 @@
     private final Map<String, List<Member>> byMachine = new HashMap<>();
 
     /** What is settled, by the furthest register: machine to stage; and how far that is. */
-    private Map<String, Stage> settled = Map.of();
+    private Map<String, MaintenanceStage> settled = Map.of();
 
     private long furthest = -1;
     private final Set<String> wanted = new TreeSet<>();
@@ -79,7 +79,7 @@
         this.fleet = fleet;
         this.random = new Random(fleet.random.nextLong());
         Map<String, Machine> all = new TreeMap<>();
-        List<List<Machine.Part>> parts = new ArrayList<>();
+        List<List<Machine.MemberPattern>> parts = new ArrayList<>();
         for (int i = 0; i < machines; i++) {
             parts.add(new ArrayList<>());
         }
@@ -89,7 +89,7 @@
             for (int z = 0; z < 3; z++) {
                 int on = (at / 3 * 3 + z) % machines;
                 String uid = "g" + g + "z" + z;
-                parts.get(on).add(new Machine.Part(uid, g));
+                parts.get(on).add(new Machine.MemberPattern(uid, g));
                 members.put(uid, new Member(uid, g, "m" + on));
                 byGroup.computeIfAbsent(g, k -> new ArrayList<>()).add(members.get(uid));
                 byMachine.computeIfAbsent("m" + on, k -> new ArrayList<>()).add(members.get(uid));
@@ -102,10 +102,10 @@
             all.put("m" + i, new Machine("m" + i, "z" + i % 3, List.copyOf(parts.get(i)), drivers));
         }
         rules =
-                new WorkRules(
+                new MaintenanceSettings(
                         all,
                         atOnce,
-                        WorkRules.Lost.STEADY,
+                        MaintenanceSettings.LostViewPolicy.STEADY,
                         Duration.ofSeconds(60),
                         Duration.ofSeconds(1),
                         0.3,
@@ -118,32 +118,37 @@
 
     // ---- what is settled ----
 
-    Register register(long first) {
+    DutyStateMachine register(long first) {
         return new Watched(first);
     }
 
     /** The program's register, with the checker beside it, or with a wrong put in. */
-    private final class Watched extends Register {
+    private final class Watched extends DutyStateMachine {
         Watched(long first) {
-            super(first, fleet.wrong == Wrong.OUT_BY_MAJORITY ? new ByMajority() : new Plan());
+            super(
+                    first,
+                    fleet.wrong == Wrong.OUT_BY_MAJORITY
+                            ? new ByMajority()
+                            : new MaintenancePlan());
         }
 
         @Override
-        protected boolean inForce(Op op) {
-            return fleet.wrong == Wrong.ORDER_WITHOUT_EPOCH || super.inForce(op);
+        protected boolean isFromCurrentController(Command op) {
+            return fleet.wrong == Wrong.ORDER_WITHOUT_EPOCH || super.isFromCurrentController(op);
         }
 
         @Override
-        public String apply(Op op) {
-            boolean order = op.kind() == Op.Kind.WORK_STEP || op.kind() == Op.Kind.WORK_MACHINES;
-            boolean force = !order || super.inForce(op);
+        public String apply(Command op) {
+            boolean order =
+                    op.kind() == Command.Kind.WORK_STEP || op.kind() == Command.Kind.WORK_MACHINES;
+            boolean force = !order || super.isFromCurrentController(op);
             String result = super.apply(op);
             if (order && !force && result.isEmpty()) {
                 fleet.breaks(
                         "a late order was taken: "
-                                + op.duty()
+                                + op.subject()
                                 + " to "
-                                + op.to()
+                                + op.argument()
                                 + " under "
                                 + op.epoch());
             }
@@ -155,7 +160,9 @@
                 if (order && force) {
                     epochs.add(op.epoch());
                 }
-                if (order || op.kind() == Op.Kind.WORK_WORD || op.kind() == Op.Kind.WORK_ASK) {
+                if (order
+                        || op.kind() == Command.Kind.WORK_WORD
+                        || op.kind() == Command.Kind.WORK_ASK) {
                     look(this);
                 }
             }
@@ -163,22 +170,22 @@
         }
     }
 
-    private static final class ByMajority extends Plan {
+    private static final class ByMajority extends MaintenancePlan {
         @Override
-        protected boolean enough(Set<String> missing) {
-            return missing.size() * 2 < sessions();
+        protected boolean mayProceedWithout(Set<String> missing) {
+            return missing.size() * 2 < sessionCount();
         }
     }
 
-    private void look(Register r) {
-        Map<String, Stage> now = new TreeMap<>();
+    private void look(DutyStateMachine r) {
+        Map<String, MaintenanceStage> now = new TreeMap<>();
         r.plan().entries().forEach(e -> now.put(e.machine(), e.stage()));
         now.forEach(
                 (m, s) -> {
                     if (s != settled.get(m)) {
                         fleet.line("#", m + " " + s + " revision " + r.plan().revision());
                     }
-                    if (s == Stage.OUT && settled.get(m) != Stage.OUT) {
+                    if (s == MaintenanceStage.OUT && settled.get(m) != MaintenanceStage.OUT) {
                         out++;
                         outAt.put(m, fleet.now);
                         byMachine.getOrDefault(m, List.of()).stream()
@@ -197,7 +204,7 @@
         settled = now;
         List<String> away =
                 now.entrySet().stream()
-                        .filter(e -> e.getValue() != Stage.ASKED)
+                        .filter(e -> e.getValue() != MaintenanceStage.ASKED)
                         .map(Map.Entry::getKey)
                         .toList();
         for (String a : away) {
@@ -225,12 +232,12 @@
 
     private final class Agent implements WorkPlanListener {
         private final Proc proc;
-        private final View view;
+        private final MemberAvailability view;
         private final PlanCopy planCopy = new PlanCopy();
         private final MemberObservations observations = new MemberObservations(SimFleet.LEASE);
         private final Map<String, Integer> open = new HashMap<>();
         private final Map<String, Duration> leftSince = new HashMap<>();
-        private Conductor conductor;
+        private MaintenanceController conductor;
         private long conducts;
         private long epoch;
         private long knows;
@@ -240,17 +247,17 @@
 
         Agent(Proc proc) {
             this.proc = proc;
-            view = new View(rules, proc.now(), SimFleet.LEASE);
-            members.values().forEach(m -> observations.listed(m.uid, m.group, false, true));
+            view = new MemberAvailability(rules, proc.now(), SimFleet.LEASE);
+            members.values().forEach(m -> observations.updateListing(m.uid, m.group, false, true));
         }
 
         @Override
         public void planUpdated(Map<String, Object> news, List<?> sums, List<?> live) {
-            planCopy.news(news);
+            planCopy.applyChanges(news);
             if (sums != null) {
-                planCopy.fleet(sums, live);
+                planCopy.updateFleetFigures(sums, live);
             }
-            view.told(planCopy, proc.now());
+            view.updatePlan(planCopy, proc.now());
             follow();
         }
 
@@ -258,15 +265,15 @@
         public void leaseUpdated(Duration ends, boolean over, long conductsUnder) {
             epoch = over ? 0 : conductsUnder;
             if (over && fleet.wrong != Wrong.NO_LEASE_ON_VIEW) {
-                view.ended();
+                view.endLease();
             } else {
-                view.leased(fleet.wrong == Wrong.NO_LEASE_ON_VIEW ? Duration.ofDays(9) : ends);
+                view.extendLease(fleet.wrong == Wrong.NO_LEASE_ON_VIEW ? Duration.ofDays(9) : ends);
             }
             follow();
         }
 
         private void follow() {
-            boolean current = view.current(proc.now());
+            boolean current = view.isCurrent(proc.now());
             if (current != was) {
                 was = current;
                 fleet.line(
@@ -276,7 +283,7 @@
             if (current) {
                 knows = view.revision();
                 Set<String> leaving = new TreeSet<>();
-                view.leaving().forEach(e -> leaving.add(e.machine()));
+                view.drainingEntries().forEach(e -> leaving.add(e.machine()));
                 leftSince.keySet().retainAll(leaving);
                 leaving.forEach(m -> leftSince.putIfAbsent(m, proc.now()));
             }
@@ -284,12 +291,12 @@
         }
 
         private void report() {
-            if (!view.known()) {
+            if (!view.isKnown()) {
                 return;
             }
             Set<String> clear = new TreeSet<>();
             Map<Integer, String> believes = new TreeMap<>();
-            if (view.current(proc.now())) {
+            if (view.isCurrent(proc.now())) {
                 leftSince.forEach(
                         (m, since) -> {
                             boolean none =
@@ -300,7 +307,7 @@
                             }
                         });
             }
-            for (Plan.Entry e : planCopy.entries()) {
+            for (MaintenancePlan.Entry e : planCopy.entries()) {
                 for (int g :
                         e.stage().announced()
                                 ? planCopy.machines().get(e.machine()).groups()
@@ -312,62 +319,63 @@
                 }
             }
             proc.councilSession.report(
-                    new Report(knows, clear, believes, served, harmed, Map.of()));
+                    new DriverReport(knows, clear, believes, served, harmed, Map.of()));
         }
 
         private void look() {
             report();
             Duration now = proc.now();
-            if (epoch == 0 || !view.current(now)) {
+            if (epoch == 0 || !view.isCurrent(now)) {
                 conductor = null;
             } else {
                 if (conductor == null || conducts != epoch) {
-                    conductor = new Conductor(rules, fleet.voters.keySet());
+                    conductor = new MaintenanceController(rules, fleet.voters.keySet());
                     conducts = epoch;
                 }
-                if (!planCopy.lines().equals(rules.lines())) {
-                    proc.councilSession.order(epoch, s -> Op.workMachines(s, epoch, rules.lines()));
+                if (!planCopy.inventoryLines().equals(rules.toLines())) {
+                    proc.councilSession.order(
+                            epoch, s -> Command.setMachines(s, epoch, rules.toLines()));
                 } else {
                     members.values()
                             .forEach(
                                     m -> {
                                         if (m.up && !fleet.held.contains("member>" + proc.name)) {
-                                            observations.said(
+                                            observations.recordReport(
                                                     m.uid, m.primary, Duration.ofMillis(30), now);
                                         } else {
-                                            observations.failed(m.uid, now);
+                                            observations.recordFailure(m.uid, now);
                                         }
                                     });
                     long mine = epoch;
-                    for (Conductor.Step x :
-                            conductor.next(planCopy, observations, proc.wall(), now)) {
+                    for (MaintenanceController.Step x :
+                            conductor.nextSteps(planCopy, observations, proc.wall(), now)) {
                         Runnable order =
                                 () ->
                                         proc.councilSession.order(
                                                 mine,
                                                 s ->
-                                                        Op.workStep(
+                                                        Command.maintenanceStep(
                                                                 s,
                                                                 mine,
                                                                 x.machine(),
-                                                                x.to(),
-                                                                x.stageAt(),
-                                                                x.why()));
+                                                                x.target(),
+                                                                x.stageRevision(),
+                                                                x.reason()));
                         if (random.nextInt(4) == 0) {
                             // As one that is held up on its way, or wakes up late and does not look
                             // at its lease again.
-                            String session = proc.councilSession.sessionLease().session();
+                            String session = proc.councilSession.sessionLease().sessionId();
                             fleet.at(
                                     fleet.now + random.nextInt(8_000) * 1_000_000L,
                                     () ->
                                             late(
-                                                    Op.workStep(
+                                                    Command.maintenanceStep(
                                                             session,
                                                             mine,
                                                             x.machine(),
-                                                            x.to(),
-                                                            x.stageAt(),
-                                                            x.why())));
+                                                            x.target(),
+                                                            x.stageRevision(),
+                                                            x.reason())));
                         }
                         order.run();
                     }
@@ -385,8 +393,10 @@
                             .filter(m -> m.up)
                             .filter(
                                     m -> {
-                                        View.State s = view.state(m.uid, () -> true, now);
-                                        return s == View.State.AS_LISTED || s == View.State.COLD;
+                                        MemberAvailability.State s =
+                                                view.state(m.uid, () -> true, now);
+                                        return s == MemberAvailability.State.AS_LISTED
+                                                || s == MemberAvailability.State.COLD;
                                     })
                             .toList();
             if (fit.isEmpty()) {
@@ -403,7 +413,7 @@
         private void arrives(Member m) {
             txns++;
             m.open++;
-            if (settled.get(m.machine) == Stage.OUT) {
+            if (settled.get(m.machine) == MaintenanceStage.OUT) {
                 fleet.breaks(
                         "a txn of "
                                 + proc.name
@@ -422,12 +432,13 @@
                         m.open--;
                         open.merge(m.uid, -1, Integer::sum);
                         served++;
-                        observations.said(m.uid, m.primary, Duration.ofMillis(30), proc.now());
+                        observations.recordReport(
+                                m.uid, m.primary, Duration.ofMillis(30), proc.now());
                     });
         }
     }
 
-    private void late(Op op) {
+    private void late(Command op) {
         fleet.procs.values().stream()
                 .filter(p -> p.alive && p.consensusNode != null && p.consensusNode.leads())
                 .findFirst()
@@ -451,14 +462,19 @@
     private void second() {
         if (!quiet && random.nextInt(3) == 0) {
             String m = "m" + random.nextInt(rules.machines().size());
-            operator(Op.workAsk(m, "test", 0, 0, List.of(), "ask " + asked++));
+            operator(Command.requestMaintenance(m, "test", 0, 0, List.of(), "ask " + asked++));
             wanted.add(m);
         }
         if (!quiet && random.nextInt(20) == 0) {
-            operator(Op.workWord("hold", Plan.ALL, "hold " + asked++));
+            operator(
+                    Command.operatorCommand(
+                            "hold", MaintenancePlan.ALL_MACHINES, "hold " + asked++));
             fleet.at(
                     fleet.now + 3_000_000_000L,
-                    () -> operator(Op.workWord("go", Plan.ALL, "go " + asked++)));
+                    () ->
+                            operator(
+                                    Command.operatorCommand(
+                                            "go", MaintenancePlan.ALL_MACHINES, "go " + asked++)));
         }
         if (!quiet && random.nextInt(12) == 0) {
             List<Member> all = new ArrayList<>(members.values());
@@ -481,7 +497,7 @@
                                 p.consensusNode
                                         .register()
                                         .plan()
-                                        .astray()
+                                        .lostDrivers()
                                         .forEach(
                                                 a -> {
                                                     if (!fleet.procs
@@ -489,9 +505,9 @@
                                                             .identity
                                                             .equals(a.identity())) {
                                                         operator(
-                                                                Op.workWord(
+                                                                Command.operatorCommand(
                                                                         "gone",
-                                                                        a.known(),
+                                                                        a.displayName(),
                                                                         "gone " + asked++));
                                                     }
                                                 }));
@@ -502,7 +518,11 @@
         quiet = true;
         rules.machines()
                 .keySet()
-                .forEach(m -> operator(Op.workAsk(m, "test", 0, 0, List.of(), "ask " + asked++)));
+                .forEach(
+                        m ->
+                                operator(
+                                        Command.requestMaintenance(
+                                                m, "test", 0, 0, List.of(), "ask " + asked++)));
     }
 
     int asksSettled() {
@@ -513,10 +533,10 @@
         tellGone();
         settled.forEach(
                 (m, s) -> {
-                    if (s == Stage.OUT && fleet.now - outAt.get(m) > 2_000_000_000L) {
-                        operator(Op.workWord("done", m, "done " + asked++));
+                    if (s == MaintenanceStage.OUT && fleet.now - outAt.get(m) > 2_000_000_000L) {
+                        operator(Command.operatorCommand("done", m, "done " + asked++));
                     }
-                    if (s == Stage.PLANNED) {
+                    if (s == MaintenanceStage.PLANNED) {
                         for (Member x : byMachine.getOrDefault(m, List.of())) {
                             if (x.primary) {
                                 byGroup.get(x.group).stream()
@@ -533,14 +553,14 @@
                 });
     }
 
-    private void operator(Op op) {
+    private void operator(Command op) {
         List<Proc> voters =
                 fleet.procs.values().stream()
                         .filter(p -> p.alive && !p.paused && p.consensusNode != null)
                         .toList();
         if (!voters.isEmpty()) {
             Proc p = voters.get(random.nextInt(voters.size()));
-            p.task(fleet.now, () -> p.consensusNode.inject(op.at(p.wall())));
+            p.task(fleet.now, () -> p.consensusNode.inject(op.withProposedAt(p.wall())));
         }
     }
 
@@ -550,7 +570,7 @@
         members.values().forEach(m -> m.up = true);
         serveMachines();
         if (fleet.random.nextInt(4) == 0) {
-            operator(Op.workWord("go", Plan.ALL, "go " + asked++));
+            operator(Command.operatorCommand("go", MaintenancePlan.ALL_MACHINES, "go " + asked++));
         }
         return settled.isEmpty();
     }
@@ -576,7 +596,7 @@
                                                                             + " "
                                                                             + e.stage()
                                                                             + " waits "
-                                                                            + p.waitsFor(e))
+                                                                            + p.waitReason(e))
                                                     .toList()
                                                     .toString())
                             .orElse("");
--- a/src/test/java/wingroad/operator/OperatorFileTest.java
+++ b/src/test/java/wingroad/operator/OperatorFileTest.java
@@ -106,10 +106,10 @@
         OperatorFile file =
                 OperatorFile.read(
                                 "door {\n"
-                                    + " tenant-from comment t\n"
-                                    + " tenant \"a b\" weight=0.3\n"
-                                    + " tenant c cap=0.5\n"
-                                    + "}")
+                                        + " tenant-from comment t\n"
+                                        + " tenant \"a b\" weight=0.3\n"
+                                        + " tenant c cap=0.5\n"
+                                        + "}")
                         .file();
         assertThat(OperatorFile.read(file.print()).file()).isEqualTo(file);
         assertThat(file.print()).contains("names-per-address 8", "others weight=1 cap=1");
@@ -177,11 +177,11 @@
 
     private static String work(String within) {
         return "fleet \"graz\" {\n"
-                   + " driver \"d1\"\n"
-                   + " listen \"127.0.0.1:7401\"\n"
-                   + " voter \"d1\" \"127.0.0.1:7401\"\n"
-                   + " state \"/tmp/x\"\n"
-                   + " work {\n"
+                + " driver \"d1\"\n"
+                + " listen \"127.0.0.1:7401\"\n"
+                + " voter \"d1\" \"127.0.0.1:7401\"\n"
+                + " state \"/tmp/x\"\n"
+                + " work {\n"
                 + within
                 + "\n }\n}\n";
     }
@@ -200,7 +200,7 @@
                                 """));
         assertThat(read.problems()).isEmpty();
         assertThat(read.file().fleet().duties()).containsExactly("conductor");
-        assertThat(read.file().fleet().work().lines())
+        assertThat(read.file().fleet().work().toLines())
                 .containsExactly("3 STRICT", "r1 a db-1*#7,db-2#8 d1", "r2 b db-3#7 ");
         assertThat(OperatorFile.read(read.file().print()).file().fleet())
                 .isEqualTo(read.file().fleet());
--- a/src/test/java/wingroad/work/PlanTest.java
+++ b/src/test/java/wingroad/work/PlanTest.java
@@ -2,27 +2,28 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+
 import java.time.Duration;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.junit.jupiter.api.Test;
-import org.junit.jupiter.params.ParameterizedTest;
-import org.junit.jupiter.params.provider.CsvSource;
 
 /** The plan's state machine: what is settled, and what is refused whoever proposes it. */
 class PlanTest {
-    private final Plan plan = new Plan();
+    private final MaintenancePlan plan = new MaintenancePlan();
 
     /** Two groups over two zones; two drivers with a session. */
     PlanTest() {
         assertThat(inventory("2 STEADY")).isEmpty();
-        plan.opened("d1/a", "i1", "d1");
-        plan.opened("d2/a", "i2", "d2");
+        plan.sessionOpened("d1/a", "i1", "d1");
+        plan.sessionOpened("d2/a", "i2", "d2");
     }
 
     private String inventory(String limits) {
-        return plan.inventory(
+        return plan.applyInventory(
                 List.of(
                         limits,
                         "A1 a p1#1,q1#2 ",
@@ -32,18 +33,18 @@
     }
 
     private String ask(String machine, String... after) {
-        return plan.ask(machine, machine, "why", 0, 0, List.of(after), 1000);
+        return plan.addRequest(machine, machine, "why", 0, 0, List.of(after), 1000);
     }
 
     private String step(String machine, String to) {
-        return plan.step(machine, to, plan.entry(machine).stageAt, "test", true, 2000);
+        return plan.applyStep(machine, to, plan.entry(machine).stageRevision, "test", true, 2000);
     }
 
     private void report(String driver, long knows, String... clear) {
-        plan.reports(
+        plan.applyReports(
                 List.of(
-                        new Report(knows, Set.of(clear), Map.of(), 0, 0, Map.of())
-                                .line(driver + "/a")));
+                        new DriverReport(knows, Set.of(clear), Map.of(), 0, 0, Map.of())
+                                .toLine(driver + "/a")));
     }
 
     private void allKnow(String... clear) {
@@ -65,14 +66,14 @@
         step("A2", "PLANNED");
         report("d1", plan.revision());
         assertThat(step("A2", "DRAINING")).isEqualTo("not everybody knows of it");
-        assertThat(plan.waitsFor(plan.entry("A2"))).isEqualTo("to know of it: [d2]");
+        assertThat(plan.waitReason(plan.entry("A2"))).isEqualTo("to know of it: [d2]");
         allKnow();
         assertThat(step("A2", "DRAINING")).isEmpty();
         // What was said before it drained counts for nothing.
         report("d1", plan.revision() - 1, "A2");
         report("d2", plan.revision(), "A2");
         assertThat(step("A2", "OUT")).isEqualTo("not everybody has left it");
-        assertThat(plan.waitsFor(plan.entry("A2"))).isEqualTo("to leave it: [d1]");
+        assertThat(plan.waitReason(plan.entry("A2"))).isEqualTo("to leave it: [d1]");
         allKnow("A2");
         assertThat(step("A2", "OUT")).isEmpty();
     }
@@ -84,7 +85,7 @@
         allKnow();
         step("A2", "DRAINING");
         allKnow("A2");
-        plan.opened("d3/a", "i3", "d3");
+        plan.sessionOpened("d3/a", "i3", "d3");
         assertThat(step("A2", "OUT")).isEqualTo("not everybody has left it");
         report("d3", plan.revision(), "A2");
         assertThat(step("A2", "OUT")).isEmpty();
@@ -97,32 +98,32 @@
         allKnow();
         step("A2", "DRAINING");
         report("d1", plan.revision(), "A2");
-        plan.ended("d2/a", false);
+        plan.sessionEnded("d2/a", false);
         assertThat(step("A2", "OUT")).isEqualTo("not everybody has left it");
-        Plan.LostDriver a = plan.astray().iterator().next();
-        assertThat(plan.stopped(a.identity(), a.number() + 1, 1)).isNotEmpty();
-        assertThat(plan.stopped(a.identity(), a.number(), 1)).isEmpty();
+        MaintenancePlan.LostDriver a = plan.lostDrivers().iterator().next();
+        assertThat(plan.driverStopped(a.identity(), a.lossNumber() + 1, 1)).isNotEmpty();
+        assertThat(plan.driverStopped(a.identity(), a.lossNumber(), 1)).isEmpty();
         assertThat(step("A2", "OUT")).isEmpty();
     }
 
     @Test
     void oneLostBeforeItHeardIsWaitedForWhateverTheClockSays() {
-        plan.ended("d2/a", false);
+        plan.sessionEnded("d2/a", false);
         ask("A2");
         step("A2", "PLANNED");
         report("d1", plan.revision());
-        Plan.LostDriver a = plan.astray().iterator().next();
-        plan.stopped(a.identity(), a.number(), 1);
+        MaintenancePlan.LostDriver a = plan.lostDrivers().iterator().next();
+        plan.driverStopped(a.identity(), a.lossNumber(), 1);
         assertThat(step("A2", "DRAINING")).isEqualTo("not everybody knows of it");
-        assertThat(plan.word("gone", "d2", 0)).isEmpty();
+        assertThat(plan.applyOperatorCommand("gone", "d2", 0)).isEmpty();
         assertThat(step("A2", "DRAINING")).isEmpty();
     }
 
     @Test
     void oneThatComesBackUnderItsIdentityIsAstrayNoMore() {
-        plan.ended("d2/a", false);
-        plan.opened("d2/b", "i2", "d2");
-        assertThat(plan.astray()).isEmpty();
+        plan.sessionEnded("d2/a", false);
+        plan.sessionOpened("d2/b", "i2", "d2");
+        assertThat(plan.lostDrivers()).isEmpty();
     }
 
     @ParameterizedTest
@@ -153,21 +154,21 @@
         ask("A3");
         out("A2");
         step("A3", "PLANNED");
-        assertThat(plan.word("hold", Plan.ALL, 0)).isEmpty();
-        assertThat(plan.entry("A2").stage()).isEqualTo(Stage.OUT);
-        assertThat(plan.entry("A3").stage()).isEqualTo(Stage.ASKED);
+        assertThat(plan.applyOperatorCommand("hold", MaintenancePlan.ALL_MACHINES, 0)).isEmpty();
+        assertThat(plan.entry("A2").stage()).isEqualTo(MaintenanceStage.OUT);
+        assertThat(plan.entry("A3").stage()).isEqualTo(MaintenanceStage.ASKED);
         assertThat(step("A3", "PLANNED")).isEqualTo("held");
-        plan.word("go", Plan.ALL, 0);
+        plan.applyOperatorCommand("go", MaintenancePlan.ALL_MACHINES, 0);
         assertThat(step("A3", "PLANNED")).isEmpty();
     }
 
     @Test
     void aStepForWhatHasMovedOnIsRefused() {
         ask("A2");
-        long before = plan.entry("A2").stageAt;
+        long before = plan.entry("A2").stageRevision;
         out("A2");
-        assertThat(plan.step("A2", "PLANNED", before, "late", true, 0)).contains("moved on");
-        assertThat(plan.step("A2", "IN", plan.entry("A2").stageAt, "early", true, 0))
+        assertThat(plan.applyStep("A2", "PLANNED", before, "late", true, 0)).contains("moved on");
+        assertThat(plan.applyStep("A2", "IN", plan.entry("A2").stageRevision, "early", true, 0))
                 .isEqualTo("it does not return");
     }
 
@@ -178,8 +179,8 @@
         allKnow();
         step("A3", "DRAINING");
         allKnow("A3");
-        assertThat(plan.leaves("d2")).isTrue();
-        assertThat(plan.step("A3", "OUT", plan.entry("A3").stageAt, "", false, 0))
+        assertThat(plan.isOnDrainingMachine("d2")).isTrue();
+        assertThat(plan.applyStep("A3", "OUT", plan.entry("A3").stageRevision, "", false, 0))
                 .isEqualTo("a driver on it has a duty");
     }
 
@@ -187,17 +188,18 @@
     void askedTwiceUnderOneIdItIsOneAsk() {
         assertThat(ask("A2")).isEmpty();
         assertThat(ask("A2")).isEmpty();
-        assertThat(plan.ask("A2", "another", "", 0, 0, List.of(), 0)).contains("asked already");
+        assertThat(plan.addRequest("A2", "another", "", 0, 0, List.of(), 0))
+                .contains("asked already");
         assertThat(ask("A3", "A2")).isEmpty();
         assertThat(step("A3", "PLANNED")).isEqualTo("it comes after A2");
-        plan.word("cancel", "A2", 0);
+        plan.applyOperatorCommand("cancel", "A2", 0);
         assertThat(ask("A2", "A3")).as("A3 still comes after A2").contains("comes after");
-        assertThat(plan.ask("A1", "x", "", 0, 0, List.of("A1"), 0)).contains("comes after");
+        assertThat(plan.addRequest("A1", "x", "", 0, 0, List.of("A1"), 0)).contains("comes after");
     }
 
     @Test
     void aMachineWithTwoOfAGroupOrTheOnlyOneCanNeverBeHad() {
-        plan.inventory(List.of("1 STEADY", "X a u1#5,u2#5 ", "Y a v1#6 ", "Z b u3#5 "));
+        plan.applyInventory(List.of("1 STEADY", "X a u1#5,u2#5 ", "Y a v1#6 ", "Z b u3#5 "));
         assertThat(ask("X")).contains("more than one member of group 5");
         assertThat(ask("Y")).contains("the only member of group 6");
         assertThat(ask("Z")).isEmpty();
@@ -207,34 +209,34 @@
     void aMachineOnItsWayKeepsWhatTheFileSaidOfIt() {
         ask("A2");
         step("A2", "PLANNED");
-        assertThat(plan.inventory(List.of("1 STEADY", "A2 b p2#1 ", "B1 b p3#1 ")))
+        assertThat(plan.applyInventory(List.of("1 STEADY", "A2 b p2#1 ", "B1 b p3#1 ")))
                 .contains("on its way");
-        plan.word("cancel", "A2", 0);
-        assertThat(plan.inventory(List.of("1 STEADY", "A2 b p2#1 ", "B1 b p3#1 "))).isEmpty();
+        plan.applyOperatorCommand("cancel", "A2", 0);
+        assertThat(plan.applyInventory(List.of("1 STEADY", "A2 b p2#1 ", "B1 b p3#1 "))).isEmpty();
     }
 
     @Test
     void aSnapshotIsTheSamePlan() {
         ask("A2");
         out("A2");
-        plan.ended("d2/a", true);
-        Plan other = new Plan();
-        other.become(plan.whole());
-        assertThat(other.whole()).isEqualTo(plan.whole());
+        plan.sessionEnded("d2/a", true);
+        MaintenancePlan other = new MaintenancePlan();
+        other.restore(plan.snapshot());
+        assertThat(other.snapshot()).isEqualTo(plan.snapshot());
     }
 
     @Test
     void newsMakeTheSamePicture() {
         PlanCopy p = new PlanCopy();
-        p.news(plan.news(0));
-        long seen = plan.changes();
+        p.applyChanges(plan.changesSince(0));
+        long seen = plan.changeNumber();
         ask("A2");
         ask("A3");
-        p.news(plan.news(seen));
-        seen = plan.changes();
-        plan.word("cancel", "A3", 0);
+        p.applyChanges(plan.changesSince(seen));
+        seen = plan.changeNumber();
+        plan.applyOperatorCommand("cancel", "A3", 0);
         out("A2");
-        p.news(plan.news(seen));
+        p.applyChanges(plan.changesSince(seen));
         assertThat(p.entries())
                 .extracting(e -> e.machine() + " " + e.stage())
                 .containsExactly("A2 OUT");
@@ -243,11 +245,11 @@
 
     @Test
     void strayDriversAreCountedByTheVotersClocksSlowly() {
-        WorkRules rules =
-                new WorkRules(
+        MaintenanceSettings rules =
+                new MaintenanceSettings(
                         Map.of(),
                         1,
-                        WorkRules.Lost.STEADY,
+                        MaintenanceSettings.LostViewPolicy.STEADY,
                         Duration.ofSeconds(60),
                         Duration.ofSeconds(1),
                         0.1,
@@ -256,24 +258,24 @@
                         Duration.ofSeconds(10),
                         Duration.ZERO,
                         Duration.ZERO);
-        LostDrivers lostDrivers = new LostDrivers(rules, 0.1);
-        plan.ended("d1/a", false);
-        plan.ended("d2/a", true);
-        lostDrivers.look(plan, Duration.ofSeconds(100));
-        assertThat(lostDrivers.stopped(plan, Duration.ofSeconds(112))).isEmpty();
-        assertThat(lostDrivers.stopped(plan, Duration.ofMillis(112_300)))
-                .extracting(LostDrivers.Stopped::level)
+        LostDriverMonitor lostDrivers = new LostDriverMonitor(rules, 0.1);
+        plan.sessionEnded("d1/a", false);
+        plan.sessionEnded("d2/a", true);
+        lostDrivers.observe(plan, Duration.ofSeconds(100));
+        assertThat(lostDrivers.newlyStopped(plan, Duration.ofSeconds(112))).isEmpty();
+        assertThat(lostDrivers.newlyStopped(plan, Duration.ofMillis(112_300)))
+                .extracting(LostDriverMonitor.StoppedDriver::level)
                 .containsExactly(1L, 1L);
         // One that has said that it ends has ended for certain, some time later.
-        assertThat(lostDrivers.stopped(plan, Duration.ofSeconds(130)))
+        assertThat(lostDrivers.newlyStopped(plan, Duration.ofSeconds(130)))
                 .extracting(s -> s.identity() + s.level())
                 .contains("i22", "i11");
         inventory("2 STRICT");
-        assertThat(lostDrivers.stopped(plan, Duration.ofSeconds(190)))
-                .extracting(LostDrivers.Stopped::level)
+        assertThat(lostDrivers.newlyStopped(plan, Duration.ofSeconds(190)))
+                .extracting(LostDriverMonitor.StoppedDriver::level)
                 .containsExactly(2L, 2L);
         inventory("2 SERVE");
-        assertThat(lostDrivers.stopped(plan, Duration.ofSeconds(190)))
+        assertThat(lostDrivers.newlyStopped(plan, Duration.ofSeconds(190)))
                 .extracting(s -> s.identity() + s.level())
                 .containsExactly("i22");
     }
--- a/src/test/java/wingroad/work/ViewTest.java
+++ b/src/test/java/wingroad/work/ViewTest.java
@@ -2,19 +2,20 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+
 import java.time.Duration;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.junit.jupiter.params.ParameterizedTest;
-import org.junit.jupiter.params.provider.CsvSource;
 
 /** The table of docs/notes/work.md, a line each: what a member counts as at a driver. */
 class ViewTest {
     private static final Duration LEASE_ENDS = Duration.ofSeconds(10);
 
-    private static WorkRules rules(WorkRules.Lost lost) {
-        return new WorkRules(
+    private static MaintenanceSettings rules(MaintenanceSettings.LostViewPolicy lost) {
+        return new MaintenanceSettings(
                 Map.of("A", Machine.of("A a m1#7 "), "B", Machine.of("B b m2#7 ")),
                 1,
                 lost,
@@ -28,26 +29,38 @@
                 Duration.ofSeconds(1));
     }
 
-    private static PlanCopy planCopy(WorkRules rules, Stage stage) {
-        Plan plan = new Plan();
-        plan.inventory(rules.lines());
-        plan.opened("d1/a", "i1", "d1");
-        plan.ask("A", "A", "", 0, 0, List.of(), 0);
-        for (Stage s : List.of(Stage.PLANNED, Stage.DRAINING, Stage.OUT, Stage.RETURNING)) {
+    private static PlanCopy planCopy(MaintenanceSettings rules, MaintenanceStage stage) {
+        MaintenancePlan plan = new MaintenancePlan();
+        plan.applyInventory(rules.toLines());
+        plan.sessionOpened("d1/a", "i1", "d1");
+        plan.addRequest("A", "A", "", 0, 0, List.of(), 0);
+        for (MaintenanceStage s :
+                List.of(
+                        MaintenanceStage.PLANNED,
+                        MaintenanceStage.DRAINING,
+                        MaintenanceStage.OUT,
+                        MaintenanceStage.RETURNING)) {
             if (stage.compareTo(s) >= 0) {
-                plan.reports(
+                plan.applyReports(
                         List.of(
-                                new Report(plan.revision(), Set.of("A"), Map.of(), 0, 0, Map.of())
-                                        .line("d1/a")));
+                                new DriverReport(
+                                                plan.revision(),
+                                                Set.of("A"),
+                                                Map.of(),
+                                                0,
+                                                0,
+                                                Map.of())
+                                        .toLine("d1/a")));
                 String not =
-                        s == Stage.RETURNING
-                                ? plan.word("done", "A", 0)
-                                : plan.step("A", s.name(), plan.entry("A").stageAt, "", true, 0);
+                        s == MaintenanceStage.RETURNING
+                                ? plan.applyOperatorCommand("done", "A", 0)
+                                : plan.applyStep(
+                                        "A", s.name(), plan.entry("A").stageRevision, "", true, 0);
                 assertThat(not).isEmpty();
             }
         }
         PlanCopy p = new PlanCopy();
-        p.news(plan.news(0));
+        p.applyChanges(plan.changesSince(0));
         return p;
     }
 
@@ -80,19 +93,20 @@
         "SERVE,  RETURNING, 11, false, COLD,      AS_LISTED",
     })
     void byStageAndView(
-            WorkRules.Lost lost,
-            Stage stage,
+            MaintenanceSettings.LostViewPolicy lost,
+            MaintenanceStage stage,
             long at,
             boolean others,
-            View.State planned,
-            View.State other) {
-        View view = new View(rules(lost), Duration.ZERO, Duration.ofSeconds(3));
-        view.told(planCopy(rules(lost), stage), Duration.ofSeconds(1));
-        view.leased(LEASE_ENDS);
+            MemberAvailability.State planned,
+            MemberAvailability.State other) {
+        MemberAvailability view =
+                new MemberAvailability(rules(lost), Duration.ZERO, Duration.ofSeconds(3));
+        view.updatePlan(planCopy(rules(lost), stage), Duration.ofSeconds(1));
+        view.extendLease(LEASE_ENDS);
         assertThat(view.state("m1", () -> others, Duration.ofSeconds(at))).isEqualTo(planned);
         assertThat(view.state("m2", () -> others, Duration.ofSeconds(at))).isEqualTo(other);
         assertThat(view.state("elsewhere", () -> others, Duration.ofSeconds(at)))
-                .isEqualTo(View.State.AS_LISTED);
+                .isEqualTo(MemberAvailability.State.AS_LISTED);
     }
 
     @ParameterizedTest
@@ -103,26 +117,37 @@
         "SERVE, 2, GONE",
         "SERVE, 3, AS_LISTED",
     })
-    void beforeAnythingIsKnown(WorkRules.Lost lost, long at, View.State state) {
-        View view = new View(rules(lost), Duration.ZERO, Duration.ofSeconds(3));
+    void beforeAnythingIsKnown(
+            MaintenanceSettings.LostViewPolicy lost, long at, MemberAvailability.State state) {
+        MemberAvailability view =
+                new MemberAvailability(rules(lost), Duration.ZERO, Duration.ofSeconds(3));
         assertThat(view.state("m1", () -> true, Duration.ofSeconds(at))).isEqualTo(state);
         // A voter that has just started tells what it knew when it ended: without a lease that is
         // nothing.
-        view.told(planCopy(rules(lost), Stage.ASKED), Duration.ZERO);
+        view.updatePlan(planCopy(rules(lost), MaintenanceStage.ASKED), Duration.ZERO);
         assertThat(view.state("m1", () -> true, Duration.ofSeconds(at))).isEqualTo(state);
         assertThat(view.state("elsewhere", () -> true, Duration.ofSeconds(at)))
-                .isEqualTo(View.State.AS_LISTED);
+                .isEqualTo(MemberAvailability.State.AS_LISTED);
     }
 
     @ParameterizedTest
     @CsvSource({"PLANNED, GONE", "OUT, GONE", "ASKED, AS_LISTED"})
-    void onceTheSessionIsLeftItsLeaseCountsForNothing(Stage stage, View.State state) {
-        View view = new View(rules(WorkRules.Lost.STEADY), Duration.ZERO, Duration.ofSeconds(3));
-        view.told(planCopy(rules(WorkRules.Lost.STEADY), stage), Duration.ofSeconds(1));
-        view.leased(LEASE_ENDS);
-        view.ended();
+    void onceTheSessionIsLeftItsLeaseCountsForNothing(
+            MaintenanceStage stage, MemberAvailability.State state) {
+        MemberAvailability view =
+                new MemberAvailability(
+                        rules(MaintenanceSettings.LostViewPolicy.STEADY),
+                        Duration.ZERO,
+                        Duration.ofSeconds(3));
+        view.updatePlan(
+                planCopy(rules(MaintenanceSettings.LostViewPolicy.STEADY), stage),
+                Duration.ofSeconds(1));
+        view.extendLease(LEASE_ENDS);
+        view.endLease();
         // What is still told on the way out makes it no view that holds.
-        view.told(planCopy(rules(WorkRules.Lost.STEADY), stage), Duration.ofSeconds(1));
+        view.updatePlan(
+                planCopy(rules(MaintenanceSettings.LostViewPolicy.STEADY), stage),
+                Duration.ofSeconds(1));
         assertThat(view.state("m1", () -> true, Duration.ofSeconds(2))).isEqualTo(state);
     }
 }
