--- a/src/main/java/wingroad/fleet/ChoreScheduler.java
+++ b/src/main/java/wingroad/fleet/ChoreScheduler.java
@@ -1,8 +1,8 @@
 package wingroad.fleet;
 
-import wingroad.duty.Op;
+import wingroad.duty.Command;
+import wingroad.duty.RunSchedule;
 import wingroad.duty.SessionLease;
-import wingroad.duty.Turns;
 import wingroad.fleet.FleetConfig.Chore;
 
 import java.time.Duration;
@@ -19,7 +19,7 @@
 
     private static final class ChoreState {
         final Chore chore;
-        final Turns turns;
+        final RunSchedule turns;
 
         /** The turn that was asked for, under which epoch. */
         long requestedTurn;
@@ -33,7 +33,7 @@
 
         ChoreState(Chore chore) {
             this.chore = chore;
-            turns = new Turns(chore.interval());
+            turns = new RunSchedule(chore.interval());
         }
     }
 
@@ -64,16 +64,17 @@
         SessionLease sessionLease = driverSession.sessionLease();
         states.forEach(
                 (duty, state) -> {
-                    SessionLease.Held held = sessionLease.known(duty);
+                    SessionLease.DutyState held = sessionLease.current(duty);
                     if (held != null) {
                         checkChore(state, held, sessionLease);
                     }
                 });
     }
 
-    private void checkChore(ChoreState state, SessionLease.Held held, SessionLease sessionLease) {
+    private void checkChore(
+            ChoreState state, SessionLease.DutyState held, SessionLease sessionLease) {
         Duration now = context.now();
-        long missedTurns = state.turns.heard(held.turn(), now);
+        long missedTurns = state.turns.onRunCommitted(held.run(), now);
         if (missedTurns > 0) {
             context.log(
                     "fleet: "
@@ -81,10 +82,10 @@
                             + ": "
                             + missedTurns
                             + " turns missed before turn "
-                            + held.turn());
+                            + held.run());
         }
         String outcomeRequest = "told " + held.duty();
-        if (!held.outcome().isEmpty() || !held.owner().equals(sessionLease.session())) {
+        if (!held.outcome().isEmpty() || !held.owner().equals(sessionLease.sessionId())) {
             driverSession.cancelRequest(outcomeRequest);
         }
         if (!sessionLease.mayAct(held.duty(), held.epoch(), now)) {
@@ -94,7 +95,7 @@
         }
         if (state.requestedTurn > 0
                 && state.requestedEpoch == held.epoch()
-                && held.turn() == state.requestedTurn
+                && held.run() == state.requestedTurn
                 && state.startedTurn < state.requestedTurn) {
             driverSession.cancelRequest("turn " + held.duty());
             startTurn(state, held, sessionLease);
@@ -103,32 +104,33 @@
             // Else the next turn would wait for a beat.
             state.wakeUpScheduled = true;
             context.schedule(
-                    state.turns.left(now).plus(WAKE_UP_MARGIN),
+                    state.turns.timeUntilDue(now).plus(WAKE_UP_MARGIN),
                     () -> {
                         state.wakeUpScheduled = false;
                         checkDuties();
                     });
         }
-        long due = state.turns.due(now);
+        long due = state.turns.dueRun(now);
         if (due > 0 && !state.running && due != state.requestedTurn) {
             state.requestedTurn = due;
             state.requestedEpoch = held.epoch();
             driverSession.request(
                     "turn " + held.duty(),
-                    Op.turn(sessionLease.session(), held.duty(), held.epoch(), due));
+                    Command.startRun(sessionLease.sessionId(), held.duty(), held.epoch(), due));
         }
     }
 
-    private void startTurn(ChoreState state, SessionLease.Held held, SessionLease sessionLease) {
+    private void startTurn(
+            ChoreState state, SessionLease.DutyState held, SessionLease sessionLease) {
         state.startedTurn = state.requestedTurn;
         state.running = true;
         long turn = state.requestedTurn;
-        String session = sessionLease.session();
+        String session = sessionLease.sessionId();
         choreRunner.run(
                 state.chore,
                 held.epoch(),
                 turn,
-                sessionLease.until(),
+                sessionLease.expiresAt(),
                 outcome -> {
                     state.running = false;
                     context.log(
@@ -142,7 +144,8 @@
                                     + outcome);
                     driverSession.request(
                             "told " + held.duty(),
-                            Op.told(session, held.duty(), held.epoch(), turn, outcome));
+                            Command.reportRunOutcome(
+                                    session, held.duty(), held.epoch(), turn, outcome));
                     checkDuties();
                 });
     }
--- a/src/main/java/wingroad/fleet/ConsensusNode.java
+++ b/src/main/java/wingroad/fleet/ConsensusNode.java
@@ -17,13 +17,13 @@
 import io.microraft.statemachine.StateMachine;
 import io.microraft.transport.Transport;
 
-import wingroad.duty.Op;
-import wingroad.duty.Overdue;
-import wingroad.duty.Register;
+import wingroad.duty.Command;
+import wingroad.duty.DutyStateMachine;
+import wingroad.duty.SessionExpiryMonitor;
 import wingroad.fleet.MessageCodec.Endpoint;
 import wingroad.fleet.MessageTransport.Channel;
 import wingroad.protocol.Json;
-import wingroad.work.LostDrivers;
+import wingroad.work.LostDriverMonitor;
 
 import java.io.IOException;
 import java.time.Clock;
@@ -96,10 +96,10 @@
     private final FleetConfig config;
     private final Random random;
     private final StoreReader storeReader;
-    private final LongFunction<Register> registerFactory;
+    private final LongFunction<DutyStateMachine> registerFactory;
     private ConsensusStore store;
-    private Register register = new Register(0);
-    private final Overdue overdue;
+    private DutyStateMachine register = new DutyStateMachine(0);
+    private final SessionExpiryMonitor overdue;
     private RaftNode raftNode;
     private Phase phase;
 
@@ -114,7 +114,7 @@
     private final Map<String, String> pendingReports = new TreeMap<>();
 
     /** The clock on drivers without a session, or null where there is no work on machines. */
-    private final LostDrivers lostDrivers;
+    private final LostDriverMonitor lostDrivers;
 
     private final Set<String> foundingAcks = new LinkedHashSet<>();
     private boolean pushScheduled;
@@ -137,7 +137,7 @@
             StoreReader storeReader,
             long seed)
             throws IOException {
-        this(context, transport, config, storeReader, seed, Register::new);
+        this(context, transport, config, storeReader, seed, DutyStateMachine::new);
     }
 
     /**
@@ -150,7 +150,7 @@
             FleetConfig config,
             StoreReader storeReader,
             long seed,
-            LongFunction<Register> registerFactory)
+            LongFunction<DutyStateMachine> registerFactory)
             throws IOException {
         this.registerFactory = registerFactory;
         this.context = context;
@@ -159,11 +159,11 @@
         this.storeReader = storeReader;
         this.store = storeReader.read();
         this.random = new Random(seed);
-        this.overdue = new Overdue(config.lease());
+        this.overdue = new SessionExpiryMonitor(config.lease());
         this.lostDrivers =
                 config.work() == null
                         ? null
-                        : new LostDrivers(config.work(), config.lease().drift());
+                        : new LostDriverMonitor(config.work(), config.lease().maxClockDrift());
     }
 
     void start() {
@@ -186,7 +186,8 @@
 
     /** Whether the council is to have this voter, by the file and what was changed since. */
     private boolean isVoter(String name) {
-        Map<String, String> changes = raftNode == null ? store.voterChanges() : register.voters();
+        Map<String, String> changes =
+                raftNode == null ? store.voterChanges() : register.voterChanges();
         return changes.containsKey(name)
                 ? !changes.get(name).isEmpty()
                 : config.voterAddresses().containsKey(name);
@@ -233,7 +234,7 @@
         store.close();
     }
 
-    Register register() {
+    DutyStateMachine register() {
         return register;
     }
 
@@ -266,7 +267,8 @@
             peer.checkConnection();
         }
         for (InboundConnection connection : List.copyOf(inboundConnections)) {
-            if (context.now().minus(connection.lastHeardAt).compareTo(config.lease().held()) > 0) {
+            if (context.now().minus(connection.lastHeardAt).compareTo(config.lease().duration())
+                    > 0) {
                 connection.channel.close();
                 inboundConnections.remove(connection);
             }
@@ -277,8 +279,8 @@
         }
         logLeaderChange();
         if (phase == Phase.IN) {
-            updatePeers(register.voters());
-            store.saveVoterChanges(register.voters());
+            updatePeers(register.voterChanges());
+            store.saveVoterChanges(register.voterChanges());
             if (raftNode.getStatus() == RaftNodeStatus.TERMINATED) {
                 handleRemoval();
             }
@@ -635,7 +637,7 @@
     // ---- the log ----
 
     /** Has an op settled, here or by the leader; whoever asks repeats it until it is seen. */
-    private void propose(Op command) {
+    private void propose(Command command) {
         if (raftNode == null) {
             return;
         }
@@ -651,7 +653,7 @@
     }
 
     /** As if somebody attached here had asked for it, for plays. */
-    void proposeForTest(Op command) {
+    void proposeForTest(Command command) {
         propose(command);
     }
 
@@ -670,27 +672,30 @@
         if (raftNode != null) {
             if (isLeader()) {
                 if (!pendingHeartbeats.isEmpty()) {
-                    propose(Op.beat(pendingHeartbeats).at(context.wallClockMs()));
+                    propose(
+                            Command.heartbeat(pendingHeartbeats)
+                                    .withProposedAt(context.wallClockMs()));
                 }
                 if (!pendingReports.isEmpty()) {
                     propose(
-                            Op.workReports(List.copyOf(pendingReports.values()))
-                                    .at(context.wallClockMs()));
+                            Command.driverReports(List.copyOf(pendingReports.values()))
+                                    .withProposedAt(context.wallClockMs()));
                 }
-                overdue.ends(context.now()).stream()
+                overdue.expireCommands(context.now()).stream()
                         .limit(MAX_EXPIRIES_PER_TICK)
-                        .forEach(command -> propose(command.at(context.wallClockMs())));
+                        .forEach(command -> propose(command.withProposedAt(context.wallClockMs())));
                 if (lostDrivers != null) {
-                    lostDrivers.stopped(register.plan(), context.now()).stream()
+                    lostDrivers.newlyStopped(register.plan(), context.now()).stream()
                             .limit(MAX_EXPIRIES_PER_TICK)
                             .forEach(
                                     lostDriver ->
                                             propose(
-                                                    Op.workStopped(
+                                                    Command.driverStopped(
                                                                     lostDriver.identity(),
-                                                                    lostDriver.number(),
+                                                                    lostDriver.lossNumber(),
                                                                     lostDriver.level())
-                                                            .at(context.wallClockMs())));
+                                                            .withProposedAt(
+                                                                    context.wallClockMs())));
                 }
             } else {
                 if (!pendingReports.isEmpty()) {
@@ -705,31 +710,33 @@
                 }
                 // A leader that has started lately counts anew; one that has been here all along
                 // knows earlier.
-                overdue.ends(context.now().minus(config.lease().beat())).stream()
+                overdue
+                        .expireCommands(context.now().minus(config.lease().heartbeatInterval()))
+                        .stream()
                         .limit(MAX_EXPIRIES_PER_TICK)
-                        .forEach(command -> propose(command.at(context.wallClockMs())));
+                        .forEach(command -> propose(command.withProposedAt(context.wallClockMs())));
             }
         }
         // What did not get through comes again with the drivers' next beats.
         pendingHeartbeats.clear();
         pendingReports.clear();
-        context.schedule(config.lease().beat().dividedBy(2), this::tick);
+        context.schedule(config.lease().heartbeatInterval().dividedBy(2), this::tick);
     }
 
-    private void commandApplied(Op command, String result) {
+    private void commandApplied(Command command, String result) {
         observeSessions();
-        if (!result.isEmpty() && command.kind() == Op.Kind.OPEN) {
+        if (!result.isEmpty() && command.kind() == Command.Kind.OPEN) {
             inboundConnections.stream()
-                    .filter(connection -> connection.sessionId.equals(command.by()))
+                    .filter(connection -> connection.sessionId.equals(command.sessionId()))
                     .toList()
                     .forEach(
                             connection ->
                                     connection.channel.send(
                                             MessageCodec.message("not-opened", "why", result)));
         }
-        if (!command.ask().isEmpty()) {
+        if (!command.requestId().isEmpty()) {
             inboundConnections.stream()
-                    .filter(connection -> connection.pendingRequestIds.remove(command.ask()))
+                    .filter(connection -> connection.pendingRequestIds.remove(command.requestId()))
                     .toList()
                     .forEach(
                             connection ->
@@ -737,7 +744,7 @@
                                             MessageCodec.message(
                                                     "answer",
                                                     "ask",
-                                                    command.ask(),
+                                                    command.requestId(),
                                                     "result",
                                                     result)));
         }
@@ -745,9 +752,9 @@
     }
 
     private void observeSessions() {
-        overdue.look(register, context.now());
+        overdue.observe(register, context.now());
         if (lostDrivers != null) {
-            lostDrivers.look(register.plan(), context.now());
+            lostDrivers.observe(register.plan(), context.now());
         }
     }
 
@@ -775,7 +782,7 @@
             if (generation != engineGeneration) {
                 return "";
             }
-            Op command = (Op) operation;
+            Command command = (Command) operation;
             String result = register.apply(command);
             commandApplied(command, result);
             return result;
@@ -783,13 +790,13 @@
 
         @Override
         public void takeSnapshot(long index, Consumer<Object> chunks) {
-            chunks.accept(register.whole());
+            chunks.accept(register.snapshot());
         }
 
         @Override
         public void installSnapshot(long index, List<Object> chunks) {
             if (generation == engineGeneration) {
-                register.become(Json.object(chunks.get(0), "a snapshot"));
+                register.restore(Json.object(chunks.get(0), "a snapshot"));
                 observeSessions();
                 schedulePush();
             }
@@ -797,7 +804,7 @@
 
         @Override
         public Object getNewTermOperation() {
-            return Op.term();
+            return Command.noOp();
         }
     }
 
@@ -852,7 +859,7 @@
 
     /** How long one of the engine's seconds is, in seconds. */
     private double engineSecondLength() {
-        return config.lease().held().toNanos() / 1e9 / ENGINE_SECONDS_PER_LEASE;
+        return config.lease().duration().toNanos() / 1e9 / ENGINE_SECONDS_PER_LEASE;
     }
 
     /** The host's monotone clock in the engine's time; the engine only ever takes differences. */
@@ -891,7 +898,7 @@
                 "group",
                 store.groupId(),
                 "voters",
-                new TreeMap<>(raftNode == null ? store.voterChanges() : register.voters()),
+                new TreeMap<>(raftNode == null ? store.voterChanges() : register.voterChanges()),
                 "members",
                 members == null ? List.of() : MessageCodec.endpointIds(members.getMembers()),
                 "members-at",
@@ -1135,7 +1142,7 @@
                     }
                 }
                 case "pass" -> {
-                    Op command =
+                    Command command =
                             MessageCodec.decodeCommand(Json.object(message.get("op"), "an op"));
                     if (raftNode != null && isLeader()) {
                         propose(command);
@@ -1227,30 +1234,34 @@
                     }
                 }
                 case "ask" -> {
-                    Op command =
+                    Command command =
                             MessageCodec.decodeCommand(Json.object(message.get("op"), "an op"));
-                    boolean fromOwnSession = command.by().equals(sessionId) && !sessionId.isEmpty();
+                    boolean fromOwnSession =
+                            command.sessionId().equals(sessionId) && !sessionId.isEmpty();
                     String refusal =
-                            command.kind() == Op.Kind.VOTER ? whyVoterChangeRefused(command) : "";
+                            command.kind() == Command.Kind.VOTER
+                                    ? whyVoterChangeRefused(command)
+                                    : "";
                     if (!refusal.isEmpty()) {
                         channel.send(
                                 MessageCodec.message(
-                                        "answer", "ask", command.ask(), "result", refusal));
+                                        "answer", "ask", command.requestId(), "result", refusal));
                     } else if (fromOwnSession
-                            || command.kind() == Op.Kind.HAND_OVER
-                            || command.kind() == Op.Kind.VOTER
-                            || command.kind() == Op.Kind.WORK_ASK
-                            || command.kind() == Op.Kind.WORK_WORD) {
-                        if (!command.ask().isEmpty()) {
-                            pendingRequestIds.add(command.ask());
+                            || command.kind() == Command.Kind.HAND_OVER
+                            || command.kind() == Command.Kind.VOTER
+                            || command.kind() == Command.Kind.WORK_ASK
+                            || command.kind() == Command.Kind.WORK_WORD) {
+                        if (!command.requestId().isEmpty()) {
+                            pendingRequestIds.add(command.requestId());
                         }
-                        propose(command.at(context.wallClockMs()));
+                        propose(command.withProposedAt(context.wallClockMs()));
                     } else {
                         refuse("not this session's");
                     }
                 }
                 case "publish" -> {
-                    Register.Duty duty = register.duty(MessageCodec.stringOrEmpty(message, "duty"));
+                    DutyStateMachine.Duty duty =
+                            register.duty(MessageCodec.stringOrEmpty(message, "duty"));
                     if (duty != null
                             && duty.owner().equals(sessionId)
                             && duty.epoch() == MessageCodec.longOrZero(message, "epoch")) {
@@ -1279,7 +1290,7 @@
         }
 
         /** Why the voters can't be changed like that now, or empty. */
-        private String whyVoterChangeRefused(Op command) {
+        private String whyVoterChangeRefused(Command command) {
             if (raftNode == null) {
                 return "this voter takes no part now";
             }
@@ -1289,7 +1300,7 @@
                             .toList();
             boolean settled =
                     currentVoters.stream().allMatch(ConsensusNode.this::isVoter)
-                            && register.voters().entrySet().stream()
+                            && register.voterChanges().entrySet().stream()
                                     .allMatch(
                                             change ->
                                                     change.getValue().isEmpty()
@@ -1298,14 +1309,16 @@
                             && raftNode.getEffectiveMembers().getLogIndex()
                                     == raftNode.getCommittedMembers().getLogIndex();
             if (!settled
-                    && !register.voters().getOrDefault(command.to(), "-").equals(command.duty())) {
+                    && !register.voterChanges()
+                            .getOrDefault(command.argument(), "-")
+                            .equals(command.subject())) {
                 return "the change before is not settled yet: one at a time";
             }
-            if (command.duty().isEmpty() && currentVoters.size() <= 1) {
+            if (command.subject().isEmpty() && currentVoters.size() <= 1) {
                 return "the last voter can't be taken out";
             }
-            return command.duty().isEmpty() && !currentVoters.contains(command.to())
-                    ? "'" + command.to() + "' does not vote"
+            return command.subject().isEmpty() && !currentVoters.contains(command.argument())
+                    ? "'" + command.argument() + "' does not vote"
                     : "";
         }
 
--- a/src/main/java/wingroad/fleet/ConsensusStatus.java
+++ b/src/main/java/wingroad/fleet/ConsensusStatus.java
@@ -1,9 +1,9 @@
 package wingroad.fleet;
 
-import wingroad.duty.Overdue;
-import wingroad.duty.Register;
-import wingroad.work.Plan;
-import wingroad.work.WorkRules;
+import wingroad.duty.DutyStateMachine;
+import wingroad.duty.SessionExpiryMonitor;
+import wingroad.work.MaintenancePlan;
+import wingroad.work.MaintenanceSettings;
 
 import java.time.Duration;
 import java.util.List;
@@ -14,22 +14,26 @@
     private ConsensusStatus() {}
 
     static void putAll(
-            Map<String, Object> status, Register register, Overdue overdue, Duration now) {
+            Map<String, Object> status,
+            DutyStateMachine register,
+            SessionExpiryMonitor overdue,
+            Duration now) {
         status.put("revision", register.revision());
         status.put(
                 "sessions",
                 register.sessions().stream()
                         .map(
                                 session -> {
-                                    Duration silence = overdue.quiet(session.id(), now);
+                                    Duration silence =
+                                            overdue.timeSinceHeartbeat(session.id(), now);
                                     return MessageCodec.message(
                                             "session",
                                             "name",
-                                            session.name(),
+                                            session.driverName(),
                                             "run",
                                             session.id(),
                                             "since",
-                                            session.since(),
+                                            session.openedAtMs(),
                                             "quiet-ms",
                                             silence == null ? -1 : silence.toMillis());
                                 })
@@ -44,26 +48,26 @@
                                                 "name",
                                                 duty.name(),
                                                 "owner",
-                                                Register.driver(duty.owner()),
+                                                DutyStateMachine.driverNameOf(duty.owner()),
                                                 "epoch",
                                                 duty.epoch(),
                                                 "since",
-                                                duty.since(),
+                                                duty.ownedSinceMs(),
                                                 "turn",
-                                                duty.turn(),
+                                                duty.run(),
                                                 "outcome",
                                                 duty.outcome(),
                                                 "wanted",
-                                                duty.wanted(),
+                                                duty.handOverTarget(),
                                                 "history",
                                                 List.copyOf(duty.history())))
                         .toList());
-        if (register.duty(WorkRules.CONDUCTOR) != null) {
-            status.put("work", planStatus(register.plan(), register.lateOrders()));
+        if (register.duty(MaintenanceSettings.CONTROLLER_DUTY) != null) {
+            status.put("work", planStatus(register.plan(), register.staleCommandCount()));
         }
     }
 
-    private static Map<String, Object> planStatus(Plan plan, long lateOrders) {
+    private static Map<String, Object> planStatus(MaintenancePlan plan, long lateOrders) {
         return MessageCodec.message(
                 "work",
                 "held",
@@ -83,7 +87,7 @@
                                                 "drivers",
                                                 machine.drivers(),
                                                 "members",
-                                                machine.parts().stream()
+                                                machine.members().stream()
                                                         .map(
                                                                 member ->
                                                                         member.uid()
@@ -92,9 +96,11 @@
                                                         .toList()))
                         .toList(),
                 "entries",
-                plan.entries().stream().map(entry -> entry.page(plan.waitsFor(entry))).toList(),
+                plan.entries().stream()
+                        .map(entry -> entry.statusFields(plan.waitReason(entry)))
+                        .toList(),
                 "astray",
-                plan.astray().stream().map(Plan.LostDriver::known).toList(),
+                plan.lostDrivers().stream().map(MaintenancePlan.LostDriver::displayName).toList(),
                 "history",
                 List.copyOf(plan.history()));
     }
--- a/src/main/java/wingroad/fleet/DriverSession.java
+++ b/src/main/java/wingroad/fleet/DriverSession.java
@@ -1,12 +1,12 @@
 package wingroad.fleet;
 
-import wingroad.duty.Fence;
-import wingroad.duty.Op;
+import wingroad.duty.Command;
+import wingroad.duty.EpochFence;
 import wingroad.duty.SessionLease;
 import wingroad.fleet.MessageTransport.Channel;
 import wingroad.protocol.Json;
-import wingroad.work.Report;
-import wingroad.work.WorkRules;
+import wingroad.work.DriverReport;
+import wingroad.work.MaintenanceSettings;
 
 import java.time.Duration;
 import java.util.ArrayList;
@@ -54,10 +54,10 @@
     private final Supplier<String> runIdGenerator;
     private final Function<String, SessionLease> sessionLeaseFactory;
     private final FleetNode.PublicationListener publicationListener;
-    private final Fence fence = new Fence();
+    private final EpochFence fence = new EpochFence();
     private final Map<String, String> voterAddresses = new LinkedHashMap<>();
     private final List<String> voterOrder = new ArrayList<>();
-    private final Map<String, Op> pendingRequests = new LinkedHashMap<>();
+    private final Map<String, Command> pendingRequests = new LinkedHashMap<>();
     private DutyHandler dutyHandler;
     private SessionLease sessionLease;
     private Channel channel;
@@ -90,7 +90,7 @@
      */
     private long planRevision = -1;
 
-    private Report report;
+    private DriverReport report;
     private int heartbeatsUntilReport;
     private int sentReportCount;
 
@@ -129,8 +129,8 @@
     }
 
     /** What this driver says of itself from now on: at once where it says more than new figures. */
-    void report(Report newReport) {
-        boolean changed = report == null || newReport.differs(report);
+    void report(DriverReport newReport) {
+        boolean changed = report == null || newReport.differsBeyondFigures(report);
         report = newReport;
         if (changed) {
             sentReportCount = 0;
@@ -142,28 +142,30 @@
         if (helloAnswered && sessionOpen && report != null) {
             // At rest, with no machine asked for, it is heard often enough by far less.
             heartbeatsUntilReport =
-                    report.busy().isEmpty() && ++sentReportCount > MAX_FREQUENT_IDLE_REPORTS
+                    report.busyMsByGroup().isEmpty()
+                                    && ++sentReportCount > MAX_FREQUENT_IDLE_REPORTS
                             ? IDLE_REPORT_INTERVAL_HEARTBEATS
                             : REPORT_INTERVAL_HEARTBEATS;
             channel.send(
-                    MessageCodec.message("report", "line", report.line(sessionLease.session())));
+                    MessageCodec.message(
+                            "report", "line", report.toLine(sessionLease.sessionId())));
         }
     }
 
     /** An order of the conductor's, if this driver conducts under this epoch now. */
-    void proposeAsConductor(long epoch, Function<String, Op> commandFactory) {
-        if (sessionLease.mayAct(WorkRules.CONDUCTOR, epoch, context.now())) {
-            send(commandFactory.apply(sessionLease.session()));
+    void proposeAsConductor(long epoch, Function<String, Command> commandFactory) {
+        if (sessionLease.mayAct(MaintenanceSettings.CONTROLLER_DUTY, epoch, context.now())) {
+            send(commandFactory.apply(sessionLease.sessionId()));
         }
     }
 
     private void notifyPlanListener() {
         if (planListener != null) {
-            SessionLease.Held held = sessionLease.known(WorkRules.CONDUCTOR);
+            SessionLease.DutyState held = sessionLease.current(MaintenanceSettings.CONTROLLER_DUTY);
             boolean conducts =
                     held != null && sessionLease.mayAct(held.duty(), held.epoch(), context.now());
             planListener.leaseUpdated(
-                    sessionLease.until(), !sessionLease.isOpen(), conducts ? held.epoch() : 0);
+                    sessionLease.expiresAt(), !sessionLease.isOpen(), conducts ? held.epoch() : 0);
         }
     }
 
@@ -178,7 +180,7 @@
     }
 
     /** Asks for this until it is withdrawn; at most one ask by a name. */
-    void request(String name, Op command) {
+    void request(String name, Command command) {
         if (!command.equals(pendingRequests.put(name, command))) {
             send(command);
         }
@@ -194,7 +196,7 @@
     void leave(Runnable then) {
         leaving = true;
         onLeft = then;
-        sessionLease.ended();
+        sessionLease.markEnded();
         notifyPlanListener();
         pendingRequests.clear();
         retryLeave(0);
@@ -211,7 +213,7 @@
         if (attempts > 0 && attempts % LEAVE_ATTEMPTS_PER_VOTER == 0) {
             switchVoter();
         } else {
-            send(Op.leave(sessionLease.session()));
+            send(Command.leaveSession(sessionLease.sessionId()));
         }
         context.schedule(LEAVE_RETRY_DELAY, () -> retryLeave(attempts + 1));
     }
@@ -223,7 +225,7 @@
 
     /** Hands something on, if the duty is this driver's at this time. */
     void publish(String duty, Map<String, Object> content) {
-        SessionLease.Held held = sessionLease.known(duty);
+        SessionLease.DutyState held = sessionLease.current(duty);
         if (helloAnswered
                 && held != null
                 && sessionLease.mayAct(duty, held.epoch(), context.now())) {
@@ -233,7 +235,7 @@
         }
     }
 
-    private void send(Op command) {
+    private void send(Command command) {
         if (helloAnswered) {
             channel.send(MessageCodec.message("ask", "op", MessageCodec.encode(command)));
         }
@@ -247,7 +249,7 @@
         reconnectedSinceHeartbeat = false;
         connect();
         if (channel != null
-                && now.minus(lastHeardAt).compareTo(config.lease().held().dividedBy(3)) > 0) {
+                && now.minus(lastHeardAt).compareTo(config.lease().duration().dividedBy(3)) > 0) {
             // Nothing is settled there: it may be cut off itself.
             switchVoter();
         }
@@ -255,7 +257,7 @@
         logLeaseChange(now);
         releaseRequestedDuties();
         dutyHandler.checkDuties();
-        context.schedule(config.lease().beat(), this::heartbeat);
+        context.schedule(config.lease().heartbeatInterval(), this::heartbeat);
     }
 
     private void connect() {
@@ -268,12 +270,13 @@
     /** All that is to be settled, once more. */
     private void resendAll() {
         if (helloAnswered && leaving) {
-            send(Op.leave(sessionLease.session()));
+            send(Command.leaveSession(sessionLease.sessionId()));
         } else if (helloAnswered) {
             if (!sessionOpen) {
-                send(Op.open(sessionLease.session(), identity, config.duties()));
+                send(Command.openSession(sessionLease.sessionId(), identity, config.duties()));
             }
-            channel.send(MessageCodec.message("beat", "n", sessionLease.beat(context.now())));
+            channel.send(
+                    MessageCodec.message("beat", "n", sessionLease.nextHeartbeat(context.now())));
             pendingRequests.values().forEach(this::send);
             if (--heartbeatsUntilReport <= 0) {
                 sendReport();
@@ -282,28 +285,28 @@
     }
 
     private void logLeaseChange(Duration now) {
-        boolean leaseIsValid = sessionLease.isOpen() && now.compareTo(sessionLease.until()) < 0;
+        boolean leaseIsValid = sessionLease.isOpen() && now.compareTo(sessionLease.expiresAt()) < 0;
         if (leaseIsValid != leaseWasValid) {
             leaseWasValid = leaseIsValid;
             context.log(
                     leaseIsValid
                             ? "fleet: lease of "
-                                    + sessionLease.session()
+                                    + sessionLease.sessionId()
                                     + " runs, by "
                                     + voterOrder.get(voterIndex)
                             : "fleet: lease of "
-                                    + sessionLease.session()
+                                    + sessionLease.sessionId()
                                     + " has run out; its duties stand still here");
         }
     }
 
     /** What is asked back is given up as soon as nothing of it runs. */
     private void releaseRequestedDuties() {
-        for (SessionLease.Held held : sessionLease.askedBack()) {
+        for (SessionLease.DutyState held : sessionLease.releaseRequests()) {
             if (!dutyHandler.isBusy(held.duty())) {
                 request(
                         "give " + held.duty(),
-                        Op.giveUp(sessionLease.session(), held.duty(), held.epoch()));
+                        Command.releaseDuty(sessionLease.sessionId(), held.duty(), held.epoch()));
             }
         }
         pendingRequests
@@ -311,7 +314,7 @@
                 .removeIf(
                         name ->
                                 name.startsWith("give ")
-                                        && sessionLease.askedBack().stream()
+                                        && sessionLease.releaseRequests().stream()
                                                 .noneMatch(
                                                         held ->
                                                                 name.equals(
@@ -378,7 +381,7 @@
     }
 
     private String runId() {
-        return sessionLease.session().substring(sessionLease.session().indexOf('/') + 1);
+        return sessionLease.sessionId().substring(sessionLease.sessionId().indexOf('/') + 1);
     }
 
     @Override
@@ -440,9 +443,9 @@
         lastRevision = newRevision;
         for (Object entry : Json.list(message, "duties")) {
             List<?> duty = (List<?>) entry;
-            fence.raise((String) duty.get(0), ((Number) duty.get(2)).longValue());
-            sessionLease.told(
-                    new SessionLease.Held(
+            fence.advance((String) duty.get(0), ((Number) duty.get(2)).longValue());
+            sessionLease.updateDuty(
+                    new SessionLease.DutyState(
                             (String) duty.get(0),
                             (String) duty.get(1),
                             ((Number) duty.get(2)).longValue(),
@@ -459,8 +462,9 @@
             }
             sessionOpen = true;
             lastRefusal = "";
-            sessionLease.opened();
-            sessionLease.settled(MessageCodec.longOrZero(message, "beat"), context.now());
+            sessionLease.markOpen();
+            sessionLease.heartbeatCommitted(
+                    MessageCodec.longOrZero(message, "beat"), context.now());
         } else if (leaving) {
             if (onLeft != null) {
                 onLeft.run();
@@ -482,20 +486,20 @@
      */
     private void openNewSession() {
         SessionLease oldLease = sessionLease;
-        oldLease.ended();
+        oldLease.markEnded();
         notifyPlanListener();
         pendingRequests.clear();
         sessionOpen = false;
         sessionLease = sessionLeaseFactory.apply(config.driver() + "/" + runIdGenerator.get());
-        oldLease.known().forEach(sessionLease::told);
+        oldLease.current().forEach(sessionLease::updateDuty);
         context.log(
                 "fleet: the council has ended "
-                        + oldLease.session()
+                        + oldLease.sessionId()
                         + "; opens "
-                        + sessionLease.session());
+                        + sessionLease.sessionId());
         if (helloAnswered) {
             channel.send(MessageCodec.message("again", "run", runId()));
-            send(Op.open(sessionLease.session(), identity, config.duties()));
+            send(Command.openSession(sessionLease.sessionId(), identity, config.duties()));
         }
     }
 
--- a/src/main/java/wingroad/fleet/FleetClient.java
+++ b/src/main/java/wingroad/fleet/FleetClient.java
@@ -1,6 +1,6 @@
 package wingroad.fleet;
 
-import wingroad.duty.Op;
+import wingroad.duty.Command;
 import wingroad.protocol.Json;
 
 import java.io.DataInputStream;
@@ -79,7 +79,9 @@
     public String handOver(String duty, String newOwner, String requestId) throws IOException {
         send(
                 MessageCodec.message(
-                        "ask", "op", MessageCodec.encode(Op.handOver(duty, newOwner, requestId))));
+                        "ask",
+                        "op",
+                        MessageCodec.encode(Command.handOver(duty, newOwner, requestId))));
         return MessageCodec.stringOrEmpty(await("answer"), "result");
     }
 
@@ -90,7 +92,9 @@
     public String changeVoter(String name, String address, String requestId) throws IOException {
         send(
                 MessageCodec.message(
-                        "ask", "op", MessageCodec.encode(Op.voter(name, address, requestId))));
+                        "ask",
+                        "op",
+                        MessageCodec.encode(Command.changeVoter(name, address, requestId))));
         return MessageCodec.stringOrEmpty(await("answer"), "result");
     }
 
@@ -111,7 +115,7 @@
                         "ask",
                         "op",
                         MessageCodec.encode(
-                                Op.workAsk(
+                                Command.requestMaintenance(
                                         machine, reason, durationMs, before, after, requestId))));
         return MessageCodec.stringOrEmpty(await("answer"), "result");
     }
@@ -123,7 +127,7 @@
                 MessageCodec.message(
                         "ask",
                         "op",
-                        MessageCodec.encode(Op.workWord(command, machine, requestId))));
+                        MessageCodec.encode(Command.operatorCommand(command, machine, requestId))));
         return MessageCodec.stringOrEmpty(await("answer"), "result");
     }
 
--- a/src/main/java/wingroad/fleet/FleetConfig.java
+++ b/src/main/java/wingroad/fleet/FleetConfig.java
@@ -1,7 +1,7 @@
 package wingroad.fleet;
 
 import wingroad.duty.Lease;
-import wingroad.work.WorkRules;
+import wingroad.work.MaintenanceSettings;
 
 import java.nio.file.Path;
 import java.time.Duration;
@@ -32,7 +32,7 @@
         Lease lease,
         List<Chore> chores,
         Duration listCheckInterval,
-        WorkRules work) {
+        MaintenanceSettings work) {
     /** The duty of asking discovery for all. */
     public static final String LIST_DUTY = "list";
 
@@ -73,7 +73,7 @@
             duties.add(LIST_DUTY);
         }
         if (work != null) {
-            duties.add(WorkRules.CONDUCTOR);
+            duties.add(MaintenanceSettings.CONTROLLER_DUTY);
         }
         return duties;
     }
@@ -95,7 +95,7 @@
     }
 
     /** The same with these rules of work. */
-    public FleetConfig withWork(WorkRules newWork) {
+    public FleetConfig withWork(MaintenanceSettings newWork) {
         return new FleetConfig(
                 name,
                 driver,
--- a/src/main/java/wingroad/fleet/FleetNode.java
+++ b/src/main/java/wingroad/fleet/FleetNode.java
@@ -1,11 +1,11 @@
 package wingroad.fleet;
 
-import wingroad.duty.Op;
+import wingroad.duty.Command;
 import wingroad.duty.SessionLease;
 import wingroad.transport.EventLoop;
 import wingroad.transport.Listener;
-import wingroad.work.Conductor;
-import wingroad.work.Report;
+import wingroad.work.DriverReport;
+import wingroad.work.MaintenanceController;
 
 import java.io.IOException;
 import java.security.SecureRandom;
@@ -123,7 +123,7 @@
     }
 
     /** What this driver says of itself to whoever plans work. */
-    public void report(Report report) {
+    public void report(DriverReport report) {
         loop.run(
                 () -> {
                     if (driverSession != null) {
@@ -133,7 +133,7 @@
     }
 
     /** Proposes the conductor's steps, if this driver still conducts under this epoch. */
-    public void proposeSteps(long epoch, List<Conductor.Step> steps) {
+    public void proposeSteps(long epoch, List<MaintenanceController.Step> steps) {
         loop.run(
                 () -> {
                     if (driverSession != null) {
@@ -142,13 +142,13 @@
                                         driverSession.proposeAsConductor(
                                                 epoch,
                                                 sessionId ->
-                                                        Op.workStep(
+                                                        Command.maintenanceStep(
                                                                 sessionId,
                                                                 epoch,
                                                                 step.machine(),
-                                                                step.to(),
-                                                                step.stageAt(),
-                                                                step.why())));
+                                                                step.target(),
+                                                                step.stageRevision(),
+                                                                step.reason())));
                     }
                 });
     }
@@ -159,7 +159,7 @@
                 () -> {
                     if (driverSession != null) {
                         driverSession.proposeAsConductor(
-                                epoch, sessionId -> Op.workMachines(sessionId, epoch, lines));
+                                epoch, sessionId -> Command.setMachines(sessionId, epoch, lines));
                     }
                 });
     }
@@ -217,7 +217,7 @@
                                             + ":"
                                             + listener.at().getPort())
                             + ", lease "
-                            + config.lease().held().toMillis()
+                            + config.lease().duration().toMillis()
                             + " ms, "
                             + config.duties().size()
                             + " duties");
--- a/src/main/java/wingroad/fleet/MessageCodec.java
+++ b/src/main/java/wingroad/fleet/MessageCodec.java
@@ -20,7 +20,7 @@
 import io.microraft.model.message.VoteRequest;
 import io.microraft.model.message.VoteResponse;
 
-import wingroad.duty.Op;
+import wingroad.duty.Command;
 import wingroad.protocol.Json;
 
 import java.util.ArrayList;
@@ -88,20 +88,20 @@
 
     // ---- ops ----
 
-    static Map<String, Object> encode(Op command) {
+    static Map<String, Object> encode(Command command) {
         Map<String, Object> message = message(command.kind().name());
-        putIfNotEmpty(message, "by", command.by());
-        putIfNotEmpty(message, "duty", command.duty());
-        putIfNotEmpty(message, "to", command.to());
-        putIfNotEmpty(message, "ask", command.ask());
+        putIfNotEmpty(message, "by", command.sessionId());
+        putIfNotEmpty(message, "duty", command.subject());
+        putIfNotEmpty(message, "to", command.argument());
+        putIfNotEmpty(message, "ask", command.requestId());
         putIfNotZero(message, "epoch", command.epoch());
         putIfNotZero(message, "n", command.number());
-        putIfNotZero(message, "wall", command.wall());
-        if (!command.duties().isEmpty()) {
-            message.put("duties", command.duties());
+        putIfNotZero(message, "wall", command.proposedAtMs());
+        if (!command.items().isEmpty()) {
+            message.put("duties", command.items());
         }
-        if (!command.beats().isEmpty()) {
-            message.put("beats", command.beats());
+        if (!command.heartbeats().isEmpty()) {
+            message.put("beats", command.heartbeats());
         }
         return message;
     }
@@ -118,14 +118,14 @@
         }
     }
 
-    static Op decodeCommand(Map<String, Object> message) {
-        Op.Kind kind;
+    static Command decodeCommand(Map<String, Object> message) {
+        Command.Kind kind;
         try {
-            kind = Op.Kind.valueOf(stringOrEmpty(message, "k"));
+            kind = Command.Kind.valueOf(stringOrEmpty(message, "k"));
         } catch (IllegalArgumentException e) {
             throw new Json.Malformed("no op: " + message.get("k"));
         }
-        return new Op(
+        return new Command(
                 kind,
                 stringOrEmpty(message, "by"),
                 stringOrEmpty(message, "duty"),
@@ -182,7 +182,7 @@
     }
 
     private static Map<String, Object> encodeOperation(Object operation) {
-        if (operation instanceof Op command) {
+        if (operation instanceof Command command) {
             return encode(command);
         }
         if (operation instanceof UpdateRaftGroupMembersOp update) {
--- a/src/main/java/wingroad/fleet/SessionUpdates.java
+++ b/src/main/java/wingroad/fleet/SessionUpdates.java
@@ -1,9 +1,9 @@
 package wingroad.fleet;
 
-import wingroad.duty.Register;
+import wingroad.duty.DutyStateMachine;
 import wingroad.fleet.MessageTransport.Channel;
-import wingroad.work.Plan;
-import wingroad.work.WorkRules;
+import wingroad.work.MaintenancePlan;
+import wingroad.work.MaintenanceSettings;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -26,24 +26,24 @@
     private List<Object> sentTotals = List.of();
 
     /** Tells what is settled and not told yet. */
-    void push(Register register, Channel channel, String sessionId) {
+    void push(DutyStateMachine register, Channel channel, String sessionId) {
         // The plan goes before the beat that renews the lease on it: both come in one order.
         pushPlan(register, channel, sessionId);
         List<Object> duties = new ArrayList<>();
-        for (Register.Duty duty : register.duties()) {
+        for (DutyStateMachine.Duty duty : register.duties()) {
             if (duty.revision() > sentRevision) {
                 duties.add(
                         List.of(
                                 duty.name(),
                                 duty.owner(),
                                 duty.epoch(),
-                                duty.turn(),
+                                duty.run(),
                                 duty.outcome(),
-                                duty.wanted()));
+                                duty.handOverTarget()));
             }
         }
-        Register.Session session = register.session(sessionId);
-        long heartbeat = session == null ? -1 : session.beat();
+        DutyStateMachine.Session session = register.session(sessionId);
+        long heartbeat = session == null ? -1 : session.lastHeartbeat();
         if (heartbeat != sentHeartbeat
                 || !duties.isEmpty()
                 || sentRevision < 0
@@ -65,31 +65,34 @@
         sentRevision = register.revision();
     }
 
-    private void pushPlan(Register register, Channel channel, String sessionId) {
-        Plan plan = register.plan();
-        Register.Duty conductor = register.duty(WorkRules.CONDUCTOR);
+    private void pushPlan(DutyStateMachine register, Channel channel, String sessionId) {
+        MaintenancePlan plan = register.plan();
+        DutyStateMachine.Duty conductor = register.duty(MaintenanceSettings.CONTROLLER_DUTY);
         if (conductor == null) {
             // Nobody's file says anything of work.
             return;
         }
         boolean conducts = conductor.owner().equals(sessionId);
-        List<Object> totals = conducts ? plan.sums() : sentTotals;
-        if (!planSent || plan.changes() > sentPlanChange || !totals.equals(sentTotals)) {
+        List<Object> totals = conducts ? plan.totals() : sentTotals;
+        if (!planSent || plan.changeNumber() > sentPlanChange || !totals.equals(sentTotals)) {
             Map<String, Object> message =
                     MessageCodec.message(
                             "plan",
                             "news",
-                            plan.news(planSent ? sentPlanChange : 0),
+                            plan.changesSince(planSent ? sentPlanChange : 0),
                             "of",
                             register.revision());
             if (conducts) {
                 message.put("sums", totals);
                 message.put(
-                        "live", register.sessions().stream().map(Register.Session::name).toList());
+                        "live",
+                        register.sessions().stream()
+                                .map(DutyStateMachine.Session::driverName)
+                                .toList());
             }
             channel.send(message);
             planSent = true;
-            sentPlanChange = plan.changes();
+            sentPlanChange = plan.changeNumber();
             sentTotals = totals;
         }
     }
--- a/src/test/java/wingroad/fleet/ConsensusStoreTest.java
+++ b/src/test/java/wingroad/fleet/ConsensusStoreTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-import wingroad.duty.Op;
+import wingroad.duty.Command;
 import wingroad.fleet.MessageCodec.Endpoint;
 
 import java.io.IOException;
@@ -43,7 +43,7 @@
                                     .createLogEntryBuilder()
                                     .setIndex(i)
                                     .setTerm(term)
-                                    .setOperation(Op.turn("a/1", "x", 5, i))
+                                    .setOperation(Command.startRun("a/1", "x", 5, i))
                                     .build()));
         }
         k.flush();
@@ -60,13 +60,13 @@
                                 .createLogEntryBuilder()
                                 .setIndex(5)
                                 .setTerm(3)
-                                .setOperation(Op.term())
+                                .setOperation(Command.noOp())
                                 .build()));
         ConsensusStore again = new ConsensusStore(rows.afterKill(), () -> "i2");
         assertThat(again.identity()).isEqualTo("i1");
         assertThat(again.restored().getLogEntries()).hasSize(4);
         assertThat(again.restored().getLogEntries().get(3).getOperation())
-                .isEqualTo(Op.turn("a/1", "x", 5, 4));
+                .isEqualTo(Command.startRun("a/1", "x", 5, 4));
         assertThat(again.restored().getTermPersistentState().getTerm()).isEqualTo(3);
     }
 
