--- a/src/bench/java/wingroad/work/WorkBench.java
+++ b/src/bench/java/wingroad/work/WorkBench.java
@@ -348,7 +348,7 @@
             }
             talk(
                     c ->
-                            c.commandMachine(
+                            c.sendOperatorCommand(
                                     "done", machine, "done " + machine + " " + System.nanoTime()));
         } catch (IOException e) {
             System.out.println("rig: " + e);
@@ -468,7 +468,7 @@
 
     private String ask(int voter, String machine, String id) {
         try {
-            return talk(voter, c -> c.requestMachine(machine, "kernel", 0, 0, List.of(), id));
+            return talk(voter, c -> c.requestMaintenance(machine, "kernel", 0, 0, List.of(), id));
         } catch (IOException e) {
             return e.toString();
         }
--- a/src/main/java/wingroad/cli/WorkCommand.java
+++ b/src/main/java/wingroad/cli/WorkCommand.java
@@ -23,7 +23,7 @@
         mixinStandardHelpOptions = true,
         description =
                 "Takes machines out for work and brings them back, in an order that the drivers"
-                    + " settle. See docs/operators/work.md.",
+                        + " settle. See docs/operators/work.md.",
         subcommands = {
             WorkCommand.Want.class,
             WorkCommand.Plan.class,
@@ -109,7 +109,7 @@
             mixinStandardHelpOptions = true,
             description =
                     "Wants machines out. Answered once that is settled; exit status 1: one can"
-                        + " never be had, with the reason.")
+                            + " never be had, with the reason.")
     static final class Want extends Changes {
         @Parameters(
                 paramLabel = "MACHINE",
@@ -162,7 +162,7 @@
                         settle(
                                 rules,
                                 m,
-                                c -> c.requestMachine(m, why, forMs, beforeMs, after, ask)));
+                                c -> c.requestMaintenance(m, why, forMs, beforeMs, after, ask)));
             }
             return told(answers);
         }
@@ -183,7 +183,7 @@
             Map<String, String> answers = new LinkedHashMap<>();
             for (String m : machines) {
                 String ask = idFor(m);
-                answers.put(m, settle(rules, m, c -> c.commandMachine(word(), m, ask)));
+                answers.put(m, settle(rules, m, c -> c.sendOperatorCommand(word(), m, ask)));
             }
             return told(answers);
         }
@@ -227,7 +227,7 @@
             mixinStandardHelpOptions = true,
             description =
                     "Drivers without a session have ended for certain: nobody waits for them any"
-                        + " more.")
+                            + " more.")
     static final class Gone extends Word {
         @Override
         String word() {
@@ -257,7 +257,7 @@
             Map<String, String> answers = new LinkedHashMap<>();
             for (String m : all ? List.of(ALL) : machines) {
                 String ask = idFor(m);
-                answers.put(m, settle(rules, m, c -> c.commandMachine(word(), m, ask)));
+                answers.put(m, settle(rules, m, c -> c.sendOperatorCommand(word(), m, ask)));
             }
             return told(answers);
         }
@@ -268,7 +268,7 @@
             mixinStandardHelpOptions = true,
             description =
                     "Nothing more is begun, and what drains is put back at once; what is out stays"
-                        + " out.")
+                            + " out.")
     static final class Hold extends WordOrAll {
         @Override
         String word() {
--- a/src/main/java/wingroad/driver/ChoreExecutor.java
+++ b/src/main/java/wingroad/driver/ChoreExecutor.java
@@ -54,8 +54,8 @@
 
     /** The fleet's rules with what the deployment's terms say of work on machines. */
     static FleetConfig settled(FleetConfig rules, Map<String, Object> terms) {
-        return rules.withWork(
-                rules.work()
+        return rules.withMaintenance(
+                rules.maintenance()
                         .withDeploymentSettings(
                                 expiry(TxnType.fromSettings(terms)),
                                 (Duration) terms.get("cold"),
--- a/src/main/java/wingroad/driver/Driver.java
+++ b/src/main/java/wingroad/driver/Driver.java
@@ -151,7 +151,9 @@
                         () -> exchange.router().memberListFailed(clock.now()));
         exchange.meet(members, discovery, clients::closeOneIdle);
         work =
-                operator == null || operator.fleet() == null || operator.fleet().work() == null
+                operator == null
+                                || operator.fleet() == null
+                                || operator.fleet().maintenance() == null
                         ? null
                         : new WorkAgent(
                                 loop,
--- a/src/main/java/wingroad/driver/WorkAgent.java
+++ b/src/main/java/wingroad/driver/WorkAgent.java
@@ -2,7 +2,7 @@
 
 import wingroad.fleet.FleetConfig;
 import wingroad.fleet.FleetNode;
-import wingroad.fleet.WorkPlanListener;
+import wingroad.fleet.MaintenancePlanListener;
 import wingroad.protocol.MemberList;
 import wingroad.protocol.MemberList.Entry;
 import wingroad.state.Member;
@@ -33,9 +33,9 @@
 /**
  * The plan of work at this driver: makes the lists that the module is told from discovery's and the
  * plan's, says of itself what is still at machines that drain, and conducts where that is its duty.
- * On the loop's thread, but for the calls of {@link WorkPlanListener}.
+ * On the loop's thread, but for the calls of {@link MaintenancePlanListener}.
  */
-final class WorkAgent implements WorkPlanListener, Exchange.Watcher {
+final class WorkAgent implements MaintenancePlanListener, Exchange.Watcher {
     /** What is seen of members counts for a lease; within it the conductor asks this often. */
     private static final int ASKS = 3;
 
@@ -83,7 +83,7 @@
             Consumer<String> log) {
         this.loop = loop;
         this.clock = clock;
-        this.rules = fleet.work();
+        this.rules = fleet.maintenance();
         this.voters = fleet.voterAddresses().keySet();
         this.types = types;
         this.members = members;
--- a/src/main/java/wingroad/fleet/ChoreRunner.java
+++ b/src/main/java/wingroad/fleet/ChoreRunner.java
@@ -12,7 +12,7 @@
      * @param until on the monotone clock, {@code System.nanoTime()}: from then on it may no more be
      *     begun nor waited for
      */
-    void run(Chore chore, long epoch, long turn, Duration deadline, Completion completion);
+    void run(Chore chore, long epoch, long run, Duration deadline, Completion completion);
 
     /** Hears how a statement ended, once. */
     interface Completion {
--- a/src/main/java/wingroad/fleet/ChoreScheduler.java
+++ b/src/main/java/wingroad/fleet/ChoreScheduler.java
@@ -19,13 +19,13 @@
 
     private static final class ChoreState {
         final Chore chore;
-        final RunSchedule turns;
+        final RunSchedule schedule;
 
         /** The turn that was asked for, under which epoch. */
-        long requestedTurn;
+        long requestedRun;
 
         long requestedEpoch;
-        long startedTurn;
+        long startedRun;
         boolean running;
 
         /** A look is under way for when the next turn is due. */
@@ -33,7 +33,7 @@
 
         ChoreState(Chore chore) {
             this.chore = chore;
-            turns = new RunSchedule(chore.interval());
+            schedule = new RunSchedule(chore.interval());
         }
     }
 
@@ -64,88 +64,89 @@
         SessionLease sessionLease = driverSession.sessionLease();
         states.forEach(
                 (duty, state) -> {
-                    SessionLease.DutyState held = sessionLease.current(duty);
-                    if (held != null) {
-                        checkChore(state, held, sessionLease);
+                    SessionLease.DutyState dutyState = sessionLease.current(duty);
+                    if (dutyState != null) {
+                        checkChore(state, dutyState, sessionLease);
                     }
                 });
     }
 
     private void checkChore(
-            ChoreState state, SessionLease.DutyState held, SessionLease sessionLease) {
+            ChoreState state, SessionLease.DutyState dutyState, SessionLease sessionLease) {
         Duration now = context.now();
-        long missedTurns = state.turns.onRunCommitted(held.run(), now);
-        if (missedTurns > 0) {
+        long missedRuns = state.schedule.onRunCommitted(dutyState.run(), now);
+        if (missedRuns > 0) {
             context.log(
                     "fleet: "
-                            + held.duty()
+                            + dutyState.duty()
                             + ": "
-                            + missedTurns
+                            + missedRuns
                             + " turns missed before turn "
-                            + held.run());
+                            + dutyState.run());
         }
-        String outcomeRequest = "told " + held.duty();
-        if (!held.outcome().isEmpty() || !held.owner().equals(sessionLease.sessionId())) {
+        String outcomeRequest = "told " + dutyState.duty();
+        if (!dutyState.outcome().isEmpty() || !dutyState.owner().equals(sessionLease.sessionId())) {
             driverSession.cancelRequest(outcomeRequest);
         }
-        if (!sessionLease.mayAct(held.duty(), held.epoch(), now)) {
-            driverSession.cancelRequest("turn " + held.duty());
-            state.requestedTurn = 0;
+        if (!sessionLease.mayAct(dutyState.duty(), dutyState.epoch(), now)) {
+            driverSession.cancelRequest("turn " + dutyState.duty());
+            state.requestedRun = 0;
             return;
         }
-        if (state.requestedTurn > 0
-                && state.requestedEpoch == held.epoch()
-                && held.run() == state.requestedTurn
-                && state.startedTurn < state.requestedTurn) {
-            driverSession.cancelRequest("turn " + held.duty());
-            startTurn(state, held, sessionLease);
+        if (state.requestedRun > 0
+                && state.requestedEpoch == dutyState.epoch()
+                && dutyState.run() == state.requestedRun
+                && state.startedRun < state.requestedRun) {
+            driverSession.cancelRequest("turn " + dutyState.duty());
+            startRun(state, dutyState, sessionLease);
         }
         if (!state.wakeUpScheduled) {
             // Else the next turn would wait for a beat.
             state.wakeUpScheduled = true;
             context.schedule(
-                    state.turns.timeUntilDue(now).plus(WAKE_UP_MARGIN),
+                    state.schedule.timeUntilDue(now).plus(WAKE_UP_MARGIN),
                     () -> {
                         state.wakeUpScheduled = false;
                         checkDuties();
                     });
         }
-        long due = state.turns.dueRun(now);
-        if (due > 0 && !state.running && due != state.requestedTurn) {
-            state.requestedTurn = due;
-            state.requestedEpoch = held.epoch();
+        long dueRun = state.schedule.dueRun(now);
+        if (dueRun > 0 && !state.running && dueRun != state.requestedRun) {
+            state.requestedRun = dueRun;
+            state.requestedEpoch = dutyState.epoch();
             driverSession.request(
-                    "turn " + held.duty(),
-                    Command.startRun(sessionLease.sessionId(), held.duty(), held.epoch(), due));
+                    "turn " + dutyState.duty(),
+                    Command.startRun(
+                            sessionLease.sessionId(), dutyState.duty(), dutyState.epoch(), dueRun));
         }
     }
 
-    private void startTurn(
-            ChoreState state, SessionLease.DutyState held, SessionLease sessionLease) {
-        state.startedTurn = state.requestedTurn;
+    private void startRun(
+            ChoreState state, SessionLease.DutyState dutyState, SessionLease sessionLease) {
+        state.startedRun = state.requestedRun;
         state.running = true;
-        long turn = state.requestedTurn;
+        long run = state.requestedRun;
         String session = sessionLease.sessionId();
         choreRunner.run(
                 state.chore,
-                held.epoch(),
-                turn,
+                dutyState.epoch(),
+                run,
                 sessionLease.expiresAt(),
                 outcome -> {
                     state.running = false;
                     context.log(
                             "fleet: "
-                                    + held.duty()
+                                    + dutyState.duty()
                                     + " turn "
-                                    + turn
+                                    + run
                                     + " epoch "
-                                    + held.epoch()
+                                    + dutyState.epoch()
                                     + ": "
                                     + outcome);
                     driverSession.request(
-                            "told " + held.duty(),
+                            "told " + dutyState.duty(),
                             Command.reportRunOutcome(
-                                    session, held.duty(), held.epoch(), turn, outcome));
+                                    session, dutyState.duty(), dutyState.epoch(), run, outcome));
                     checkDuties();
                 });
     }
--- a/src/main/java/wingroad/fleet/ConsensusNode.java
+++ b/src/main/java/wingroad/fleet/ConsensusNode.java
@@ -96,10 +96,10 @@
     private final FleetConfig config;
     private final Random random;
     private final StoreReader storeReader;
-    private final LongFunction<DutyStateMachine> registerFactory;
+    private final LongFunction<DutyStateMachine> stateMachineFactory;
     private ConsensusStore store;
-    private DutyStateMachine register = new DutyStateMachine(0);
-    private final SessionExpiryMonitor overdue;
+    private DutyStateMachine stateMachine = new DutyStateMachine(0);
+    private final SessionExpiryMonitor sessionExpiry;
     private RaftNode raftNode;
     private Phase phase;
 
@@ -141,8 +141,8 @@
     }
 
     /**
-     * @param registerFactory makes the state that follows from the log, from the council's first
-     *     epoch
+     * @param stateMachineFactory makes the state that follows from the log, from the council's
+     *     first epoch
      */
     ConsensusNode(
             ExecutionContext context,
@@ -150,20 +150,21 @@
             FleetConfig config,
             StoreReader storeReader,
             long seed,
-            LongFunction<DutyStateMachine> registerFactory)
+            LongFunction<DutyStateMachine> stateMachineFactory)
             throws IOException {
-        this.registerFactory = registerFactory;
+        this.stateMachineFactory = stateMachineFactory;
         this.context = context;
         this.transport = transport;
         this.config = config;
         this.storeReader = storeReader;
         this.store = storeReader.read();
         this.random = new Random(seed);
-        this.overdue = new SessionExpiryMonitor(config.lease());
+        this.sessionExpiry = new SessionExpiryMonitor(config.lease());
         this.lostDrivers =
-                config.work() == null
+                config.maintenance() == null
                         ? null
-                        : new LostDriverMonitor(config.work(), config.lease().maxClockDrift());
+                        : new LostDriverMonitor(
+                                config.maintenance(), config.lease().maxClockDrift());
     }
 
     void start() {
@@ -187,7 +188,7 @@
     /** Whether the council is to have this voter, by the file and what was changed since. */
     private boolean isVoter(String name) {
         Map<String, String> changes =
-                raftNode == null ? store.voterChanges() : register.voterChanges();
+                raftNode == null ? store.voterChanges() : stateMachine.voterChanges();
         return changes.containsKey(name)
                 ? !changes.get(name).isEmpty()
                 : config.voterAddresses().containsKey(name);
@@ -234,8 +235,8 @@
         store.close();
     }
 
-    DutyStateMachine register() {
-        return register;
+    DutyStateMachine stateMachine() {
+        return stateMachine;
     }
 
     Phase phase() {
@@ -279,8 +280,8 @@
         }
         logLeaderChange();
         if (phase == Phase.IN) {
-            updatePeers(register.voterChanges());
-            store.saveVoterChanges(register.voterChanges());
+            updatePeers(stateMachine.voterChanges());
+            store.saveVoterChanges(stateMachine.voterChanges());
             if (raftNode.getStatus() == RaftNodeStatus.TERMINATED) {
                 handleRemoval();
             }
@@ -330,9 +331,9 @@
                             + (leaderName.isEmpty() ? "no leader is known" : leaderName + " leads")
                             + (raftNode == null ? "" : ", term " + raftNode.getTerm().getTerm())
                             + ", entries "
-                            + register.revision()
+                            + stateMachine.revision()
                             + ", sessions "
-                            + register.sessions().size());
+                            + stateMachine.sessions().size());
         }
     }
 
@@ -484,7 +485,7 @@
 
     private void startEngine() throws IOException {
         int generation = ++engineGeneration;
-        register = registerFactory.apply(store.initialEpoch());
+        stateMachine = stateMachineFactory.apply(store.initialEpoch());
         RaftNode.RaftNodeBuilder builder =
                 RaftNode.newBuilder()
                         .setGroupId(store.groupId())
@@ -493,7 +494,7 @@
                         .setClock(new EngineClock())
                         .setExecutor(new EngineExecutor(generation))
                         .setTransport(new EngineTransport())
-                        .setStateMachine(new ReplicatedStateMachine(generation))
+                        .setStateMachine(new EngineStateMachine(generation))
                         .setStore(store)
                         .setModelFactory(MessageCodec.MODEL_FACTORY);
         RestoredRaftState restored = store.restored();
@@ -681,11 +682,11 @@
                             Command.driverReports(List.copyOf(pendingReports.values()))
                                     .withProposedAt(context.wallClockMs()));
                 }
-                overdue.expireCommands(context.now()).stream()
+                sessionExpiry.expireCommands(context.now()).stream()
                         .limit(MAX_EXPIRIES_PER_TICK)
                         .forEach(command -> propose(command.withProposedAt(context.wallClockMs())));
                 if (lostDrivers != null) {
-                    lostDrivers.newlyStopped(register.plan(), context.now()).stream()
+                    lostDrivers.newlyStopped(stateMachine.plan(), context.now()).stream()
                             .limit(MAX_EXPIRIES_PER_TICK)
                             .forEach(
                                     lostDriver ->
@@ -710,7 +711,7 @@
                 }
                 // A leader that has started lately counts anew; one that has been here all along
                 // knows earlier.
-                overdue
+                sessionExpiry
                         .expireCommands(context.now().minus(config.lease().heartbeatInterval()))
                         .stream()
                         .limit(MAX_EXPIRIES_PER_TICK)
@@ -752,9 +753,9 @@
     }
 
     private void observeSessions() {
-        overdue.observe(register, context.now());
+        sessionExpiry.observe(stateMachine, context.now());
         if (lostDrivers != null) {
-            lostDrivers.observe(register.plan(), context.now());
+            lostDrivers.observe(stateMachine.plan(), context.now());
         }
     }
 
@@ -770,10 +771,10 @@
     }
 
     /** The state that follows from the log. */
-    private final class ReplicatedStateMachine implements StateMachine {
+    private final class EngineStateMachine implements StateMachine {
         private final int generation;
 
-        ReplicatedStateMachine(int generation) {
+        EngineStateMachine(int generation) {
             this.generation = generation;
         }
 
@@ -783,20 +784,20 @@
                 return "";
             }
             Command command = (Command) operation;
-            String result = register.apply(command);
+            String result = stateMachine.apply(command);
             commandApplied(command, result);
             return result;
         }
 
         @Override
         public void takeSnapshot(long index, Consumer<Object> chunks) {
-            chunks.accept(register.snapshot());
+            chunks.accept(stateMachine.snapshot());
         }
 
         @Override
         public void installSnapshot(long index, List<Object> chunks) {
             if (generation == engineGeneration) {
-                register.restore(Json.object(chunks.get(0), "a snapshot"));
+                stateMachine.restore(Json.object(chunks.get(0), "a snapshot"));
                 observeSessions();
                 schedulePush();
             }
@@ -898,7 +899,8 @@
                 "group",
                 store.groupId(),
                 "voters",
-                new TreeMap<>(raftNode == null ? store.voterChanges() : register.voterChanges()),
+                new TreeMap<>(
+                        raftNode == null ? store.voterChanges() : stateMachine.voterChanges()),
                 "members",
                 members == null ? List.of() : MessageCodec.endpointIds(members.getMembers()),
                 "members-at",
@@ -1261,7 +1263,7 @@
                 }
                 case "publish" -> {
                     DutyStateMachine.Duty duty =
-                            register.duty(MessageCodec.stringOrEmpty(message, "duty"));
+                            stateMachine.duty(MessageCodec.stringOrEmpty(message, "duty"));
                     if (duty != null
                             && duty.owner().equals(sessionId)
                             && duty.epoch() == MessageCodec.longOrZero(message, "epoch")) {
@@ -1300,7 +1302,7 @@
                             .toList();
             boolean settled =
                     currentVoters.stream().allMatch(ConsensusNode.this::isVoter)
-                            && register.voterChanges().entrySet().stream()
+                            && stateMachine.voterChanges().entrySet().stream()
                                     .allMatch(
                                             change ->
                                                     change.getValue().isEmpty()
@@ -1309,7 +1311,8 @@
                             && raftNode.getEffectiveMembers().getLogIndex()
                                     == raftNode.getCommittedMembers().getLogIndex();
             if (!settled
-                    && !register.voterChanges()
+                    && !stateMachine
+                            .voterChanges()
                             .getOrDefault(command.argument(), "-")
                             .equals(command.subject())) {
                 return "the change before is not settled yet: one at a time";
@@ -1325,7 +1328,7 @@
         /** Tells what is settled and not told yet. */
         private void pushUpdates() {
             if (!sessionId.isEmpty() && raftNode != null) {
-                updates.push(register, channel, sessionId);
+                updates.push(stateMachine, channel, sessionId);
             }
         }
     }
@@ -1350,7 +1353,7 @@
                                 .map(endpoint -> ((Endpoint) endpoint).name())
                                 .sorted()
                                 .toList());
-        ConsensusStatus.putAll(status, register, overdue, context.now());
+        ConsensusStatus.putAll(status, stateMachine, sessionExpiry, context.now());
         return status;
     }
 }
--- a/src/main/java/wingroad/fleet/ConsensusStatus.java
+++ b/src/main/java/wingroad/fleet/ConsensusStatus.java
@@ -15,17 +15,17 @@
 
     static void putAll(
             Map<String, Object> status,
-            DutyStateMachine register,
-            SessionExpiryMonitor overdue,
+            DutyStateMachine stateMachine,
+            SessionExpiryMonitor sessionExpiry,
             Duration now) {
-        status.put("revision", register.revision());
+        status.put("revision", stateMachine.revision());
         status.put(
                 "sessions",
-                register.sessions().stream()
+                stateMachine.sessions().stream()
                         .map(
                                 session -> {
                                     Duration silence =
-                                            overdue.timeSinceHeartbeat(session.id(), now);
+                                            sessionExpiry.timeSinceHeartbeat(session.id(), now);
                                     return MessageCodec.message(
                                             "session",
                                             "name",
@@ -40,7 +40,7 @@
                         .toList());
         status.put(
                 "duties",
-                register.duties().stream()
+                stateMachine.duties().stream()
                         .map(
                                 duty ->
                                         MessageCodec.message(
@@ -62,8 +62,8 @@
                                                 "history",
                                                 List.copyOf(duty.history())))
                         .toList());
-        if (register.duty(MaintenanceSettings.CONTROLLER_DUTY) != null) {
-            status.put("work", planStatus(register.plan(), register.staleCommandCount()));
+        if (stateMachine.duty(MaintenanceSettings.CONTROLLER_DUTY) != null) {
+            status.put("work", planStatus(stateMachine.plan(), stateMachine.staleCommandCount()));
         }
     }
 
--- a/src/main/java/wingroad/fleet/DriverSession.java
+++ b/src/main/java/wingroad/fleet/DriverSession.java
@@ -82,7 +82,7 @@
     private boolean reconnectedSinceHeartbeat;
 
     /** Who acts on the plan of work, or null. */
-    private WorkPlanListener planListener;
+    private MaintenancePlanListener planListener;
 
     /**
      * The register's revision that the plan is known of; an older voter's word on it counts for
@@ -124,7 +124,7 @@
         sessionLease = sessionLeaseFactory.apply(config.driver() + "/" + runIdGenerator.get());
     }
 
-    void setPlanListener(WorkPlanListener listener) {
+    void setPlanListener(MaintenancePlanListener listener) {
         planListener = listener;
     }
 
@@ -161,11 +161,16 @@
 
     private void notifyPlanListener() {
         if (planListener != null) {
-            SessionLease.DutyState held = sessionLease.current(MaintenanceSettings.CONTROLLER_DUTY);
-            boolean conducts =
-                    held != null && sessionLease.mayAct(held.duty(), held.epoch(), context.now());
+            SessionLease.DutyState dutyState =
+                    sessionLease.current(MaintenanceSettings.CONTROLLER_DUTY);
+            boolean isController =
+                    dutyState != null
+                            && sessionLease.mayAct(
+                                    dutyState.duty(), dutyState.epoch(), context.now());
             planListener.leaseUpdated(
-                    sessionLease.expiresAt(), !sessionLease.isOpen(), conducts ? held.epoch() : 0);
+                    sessionLease.expiresAt(),
+                    !sessionLease.isOpen(),
+                    isController ? dutyState.epoch() : 0);
         }
     }
 
@@ -225,13 +230,13 @@
 
     /** Hands something on, if the duty is this driver's at this time. */
     void publish(String duty, Map<String, Object> content) {
-        SessionLease.DutyState held = sessionLease.current(duty);
+        SessionLease.DutyState dutyState = sessionLease.current(duty);
         if (helloAnswered
-                && held != null
-                && sessionLease.mayAct(duty, held.epoch(), context.now())) {
+                && dutyState != null
+                && sessionLease.mayAct(duty, dutyState.epoch(), context.now())) {
             channel.send(
                     MessageCodec.message(
-                            "publish", "duty", duty, "epoch", held.epoch(), "what", content));
+                            "publish", "duty", duty, "epoch", dutyState.epoch(), "what", content));
         }
     }
 
@@ -302,11 +307,12 @@
 
     /** What is asked back is given up as soon as nothing of it runs. */
     private void releaseRequestedDuties() {
-        for (SessionLease.DutyState held : sessionLease.releaseRequests()) {
-            if (!dutyHandler.isBusy(held.duty())) {
+        for (SessionLease.DutyState dutyState : sessionLease.releaseRequests()) {
+            if (!dutyHandler.isBusy(dutyState.duty())) {
                 request(
-                        "give " + held.duty(),
-                        Command.releaseDuty(sessionLease.sessionId(), held.duty(), held.epoch()));
+                        "give " + dutyState.duty(),
+                        Command.releaseDuty(
+                                sessionLease.sessionId(), dutyState.duty(), dutyState.epoch()));
             }
         }
         pendingRequests
@@ -316,9 +322,11 @@
                                 name.startsWith("give ")
                                         && sessionLease.releaseRequests().stream()
                                                 .noneMatch(
-                                                        held ->
+                                                        dutyState ->
                                                                 name.equals(
-                                                                        "give " + held.duty())));
+                                                                        "give "
+                                                                                + dutyState
+                                                                                        .duty())));
     }
 
     private void switchVoter() {
--- a/src/main/java/wingroad/fleet/FleetClient.java
+++ b/src/main/java/wingroad/fleet/FleetClient.java
@@ -102,7 +102,7 @@
      * Asks for a machine; the answer once it is settled: empty, or why it can't be had. Safe to
      * repeat under the same name.
      */
-    public String requestMachine(
+    public String requestMaintenance(
             String machine,
             String reason,
             long durationMs,
@@ -121,7 +121,7 @@
     }
 
     /** Says a word on a machine, or on all as "*"; the answer as for an ask. */
-    public String commandMachine(String command, String machine, String requestId)
+    public String sendOperatorCommand(String command, String machine, String requestId)
             throws IOException {
         send(
                 MessageCodec.message(
--- a/src/main/java/wingroad/fleet/FleetConfig.java
+++ b/src/main/java/wingroad/fleet/FleetConfig.java
@@ -21,7 +21,7 @@
  * @param chores statements that one driver runs for all
  * @param listCheckInterval how often a driver asks discovery that goes by the list's owner, or
  *     null: each asks for itself
- * @param work machines that may be taken out for work, or null: none are
+ * @param maintenance machines that may be taken out for work, or null: none are
  */
 public record FleetConfig(
         String name,
@@ -32,7 +32,7 @@
         Lease lease,
         List<Chore> chores,
         Duration listCheckInterval,
-        MaintenanceSettings work) {
+        MaintenanceSettings maintenance) {
     /** The duty of asking discovery for all. */
     public static final String LIST_DUTY = "list";
 
@@ -72,7 +72,7 @@
         if (listCheckInterval != null) {
             duties.add(LIST_DUTY);
         }
-        if (work != null) {
+        if (maintenance != null) {
             duties.add(MaintenanceSettings.CONTROLLER_DUTY);
         }
         return duties;
@@ -90,12 +90,12 @@
                         lease,
                         chores,
                         listCheckInterval,
-                        work)
+                        maintenance)
                 : this;
     }
 
     /** The same with these rules of work. */
-    public FleetConfig withWork(MaintenanceSettings newWork) {
+    public FleetConfig withMaintenance(MaintenanceSettings newMaintenance) {
         return new FleetConfig(
                 name,
                 driver,
@@ -105,6 +105,6 @@
                 lease,
                 chores,
                 listCheckInterval,
-                newWork);
+                newMaintenance);
     }
 }
--- a/src/main/java/wingroad/fleet/FleetNode.java
+++ b/src/main/java/wingroad/fleet/FleetNode.java
@@ -30,7 +30,7 @@
     private final Consumer<String> log;
     private final ChoreRunner choreRunner;
     private final PublicationListener publicationListener;
-    private final WorkPlanListener planListener;
+    private final MaintenancePlanListener planListener;
     private final EventLoop loop;
     private final TcpMessageTransport transport;
     private final EventLoopContext context = new EventLoopContext();
@@ -77,7 +77,7 @@
             Consumer<Throwable> faultHandler,
             ChoreRunner choreRunner,
             PublicationListener publicationListener,
-            WorkPlanListener planListener)
+            MaintenancePlanListener planListener)
             throws IOException {
         this.planListener = planListener;
         this.config = config;
@@ -98,7 +98,7 @@
             Consumer<Throwable> faultHandler,
             ChoreRunner choreRunner,
             PublicationListener publicationListener,
-            WorkPlanListener planListener)
+            MaintenancePlanListener planListener)
             throws IOException {
         FleetNode fleetNode =
                 new FleetNode(
--- a/src/main/java/wingroad/fleet/WorkPlanListener.java
+++ b/src/main/java/wingroad/fleet/MaintenancePlanListener.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 
 /** Who acts on the plan of work on machines at a driver. Called on the fleet's thread, in order. */
-public interface WorkPlanListener {
+public interface MaintenancePlanListener {
     /**
      * Something of the plan is settled.
      *
--- a/src/main/java/wingroad/fleet/SessionUpdates.java
+++ b/src/main/java/wingroad/fleet/SessionUpdates.java
@@ -26,11 +26,11 @@
     private List<Object> sentTotals = List.of();
 
     /** Tells what is settled and not told yet. */
-    void push(DutyStateMachine register, Channel channel, String sessionId) {
+    void push(DutyStateMachine stateMachine, Channel channel, String sessionId) {
         // The plan goes before the beat that renews the lease on it: both come in one order.
-        pushPlan(register, channel, sessionId);
+        pushPlan(stateMachine, channel, sessionId);
         List<Object> duties = new ArrayList<>();
-        for (DutyStateMachine.Duty duty : register.duties()) {
+        for (DutyStateMachine.Duty duty : stateMachine.duties()) {
             if (duty.revision() > sentRevision) {
                 duties.add(
                         List.of(
@@ -42,7 +42,7 @@
                                 duty.handOverTarget()));
             }
         }
-        DutyStateMachine.Session session = register.session(sessionId);
+        DutyStateMachine.Session session = stateMachine.session(sessionId);
         long heartbeat = session == null ? -1 : session.lastHeartbeat();
         if (heartbeat != sentHeartbeat
                 || !duties.isEmpty()
@@ -54,7 +54,7 @@
                     MessageCodec.message(
                             "settled",
                             "rev",
-                            register.revision(),
+                            stateMachine.revision(),
                             "open",
                             session != null,
                             "beat",
@@ -62,18 +62,18 @@
                             "duties",
                             duties));
         }
-        sentRevision = register.revision();
+        sentRevision = stateMachine.revision();
     }
 
-    private void pushPlan(DutyStateMachine register, Channel channel, String sessionId) {
-        MaintenancePlan plan = register.plan();
-        DutyStateMachine.Duty conductor = register.duty(MaintenanceSettings.CONTROLLER_DUTY);
-        if (conductor == null) {
+    private void pushPlan(DutyStateMachine stateMachine, Channel channel, String sessionId) {
+        MaintenancePlan plan = stateMachine.plan();
+        DutyStateMachine.Duty controller = stateMachine.duty(MaintenanceSettings.CONTROLLER_DUTY);
+        if (controller == null) {
             // Nobody's file says anything of work.
             return;
         }
-        boolean conducts = conductor.owner().equals(sessionId);
-        List<Object> totals = conducts ? plan.totals() : sentTotals;
+        boolean isController = controller.owner().equals(sessionId);
+        List<Object> totals = isController ? plan.totals() : sentTotals;
         if (!planSent || plan.changeNumber() > sentPlanChange || !totals.equals(sentTotals)) {
             Map<String, Object> message =
                     MessageCodec.message(
@@ -81,12 +81,12 @@
                             "news",
                             plan.changesSince(planSent ? sentPlanChange : 0),
                             "of",
-                            register.revision());
-            if (conducts) {
+                            stateMachine.revision());
+            if (isController) {
                 message.put("sums", totals);
                 message.put(
                         "live",
-                        register.sessions().stream()
+                        stateMachine.sessions().stream()
                                 .map(DutyStateMachine.Session::driverName)
                                 .toList());
             }
--- a/src/main/java/wingroad/operator/FleetSection.java
+++ b/src/main/java/wingroad/operator/FleetSection.java
@@ -234,8 +234,8 @@
             p.put("statement", value(c.statement()));
             within.add(node("chore", List.of(value(c.name())), p));
         }
-        if (f.work() != null) {
-            within.add(WorkSection.whole(f.work()));
+        if (f.maintenance() != null) {
+            within.add(WorkSection.whole(f.maintenance()));
         }
         return new Node("fleet", List.of(value(f.name())), Map.of(), within);
     }
--- a/src/test/java/wingroad/fleet/SimFleet.java
+++ b/src/test/java/wingroad/fleet/SimFleet.java
@@ -720,13 +720,13 @@
             if (p.alive
                     && p.consensusNode != null
                     && (best == null
-                            || p.consensusNode.register().revision()
-                                    > best.register().revision())) {
+                            || p.consensusNode.stateMachine().revision()
+                                    > best.stateMachine().revision())) {
                 best = p.consensusNode;
             }
         }
         if (best != null) {
-            best.register().duties().forEach(d -> owners.put(d.name(), d.owner()));
+            best.stateMachine().duties().forEach(d -> owners.put(d.name(), d.owner()));
         }
         return owners;
     }
--- a/src/test/java/wingroad/fleet/SimWork.java
+++ b/src/test/java/wingroad/fleet/SimWork.java
@@ -223,14 +223,14 @@
 
     // ---- a driver ----
 
-    WorkPlanListener agent(Proc p) {
+    MaintenancePlanListener agent(Proc p) {
         Agent d = new Agent(p);
         p.schedule(LOOK, d::look);
         p.schedule(Duration.ofMillis(20), d::send);
         return d;
     }
 
-    private final class Agent implements WorkPlanListener {
+    private final class Agent implements MaintenancePlanListener {
         private final Proc proc;
         private final MemberAvailability view;
         private final PlanCopy planCopy = new PlanCopy();
@@ -495,7 +495,7 @@
                 .forEach(
                         p ->
                                 p.consensusNode
-                                        .register()
+                                        .stateMachine()
                                         .plan()
                                         .lostDrivers()
                                         .forEach(
@@ -585,10 +585,10 @@
                                     p ->
                                             p.alive
                                                     && p.consensusNode != null
-                                                    && p.consensusNode.register().revision()
+                                                    && p.consensusNode.stateMachine().revision()
                                                             == furthest)
                             .findFirst()
-                            .map(p -> p.consensusNode.register().plan())
+                            .map(p -> p.consensusNode.stateMachine().plan())
                             .map(
                                     p ->
                                             p.entries().stream()
--- a/src/test/java/wingroad/operator/OperatorFileTest.java
+++ b/src/test/java/wingroad/operator/OperatorFileTest.java
@@ -200,7 +200,7 @@
                                 """));
         assertThat(read.problems()).isEmpty();
         assertThat(read.file().fleet().duties()).containsExactly("conductor");
-        assertThat(read.file().fleet().work().toLines())
+        assertThat(read.file().fleet().maintenance().toLines())
                 .containsExactly("3 STRICT", "r1 a db-1*#7,db-2#8 d1", "r2 b db-3#7 ");
         assertThat(OperatorFile.read(read.file().print()).file().fleet())
                 .isEqualTo(read.file().fleet());
--- a/src/test/java/wingroad/work/WorkIT.java
+++ b/src/test/java/wingroad/work/WorkIT.java
@@ -120,18 +120,18 @@
 
     private String want(String machine) throws IOException {
         String id = UUID.randomUUID().toString();
-        return ask(c -> c.requestMachine(machine, "kernel", 0, 0, List.of(), id));
+        return ask(c -> c.requestMaintenance(machine, "kernel", 0, 0, List.of(), id));
     }
 
     private String wantAs(
             String machine, String why, long forMs, long before, List<String> after, String id)
             throws IOException {
-        return ask(c -> c.requestMachine(machine, why, forMs, before, after, id));
+        return ask(c -> c.requestMaintenance(machine, why, forMs, before, after, id));
     }
 
     private String word(String word, String machine) throws IOException {
         String id = UUID.randomUUID().toString();
-        return ask(c -> c.commandMachine(word, machine, id));
+        return ask(c -> c.sendOperatorCommand(word, machine, id));
     }
 
     private Map<?, ?> work() throws IOException {
@@ -521,7 +521,7 @@
                                                         .toString()
                                                         .contains(
                                                                 "the primary of group 7 is here: to"
-                                                                    + " be moved to"))
+                                                                        + " be moved to"))
                                 .isPresent());
         serve(200);
         assertThat(at(work(), "A", "planned")).isTrue();
@@ -587,7 +587,7 @@
                                                         .toString()
                                                         .contains(
                                                                 "PAGE: wanted back: group 7: m3 is"
-                                                                    + " not fit"))
+                                                                        + " not fit"))
                                 .isPresent());
         assertThat(want("A")).isEmpty();
         assertThat(word("done", "B")).isEmpty();
