--- a/src/bench/java/wingroad/fleet/OwnerBench.java
+++ b/src/bench/java/wingroad/fleet/OwnerBench.java
@@ -1,5 +1,13 @@
 package wingroad.fleet;
 
+import wingroad.Fixtures;
+import wingroad.Fixtures.Client;
+import wingroad.operator.OperatorFile;
+import wingroad.protocol.Json;
+import wingroad.rig.FencedMember;
+import wingroad.rig.Relays;
+import wingroad.rig.Rig;
+
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.file.Files;
@@ -18,13 +26,6 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicLong;
-import wingroad.Fixtures;
-import wingroad.Fixtures.Client;
-import wingroad.operator.OperatorFile;
-import wingroad.protocol.Json;
-import wingroad.rig.FencedMember;
-import wingroad.rig.Relays;
-import wingroad.rig.Rig;
 
 /**
  * Twenty and more real processes with faults: the same load and faults without a fleet and with
@@ -409,7 +410,7 @@
     /** Those that own something and are left alone now. */
     private List<Rig.Driver> owners() {
         return duties().values().stream()
-                .map(o -> rig.driver(MessageCodec.text(o, "owner")))
+                .map(o -> rig.driver(MessageCodec.stringOrEmpty(o, "owner")))
                 .filter(o -> o != null && free(o))
                 .toList();
     }
@@ -559,7 +560,7 @@
 
     // ---- the council, by status ----
 
-    private FleetRules rules() throws IOException {
+    private FleetConfig rules() throws IOException {
         return OperatorFile.read(rig.driver("d1").operator()).file().fleet();
     }
 
@@ -574,8 +575,8 @@
                     Map<String, Object> s = c.status();
                     best =
                             best == null
-                                            || MessageCodec.number(s, "revision")
-                                                    > MessageCodec.number(best, "revision")
+                                            || MessageCodec.longOrZero(s, "revision")
+                                                    > MessageCodec.longOrZero(best, "revision")
                                     ? s
                                     : best;
                 } catch (IOException | RuntimeException e) {
@@ -586,8 +587,8 @@
                 }
             }
             if (best != null
-                    && MessageCodec.number(best, "revision")
-                            >= MessageCodec.number(status, "revision")) {
+                    && MessageCodec.longOrZero(best, "revision")
+                            >= MessageCodec.longOrZero(status, "revision")) {
                 status = best;
             }
             try {
@@ -604,7 +605,7 @@
             l.forEach(
                     o -> {
                         Map<String, Object> d = Json.object(o, "a duty");
-                        all.put(MessageCodec.text(d, "name"), d);
+                        all.put(MessageCodec.stringOrEmpty(d, "name"), d);
                     });
         }
         return all;
@@ -615,8 +616,8 @@
         long now = System.currentTimeMillis();
         duties().forEach(
                         (name, duty) -> {
-                            if (MessageCodec.text(duty, "owner").equals(d.name)) {
-                                measure(name, MessageCodec.number(duty, "epoch"), now, times);
+                            if (MessageCodec.stringOrEmpty(duty, "owner").equals(d.name)) {
+                                measure(name, MessageCodec.longOrZero(duty, "epoch"), now, times);
                             }
                         });
     }
@@ -626,7 +627,7 @@
                 50,
                 () -> {
                     Map<String, Object> duty = duties().get(name);
-                    if (duty != null && MessageCodec.number(duty, "epoch") > epoch) {
+                    if (duty != null && MessageCodec.longOrZero(duty, "epoch") > epoch) {
                         // By the history: the first grant behind the old one, even where it has
                         // moved on since.
                         for (Object line : (List<?>) duty.get("history")) {
@@ -692,7 +693,8 @@
                                             .filter(
                                                     d ->
                                                             rig.drivers.containsKey(
-                                                                    MessageCodec.text(d, "owner")))
+                                                                    MessageCodec.stringOrEmpty(
+                                                                            d, "owner")))
                                             .count();
         }
         return without;
@@ -711,21 +713,25 @@
         while (all.remaining() >= 4 && all.remaining() >= 4 + all.getInt(all.position())) {
             byte[] text = new byte[all.getInt()];
             all.get(text);
-            Map<String, Object> m = Cbor.map(text);
-            if (MessageCodec.text(m, "k").equals("raft")) {
+            Map<String, Object> m = Cbor.decode(text);
+            if (MessageCodec.stringOrEmpty(m, "k").equals("raft")) {
                 Map<String, Object> r = Json.object(m.get("m"), "a message");
-                String kind = MessageCodec.text(r, "k");
+                String kind = MessageCodec.stringOrEmpty(r, "k");
                 boolean votes = kind.equals("voted") && Boolean.TRUE.equals(r.get("yes"));
                 if (votes || kind.equals("vote")) {
                     String whom =
-                            votes ? to : MessageCodec.Endpoint.of(MessageCodec.text(r, "s")).name();
+                            votes
+                                    ? to
+                                    : MessageCodec.Endpoint.of(MessageCodec.stringOrEmpty(r, "s"))
+                                            .name();
                     synchronized (this.votes) {
                         String before =
                                 this.votes.putIfAbsent(
-                                        MessageCodec.text(r, "s") + " " + r.get("t"), whom);
+                                        MessageCodec.stringOrEmpty(r, "s") + " " + r.get("t"),
+                                        whom);
                         if (before != null && !before.equals(whom)) {
                             votesTwice.add(
-                                    MessageCodec.text(r, "s")
+                                    MessageCodec.stringOrEmpty(r, "s")
                                             + " votes in term "
                                             + r.get("t")
                                             + " for "
--- a/src/main/java/wingroad/driver/AttemptProgress.java
+++ b/src/main/java/wingroad/driver/AttemptProgress.java
@@ -1,6 +1,6 @@
 package wingroad.driver;
 
-import wingroad.state.Submission.End;
+import wingroad.state.Submission.Outcome;
 
 /**
  * How far a submission had come when its connection was lost or abandoned. This decides whether the
@@ -13,18 +13,18 @@
     ANSWERING;
 
     /** The end of a submission whose connection was refused, timed out or was lost. */
-    End endIfLost() {
-        return mayHaveRun() ? End.RESET : End.UNREACHABLE;
+    Outcome endIfLost() {
+        return mayHaveRun() ? Outcome.RESET : Outcome.UNREACHABLE;
     }
 
     /** The end of a submission whose deadline has passed. */
-    End endIfTimedOut() {
-        return this == NOT_CONNECTED ? End.UNREACHABLE : End.TIMED_OUT;
+    Outcome endIfTimedOut() {
+        return this == NOT_CONNECTED ? Outcome.UNREACHABLE : Outcome.TIMED_OUT;
     }
 
     /** The end of a cancelled submission. A write that was sent may still be committed. */
-    End endIfCancelled() {
-        return this == NOT_CONNECTED ? End.MOOT : End.CANCELLED;
+    Outcome endIfCancelled() {
+        return this == NOT_CONNECTED ? Outcome.MOOT : Outcome.CANCELLED;
     }
 
     private boolean mayHaveRun() {
--- a/src/main/java/wingroad/driver/ChoreExecutor.java
+++ b/src/main/java/wingroad/driver/ChoreExecutor.java
@@ -1,23 +1,24 @@
 package wingroad.driver;
 
+import wingroad.fleet.ChoreRunner;
+import wingroad.fleet.FleetConfig;
+import wingroad.fleet.FleetConfig.Chore;
+import wingroad.protocol.Statement;
+import wingroad.state.TxnType;
+import wingroad.transport.EventLoop;
+
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
 import java.util.HashMap;
 import java.util.Map;
 import java.util.function.Consumer;
-import wingroad.fleet.FleetRules;
-import wingroad.fleet.FleetRules.Chore;
-import wingroad.fleet.Runner;
-import wingroad.protocol.Statement;
-import wingroad.state.TxnType;
-import wingroad.transport.EventLoop;
 
 /**
  * Runs the statements of chores as txns. They have a txn type of their own, which is once-only and
  * has less value than any client's type, and expire at the end of the lease. So a statement is
  * neither sent nor waited for once another driver may own the duty.
  */
-final class ChoreExecutor implements Runner {
+final class ChoreExecutor implements ChoreRunner {
     /** The value of a chore relative to the least value among the clients' types. */
     private static final double VALUE_FACTOR = 0.01;
 
@@ -37,7 +38,7 @@
     ChoreExecutor(EventLoop loop, TxnDispatcher dispatcher, Map<String, Object> terms) {
         this.loop = loop;
         this.dispatcher = dispatcher;
-        TxnType[] types = TxnType.all(terms);
+        TxnType[] types = TxnType.fromSettings(terms);
         choreTypeIndex = types.length;
         longestExpiry = longestExpiry(types);
     }
@@ -56,11 +57,11 @@
     }
 
     /** The fleet's rules, completed by what the deployment's terms say about maintenance work. */
-    static FleetRules withDeploymentTerms(FleetRules rules, Map<String, Object> terms) {
-        return rules.with(
-                rules.work()
-                        .in(
-                                longestExpiry(TxnType.all(terms)),
+    static FleetConfig withDeploymentTerms(FleetConfig rules, Map<String, Object> terms) {
+        return rules.withMaintenance(
+                rules.maintenance()
+                        .withDeploymentSettings(
+                                longestExpiry(TxnType.fromSettings(terms)),
                                 (Duration) terms.get("cold"),
                                 (Duration) terms.get("drain-grace")));
     }
@@ -69,7 +70,7 @@
      * The terms with the chores' txn type added after the clients' types, which keep their indexes.
      */
     static Map<String, Object> withChoreType(Map<String, Object> terms) {
-        TxnType[] types = TxnType.all(terms);
+        TxnType[] types = TxnType.fromSettings(terms);
         Map<String, Object> extended = new HashMap<>(terms);
         String prefix = "txn-type." + types.length + ".";
         double leastValue = 1;
@@ -90,11 +91,12 @@
     }
 
     @Override
-    public void run(Chore chore, long epoch, long turn, Duration leaseEnd, Ended callback) {
+    public void run(Chore chore, long epoch, long turn, Duration leaseEnd, Completion callback) {
         loop.run(() -> submit(chore, epoch, turn, leaseEnd, callback));
     }
 
-    private void submit(Chore chore, long epoch, long turn, Duration leaseEnd, Ended callback) {
+    private void submit(
+            Chore chore, long epoch, long turn, Duration leaseEnd, Completion callback) {
         // The clock is read here, after all queueing. A delay after this point is caught by the
         // fencing epoch.
         Duration timeLeft = leaseEnd.minus(Duration.ofNanos(System.nanoTime()));
@@ -128,8 +130,8 @@
         }
     }
 
-    private void report(Ended callback, String outcome) {
-        fleetThread.accept(() -> callback.ended(outcome));
+    private void report(Completion callback, String outcome) {
+        fleetThread.accept(() -> callback.completed(outcome));
     }
 
     static Statement statement(Chore chore, long epoch, long turn, Duration timeLeft) {
--- a/src/main/java/wingroad/driver/ClientConnection.java
+++ b/src/main/java/wingroad/driver/ClientConnection.java
@@ -1,13 +1,14 @@
 package wingroad.driver;
 
-import java.nio.ByteBuffer;
-import java.time.Duration;
-import wingroad.door.Caller;
+import wingroad.door.ClientContext;
 import wingroad.protocol.ClientInput;
 import wingroad.protocol.ClientOutput;
 import wingroad.protocol.Statement;
 import wingroad.transport.Connection;
 
+import java.nio.ByteBuffer;
+import java.time.Duration;
+
 /**
  * One client's connection. Its commands are processed one after the other, each once the previous
  * one is answered. Its use of memory and time is bounded; {@link #checkTimeouts} enforces the time
@@ -69,7 +70,7 @@
     private boolean hasQueried;
 
     /** Null if tenants are not told apart. */
-    private Caller caller;
+    private ClientContext caller;
 
     /** The dispatcher's name of the txn that waits for its final answer, or null. */
     private String txn;
@@ -393,7 +394,7 @@
         return hasQueried;
     }
 
-    Caller caller() {
+    ClientContext caller() {
         return caller;
     }
 
--- a/src/main/java/wingroad/driver/ClientFrontend.java
+++ b/src/main/java/wingroad/driver/ClientFrontend.java
@@ -1,6 +1,13 @@
 package wingroad.driver;
 
-import static wingroad.state.Spans.min;
+import static wingroad.state.Durations.min;
+
+import wingroad.door.ClientContext;
+import wingroad.door.FairQueueSettings;
+import wingroad.protocol.ClientInput;
+import wingroad.protocol.Statement;
+import wingroad.transport.EventLoop;
+import wingroad.transport.Listener;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -12,12 +19,6 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.IntPredicate;
-import wingroad.door.Caller;
-import wingroad.door.FairQueueSettings;
-import wingroad.protocol.ClientInput;
-import wingroad.protocol.Statement;
-import wingroad.transport.EventLoop;
-import wingroad.transport.Listener;
 
 /**
  * Accepts client connections, bounds their number, and hands their txns to the dispatcher with the
@@ -149,7 +150,7 @@
      * The caller of a connection, with those startup parameters that may name a tenant; null if
      * tenants are not told apart.
      */
-    Caller caller(String address, byte[] startup) {
+    ClientContext caller(String address, byte[] startup) {
         if (fairQueueSettings == null) {
             return null;
         }
@@ -157,16 +158,16 @@
         parameters.keySet().retainAll(TENANT_PARAMETERS);
         parameters.replaceAll(
                 (name, value) -> value.substring(0, Math.min(value.length(), MAX_NAME_CHARS)));
-        return new Caller(address, parameters);
+        return new ClientContext(address, parameters);
     }
 
     /** The tenant's name for this txn, or null if the client's address stands for it. */
-    private String tenantName(Statement statement, Caller caller) {
-        for (FairQueueSettings.Source source : fairQueueSettings.sources()) {
+    private String tenantName(Statement statement, ClientContext caller) {
+        for (FairQueueSettings.TenantNameSource source : fairQueueSettings.tenantNameSources()) {
             String name =
-                    switch (source.place()) {
-                        case COMMENT -> statement.named(source.name());
-                        case STARTUP -> caller.said(source.name());
+                    switch (source.type()) {
+                        case COMMENT -> statement.named(source.parameterName());
+                        case STARTUP -> caller.startupParameter(source.parameterName());
                         case ADDRESS -> null;
                     };
             if (name != null) {
@@ -275,7 +276,7 @@
                 tracksSessions && (isUpdateType[typeIndex] || readsOwnWrites[typeIndex])
                         ? statement.session()
                         : TxnDispatcher.NO_SESSION;
-        Caller caller = connection.caller();
+        ClientContext caller = connection.caller();
         return caller == null || fairQueueSettings == null
                 ? dispatcher.txnArrived(statement, typeIndex, sessionId, connection)
                 : dispatcher.txnArrived(
--- a/src/main/java/wingroad/driver/Configuration.java
+++ b/src/main/java/wingroad/driver/Configuration.java
@@ -1,5 +1,9 @@
 package wingroad.driver;
 
+import wingroad.protocol.Json;
+import wingroad.protocol.MemberList;
+import wingroad.terms.SettingsValidator;
+
 import java.io.IOException;
 import java.io.InputStream;
 import java.net.InetSocketAddress;
@@ -8,9 +12,6 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import wingroad.protocol.Json;
-import wingroad.protocol.MemberList;
-import wingroad.terms.TermsCheck;
 
 /**
  * A driver's configuration.
@@ -18,7 +19,7 @@
  * @param descriptorLimit how many file descriptors the process may hold
  * @param memoryBytes how much memory the process may use
  * @param knownMembers the member list as of the configuration's writing; may be empty
- * @param settings the deployment's settings, which passed {@link TermsCheck}
+ * @param settings the deployment's settings, which passed {@link SettingsValidator}
  */
 record Configuration(
         String name,
@@ -71,7 +72,7 @@
             int descriptorLimit = (int) limit(limits, "sockets", DEFAULT_DESCRIPTOR_LIMIT);
             long memoryMb = limit(limits, "memory_mb", DEFAULT_MEMORY_MB);
             Map<String, Object> settings = Json.object(Json.need(root, "settings"), "'settings'");
-            List<String> problems = TermsCheck.problems(settings);
+            List<String> problems = SettingsValidator.problems(settings);
             if (!problems.isEmpty()) {
                 throw new InvalidConfigurationException(
                         "invalid settings: " + String.join("; ", problems));
--- a/src/main/java/wingroad/driver/Driver.java
+++ b/src/main/java/wingroad/driver/Driver.java
@@ -1,6 +1,18 @@
 package wingroad.driver;
 
-import static wingroad.state.Spans.min;
+import static wingroad.state.Durations.min;
+
+import sun.misc.Signal;
+
+import wingroad.door.FairQueues;
+import wingroad.fleet.FleetConfig;
+import wingroad.operator.OperatorFile;
+import wingroad.protocol.MemberList;
+import wingroad.routing.Router;
+import wingroad.routing.TxnRouter;
+import wingroad.state.TxnType;
+import wingroad.terms.RouterSettings;
+import wingroad.transport.EventLoop;
 
 import java.io.IOException;
 import java.io.PrintStream;
@@ -17,16 +29,6 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.concurrent.atomic.AtomicReference;
-import sun.misc.Signal;
-import wingroad.door.FairQueues;
-import wingroad.fleet.FleetRules;
-import wingroad.operator.OperatorFile;
-import wingroad.protocol.MemberList;
-import wingroad.routing.Router;
-import wingroad.routing.TxnRouter;
-import wingroad.state.TxnType;
-import wingroad.terms.Terms;
-import wingroad.transport.EventLoop;
 
 /**
  * The server process: starts its parts, reloads its configuration on SIGHUP, and shuts down
@@ -127,7 +129,7 @@
         log = new Log(clock, out);
         zoneNames = configuration.names("azs");
         kindNames = configuration.names("shapes");
-        Map<String, Object> terms = Terms.of(configuration.settings());
+        Map<String, Object> terms = RouterSettings.fromWire(configuration.settings());
         pullMode = "ask".equals(terms.get("member-list"));
         // The remaining descriptors are for the process itself: its class archive, its selectors,
         // its log. Connections may buffer a quarter of the heap and an eighth of all memory at
@@ -169,18 +171,18 @@
                         counters,
                         pullMode,
                         this::listFound,
-                        () -> dispatcher.router().listFailed(clock.now()));
+                        () -> dispatcher.router().memberListFailed(clock.now()));
         dispatcher.attach(memberPools, discoveryClient, clientFrontend::closeIdleConnection);
         workAgent =
                 operatorFile == null
                                 || operatorFile.fleet() == null
-                                || operatorFile.fleet().work() == null
+                                || operatorFile.fleet().maintenance() == null
                         ? null
                         : new WorkAgent(
                                 loop,
                                 clock,
                                 ChoreExecutor.withDeploymentTerms(operatorFile.fleet(), terms),
-                                TxnType.all(terms),
+                                TxnType.fromSettings(terms),
                                 memberPools,
                                 this::applyAndLogList,
                                 log::info);
@@ -237,7 +239,7 @@
     public static int check(Map<String, String> env, PrintStream out, PrintStream err) {
         try {
             Configuration configuration = Configuration.read(env);
-            Map<String, Object> terms = Terms.of(configuration.settings());
+            Map<String, Object> terms = RouterSettings.fromWire(configuration.settings());
             out.println(
                     "list "
                             + terms.get("member-list")
@@ -267,7 +269,7 @@
             WarmUp.run(
                     new EventLoop(1, Runtime.getRuntime().maxMemory(), Throwable::printStackTrace),
                     configuration.names("grades"),
-                    Terms.of(configuration.settings()),
+                    RouterSettings.fromWire(configuration.settings()),
                     finished::countDown);
             finished.await();
             return 0;
@@ -304,7 +306,7 @@
         WarmUp.run(
                 loop,
                 configuration.names("grades"),
-                Terms.of(configuration.settings()),
+                RouterSettings.fromWire(configuration.settings()),
                 () -> {
                     warmedUp = true;
                     serveOnceReady(ready);
@@ -366,11 +368,12 @@
     /** Joins the fleet; clients are served even if that fails. */
     private void joinFleet() {
         try {
-            FleetRules rules =
+            FleetConfig rules =
                     workAgent == null
                             ? operatorFile.fleet()
                             : ChoreExecutor.withDeploymentTerms(
-                                    operatorFile.fleet(), Terms.of(configuration.settings()));
+                                    operatorFile.fleet(),
+                                    RouterSettings.fromWire(configuration.settings()));
             fleetAgent =
                     FleetAgent.start(
                             rules,
@@ -392,7 +395,7 @@
         if (fairQueues == null && operatorFile != null && operatorFile.door() != null) {
             fairQueues =
                     new FairQueues(
-                            Terms.of(configuration.settings()),
+                            RouterSettings.fromWire(configuration.settings()),
                             operatorFile.door(),
                             configuration.seed(),
                             log::info);
@@ -402,7 +405,7 @@
                     "door: "
                             + operatorFile.door().tenants().size()
                             + " tenants listed, "
-                            + operatorFile.door().mostWaiting()
+                            + operatorFile.door().maxQueuedTxns()
                             + " txns may wait");
         }
     }
@@ -433,10 +436,10 @@
     private void applyList(MemberList list) {
         Duration now = clock.now();
         Router router = dispatcher.router();
-        router.listStarts(now, list.whole());
+        router.memberListStarted(now, list.whole());
         for (MemberList.Entry entry : list.entries()) {
             groups.add(entry.group());
-            router.listed(
+            router.memberListed(
                     now,
                     memberPools.updateMember(entry),
                     entry.group(),
@@ -448,8 +451,8 @@
                     entry.gone(),
                     entry.startedAt() > 0 ? clock.fromUnixMs(entry.startedAt()) : null);
         }
-        router.listEnds(now);
-        memberPools.removeUnknown(router::knows);
+        router.memberListEnded(now);
+        memberPools.removeUnknown(router::knowsMember);
     }
 
     /** Reloads both files; one that can't be read leaves its old version in force. */
@@ -490,7 +493,7 @@
         if (fairQueues == null) {
             enableFairQueues();
         } else {
-            fairQueues.rules(clock.now(), operatorFile.door());
+            fairQueues.updateSettings(clock.now(), operatorFile.door());
             clientFrontend.identifyCallers(operatorFile.door());
         }
         log.info(
@@ -500,7 +503,7 @@
                                 : ", "
                                         + operatorFile.door().tenants().size()
                                         + " tenants listed, txns waiting "
-                                        + fairQueues.waiting()));
+                                        + fairQueues.queuedCount()));
     }
 
     private void reloadConfiguration() {
@@ -534,7 +537,7 @@
                             + ", open txns "
                             + dispatcher.openTxnCount());
         }
-        String queueReport = fairQueues == null ? null : fairQueues.report();
+        String queueReport = fairQueues == null ? null : fairQueues.takeStatsLine();
         if (queueReport != null) {
             log.info(queueReport);
         }
--- a/src/main/java/wingroad/driver/FleetAgent.java
+++ b/src/main/java/wingroad/driver/FleetAgent.java
@@ -1,24 +1,25 @@
 package wingroad.driver;
 
-import java.io.IOException;
-import java.util.function.Consumer;
-import wingroad.fleet.Fleet;
-import wingroad.fleet.FleetRules;
+import wingroad.fleet.FleetConfig;
+import wingroad.fleet.FleetNode;
 import wingroad.protocol.MemberList;
-import wingroad.terms.Terms;
+import wingroad.terms.RouterSettings;
 import wingroad.transport.EventLoop;
 
+import java.io.IOException;
+import java.util.function.Consumer;
+
 /**
  * Connects the driver to its fleet: owns the parts that carry out the driver's duties on the event
  * loop's thread. A driver without a fleet does not load this class.
  */
 final class FleetAgent {
-    private final Fleet fleet;
+    private final FleetNode fleet;
 
     /** Null if each driver requests the member list itself. */
     private final MemberListRelay listRelay;
 
-    private FleetAgent(Fleet fleet, MemberListRelay listRelay) {
+    private FleetAgent(FleetNode fleet, MemberListRelay listRelay) {
         this.fleet = fleet;
         this.listRelay = listRelay;
     }
@@ -30,7 +31,7 @@
      *     requests the list itself
      */
     static FleetAgent start(
-            FleetRules rules,
+            FleetConfig rules,
             EventLoop loop,
             Clock clock,
             TxnDispatcher dispatcher,
@@ -42,7 +43,7 @@
             Log log)
             throws IOException {
         MemberListRelay listRelay =
-                rules.listCheck() == null || !watchesDiscovery
+                rules.listCheckInterval() == null || !watchesDiscovery
                         ? null
                         : new MemberListRelay(
                                 loop,
@@ -53,10 +54,11 @@
                                 onList,
                                 log::info);
         ChoreExecutor choreExecutor =
-                new ChoreExecutor(loop, dispatcher, Terms.of(configuration.settings()));
-        Fleet fleet =
-                Fleet.begin(
-                        rules.named(configuration.name()),
+                new ChoreExecutor(
+                        loop, dispatcher, RouterSettings.fromWire(configuration.settings()));
+        FleetNode fleet =
+                FleetNode.start(
+                        rules.withDefaultDriver(configuration.name()),
                         log::info,
                         log::error,
                         choreExecutor,
@@ -66,7 +68,7 @@
                             }
                         },
                         workAgent);
-        choreExecutor.setFleetThread(fleet::run);
+        choreExecutor.setFleetThread(fleet::execute);
         if (listRelay != null) {
             listRelay.start(fleet);
         }
--- a/src/main/java/wingroad/driver/MemberConnection.java
+++ b/src/main/java/wingroad/driver/MemberConnection.java
@@ -1,16 +1,17 @@
 package wingroad.driver;
 
-import java.io.IOException;
-import java.net.InetSocketAddress;
-import java.nio.ByteBuffer;
-import java.time.Duration;
 import wingroad.driver.TxnDispatcher.MemberRequest;
 import wingroad.protocol.MemberInput;
 import wingroad.protocol.MemberOutput;
-import wingroad.state.Submission.End;
+import wingroad.state.Submission.Outcome;
 import wingroad.transport.Connection;
 import wingroad.transport.EventLoop;
 
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.nio.ByteBuffer;
+import java.time.Duration;
+
 /**
  * One connection to a member. It carries one request at a time, and is closed whenever the state of
  * its stream is in doubt.
@@ -80,7 +81,7 @@
         opened.connectTimer =
                 loop.after(
                         connectTimeout,
-                        () -> opened.abandonRequest("connect timed out", End.UNREACHABLE));
+                        () -> opened.abandonRequest("connect timed out", Outcome.UNREACHABLE));
         opened.assign(firstRequest);
         return opened;
     }
@@ -211,7 +212,8 @@
             requestTimer.cancel();
             request = null;
             becomeIdle();
-            pools.requestFailed(unwanted, End.MOOT, Duration.ZERO, "obsolete before it was sent");
+            pools.requestFailed(
+                    unwanted, Outcome.MOOT, Duration.ZERO, "obsolete before it was sent");
         }
     }
 
@@ -282,12 +284,12 @@
         if (stateBefore == State.REUSE_DELAYED && lostRequest != null) {
             // Nothing of the request was sent, and the member was reachable: this is no failure of
             // the submission.
-            pools.requestFailed(lostRequest, End.MOOT, Duration.ZERO, reason);
+            pools.requestFailed(lostRequest, Outcome.MOOT, Duration.ZERO, reason);
         } else if (stateBefore == State.AWAITING_RESPONSE && input.why() != null) {
             // The member violated the protocol: an error of the member, whose statement may have
             // run, and not a lost connection.
             pools.requestFailed(
-                    lostRequest, End.ERROR, pools.now().minus(requestOrIdleSince), reason);
+                    lostRequest, Outcome.ERROR, pools.now().minus(requestOrIdleSince), reason);
         } else if (stateBefore == State.AWAITING_RESPONSE
                 && (input.served() || input.error() != null)) {
             // The response is complete; only ReadyForQuery is missing.
@@ -300,14 +302,14 @@
             pools.requestFailed(
                     lostRequest,
                     rejectedAsFull
-                            ? End.FULL
-                            : memberMoved(stateBefore) ? End.MOOT : progress.endIfLost(),
+                            ? Outcome.FULL
+                            : memberMoved(stateBefore) ? Outcome.MOOT : progress.endIfLost(),
                     pools.now().minus(requestOrIdleSince),
                     reason);
         }
     }
 
-    private void abandonRequest(String reason, End end) {
+    private void abandonRequest(String reason, Outcome end) {
         if (state != State.CLOSED) {
             MemberRequest abandoned = request;
             State stateBefore = state;
@@ -315,7 +317,7 @@
             if (abandoned != null) {
                 pools.requestFailed(
                         abandoned,
-                        memberMoved(stateBefore) ? End.MOOT : end,
+                        memberMoved(stateBefore) ? Outcome.MOOT : end,
                         pools.now().minus(requestOrIdleSince),
                         reason);
             }
--- a/src/main/java/wingroad/driver/MemberListRelay.java
+++ b/src/main/java/wingroad/driver/MemberListRelay.java
@@ -1,18 +1,19 @@
 package wingroad.driver;
 
-import java.time.Duration;
-import java.util.ArrayList;
-import java.util.List;
-import java.util.Map;
-import java.util.function.Consumer;
 import wingroad.duty.RelayHealth;
-import wingroad.fleet.Fleet;
-import wingroad.fleet.FleetRules;
+import wingroad.fleet.FleetConfig;
+import wingroad.fleet.FleetNode;
 import wingroad.protocol.Json;
 import wingroad.protocol.MemberList;
 import wingroad.protocol.MemberList.Entry;
 import wingroad.transport.EventLoop;
 
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.function.Consumer;
+
 /**
  * Distributes member lists within the fleet, so that only one driver, the owner of the list duty,
  * watches discovery. Publishes the lists that this driver finds, applies those that the owner
@@ -33,7 +34,7 @@
     private final Consumer<String> log;
     private final Duration checkInterval;
     private final RelayHealth relayHealth;
-    private Fleet fleet;
+    private FleetNode fleet;
 
     /** The newest list version that was received, from discovery or the owner. */
     private long version;
@@ -45,7 +46,7 @@
             EventLoop loop,
             Clock clock,
             DiscoveryClient discovery,
-            FleetRules rules,
+            FleetConfig rules,
             long knownVersion,
             Consumer<MemberList> onList,
             Consumer<String> log) {
@@ -54,17 +55,17 @@
         this.discovery = discovery;
         this.onList = onList;
         this.log = log;
-        checkInterval = rules.lease().beat().dividedBy(2);
+        checkInterval = rules.lease().heartbeatInterval().dividedBy(2);
         relayHealth =
                 new RelayHealth(
-                        rules.lease().beat().multipliedBy(TOLERATED_BEATS),
-                        rules.lease().beat().multipliedBy(TOLERATED_BEATS),
-                        rules.listCheck());
+                        rules.lease().heartbeatInterval().multipliedBy(TOLERATED_BEATS),
+                        rules.lease().heartbeatInterval().multipliedBy(TOLERATED_BEATS),
+                        rules.listCheckInterval());
         version = knownVersion;
-        relayHealth.found(knownVersion, clock.now());
+        relayHealth.onDirectFetch(knownVersion, clock.now());
     }
 
-    void start(Fleet joinedFleet) {
+    void start(FleetNode joinedFleet) {
         fleet = joinedFleet;
         check();
     }
@@ -73,7 +74,7 @@
      * Takes a list that this driver has received from discovery, and publishes it if it is newer.
      */
     void listFound(MemberList list) {
-        relayHealth.found(list.version(), clock.now());
+        relayHealth.onDirectFetch(list.version(), clock.now());
         if (list.version() > version) {
             publish(version, list);
             version = list.version();
@@ -98,7 +99,7 @@
                                 entry.primary()));
             }
             fleet.publish(
-                    FleetRules.LIST,
+                    FleetConfig.LIST_DUTY,
                     Map.of(
                             "since",
                             since,
@@ -114,7 +115,7 @@
     /** Decides whom to follow, publishes the held version, and schedules the next check. */
     private void check() {
         Duration now = clock.now();
-        boolean ownerUsable = relayHealth.goesByOwner(now);
+        boolean ownerUsable = relayHealth.trustsOwner(now);
         if (ownerUsable != followsOwner) {
             followsOwner = ownerUsable;
             log.accept(
@@ -124,8 +125,8 @@
         }
         if (ownerUsable) {
             discovery.stopWatch();
-            if (relayHealth.checkDue(now)) {
-                relayHealth.checks(now);
+            if (relayHealth.isCheckDue(now)) {
+                relayHealth.onCheckStarted(now);
                 discovery.fetch();
             }
         } else {
@@ -135,7 +136,8 @@
             // Published even if nothing is new, so that drivers can tell a silent owner from a list
             // that does not change.
             fleet.publish(
-                    FleetRules.LIST, Map.of("since", version, "rev", version, "whole", false));
+                    FleetConfig.LIST_DUTY,
+                    Map.of("since", version, "rev", version, "whole", false));
         }
         loop.after(checkInterval, this::check);
     }
@@ -173,19 +175,19 @@
                                 (Boolean) fields.get(9)));
             }
         }
-        switch (relayHealth.told(
+        switch (relayHealth.onOwnerUpdate(
                 epoch,
                 Json.number(message, "since").longValue(),
                 revision,
                 whole,
                 message.containsKey("news"),
                 clock.now())) {
-            case TAKE -> {
+            case APPLY -> {
                 version = revision;
                 discovery.advanceTo(revision);
                 onList.accept(new MemberList(revision, whole, entries));
             }
-            case ASK -> discovery.fetch();
+            case FETCH -> discovery.fetch();
             default -> {
                 // nothing new
             }
--- a/src/main/java/wingroad/driver/MemberPools.java
+++ b/src/main/java/wingroad/driver/MemberPools.java
@@ -1,6 +1,11 @@
 package wingroad.driver;
 
-import static wingroad.state.Spans.max;
+import static wingroad.state.Durations.max;
+
+import wingroad.driver.TxnDispatcher.MemberRequest;
+import wingroad.protocol.MemberList;
+import wingroad.state.Submission.Outcome;
+import wingroad.transport.EventLoop;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -16,10 +21,6 @@
 import java.util.Set;
 import java.util.function.LongPredicate;
 import java.util.function.Predicate;
-import wingroad.driver.TxnDispatcher.MemberRequest;
-import wingroad.protocol.MemberList;
-import wingroad.state.Submission.End;
-import wingroad.transport.EventLoop;
 
 /**
  * The connection pools to all members, by the id under which discovery lists a member and by the
@@ -205,7 +206,7 @@
                         () ->
                                 requestFailed(
                                         request,
-                                        End.UNREACHABLE,
+                                        Outcome.UNREACHABLE,
                                         Duration.ZERO,
                                         "no descriptor left"));
                 return;
@@ -219,7 +220,7 @@
                     () ->
                             requestFailed(
                                     request,
-                                    End.UNREACHABLE,
+                                    Outcome.UNREACHABLE,
                                     Duration.ZERO,
                                     "cannot open connection: " + cause.getMessage()));
         }
@@ -363,7 +364,7 @@
         }
     }
 
-    void requestFailed(MemberRequest request, End end, Duration elapsed, String reason) {
+    void requestFailed(MemberRequest request, Outcome end, Duration elapsed, String reason) {
         if (request.isProbe() && request.submission() == ROLE_PROBE_SUBMISSION) {
             listener.roleProbeEnded(request.member(), false, null);
         } else if (request.isProbe()) {
--- a/src/main/java/wingroad/driver/MemberResponse.java
+++ b/src/main/java/wingroad/driver/MemberResponse.java
@@ -1,14 +1,15 @@
 package wingroad.driver;
 
-import java.time.Duration;
-import java.util.Map;
 import wingroad.driver.TxnDispatcher.MemberReport;
 import wingroad.driver.TxnDispatcher.MemberStatus;
 import wingroad.protocol.Gauges;
 import wingroad.protocol.MemberInput;
 import wingroad.state.Member.Role;
-import wingroad.state.Submission.End;
-import wingroad.terms.Terms;
+import wingroad.state.Submission.Outcome;
+import wingroad.terms.RouterSettings;
+
+import java.time.Duration;
+import java.util.Map;
 
 /** A member's response to a request, in the router's terms. */
 final class MemberResponse {
@@ -17,9 +18,9 @@
     private static final String SQLSTATE_SNAPSHOT_TOO_OLD = "72000";
 
     /** Stands for a response that could not be processed; its statement may have run. */
-    static final MemberResponse UNREADABLE = new MemberResponse(End.ERROR);
+    static final MemberResponse UNREADABLE = new MemberResponse(Outcome.ERROR);
 
-    final End end;
+    final Outcome end;
     final MemberStatus status;
 
     /** The messages that carry the row, or null if there is none. */
@@ -28,7 +29,7 @@
     /** The gauges that a probe returned as its row, or null. */
     final MemberReport probeReport;
 
-    private MemberResponse(End end) {
+    private MemberResponse(Outcome end) {
         this.end = end;
         status = MemberStatus.UNKNOWN;
         row = null;
@@ -51,15 +52,15 @@
                         : null;
     }
 
-    private static End end(MemberInput input) {
+    private static Outcome end(MemberInput input) {
         if (input.served()) {
-            return End.COMMITTED;
+            return Outcome.COMMITTED;
         }
         String code = input.error() == null ? "" : input.error();
         return switch (code) {
-            case SQLSTATE_READ_ONLY_TRANSACTION, SQLSTATE_SNAPSHOT_TOO_OLD -> End.MISSED;
-            case SQLSTATE_TOO_MANY_CONNECTIONS -> End.FULL;
-            default -> End.ERROR;
+            case SQLSTATE_READ_ONLY_TRANSACTION, SQLSTATE_SNAPSHOT_TOO_OLD -> Outcome.MISSED;
+            case SQLSTATE_TOO_MANY_CONNECTIONS -> Outcome.FULL;
+            default -> Outcome.ERROR;
         };
     }
 
@@ -78,7 +79,7 @@
         double utilization = Double.NaN;
         for (Map.Entry<String, Double> gauge : Gauges.parse(gauges).entrySet()) {
             double value = gauge.getValue();
-            switch (Terms.figure(gauge.getKey())) {
+            switch (RouterSettings.gaugeName(gauge.getKey())) {
                 case "position" -> position = clock.pastFromUnixMs(value * 1000);
                 case "primary" -> role = value == 1 ? Role.PRIMARY : Role.REPLICA;
                 case "held" -> inFlight = value;
--- a/src/main/java/wingroad/driver/TxnDispatcher.java
+++ b/src/main/java/wingroad/driver/TxnDispatcher.java
@@ -1,14 +1,9 @@
 package wingroad.driver;
 
-import static wingroad.state.Spans.min;
+import static wingroad.state.Durations.min;
 
-import java.time.Duration;
-import java.util.HashMap;
-import java.util.Map;
-import java.util.function.BooleanSupplier;
-import java.util.function.Consumer;
 import wingroad.door.AdmissionDecision;
-import wingroad.door.Caller;
+import wingroad.door.ClientContext;
 import wingroad.door.FairQueues;
 import wingroad.door.QueuedTxn;
 import wingroad.protocol.Statement;
@@ -18,6 +13,12 @@
 import wingroad.state.Submission;
 import wingroad.transport.EventLoop;
 
+import java.time.Duration;
+import java.util.HashMap;
+import java.util.Map;
+import java.util.function.BooleanSupplier;
+import java.util.function.Consumer;
+
 /**
  * Connects clients, members and discovery to the router. It reports every event to the router,
  * executes the router's decisions, and makes none of its own. All calls are made on the event
@@ -222,9 +223,9 @@
      */
     void setAnswerDeadline(Duration deadline) {
         answerDeadline = deadline;
-        router().endBy(clock.now(), deadline);
+        router().answerAllBy(clock.now(), deadline);
         if (fairQueues != null) {
-            fairQueues.endBy(deadline);
+            fairQueues.drainBy(deadline);
             scheduleRouting();
         }
     }
@@ -233,7 +234,7 @@
     void useFairQueues(FairQueues queues) {
         fairQueues = queues;
         if (answerDeadline != null) {
-            queues.endBy(answerDeadline);
+            queues.drainBy(answerDeadline);
         }
     }
 
@@ -292,7 +293,7 @@
             int typeIndex,
             long sessionId,
             TxnCallback callback,
-            Caller caller,
+            ClientContext caller,
             String tenantName) {
         return txnArrived(
                 statement, typeIndex, sessionId, callback, caller, tenantName, fairQueues != null);
@@ -303,7 +304,7 @@
             int typeIndex,
             long sessionId,
             TxnCallback callback,
-            Caller caller,
+            ClientContext caller,
             String tenantName,
             boolean throughFairQueues) {
         Duration now = clock.now();
@@ -320,7 +321,7 @@
                 passToRouter(now, txn, openTxn, Duration.ZERO);
             } else {
                 openTxn.queuedTxn =
-                        fairQueues.arrived(
+                        fairQueues.onTxnArrived(
                                 now,
                                 txn,
                                 typeIndex,
@@ -367,7 +368,7 @@
     boolean abandon(String txn) {
         OpenTxn openTxn = closeTxn(txn);
         if (openTxn != null) {
-            router().txnLapsed(clock.now(), txn);
+            router().txnAbandoned(clock.now(), txn);
         }
         return openTxn != null && !openTxn.dispatched;
     }
@@ -377,7 +378,7 @@
     @Override
     public void submissionEnded(
             MemberRequest request,
-            Submission.End end,
+            Submission.Outcome end,
             Duration elapsed,
             MemberStatus status,
             byte[] row) {
@@ -388,9 +389,9 @@
         }
         OpenTxn openTxn = openTxns.get(request.txn());
         if (openTxn != null && openTxn.queuedTxn != null) {
-            fairQueues.ended(now, openTxn.queuedTxn, end, elapsed);
+            fairQueues.onSubmissionEnded(now, openTxn.queuedTxn, end, elapsed);
         }
-        OpenTxn committed = end == Submission.End.COMMITTED ? closeTxn(request.txn()) : null;
+        OpenTxn committed = end == Submission.Outcome.COMMITTED ? closeTxn(request.txn()) : null;
         if (committed != null) {
             notifyTxnEnd(committed, now, true);
             committed.callback.committed(row);
@@ -433,11 +434,11 @@
     }
 
     private void notifySubmissionEnd(
-            long member, Submission.End end, Duration elapsed, MemberStatus status) {
+            long member, Submission.Outcome end, Duration elapsed, MemberStatus status) {
         observer.onSubmissionEnd(member, elapsed);
-        if (end == Submission.End.COMMITTED || status.role() != Member.Role.UNKNOWN) {
+        if (end == Submission.Outcome.COMMITTED || status.role() != Member.Role.UNKNOWN) {
             observer.onMemberStatus(member, status.role(), status.position());
-        } else if (end != Submission.End.MOOT && end != Submission.End.CANCELLED) {
+        } else if (end != Submission.Outcome.MOOT && end != Submission.Outcome.CANCELLED) {
             observer.onMemberFailure(member);
         }
     }
@@ -457,7 +458,7 @@
         }
         return request.isProbe()
                 || openTxns.containsKey(request.txn())
-                        && router.mayStillGo(clock.now(), request.txn(), request.member());
+                        && router.mayStillSend(clock.now(), request.txn(), request.member());
     }
 
     @Override
@@ -471,7 +472,7 @@
                 if (observer != null) {
                     observer.onMemberStatus(member, report.role(), report.position());
                 }
-                router().reported(
+                router().memberReported(
                                 now,
                                 member,
                                 report.role(),
@@ -518,7 +519,7 @@
             scheduleRouting();
         }
         Duration nextWakeUp = router.wakeAt();
-        Duration fairQueuesWakeUp = fairQueues == null ? null : fairQueues.wakeAt();
+        Duration fairQueuesWakeUp = fairQueues == null ? null : fairQueues.nextWakeUp();
         nextWakeUp =
                 nextWakeUp == null
                                 || fairQueuesWakeUp != null
@@ -543,33 +544,36 @@
 
     /** Asks the router; if it has no decision, admits queued txns to it and asks again. */
     private Decision nextDecision(Duration now) {
-        Decision decision = router.next(now);
+        Decision decision = router.nextDecision(now);
         if (decision != null || fairQueues == null) {
             return decision;
         }
-        for (AdmissionDecision admission = fairQueues.next(now);
+        for (AdmissionDecision admission = fairQueues.nextDecision(now);
                 admission != null;
-                admission = fairQueues.next(now)) {
+                admission = fairQueues.nextDecision(now)) {
             applyAdmission(admission, now);
         }
-        return router.next(now);
+        return router.nextDecision(now);
     }
 
     private void applyAdmission(AdmissionDecision admission, Duration now) {
-        OpenTxn openTxn = openTxns.get(admission.queued().txn());
+        OpenTxn openTxn = openTxns.get(admission.queuedTxn().txnId());
         if (openTxn == null) {
-            fairQueues.closed(now, admission.queued());
-        } else if (!admission.letIn()) {
-            closeTxn(admission.queued().txn());
+            fairQueues.onTxnClosed(now, admission.queuedTxn());
+        } else if (!admission.admitted()) {
+            closeTxn(admission.queuedTxn().txnId());
             notifyTxnEnd(openTxn, now, false);
-            openTxn.callback.declined(admission.comeBack());
+            openTxn.callback.declined(admission.retryAfter());
         } else {
             try {
                 passToRouter(
-                        now, admission.queued().txn(), openTxn, admission.queued().waited(now));
+                        now,
+                        admission.queuedTxn().txnId(),
+                        openTxn,
+                        admission.queuedTxn().queueTime(now));
             } catch (RuntimeException error) {
                 onUnexpectedError.accept(error);
-                closeTxn(admission.queued().txn());
+                closeTxn(admission.queuedTxn().txnId());
                 openTxn.callback.rolledBack();
             }
         }
@@ -579,7 +583,7 @@
     private OpenTxn closeTxn(String txn) {
         OpenTxn openTxn = openTxns.remove(txn);
         if (openTxn != null && openTxn.queuedTxn != null) {
-            fairQueues.closed(clock.now(), openTxn.queuedTxn);
+            fairQueues.onTxnClosed(clock.now(), openTxn.queuedTxn);
             scheduleRouting();
         }
         return openTxn;
@@ -601,13 +605,13 @@
                             () ->
                                     submissionEnded(
                                             unsent,
-                                            Submission.End.MOOT,
+                                            Submission.Outcome.MOOT,
                                             Duration.ZERO,
                                             MemberStatus.UNKNOWN,
                                             null));
                 } else {
                     if (openTxn.queuedTxn != null) {
-                        fairQueues.submitted(now, openTxn.queuedTxn);
+                        fairQueues.onSubmitted(now, openTxn.queuedTxn);
                     }
                     openTxn.dispatched = true;
                     Duration lastMoment =
@@ -615,7 +619,9 @@
                                     ? openTxn.expiresAt
                                     : min(openTxn.expiresAt, answerDeadline);
                     Duration deadline =
-                            decision.when() == null ? lastMoment : min(decision.when(), lastMoment);
+                            decision.deadlineOrRetryDelay() == null
+                                    ? lastMoment
+                                    : min(decision.deadlineOrRetryDelay(), lastMoment);
                     memberTransport.dispatch(
                             new MemberRequest(
                                     decision.txn(),
@@ -630,8 +636,8 @@
                 if (openTxn != null) {
                     Duration retryAfter =
                             openTxn.queuedTxn == null
-                                    ? decision.when()
-                                    : fairQueues.advice(now, openTxn.queuedTxn);
+                                    ? decision.deadlineOrRetryDelay()
+                                    : fairQueues.retryAfter(now, openTxn.queuedTxn);
                     closeTxn(decision.txn());
                     notifyTxnEnd(openTxn, now, false);
                     openTxn.callback.declined(retryAfter);
--- a/src/main/java/wingroad/driver/WarmUp.java
+++ b/src/main/java/wingroad/driver/WarmUp.java
@@ -1,20 +1,21 @@
 package wingroad.driver;
 
-import java.io.ByteArrayOutputStream;
-import java.nio.ByteBuffer;
-import java.nio.charset.StandardCharsets;
-import java.time.Duration;
-import java.util.List;
-import java.util.Map;
 import wingroad.protocol.ClientInput;
 import wingroad.protocol.ClientOutput;
 import wingroad.protocol.MemberInput;
 import wingroad.protocol.MemberOutput;
 import wingroad.protocol.Statement;
 import wingroad.routing.TxnRouter;
-import wingroad.state.Submission.End;
+import wingroad.state.Submission.Outcome;
 import wingroad.transport.EventLoop;
 
+import java.io.ByteArrayOutputStream;
+import java.nio.ByteBuffer;
+import java.nio.charset.StandardCharsets;
+import java.time.Duration;
+import java.util.List;
+import java.util.Map;
+
 /**
  * Runs synthetic txns through the parsers, a dispatcher and a router of its own before clients are
  * accepted. Without it the first clients after a start run into code that is still interpreted, and
@@ -118,11 +119,13 @@
 
     private void start() {
         Duration now = clock.now();
-        dispatcher.router().listStarts(now, true);
+        dispatcher.router().memberListStarted(now, true);
         for (long member = 1; member <= MEMBER_COUNT; member++) {
-            dispatcher.router().listed(now, member, 0, 0, 0, 1, member == 1, false, false, null);
+            dispatcher
+                    .router()
+                    .memberListed(now, member, 0, 0, 0, 1, member == 1, false, false, null);
         }
-        dispatcher.router().listEnds(now);
+        dispatcher.router().memberListEnded(now);
         for (int i = 0; i < CONCURRENT_TXN_COUNT; i++) {
             startNextTxn();
         }
@@ -210,7 +213,7 @@
         } else {
             MemberOutput.query(request.statement().withLeft(2000));
             dispatcher.submissionEnded(
-                    request, End.COMMITTED, Duration.ofMillis(10), status, response.row);
+                    request, Outcome.COMMITTED, Duration.ofMillis(10), status, response.row);
         }
     }
 
--- a/src/main/java/wingroad/driver/WorkAgent.java
+++ b/src/main/java/wingroad/driver/WorkAgent.java
@@ -1,5 +1,23 @@
 package wingroad.driver;
 
+import wingroad.fleet.FleetConfig;
+import wingroad.fleet.FleetNode;
+import wingroad.fleet.MaintenancePlanListener;
+import wingroad.protocol.MemberList;
+import wingroad.protocol.MemberList.Entry;
+import wingroad.state.Member;
+import wingroad.state.TxnType;
+import wingroad.transport.EventLoop;
+import wingroad.work.DriverReport;
+import wingroad.work.Machine;
+import wingroad.work.MaintenanceController;
+import wingroad.work.MaintenancePlan;
+import wingroad.work.MaintenanceSettings;
+import wingroad.work.MaintenanceStage;
+import wingroad.work.MemberAvailability;
+import wingroad.work.MemberObservations;
+import wingroad.work.PlanCopy;
+
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.Collection;
@@ -11,31 +29,14 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 import java.util.function.Consumer;
-import wingroad.fleet.Fleet;
-import wingroad.fleet.FleetRules;
-import wingroad.fleet.Worker;
-import wingroad.protocol.MemberList;
-import wingroad.protocol.MemberList.Entry;
-import wingroad.state.Member;
-import wingroad.state.TxnType;
-import wingroad.transport.EventLoop;
-import wingroad.work.Conductor;
-import wingroad.work.Machine;
-import wingroad.work.MemberObservations;
-import wingroad.work.Plan;
-import wingroad.work.PlanCopy;
-import wingroad.work.Report;
-import wingroad.work.Stage;
-import wingroad.work.View;
-import wingroad.work.WorkRules;
 
 /**
  * Applies the plan of maintenance work at this driver: combines discovery's member lists with the
  * plan into the lists that the router is given, reports which draining machines have no txns of
  * this driver left, and conducts the work while this driver owns that duty. Runs on the event
- * loop's thread, except for the calls of {@link Worker}.
+ * loop's thread, except for the calls of {@link MaintenancePlanListener}.
  */
-final class WorkAgent implements Worker, TxnDispatcher.Observer {
+final class WorkAgent implements MaintenancePlanListener, TxnDispatcher.Observer {
     /**
      * How often the conductor probes a member within the duration of a lease, which is how long
      * observations of members count.
@@ -47,7 +48,7 @@
 
     private final EventLoop loop;
     private final Clock clock;
-    private final WorkRules rules;
+    private final MaintenanceSettings rules;
     private final Collection<String> voters;
     private final TxnType[] types;
     private final MemberPools memberPools;
@@ -59,7 +60,7 @@
 
     private final Duration checkInterval;
     private final Duration probeInterval;
-    private final View view;
+    private final MemberAvailability view;
     private final PlanCopy planCopy = new PlanCopy();
     private final MemberObservations observations;
 
@@ -73,7 +74,7 @@
     private final Map<String, Duration> drainingSince = new TreeMap<>();
 
     /** The stages of machines at the last change of the plan, to log what changes. */
-    private final Map<String, Stage> loggedStages = new TreeMap<>();
+    private final Map<String, MaintenanceStage> loggedStages = new TreeMap<>();
 
     /** The time that submissions have spent at the members of each group, in total. */
     private final Map<Integer, Long> busyMsByGroup = new TreeMap<>();
@@ -82,7 +83,7 @@
     private final Map<String, Duration> probedAt = new TreeMap<>();
 
     /** Null until the driver has joined its fleet. */
-    private Fleet fleet;
+    private FleetNode fleet;
 
     /** Runs once the plan is known; null if it has run. */
     private Runnable onPlanKnown;
@@ -94,7 +95,7 @@
     private long epoch;
 
     /** Null while this driver does not conduct. */
-    private Conductor conductor;
+    private MaintenanceController conductor;
 
     /** The epoch for which {@link #conductor} was created. */
     private long conductorEpoch;
@@ -114,25 +115,25 @@
     WorkAgent(
             EventLoop loop,
             Clock clock,
-            FleetRules fleet,
+            FleetConfig fleet,
             TxnType[] types,
             MemberPools memberPools,
             Consumer<MemberList> onList,
             Consumer<String> log) {
         this.loop = loop;
         this.clock = clock;
-        this.rules = fleet.work();
-        this.voters = fleet.voters().keySet();
+        this.rules = fleet.maintenance();
+        this.voters = fleet.voterAddresses().keySet();
         this.types = types;
         this.memberPools = memberPools;
         this.onList = onList;
         this.log = log;
-        lease = fleet.lease().held();
-        checkInterval = fleet.lease().beat().dividedBy(2);
-        probeInterval = fleet.lease().held().dividedBy(PROBES_PER_LEASE);
-        view = new View(rules, now(), fleet.lease().held());
-        observations = new MemberObservations(fleet.lease().held());
-        nextRelistAt = view.next(now());
+        lease = fleet.lease().duration();
+        checkInterval = fleet.lease().heartbeatInterval().dividedBy(2);
+        probeInterval = fleet.lease().duration().dividedBy(PROBES_PER_LEASE);
+        view = new MemberAvailability(rules, now(), fleet.lease().duration());
+        observations = new MemberObservations(fleet.lease().duration());
+        nextRelistAt = view.nextChangeAt(now());
     }
 
     /** The time by the fleet's clock, in which leases are expressed. */
@@ -154,7 +155,7 @@
         }
     }
 
-    void start(Fleet joinedFleet) {
+    void start(FleetNode joinedFleet) {
         fleet = joinedFleet;
         checkPeriodically();
     }
@@ -170,12 +171,12 @@
                 if (!listedUids.contains(uid)) {
                     discoveredEntries.remove(uid);
                     effectiveEntries.remove(uid);
-                    observations.listed(uid, 0, true, false);
+                    observations.updateListing(uid, 0, true, false);
                 }
             }
         }
         for (Entry entry : list.entries()) {
-            observations.listed(entry.uid(), entry.group(), entry.gone(), !entry.draining());
+            observations.updateListing(entry.uid(), entry.group(), entry.gone(), !entry.draining());
             if (entry.gone()) {
                 discoveredEntries.remove(entry.uid());
             } else {
@@ -197,7 +198,8 @@
     }
 
     private Entry effective(Entry entry, Duration now) {
-        View.State state = view.state(entry.uid(), () -> groupHasOtherMember(entry), now);
+        MemberAvailability.State state =
+                view.state(entry.uid(), () -> groupHasOtherMember(entry), now);
         return switch (state) {
             case AS_LISTED -> entry;
             case DRAINING -> withState(entry, "draining", entry.startedAt());
@@ -247,11 +249,12 @@
                                         && !other.uid().equals(entry.uid())
                                         && !other.draining()
                                         && (view.planCopy() == null
-                                                || view.planCopy().holder(other.uid()) == null
+                                                || view.planCopy().machineOf(other.uid()) == null
                                                 || view.planCopy()
                                                                 .entry(
                                                                         view.planCopy()
-                                                                                .holder(other.uid())
+                                                                                .machineOf(
+                                                                                        other.uid())
                                                                                 .name())
                                                         == null));
     }
@@ -270,8 +273,8 @@
         if (!changed.isEmpty()) {
             onList.accept(new MemberList(0, false, changed));
         }
-        nextRelistAt = view.next(now);
-        boolean current = view.current(now);
+        nextRelistAt = view.nextChangeAt(now);
+        boolean current = view.isCurrent(now);
         if (current != wasCurrent) {
             wasCurrent = current;
             log.accept(
@@ -285,7 +288,7 @@
                                     + view.revision()
                                     + ": "
                                     + loggedStages.values().stream()
-                                            .filter(Stage::announced)
+                                            .filter(MaintenanceStage::announced)
                                             .count()
                                     + " announced machines are avoided");
         }
@@ -298,7 +301,7 @@
 
     private void updateDrainingSince(Duration now) {
         Set<String> drainingMachines = new TreeSet<>();
-        view.leaving().forEach(planEntry -> drainingMachines.add(planEntry.machine()));
+        view.drainingEntries().forEach(planEntry -> drainingMachines.add(planEntry.machine()));
         drainingSince.keySet().retainAll(drainingMachines);
         drainingMachines.forEach(machine -> drainingSince.putIfAbsent(machine, now));
     }
@@ -317,7 +320,7 @@
         String uid = memberPools.uid(member);
         if (uid != null) {
             boolean primary = role == Member.Role.PRIMARY;
-            observations.said(
+            observations.recordReport(
                     uid,
                     role == Member.Role.UNKNOWN ? null : primary,
                     primary ? Duration.ZERO : position == null ? null : clock.now().minus(position),
@@ -329,7 +332,7 @@
     public void onMemberFailure(long member) {
         String uid = memberPools.uid(member);
         if (uid != null) {
-            observations.failed(uid, now());
+            observations.recordFailure(uid, now());
         }
     }
 
@@ -355,15 +358,15 @@
     // ---- calls from the fleet ----
 
     @Override
-    public void plan(Map<String, Object> changes, List<?> figures, List<?> liveDrivers) {
+    public void planUpdated(Map<String, Object> changes, List<?> figures, List<?> liveDrivers) {
         loop.run(
                 () -> {
-                    boolean isNewer = planCopy.news(changes);
+                    boolean isNewer = planCopy.applyChanges(changes);
                     if (figures != null) {
-                        planCopy.fleet(figures, liveDrivers);
+                        planCopy.updateFleetFigures(figures, liveDrivers);
                     }
                     if (isNewer || view.planCopy() == null) {
-                        view.told(planCopy, now());
+                        view.updatePlan(planCopy, now());
                         logStageChanges();
                         relist();
                         sendReport();
@@ -372,7 +375,7 @@
     }
 
     private void logStageChanges() {
-        Map<String, Stage> current = new LinkedHashMap<>();
+        Map<String, MaintenanceStage> current = new LinkedHashMap<>();
         planCopy.entries()
                 .forEach(planEntry -> current.put(planEntry.machine(), planEntry.stage()));
         current.forEach(
@@ -402,20 +405,20 @@
     }
 
     @Override
-    public void lease(Duration leaseEnd, boolean sessionEnded, long conductingEpoch) {
+    public void leaseUpdated(Duration leaseEnd, boolean sessionEnded, long conductingEpoch) {
         loop.run(
                 () -> {
                     epoch = sessionEnded ? 0 : conductingEpoch;
                     if (sessionEnded) {
-                        view.ended();
+                        view.endLease();
                     } else {
-                        view.leased(leaseEnd);
+                        view.extendLease(leaseEnd);
                     }
-                    if (view.current(now()) != wasCurrent) {
+                    if (view.isCurrent(now()) != wasCurrent) {
                         relist();
                         sendReport();
                     } else {
-                        nextRelistAt = view.next(now());
+                        nextRelistAt = view.nextChangeAt(now());
                     }
                 });
     }
@@ -429,18 +432,18 @@
 
     /** Sends the fleet this driver's state with regard to the plan. */
     private void sendReport() {
-        if (fleet == null || !view.known()) {
+        if (fleet == null || !view.isKnown()) {
             return;
         }
         Duration now = now();
         Set<String> clearedMachines = new TreeSet<>();
         Map<Integer, String> believedPrimaries = new TreeMap<>();
         Map<Integer, Long> busyMs = new TreeMap<>();
-        if (view.current(now)) {
+        if (view.isCurrent(now)) {
             for (Map.Entry<String, Duration> draining : drainingSince.entrySet()) {
                 Machine machine = planCopy.machines().get(draining.getKey());
                 if (machine != null
-                        && now.minus(draining.getValue()).compareTo(rules.grace()) > 0
+                        && now.minus(draining.getValue()).compareTo(rules.drainGrace()) > 0
                         && !memberPools.hasTxnAt(machine::holds)) {
                     clearedMachines.add(draining.getKey());
                 }
@@ -454,7 +457,7 @@
             busyMs.put(group, busyMsByGroup.getOrDefault(group, 0L));
         }
         fleet.report(
-                new Report(
+                new DriverReport(
                         knownRevision,
                         clearedMachines,
                         believedPrimaries,
@@ -466,7 +469,7 @@
     /** The groups that have a member on an announced machine. */
     private Set<Integer> affectedGroups() {
         Set<Integer> groups = new TreeSet<>();
-        for (Plan.Entry planEntry : planCopy.entries()) {
+        for (MaintenancePlan.Entry planEntry : planCopy.entries()) {
             Machine machine =
                     planEntry.stage().announced()
                             ? planCopy.machines().get(planEntry.machine())
@@ -481,12 +484,12 @@
     // ---- conducting ----
 
     private void conduct() {
-        if (epoch == 0 || fleet == null || !view.current(now())) {
+        if (epoch == 0 || fleet == null || !view.isCurrent(now())) {
             conductor = null;
             return;
         }
         if (conductor == null || conductorEpoch != epoch) {
-            conductor = new Conductor(rules, voters);
+            conductor = new MaintenanceController(rules, voters);
             conductorEpoch = epoch;
             log.accept(
                     "work: conducts in epoch "
@@ -495,16 +498,18 @@
                             + planCopy.entries().size()
                             + " machines requested");
         }
-        if (!Objects.equals(planCopy.lines(), rules.lines())) {
-            fleet.orderMachines(epoch, rules.lines());
+        if (!Objects.equals(planCopy.inventoryLines(), rules.toLines())) {
+            fleet.proposeMachines(epoch, rules.toLines());
             return;
         }
-        List<Conductor.Step> steps =
-                conductor.next(planCopy, observations, System.currentTimeMillis(), now());
+        List<MaintenanceController.Step> steps =
+                conductor.nextSteps(planCopy, observations, System.currentTimeMillis(), now());
         probeMembers();
-        conductor.pages().forEach((machine, text) -> log.accept("work: " + machine + " " + text));
+        conductor
+                .takeAlerts()
+                .forEach((machine, text) -> log.accept("work: " + machine + " " + text));
         if (!steps.isEmpty()) {
-            fleet.order(epoch, steps);
+            fleet.proposeSteps(epoch, steps);
         }
     }
 
@@ -514,7 +519,7 @@
      */
     private void probeMembers() {
         Duration now = now();
-        Set<Integer> groups = conductor.groups(planCopy);
+        Set<Integer> groups = conductor.groupsToObserve(planCopy);
         probedAt.keySet().retainAll(discoveredEntries.keySet());
         for (Entry entry : discoveredEntries.values()) {
             Duration lastProbeAt = probedAt.get(entry.uid());
--- /dev/null
+++ b/src/main/java/wingroad/fleet/FleetNode.java
@@ -0,0 +1,301 @@
+package wingroad.fleet;
+
+import wingroad.duty.Command;
+import wingroad.duty.SessionLease;
+import wingroad.transport.EventLoop;
+import wingroad.transport.Listener;
+import wingroad.work.DriverReport;
+import wingroad.work.MaintenanceController;
+
+import java.io.IOException;
+import java.security.SecureRandom;
+import java.time.Duration;
+import java.util.List;
+import java.util.Map;
+import java.util.function.Consumer;
+import java.util.function.Supplier;
+
+/**
+ * A driver's part in the fleet, on a thread of its own: the voter's consensus node where it has
+ * one, its session, its duties. What goes wrong here is told and tried again; serving clients never
+ * waits for it.
+ */
+public final class FleetNode {
+    private static final Duration RETRY_DELAY = Duration.ofSeconds(2);
+    private static final Duration LEAVE_TIMEOUT = Duration.ofMillis(1500);
+    private static final int MAX_CHANNELS = 1200;
+    private static final long MAX_BUFFERED_BYTES = 32L << 20;
+
+    private final FleetConfig config;
+    private final Consumer<String> log;
+    private final ChoreRunner choreRunner;
+    private final PublicationListener publicationListener;
+    private final MaintenancePlanListener planListener;
+    private final EventLoop loop;
+    private final TcpMessageTransport transport;
+    private final EventLoopContext context = new EventLoopContext();
+    private final SecureRandom random = new SecureRandom();
+    private final Supplier<String> idGenerator = () -> Long.toHexString(random.nextLong());
+    private StateFolder stateFolder;
+    private ConsensusNode consensusNode;
+    private Listener listener;
+    private DriverSession driverSession;
+    private boolean leaving;
+    private String lastFailure = "";
+
+    /** The thread with its clocks. */
+    private final class EventLoopContext implements ExecutionContext {
+        @Override
+        public Duration now() {
+            return Duration.ofNanos(System.nanoTime());
+        }
+
+        @Override
+        public long wallClockMs() {
+            return System.currentTimeMillis();
+        }
+
+        @Override
+        public void execute(Runnable task) {
+            loop.run(task);
+        }
+
+        @Override
+        public void schedule(Duration delay, Runnable task) {
+            loop.after(delay, task);
+        }
+
+        @Override
+        public void log(String line) {
+            log.accept(line);
+        }
+    }
+
+    private FleetNode(
+            FleetConfig config,
+            Consumer<String> log,
+            Consumer<Throwable> faultHandler,
+            ChoreRunner choreRunner,
+            PublicationListener publicationListener,
+            MaintenancePlanListener planListener)
+            throws IOException {
+        this.planListener = planListener;
+        this.config = config;
+        this.log = log;
+        this.choreRunner = choreRunner;
+        this.publicationListener = publicationListener;
+        loop = new EventLoop("fleet", MAX_CHANNELS, MAX_BUFFERED_BYTES, faultHandler);
+        transport = new TcpMessageTransport(loop);
+    }
+
+    /**
+     * Begins on a thread of its own; {@code choreRunner}, {@code publicationListener} and {@code
+     * planListener} (or null) are called on that thread.
+     */
+    public static FleetNode start(
+            FleetConfig config,
+            Consumer<String> log,
+            Consumer<Throwable> faultHandler,
+            ChoreRunner choreRunner,
+            PublicationListener publicationListener,
+            MaintenancePlanListener planListener)
+            throws IOException {
+        FleetNode fleetNode =
+                new FleetNode(
+                        config, log, faultHandler, choreRunner, publicationListener, planListener);
+        fleetNode.loop.run(fleetNode::startParts);
+        return fleetNode;
+    }
+
+    /** Hears what the owner of the list hands on, past the fence. */
+    public interface PublicationListener {
+        void published(long epoch, Map<String, Object> content);
+    }
+
+    /** Hands something on to all drivers, if this one owns the duty now. */
+    public void publish(String duty, Map<String, Object> content) {
+        loop.run(
+                () -> {
+                    if (driverSession != null) {
+                        driverSession.publish(duty, content);
+                    }
+                });
+    }
+
+    /** What this driver says of itself to whoever plans work. */
+    public void report(DriverReport report) {
+        loop.run(
+                () -> {
+                    if (driverSession != null) {
+                        driverSession.report(report);
+                    }
+                });
+    }
+
+    /** Proposes the conductor's steps, if this driver still conducts under this epoch. */
+    public void proposeSteps(long epoch, List<MaintenanceController.Step> steps) {
+        loop.run(
+                () -> {
+                    if (driverSession != null) {
+                        steps.forEach(
+                                step ->
+                                        driverSession.proposeAsConductor(
+                                                epoch,
+                                                sessionId ->
+                                                        Command.maintenanceStep(
+                                                                sessionId,
+                                                                epoch,
+                                                                step.machine(),
+                                                                step.target(),
+                                                                step.stageRevision(),
+                                                                step.reason())));
+                    }
+                });
+    }
+
+    /** Proposes the machines that there are, likewise. */
+    public void proposeMachines(long epoch, List<String> lines) {
+        loop.run(
+                () -> {
+                    if (driverSession != null) {
+                        driverSession.proposeAsConductor(
+                                epoch, sessionId -> Command.setMachines(sessionId, epoch, lines));
+                    }
+                });
+    }
+
+    /** Runs a task on the fleet's thread. */
+    public void execute(Runnable task) {
+        loop.run(task);
+    }
+
+    private void startParts() {
+        if (leaving) {
+            return;
+        }
+        try {
+            if (stateFolder == null) {
+                stateFolder = new StateFolder(config.stateFolder(), idGenerator);
+            }
+            String identity = stateFolder.identity();
+            if (config.listenAddress() != null) {
+                consensusNode =
+                        new ConsensusNode(
+                                context,
+                                transport,
+                                config,
+                                stateFolder::openStore,
+                                random.nextLong());
+                listener =
+                        transport.listen(
+                                TcpMessageTransport.parseAddress(config.listenAddress()),
+                                () -> consensusNode.newInboundHandler());
+                consensusNode.start();
+                retryReload();
+            }
+            driverSession =
+                    new DriverSession(
+                            context,
+                            transport,
+                            config,
+                            identity,
+                            idGenerator,
+                            sessionId -> new SessionLease(config.lease(), sessionId),
+                            publicationListener);
+            driverSession.setPlanListener(planListener);
+            driverSession.start(new ChoreScheduler(context, config, driverSession, choreRunner));
+            log.accept(
+                    "fleet: driver "
+                            + config.driver()
+                            + " of fleet "
+                            + config.name()
+                            + ", "
+                            + (config.listenAddress() == null
+                                    ? "no voter"
+                                    : "listens at "
+                                            + listener.at().getHostString()
+                                            + ":"
+                                            + listener.at().getPort())
+                            + ", lease "
+                            + config.lease().duration().toMillis()
+                            + " ms, "
+                            + config.duties().size()
+                            + " duties");
+        } catch (IOException | RuntimeException e) {
+            if (!e.toString().equals(lastFailure)) {
+                lastFailure = e.toString();
+                log.accept("fleet: can't begin, tries again: " + e.getMessage());
+            }
+            if (consensusNode != null) {
+                consensusNode.stop();
+                consensusNode = null;
+            }
+            if (listener != null) {
+                listener.close();
+                listener = null;
+            }
+            loop.after(RETRY_DELAY, this::startParts);
+        }
+    }
+
+    /** A voter whose state could not be written reads it again, once that works. */
+    private void retryReload() {
+        if (consensusNode != null
+                && consensusNode.phase() == ConsensusNode.Phase.BROKEN
+                && !leaving) {
+            try {
+                consensusNode.reloadState();
+            } catch (IOException e) {
+                // Still not: it goes on being no voter.
+            }
+        }
+        loop.after(RETRY_DELAY, this::retryReload);
+    }
+
+    /**
+     * Gives all duties back and goes; {@code then} runs once that is settled, or after a while all
+     * the same.
+     */
+    public void leave(Runnable then) {
+        loop.run(
+                () -> {
+                    if (leaving) {
+                        return;
+                    }
+                    leaving = true;
+                    boolean[] finished = new boolean[1];
+                    Runnable finishOnce =
+                            () -> {
+                                if (!finished[0]) {
+                                    finished[0] = true;
+                                    if (driverSession != null) {
+                                        driverSession.stop();
+                                    }
+                                    then.run();
+                                }
+                            };
+                    if (driverSession == null) {
+                        finishOnce.run();
+                    } else {
+                        driverSession.leave(finishOnce);
+                        loop.after(LEAVE_TIMEOUT, finishOnce);
+                    }
+                });
+    }
+
+    /** Closes the voter's state; for the end of the process. */
+    public void close() {
+        loop.run(
+                () -> {
+                    if (listener != null) {
+                        listener.close();
+                    }
+                    if (consensusNode != null) {
+                        consensusNode.stop();
+                    }
+                    if (stateFolder != null) {
+                        stateFolder.close();
+                    }
+                });
+    }
+}
--- a/src/main/java/wingroad/fleet/Worker.java
+++ b/src/main/java/wingroad/fleet/MaintenancePlanListener.java
@@ -5,15 +5,15 @@
 import java.util.Map;
 
 /** Who acts on the plan of work on machines at a driver. Called on the fleet's thread, in order. */
-public interface Worker {
+public interface MaintenancePlanListener {
     /**
      * Something of the plan is settled.
      *
-     * @param news for {@link wingroad.work.PlanCopy#news}
+     * @param news for {@link wingroad.work.PlanCopy#applyChanges}
      * @param sums the fleet's figures where this driver conducts, else null
      * @param live the drivers with a session, likewise
      */
-    void plan(Map<String, Object> news, List<?> sums, List<?> live);
+    void planUpdated(Map<String, Object> changes, List<?> totals, List<?> liveDrivers);
 
     /**
      * How long what was told last holds.
@@ -22,5 +22,5 @@
      * @param over the session has ended: nothing holds any more
      * @param conducts the epoch under which this driver conducts the work, or 0
      */
-    void lease(Duration until, boolean over, long conducts);
+    void leaseUpdated(Duration until, boolean sessionEnded, long conductorEpoch);
 }
--- a/src/test/java/wingroad/driver/MemberPoolsTest.java
+++ b/src/test/java/wingroad/driver/MemberPoolsTest.java
@@ -1,6 +1,7 @@
 package wingroad.driver;
 
 import static org.assertj.core.api.Assertions.assertThat;
+
 import static wingroad.Fixtures.DESCRIPTION;
 import static wingroad.Fixtures.READY;
 import static wingroad.Fixtures.column;
@@ -8,6 +9,16 @@
 import static wingroad.Fixtures.message;
 import static wingroad.Fixtures.text;
 
+import org.junit.jupiter.api.Test;
+
+import wingroad.Fixtures.Script;
+import wingroad.Fixtures.StandInMember;
+import wingroad.protocol.MemberList;
+import wingroad.protocol.Statement;
+import wingroad.rig.Peer;
+import wingroad.state.Submission.Outcome;
+import wingroad.transport.EventLoop;
+
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.ServerSocket;
@@ -19,14 +30,6 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
-import org.junit.jupiter.api.Test;
-import wingroad.Fixtures.Script;
-import wingroad.Fixtures.StandInMember;
-import wingroad.protocol.MemberList;
-import wingroad.protocol.Statement;
-import wingroad.rig.Peer;
-import wingroad.state.Submission.End;
-import wingroad.transport.EventLoop;
 
 /** How each way in which a member can answer, or not answer, ends a submission. */
 class MemberPoolsTest {
@@ -43,7 +46,7 @@
     /** Runs once, in the turn of the loop in which the next submission ends. */
     private volatile Runnable atItsEnd;
 
-    private record Ended(End end, TxnDispatcher.MemberStatus status, byte[] row) {}
+    private record Ended(Outcome end, TxnDispatcher.MemberStatus status, byte[] row) {}
 
     private static EventLoop loop(int most) {
         try {
@@ -78,7 +81,7 @@
                     @Override
                     public void submissionEnded(
                             TxnDispatcher.MemberRequest e,
-                            End end,
+                            Outcome end,
                             Duration took,
                             TxnDispatcher.MemberStatus status,
                             byte[] row) {
@@ -98,7 +101,7 @@
                             TxnDispatcher.MemberReport report) {
                         ends.add(
                                 new Ended(
-                                        answered ? End.COMMITTED : End.ERROR,
+                                        answered ? Outcome.COMMITTED : Outcome.ERROR,
                                         new TxnDispatcher.MemberStatus(
                                                 report.role(), report.position(), report),
                                         null));
@@ -160,7 +163,7 @@
     @Test
     void aRowIsCommittedWithItsRoleAndPosition() throws Exception {
         Ended e = end((sql, s) -> s.row("val", true));
-        assertThat(e.end()).isEqualTo(End.COMMITTED);
+        assertThat(e.end()).isEqualTo(Outcome.COMMITTED);
         assertThat(e.status().role().name()).isEqualTo("PRIMARY");
         assertThat(e.status().position()).isBetween(clock.now().minusSeconds(20), clock.now());
         assertThat(e.row()).startsWith(message('T', DESCRIPTION));
@@ -168,16 +171,16 @@
 
     @Test
     void eachErrorCodeHasItsEnd() throws Exception {
-        assertThat(end((sql, s) -> s.error("25006", false)).end()).isEqualTo(End.MISSED);
-        assertThat(end((sql, s) -> s.error("72000", false)).end()).isEqualTo(End.MISSED);
-        assertThat(end((sql, s) -> s.error("53300", false)).end()).isEqualTo(End.FULL);
-        assertThat(end((sql, s) -> s.error("XX000", false)).end()).isEqualTo(End.ERROR);
-        assertThat(end((sql, s) -> s.error("08P01", false)).end()).isEqualTo(End.ERROR);
+        assertThat(end((sql, s) -> s.error("25006", false)).end()).isEqualTo(Outcome.MISSED);
+        assertThat(end((sql, s) -> s.error("72000", false)).end()).isEqualTo(Outcome.MISSED);
+        assertThat(end((sql, s) -> s.error("53300", false)).end()).isEqualTo(Outcome.FULL);
+        assertThat(end((sql, s) -> s.error("XX000", false)).end()).isEqualTo(Outcome.ERROR);
+        assertThat(end((sql, s) -> s.error("08P01", false)).end()).isEqualTo(Outcome.ERROR);
     }
 
     @Test
     void aConnectionThatBreaksAfterTheLastByteMayHaveRun() throws Exception {
-        assertThat(end((sql, s) -> s.end()).end()).isEqualTo(End.RESET);
+        assertThat(end((sql, s) -> s.end()).end()).isEqualTo(Outcome.RESET);
         assertThat(
                         end((sql, s) -> {
                                     s.raw(
@@ -186,7 +189,7 @@
                                     s.end();
                                 })
                                 .end())
-                .isEqualTo(End.RESET);
+                .isEqualTo(Outcome.RESET);
     }
 
     @Test
@@ -195,7 +198,7 @@
                 new byte[][] {
                     READY, message('?'), {'D', 127, 0, 0, 0}, message('D', column("x"))
                 }) {
-            assertThat(end((sql, s) -> s.raw(bad)).end()).isEqualTo(End.ERROR);
+            assertThat(end((sql, s) -> s.raw(bad)).end()).isEqualTo(Outcome.ERROR);
         }
     }
 
@@ -221,7 +224,7 @@
                                         s.awaitEnd();
                                     })
                                     .end())
-                    .isEqualTo(End.ERROR);
+                    .isEqualTo(Outcome.ERROR);
         }
     }
 
@@ -242,15 +245,15 @@
             try (StandInMember m =
                     new StandInMember(false, (sql, s) -> s.row("first", false, more))) {
                 dispatch(m.port(), LONG);
-                assertThat(next().end()).isEqualTo(End.COMMITTED);
+                assertThat(next().end()).isEqualTo(Outcome.COMMITTED);
                 dispatch(m.port(), LONG);
                 Ended second = next();
-                if (second.end() == End.MOOT) {
+                if (second.end() == Outcome.MOOT) {
                     // Nothing of it had been sent.
                     dispatch(m.port(), LONG);
                     second = next();
                 }
-                assertThat(second.end()).isEqualTo(End.COMMITTED);
+                assertThat(second.end()).isEqualTo(Outcome.COMMITTED);
                 assertThat(new String(second.row(), StandardCharsets.ISO_8859_1)).contains("first");
                 assertThat(m.connections).hasValue(2);
             }
@@ -261,7 +264,7 @@
     void aLargeRowComesThroughWhole() throws Exception {
         String large = "z".repeat(1_000_000);
         Ended e = end((sql, s) -> s.row(large, false));
-        assertThat(e.end()).isEqualTo(End.COMMITTED);
+        assertThat(e.end()).isEqualTo(Outcome.COMMITTED);
         assertThat(e.row()).hasSizeGreaterThan(1_000_000);
         // Asked on the loop's own thread, behind the task that the answer came with: that one gives
         // its buffer back at its end.
@@ -274,7 +277,7 @@
     void oneThatIsNoLongerThoughtOfIsLetGoWithItsConnections() throws Exception {
         try (StandInMember m = new StandInMember(false, (sql, s) -> s.row("x", false))) {
             dispatch(m.port(), LONG);
-            assertThat(next().end()).isEqualTo(End.COMMITTED);
+            assertThat(next().end()).isEqualTo(Outcome.COMMITTED);
             BlockingQueue<Integer> left = new LinkedBlockingQueue<>();
             loop.run(
                     () -> {
@@ -283,7 +286,7 @@
                     });
             assertThat(left.poll(20, TimeUnit.SECONDS)).isZero();
             dispatch(m.port(), LONG);
-            assertThat(next().end()).isEqualTo(End.COMMITTED);
+            assertThat(next().end()).isEqualTo(Outcome.COMMITTED);
             assertThat(m.connections).hasValue(2);
         }
     }
@@ -308,7 +311,7 @@
                                             wingroad.Fixtures.parameter(
                                                     "gauges", "x0=" + absurd + ",x1=1"),
                                             READY));
-            assertThat(e.end()).isEqualTo(End.COMMITTED);
+            assertThat(e.end()).isEqualTo(Outcome.COMMITTED);
             assertThat(e.status().position()).isNull();
             assertThat(e.status().report().position()).isNull();
         }
@@ -325,7 +328,7 @@
                                     s.end();
                                 })
                                 .end())
-                .isEqualTo(End.COMMITTED);
+                .isEqualTo(Outcome.COMMITTED);
     }
 
     @Test
@@ -333,10 +336,10 @@
         try (StandInMember m = new StandInMember(false, (sql, s) -> s.row("x", false))) {
             m.welcome = new byte[] {'E', 0, 0, 0, 14, 'C', '5', '7', 'P', '0', '3', 0, 0, 0, 0};
             dispatch(m.port(), LONG);
-            assertThat(next().end()).isEqualTo(End.UNREACHABLE);
+            assertThat(next().end()).isEqualTo(Outcome.UNREACHABLE);
             m.welcome = message('E', text("SFATAL"), text("C53300"), new byte[1]);
             dispatch(m.port(), LONG);
-            assertThat(next().end()).isEqualTo(End.FULL);
+            assertThat(next().end()).isEqualTo(Outcome.FULL);
             assertThat(m.queries).isEmpty();
         }
         int nobody;
@@ -344,7 +347,7 @@
             nobody = s.getLocalPort();
         }
         dispatch(nobody, LONG);
-        assertThat(next().end()).isEqualTo(End.UNREACHABLE);
+        assertThat(next().end()).isEqualTo(Outcome.UNREACHABLE);
     }
 
     @Test
@@ -352,7 +355,7 @@
         members = members(Duration.ofMillis(50));
         try (ServerSocket silent = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
             dispatch(silent.getLocalPort(), LONG);
-            assertThat(next().end()).isEqualTo(End.UNREACHABLE);
+            assertThat(next().end()).isEqualTo(Outcome.UNREACHABLE);
         }
     }
 
@@ -367,7 +370,7 @@
                             closed.add(sql);
                         })) {
             dispatch(m.port(), Duration.ofMillis(100));
-            assertThat(next().end()).isEqualTo(End.TIMED_OUT);
+            assertThat(next().end()).isEqualTo(Outcome.TIMED_OUT);
             assertThat(closed.poll(20, TimeUnit.SECONDS)).contains("id=r0");
         }
     }
@@ -385,7 +388,7 @@
             dispatch(m.port(), LONG);
             m.await();
             loop.run(() -> members.cancel("t", 0));
-            assertThat(next().end()).isEqualTo(End.CANCELLED);
+            assertThat(next().end()).isEqualTo(Outcome.CANCELLED);
             assertThat(closed.poll(20, TimeUnit.SECONDS)).contains("id=r0");
         }
     }
@@ -395,15 +398,15 @@
         try (StandInMember m = new StandInMember(false, (sql, s) -> s.row("x", false))) {
             for (int i = 0; i < 3; i++) {
                 dispatch(m.port(), LONG);
-                assertThat(next().end()).isEqualTo(End.COMMITTED);
+                assertThat(next().end()).isEqualTo(Outcome.COMMITTED);
             }
             assertThat(m.connections).hasValue(1);
             m.script((sql, s) -> s.end());
             dispatch(m.port(), LONG);
-            assertThat(next().end()).isEqualTo(End.RESET);
+            assertThat(next().end()).isEqualTo(Outcome.RESET);
             m.script((sql, s) -> s.error("25006", false));
             dispatch(m.port(), LONG);
-            assertThat(next().end()).isEqualTo(End.MISSED);
+            assertThat(next().end()).isEqualTo(Outcome.MISSED);
             assertThat(m.connections).hasValue(2);
             assertThat(m.queries).hasSize(5);
         }
@@ -414,10 +417,10 @@
         mayGo = false;
         try (StandInMember m = new StandInMember(false, (sql, s) -> s.row("x", false))) {
             dispatch(m.port(), LONG);
-            assertThat(next().end()).isEqualTo(End.MOOT);
+            assertThat(next().end()).isEqualTo(Outcome.MOOT);
             mayGo = true;
             dispatch(m.port(), LONG);
-            assertThat(next().end()).isEqualTo(End.COMMITTED);
+            assertThat(next().end()).isEqualTo(Outcome.COMMITTED);
             assertThat(m.connections).hasValue(1);
             assertThat(m.queries).hasSize(1).first().asString().contains("id=r1");
         }
@@ -439,7 +442,7 @@
     void releasedConnectionsAreClosedAndTheNextSubmissionOpensOne() throws Exception {
         try (StandInMember m = new StandInMember(false, (sql, s) -> s.row("val", false))) {
             dispatch(m.port(), LONG);
-            assertThat(next().end()).isEqualTo(End.COMMITTED);
+            assertThat(next().end()).isEqualTo(Outcome.COMMITTED);
             CompletableFuture<Integer> left = new CompletableFuture<>();
             loop.run(
                     () -> {
@@ -448,7 +451,7 @@
                     });
             assertThat(left.get(20, TimeUnit.SECONDS)).isZero();
             dispatch(m.port(), LONG);
-            assertThat(next().end()).isEqualTo(End.COMMITTED);
+            assertThat(next().end()).isEqualTo(Outcome.COMMITTED);
             assertThat(m.connections.get()).isEqualTo(2);
         }
     }
@@ -532,7 +535,7 @@
                 } else {
                     at.reset();
                 }
-                assertThat(next().end()).isEqualTo(End.MOOT);
+                assertThat(next().end()).isEqualTo(Outcome.MOOT);
                 if (comesUp) {
                     assertThat(at.awaitEnd()).doesNotContain("Q");
                 }
@@ -559,7 +562,7 @@
                     message('D', column("x")),
                     message('C', text("SELECT 1")),
                     READY);
-            assertThat(next().end()).isEqualTo(End.COMMITTED);
+            assertThat(next().end()).isEqualTo(Outcome.COMMITTED);
             at.awaitEnd();
         }
     }
@@ -587,7 +590,7 @@
             standing.await();
             at.send(message('R', new byte[4]), READY);
             goes.countDown();
-            assertThat(next().end()).isEqualTo(End.MOOT);
+            assertThat(next().end()).isEqualTo(Outcome.MOOT);
             loop.run(() -> members.removeUnknown(id -> false));
             assertThat(at.awaitEnd()).doesNotContain("Q");
         }
@@ -612,7 +615,7 @@
                                     })
                                     .end())
                     .as(bytes + " bytes")
-                    .isEqualTo(bytes >= whole ? End.COMMITTED : End.RESET);
+                    .isEqualTo(bytes >= whole ? Outcome.COMMITTED : Outcome.RESET);
         }
         assertThat(ends).isEmpty();
     }
@@ -635,7 +638,7 @@
                     message('D', column("x")),
                     message('C', text("SELECT 1")),
                     READY);
-            assertThat(next().end()).isEqualTo(End.COMMITTED);
+            assertThat(next().end()).isEqualTo(Outcome.COMMITTED);
             at.send(new byte[] {'S', 0, 0});
             at.awaitEnd();
             carryToTheOne();
@@ -644,7 +647,7 @@
             second.send(message('R', new byte[4]), READY);
             second.until("'\0");
             second.reset();
-            assertThat(next().end()).isEqualTo(End.RESET);
+            assertThat(next().end()).isEqualTo(Outcome.RESET);
         }
     }
 
@@ -678,15 +681,15 @@
                         members.dispatch(requestToTheOne());
                     };
             answer(at);
-            assertThat(next().end()).isEqualTo(End.COMMITTED);
-            assertThat(next().end()).isEqualTo(End.MOOT);
+            assertThat(next().end()).isEqualTo(Outcome.COMMITTED);
+            assertThat(next().end()).isEqualTo(Outcome.MOOT);
             mayGo = true;
             carryToTheOne();
             assertThat(at.until("'\0"))
                     .contains("id=r" + (submissions - 1))
                     .doesNotContain("id=r" + (submissions - 2));
             answer(at);
-            assertThat(next().end()).isEqualTo(End.COMMITTED);
+            assertThat(next().end()).isEqualTo(Outcome.COMMITTED);
         }
     }
 
@@ -713,7 +716,7 @@
             carryToTheOne();
             Peer before = letIn(member.accept());
             answer(before);
-            assertThat(next().end()).isEqualTo(End.COMMITTED);
+            assertThat(next().end()).isEqualTo(Outcome.COMMITTED);
             loop.run(
                     () ->
                             members.updateMember(
@@ -732,7 +735,7 @@
             listed(member.port());
             carryToTheOne();
             answer(letIn(member.accept()));
-            assertThat(next().end()).isEqualTo(End.COMMITTED);
+            assertThat(next().end()).isEqualTo(Outcome.COMMITTED);
         }
     }
 
@@ -748,7 +751,7 @@
                 carryToTheOne();
                 Peer at = letIn(member.accept());
                 answer(at);
-                assertThat(next().end()).isEqualTo(End.COMMITTED);
+                assertThat(next().end()).isEqualTo(Outcome.COMMITTED);
                 carryToTheOne();
                 at.until("'\0");
                 if (resets) {
@@ -756,7 +759,7 @@
                 } else {
                     at.close();
                 }
-                assertThat(next().end()).isEqualTo(End.RESET);
+                assertThat(next().end()).isEqualTo(Outcome.RESET);
                 assertThat(ends).isEmpty();
             }
         }
@@ -779,7 +782,7 @@
                     at.send(notice);
                 }
             } catch (IOException brokenOff) {
-                assertThat(next().end()).isEqualTo(End.ERROR);
+                assertThat(next().end()).isEqualTo(Outcome.ERROR);
             }
         }
     }
@@ -794,7 +797,7 @@
         try (StandInMember m = new StandInMember(false, (sql, s) -> s.row("x", false))) {
             for (int i = 0; i < 3; i++) {
                 dispatch(m.port(), LONG);
-                assertThat(next().end()).isEqualTo(End.COMMITTED);
+                assertThat(next().end()).isEqualTo(Outcome.COMMITTED);
             }
             assertThat(m.connections.get()).isEqualTo(1);
         }
