--- a/src/bench/java/wingroad/fleet/OwnerBench.java
+++ b/src/bench/java/wingroad/fleet/OwnerBench.java
@@ -142,7 +142,7 @@
                 follow =
                         (int)
                                 rig.drivers.values().stream()
-                                        .filter(d -> d.when("goes by the owner") > 0)
+                                        .filter(d -> d.when("follows the owner") > 0)
                                         .count();
             }
             int asked = rig.discovery.asked.size();
--- a/src/main/java/wingroad/driver/MemberListRelay.java
+++ b/src/main/java/wingroad/driver/MemberListRelay.java
@@ -120,8 +120,8 @@
             followsOwner = ownerUsable;
             log.accept(
                     ownerUsable
-                            ? "list: goes by the owner, holds " + version
-                            : "list: asks discovery itself, holds " + version);
+                            ? "list: follows the owner, holds " + version
+                            : "list: watches discovery itself, holds " + version);
         }
         if (ownerUsable) {
             discovery.stopWatch();
--- a/src/test/java/wingroad/fleet/FleetIT.java
+++ b/src/test/java/wingroad/fleet/FleetIT.java
@@ -270,7 +270,7 @@
         }
         owner.kill();
         for (Rig.Driver d : by) {
-            d.await(from.get(d), l -> l.contains("list: asks discovery itself"));
+            d.await(from.get(d), l -> l.contains("list: watches discovery itself"));
         }
         rig.discovery.tell(fit);
         for (Rig.Driver d : by) {
@@ -331,7 +331,7 @@
                                             d.log().stream()
                                                     .filter(l -> l.contains("list: "))
                                                     .reduce((a, b) -> b)
-                                                    .filter(l -> l.contains("goes by the owner"))
+                                                    .filter(l -> l.contains("follows the owner"))
                                                     .isPresent())
                             .toList();
             if (by.size() == count) {
