--- a/src/main/java/wingroad/driver/MemberTransportListener.java
+++ b/src/main/java/wingroad/driver/MemberTransportListener.java
@@ -1,10 +1,9 @@
 package wingroad.driver;
 
+import java.time.Duration;
 import wingroad.driver.TxnDispatcher.MemberRequest;
 import wingroad.state.Submission.Outcome;
 
-import java.time.Duration;
-
 /** Is told of the outcome of requests to members, and consulted by their transport. */
 interface MemberTransportListener {
     /**
--- a/src/test/java/wingroad/driver/ClientFrontendTest.java
+++ b/src/test/java/wingroad/driver/ClientFrontendTest.java
@@ -1,22 +1,11 @@
 package wingroad.driver;
 
 import static org.assertj.core.api.Assertions.assertThat;
-
 import static wingroad.Fixtures.message;
 import static wingroad.Fixtures.read;
 import static wingroad.Fixtures.text;
 import static wingroad.Fixtures.write;
 
-import org.junit.jupiter.api.BeforeEach;
-import org.junit.jupiter.api.Test;
-
-import wingroad.Fixtures;
-import wingroad.rig.Peer;
-import wingroad.routing.TxnRouter;
-import wingroad.state.Member.Role;
-import wingroad.state.Submission.Outcome;
-import wingroad.transport.EventLoop;
-
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -28,6 +17,14 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+import wingroad.Fixtures;
+import wingroad.rig.Peer;
+import wingroad.routing.TxnRouter;
+import wingroad.state.Member.Role;
+import wingroad.state.Submission.Outcome;
+import wingroad.transport.EventLoop;
 
 /**
  * Clients that leave, send, and are told the end, at moments that the test chooses; the members are
--- a/src/test/java/wingroad/driver/MemberPoolsTest.java
+++ b/src/test/java/wingroad/driver/MemberPoolsTest.java
@@ -1,7 +1,6 @@
 package wingroad.driver;
 
 import static org.assertj.core.api.Assertions.assertThat;
-
 import static wingroad.Fixtures.DESCRIPTION;
 import static wingroad.Fixtures.READY;
 import static wingroad.Fixtures.column;
@@ -9,16 +8,6 @@
 import static wingroad.Fixtures.message;
 import static wingroad.Fixtures.text;
 
-import org.junit.jupiter.api.Test;
-
-import wingroad.Fixtures.Script;
-import wingroad.Fixtures.StandInMember;
-import wingroad.protocol.MemberList;
-import wingroad.protocol.Statement;
-import wingroad.rig.Peer;
-import wingroad.state.Submission.Outcome;
-import wingroad.transport.EventLoop;
-
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.ServerSocket;
@@ -30,6 +19,14 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
+import org.junit.jupiter.api.Test;
+import wingroad.Fixtures.Script;
+import wingroad.Fixtures.StandInMember;
+import wingroad.protocol.MemberList;
+import wingroad.protocol.Statement;
+import wingroad.rig.Peer;
+import wingroad.state.Submission.Outcome;
+import wingroad.transport.EventLoop;
 
 /** How each way in which a member can answer, or not answer, ends a submission. */
 class MemberPoolsTest {
