--- a/src/main/java/wingroad/driver/AttemptProgress.java
+++ b/src/main/java/wingroad/driver/AttemptProgress.java
@@ -12,18 +12,18 @@
     WRITTEN,
     ANSWERING;
 
-    /** The end of a submission whose connection was refused, timed out or was lost. */
-    Outcome endIfLost() {
+    /** The outcome of a submission whose connection was refused, timed out or was lost. */
+    Outcome outcomeIfLost() {
         return mayHaveRun() ? Outcome.RESET : Outcome.UNREACHABLE;
     }
 
-    /** The end of a submission whose deadline has passed. */
-    Outcome endIfTimedOut() {
+    /** The outcome of a submission whose deadline has passed. */
+    Outcome outcomeIfTimedOut() {
         return this == NOT_CONNECTED ? Outcome.UNREACHABLE : Outcome.TIMED_OUT;
     }
 
-    /** The end of a cancelled submission. A write that was sent may still be committed. */
-    Outcome endIfCancelled() {
+    /** The outcome of a cancelled submission. A write that was sent may still be committed. */
+    Outcome outcomeIfCancelled() {
         return this == NOT_CONNECTED ? Outcome.MOOT : Outcome.CANCELLED;
     }
 
--- a/src/main/java/wingroad/driver/ChoreExecutor.java
+++ b/src/main/java/wingroad/driver/ChoreExecutor.java
@@ -34,10 +34,10 @@
     /** Runs a task on the fleet's thread. */
     private volatile Consumer<Runnable> fleetThread;
 
-    ChoreExecutor(EventLoop loop, TxnDispatcher dispatcher, Map<String, Object> terms) {
+    ChoreExecutor(EventLoop loop, TxnDispatcher dispatcher, Map<String, Object> routerSettings) {
         this.loop = loop;
         this.dispatcher = dispatcher;
-        TxnType[] types = TxnType.fromSettings(terms);
+        TxnType[] types = TxnType.fromSettings(routerSettings);
         choreTypeIndex = types.length;
         longestExpiry = longestExpiry(types);
     }
@@ -55,22 +55,25 @@
         return longest;
     }
 
-    /** The fleet's rules, completed by what the deployment's terms say about maintenance work. */
-    static FleetConfig withDeploymentTerms(FleetConfig rules, Map<String, Object> terms) {
-        return rules.withMaintenance(
-                rules.maintenance()
+    /** The fleet's configuration with the deployment's settings that concern maintenance work. */
+    static FleetConfig withDeploymentSettings(
+            FleetConfig fleetConfig, Map<String, Object> routerSettings) {
+        return fleetConfig.withMaintenance(
+                fleetConfig
+                        .maintenance()
                         .withDeploymentSettings(
-                                longestExpiry(TxnType.fromSettings(terms)),
-                                (Duration) terms.get("cold"),
-                                (Duration) terms.get("drain-grace")));
+                                longestExpiry(TxnType.fromSettings(routerSettings)),
+                                (Duration) routerSettings.get("cold"),
+                                (Duration) routerSettings.get("drain-grace")));
     }
 
     /**
-     * The terms with the chores' txn type added after the clients' types, which keep their indexes.
+     * The router's settings with the chores' txn type added after the clients' types, which keep
+     * their indexes.
      */
-    static Map<String, Object> withChoreType(Map<String, Object> terms) {
-        TxnType[] types = TxnType.fromSettings(terms);
-        Map<String, Object> extended = new HashMap<>(terms);
+    static Map<String, Object> withChoreType(Map<String, Object> routerSettings) {
+        TxnType[] types = TxnType.fromSettings(routerSettings);
+        Map<String, Object> extended = new HashMap<>(routerSettings);
         String prefix = "txn-type." + types.length + ".";
         double leastValue = 1;
         for (TxnType type : types) {
@@ -90,12 +93,13 @@
     }
 
     @Override
-    public void run(Chore chore, long epoch, long turn, Duration leaseEnd, Completion callback) {
-        loop.run(() -> submit(chore, epoch, turn, leaseEnd, callback));
+    public void run(
+            Chore chore, long epoch, long runNumber, Duration leaseEnd, Completion callback) {
+        loop.run(() -> submit(chore, epoch, runNumber, leaseEnd, callback));
     }
 
     private void submit(
-            Chore chore, long epoch, long turn, Duration leaseEnd, Completion callback) {
+            Chore chore, long epoch, long runNumber, Duration leaseEnd, Completion callback) {
         // The clock is read here, after all queueing. A delay after this point is caught by the
         // fencing epoch.
         Duration timeLeft = leaseEnd.minus(Duration.ofNanos(System.nanoTime()));
@@ -106,7 +110,7 @@
         }
         String txn =
                 dispatcher.ownTxnArrived(
-                        statement(chore, epoch, turn, timeLeft),
+                        statement(chore, epoch, runNumber, timeLeft),
                         choreTypeIndex,
                         new TxnDispatcher.TxnCallback() {
                             @Override
@@ -133,8 +137,8 @@
         fleetThread.accept(() -> callback.completed(outcome));
     }
 
-    static Statement statement(Chore chore, long epoch, long turn, Duration timeLeft) {
-        String id = "chore-" + chore.name() + "-" + epoch + "-" + turn;
+    static Statement statement(Chore chore, long epoch, long runNumber, Duration timeLeft) {
+        String id = "chore-" + chore.name() + "-" + epoch + "-" + runNumber;
         String head = "/* id=" + id + ",c=chore,d=";
         String timeLeftMs = Long.toString(timeLeft.toMillis());
         String text =
--- a/src/main/java/wingroad/driver/ClientConnection.java
+++ b/src/main/java/wingroad/driver/ClientConnection.java
@@ -69,7 +69,7 @@
     private boolean hasQueried;
 
     /** Null if tenants are not told apart. */
-    private ClientContext caller;
+    private ClientContext clientContext;
 
     /** The dispatcher's name of the txn that waits for its final answer, or null. */
     private String txn;
@@ -167,7 +167,7 @@
         switch (message.kind()) {
             case STARTUP, NEWER_STARTUP -> {
                 started = true;
-                caller = frontend.caller(connection.from(), message.bytes());
+                clientContext = frontend.clientContext(connection.from(), message.bytes());
                 send(
                         new ClientOutput()
                                 .welcome(
@@ -393,8 +393,8 @@
         return hasQueried;
     }
 
-    ClientContext caller() {
-        return caller;
+    ClientContext clientContext() {
+        return clientContext;
     }
 
     boolean finishing() {
--- a/src/main/java/wingroad/driver/ClientFrontend.java
+++ b/src/main/java/wingroad/driver/ClientFrontend.java
@@ -85,7 +85,7 @@
             TxnDispatcher dispatcher,
             Counters counters,
             List<String> typeNames,
-            Map<String, Object> terms,
+            Map<String, Object> routerSettings,
             IntPredicate isKnownGroup) {
         this.loop = loop;
         this.dispatcher = dispatcher;
@@ -97,11 +97,11 @@
         boolean anyReadsOwnWrites = false;
         Duration longestFound = Duration.ZERO;
         for (int i = 0; i < typeNames.size(); i++) {
-            Object reads = terms.get("txn-type." + i + ".reads");
+            Object reads = routerSettings.get("txn-type." + i + ".reads");
             isUpdateType[i] = "update".equals(reads);
             readsOwnWrites[i] = "own-writes".equals(reads);
             anyReadsOwnWrites |= readsOwnWrites[i];
-            Duration expiry = (Duration) terms.get("txn-type." + i + ".expiry");
+            Duration expiry = (Duration) routerSettings.get("txn-type." + i + ".expiry");
             longestFound = expiry.compareTo(longestFound) > 0 ? expiry : longestFound;
         }
         this.tracksSessions = anyReadsOwnWrites;
@@ -140,16 +140,16 @@
         checkTimeouts();
     }
 
-    /** Passes the caller along with each txn from now on, identified as these settings say. */
-    void identifyCallers(FairQueueSettings settings) {
+    /** Identifies the client of each txn to the fair queues from now on, as these settings say. */
+    void identifyClients(FairQueueSettings settings) {
         fairQueueSettings = settings;
     }
 
     /**
-     * The caller of a connection, with those startup parameters that may name a tenant; null if
+     * The address and those startup parameters of a client that may name its tenant; null if
      * tenants are not told apart.
      */
-    ClientContext caller(String address, byte[] startup) {
+    ClientContext clientContext(String address, byte[] startup) {
         if (fairQueueSettings == null) {
             return null;
         }
@@ -161,12 +161,12 @@
     }
 
     /** The tenant's name for this txn, or null if the client's address stands for it. */
-    private String tenantName(Statement statement, ClientContext caller) {
+    private String tenantName(Statement statement, ClientContext clientContext) {
         for (FairQueueSettings.TenantNameSource source : fairQueueSettings.tenantNameSources()) {
             String name =
                     switch (source.type()) {
                         case COMMENT -> statement.named(source.parameterName());
-                        case STARTUP -> caller.startupParameter(source.parameterName());
+                        case STARTUP -> clientContext.startupParameter(source.parameterName());
                         case ADDRESS -> null;
                     };
             if (name != null) {
@@ -275,16 +275,16 @@
                 tracksSessions && (isUpdateType[typeIndex] || readsOwnWrites[typeIndex])
                         ? statement.session()
                         : TxnDispatcher.NO_SESSION;
-        ClientContext caller = connection.caller();
-        return caller == null || fairQueueSettings == null
+        ClientContext clientContext = connection.clientContext();
+        return clientContext == null || fairQueueSettings == null
                 ? dispatcher.txnArrived(statement, typeIndex, sessionId, connection)
                 : dispatcher.txnArrived(
                         statement,
                         typeIndex,
                         sessionId,
                         connection,
-                        caller,
-                        tenantName(statement, caller));
+                        clientContext,
+                        tenantName(statement, clientContext));
     }
 
     /** Drops the txn of a client that has disconnected. */
--- a/src/main/java/wingroad/driver/Driver.java
+++ b/src/main/java/wingroad/driver/Driver.java
@@ -57,6 +57,14 @@
     /** How many descriptors are left to the process itself; a quarter of them if that is less. */
     private static final int MAX_PROCESS_DESCRIPTORS = 24;
 
+    private static final int PROCESS_DESCRIPTORS_DIVISOR = 4;
+
+    /** Connections may buffer this part of all memory at most. */
+    private static final long BUFFERED_MEMORY_DIVISOR = 8;
+
+    /** Connections may buffer this part of the heap at most. */
+    private static final long BUFFERED_HEAP_DIVISOR = 4;
+
     private final Clock clock = new Clock();
     private final Counters counters = new Counters();
 
@@ -81,7 +89,7 @@
     private FleetAgent fleetAgent;
 
     /** Applies the plan of maintenance work at this driver, or null if none is planned. */
-    private final WorkAgent workAgent;
+    private final MaintenanceAgent maintenanceAgent;
 
     private final List<String> zoneNames;
     private final List<String> kindNames;
@@ -127,8 +135,8 @@
         log = new Log(clock, out);
         zoneNames = configuration.names("azs");
         kindNames = configuration.names("shapes");
-        Map<String, Object> terms = RouterSettings.fromWire(configuration.settings());
-        pullMode = "ask".equals(terms.get("member-list"));
+        Map<String, Object> routerSettings = RouterSettings.fromWire(configuration.settings());
+        pullMode = "ask".equals(routerSettings.get("member-list"));
         // The remaining descriptors are for the process itself: its class archive, its selectors,
         // its log. Connections may buffer a quarter of the heap and an eighth of all memory at
         // most, since a statement is copied while it is processed.
@@ -137,30 +145,35 @@
                         configuration.descriptorLimit()
                                 - Math.min(
                                         MAX_PROCESS_DESCRIPTORS,
-                                        configuration.descriptorLimit() / 4),
+                                        configuration.descriptorLimit()
+                                                / PROCESS_DESCRIPTORS_DIVISOR),
                         Math.min(
-                                configuration.memoryBytes() / 8,
-                                Runtime.getRuntime().maxMemory() / 4),
+                                configuration.memoryBytes() / BUFFERED_MEMORY_DIVISOR,
+                                Runtime.getRuntime().maxMemory() / BUFFERED_HEAP_DIVISOR),
                         log::error);
         Router router =
                 new TxnRouter(
                         operatorFile == null || operatorFile.fleet() == null
-                                ? terms
-                                : ChoreExecutor.withChoreType(terms),
+                                ? routerSettings
+                                : ChoreExecutor.withChoreType(routerSettings),
                         configuration.seed(),
                         log::info);
         dispatcher =
                 new TxnDispatcher(
-                        loop, clock, router, (Duration) terms.get("connect-time-out"), log::error);
+                        loop,
+                        clock,
+                        router,
+                        (Duration) routerSettings.get("connect-time-out"),
+                        log::error);
         clientFrontend =
                 new ClientFrontend(
                         loop,
                         dispatcher,
                         counters,
                         configuration.names("grades"),
-                        terms,
+                        routerSettings,
                         group -> groups.isEmpty() || groups.contains(group));
-        memberPools = new MemberPools(loop, clock, counters, terms, dispatcher);
+        memberPools = new MemberPools(loop, clock, counters, routerSettings, dispatcher);
         discoveryClient =
                 new DiscoveryClient(
                         loop,
@@ -171,21 +184,22 @@
                         this::listFound,
                         () -> dispatcher.router().memberListFailed(clock.now()));
         dispatcher.attach(memberPools, discoveryClient, clientFrontend::closeIdleConnection);
-        workAgent =
+        maintenanceAgent =
                 operatorFile == null
                                 || operatorFile.fleet() == null
                                 || operatorFile.fleet().maintenance() == null
                         ? null
-                        : new WorkAgent(
+                        : new MaintenanceAgent(
                                 loop,
                                 clock,
-                                ChoreExecutor.withDeploymentTerms(operatorFile.fleet(), terms),
-                                TxnType.fromSettings(terms),
+                                ChoreExecutor.withDeploymentSettings(
+                                        operatorFile.fleet(), routerSettings),
+                                TxnType.fromSettings(routerSettings),
                                 memberPools,
                                 this::applyAndLogList,
                                 log::info);
-        if (workAgent != null) {
-            dispatcher.setObserver(workAgent);
+        if (maintenanceAgent != null) {
+            dispatcher.setObserver(maintenanceAgent);
         }
     }
 
@@ -237,16 +251,16 @@
     public static int check(Map<String, String> env, PrintStream out, PrintStream err) {
         try {
             Configuration configuration = Configuration.read(env);
-            Map<String, Object> terms = RouterSettings.fromWire(configuration.settings());
+            Map<String, Object> routerSettings = RouterSettings.fromWire(configuration.settings());
             out.println(
                     "list "
-                            + terms.get("member-list")
+                            + routerSettings.get("member-list")
                             + ", reports "
-                            + terms.get("reports")
+                            + routerSettings.get("reports")
                             + ", members check "
-                            + terms.get("members-check")
+                            + routerSettings.get("members-check")
                             + ", drivers "
-                            + ((Double) terms.get("drivers")).longValue()
+                            + ((Double) routerSettings.get("drivers")).longValue()
                             + ", txn types "
                             + configuration.names("grades").size());
             return 0;
@@ -287,9 +301,9 @@
         loop.run(
                 () -> {
                     applyList(
-                            workAgent == null
+                            maintenanceAgent == null
                                     ? configuration.knownMembers()
-                                    : workAgent.effective(configuration.knownMembers()));
+                                    : maintenanceAgent.effective(configuration.knownMembers()));
                     if (pullMode) {
                         firstFetchDone = true;
                     } else {
@@ -338,13 +352,13 @@
 
     private void serve() throws IOException {
         enableFairQueues();
-        if (workAgent == null) {
+        if (maintenanceAgent == null) {
             clientFrontend.listen(configuration.listen());
         } else {
             // Until the plan is known hardly any member may be used: clients wait in the backlog,
             // or connect elsewhere.
             clientFrontend.bind(configuration.listen());
-            workAgent.whenKnown(clientFrontend::startAccepting);
+            maintenanceAgent.whenKnown(clientFrontend::startAccepting);
         }
         InetSocketAddress address = clientFrontend.localAddress();
         log.info(
@@ -366,15 +380,15 @@
     /** Joins the fleet; clients are served even if that fails. */
     private void joinFleet() {
         try {
-            FleetConfig rules =
-                    workAgent == null
+            FleetConfig fleetConfig =
+                    maintenanceAgent == null
                             ? operatorFile.fleet()
-                            : ChoreExecutor.withDeploymentTerms(
+                            : ChoreExecutor.withDeploymentSettings(
                                     operatorFile.fleet(),
                                     RouterSettings.fromWire(configuration.settings()));
             fleetAgent =
                     FleetAgent.start(
-                            rules,
+                            fleetConfig,
                             loop,
                             clock,
                             dispatcher,
@@ -382,7 +396,7 @@
                             configuration,
                             !pullMode,
                             this::listLearnt,
-                            workAgent,
+                            maintenanceAgent,
                             log);
         } catch (IOException e) {
             log.info("fleet: can't start: " + e.getMessage());
@@ -398,7 +412,7 @@
                             configuration.seed(),
                             log::info);
             dispatcher.useFairQueues(fairQueues);
-            clientFrontend.identifyCallers(operatorFile.door());
+            clientFrontend.identifyClients(operatorFile.door());
             log.info(
                     "door: "
                             + operatorFile.door().tenants().size()
@@ -416,7 +430,7 @@
     }
 
     private void listLearnt(MemberList list) {
-        applyAndLogList(workAgent == null ? list : workAgent.effective(list));
+        applyAndLogList(maintenanceAgent == null ? list : maintenanceAgent.effective(list));
     }
 
     private void applyAndLogList(MemberList list) {
@@ -492,7 +506,7 @@
             enableFairQueues();
         } else {
             fairQueues.updateSettings(clock.now(), operatorFile.door());
-            clientFrontend.identifyCallers(operatorFile.door());
+            clientFrontend.identifyClients(operatorFile.door());
         }
         log.info(
                 "operator's file reloaded"
--- a/src/main/java/wingroad/driver/FleetAgent.java
+++ b/src/main/java/wingroad/driver/FleetAgent.java
@@ -30,7 +30,7 @@
      *     requests the list itself
      */
     static FleetAgent start(
-            FleetConfig rules,
+            FleetConfig fleetConfig,
             EventLoop loop,
             Clock clock,
             TxnDispatcher dispatcher,
@@ -38,17 +38,17 @@
             Configuration configuration,
             boolean watchesDiscovery,
             Consumer<MemberList> onList,
-            WorkAgent workAgent,
+            MaintenanceAgent maintenanceAgent,
             Log log)
             throws IOException {
         MemberListRelay listRelay =
-                rules.listCheckInterval() == null || !watchesDiscovery
+                fleetConfig.listCheckInterval() == null || !watchesDiscovery
                         ? null
                         : new MemberListRelay(
                                 loop,
                                 clock,
                                 discoveryClient,
-                                rules,
+                                fleetConfig,
                                 discoveryClient.heldVersion(),
                                 onList,
                                 log::info);
@@ -57,7 +57,7 @@
                         loop, dispatcher, RouterSettings.fromWire(configuration.settings()));
         FleetNode fleet =
                 FleetNode.start(
-                        rules.withDefaultDriver(configuration.name()),
+                        fleetConfig.withDefaultDriver(configuration.name()),
                         log::info,
                         log::error,
                         choreExecutor,
@@ -66,13 +66,13 @@
                                 listRelay.messageReceived(epoch, message);
                             }
                         },
-                        workAgent);
+                        maintenanceAgent);
         choreExecutor.setFleetThread(fleet::execute);
         if (listRelay != null) {
             listRelay.start(fleet);
         }
-        if (workAgent != null) {
-            workAgent.start(fleet);
+        if (maintenanceAgent != null) {
+            maintenanceAgent.start(fleet);
         }
         return new FleetAgent(fleet, listRelay);
     }
--- a/src/main/java/wingroad/driver/Log.java
+++ b/src/main/java/wingroad/driver/Log.java
@@ -15,6 +15,8 @@
     private static final int MAX_QUEUED_LINES = 1000;
 
     private static final int MAX_STACK_FRAMES = 6;
+    private static final int MAX_FLUSH_CHECK_COUNT = 20;
+    private static final long FLUSH_CHECK_INTERVAL_MS = 5;
 
     private final Clock clock;
     private final BlockingQueue<String> lines = new ArrayBlockingQueue<>(MAX_QUEUED_LINES);
@@ -64,8 +66,8 @@
 
     /** Waits up to 100 ms for queued lines to be written. */
     void flush() throws InterruptedException {
-        for (int i = 0; i < 20 && !lines.isEmpty(); i++) {
-            Thread.sleep(5);
+        for (int i = 0; i < MAX_FLUSH_CHECK_COUNT && !lines.isEmpty(); i++) {
+            Thread.sleep(FLUSH_CHECK_INTERVAL_MS);
         }
     }
 }
--- a/src/main/java/wingroad/driver/WorkAgent.java
+++ b/src/main/java/wingroad/driver/MaintenanceAgent.java
@@ -32,12 +32,12 @@
 /**
  * Applies the plan of maintenance work at this driver: combines discovery's member lists with the
  * plan into the lists that the router is given, reports which draining machines have no txns of
- * this driver left, and conducts the work while this driver owns that duty. Runs on the event
- * loop's thread, except for the calls of {@link MaintenancePlanListener}.
+ * this driver left, and runs the maintenance controller while this driver owns that duty. Runs on
+ * the event loop's thread, except for the calls of {@link MaintenancePlanListener}.
  */
-final class WorkAgent implements MaintenancePlanListener, TxnDispatcher.Observer {
+final class MaintenanceAgent implements MaintenancePlanListener, TxnDispatcher.Observer {
     /**
-     * How often the conductor probes a member within the duration of a lease, which is how long
+     * How often the controller probes a member within the duration of a lease, which is how long
      * observations of members count.
      */
     private static final int PROBES_PER_LEASE = 3;
@@ -47,19 +47,18 @@
 
     private final EventLoop loop;
     private final Clock clock;
-    private final MaintenanceSettings rules;
+    private final MaintenanceSettings settings;
     private final Collection<String> voters;
     private final TxnType[] types;
     private final MemberPools memberPools;
     private final Consumer<MemberList> onList;
     private final Consumer<String> log;
 
-    /** For how long a lease is held. */
-    private final Duration lease;
+    private final Duration leaseDuration;
 
     private final Duration checkInterval;
     private final Duration probeInterval;
-    private final MemberAvailability view;
+    private final MemberAvailability availability;
     private final PlanCopy planCopy = new PlanCopy();
     private final MemberObservations observations;
 
@@ -78,7 +77,7 @@
     /** The time that submissions have spent at the members of each group, in total. */
     private final Map<Integer, Long> busyMsByGroup = new TreeMap<>();
 
-    /** When the conductor last probed each member, by the member's uid. */
+    /** When the controller last probed each member, by the member's uid. */
     private final Map<String, Duration> probedAt = new TreeMap<>();
 
     /** Null until the driver has joined its fleet. */
@@ -90,14 +89,14 @@
     /** When the effective entries change next even if nothing is heard, or null. */
     private Duration nextRelistAt;
 
-    /** The epoch under which this driver owns the conductor's duty, or 0. */
-    private long epoch;
+    /** The epoch under which this driver owns the controller's duty, or 0. */
+    private long dutyEpoch;
 
-    /** Null while this driver does not conduct. */
-    private MaintenanceController conductor;
+    /** Null while this driver does not own the controller's duty. */
+    private MaintenanceController controller;
 
-    /** The epoch for which {@link #conductor} was created. */
-    private long conductorEpoch;
+    /** The epoch for which {@link #controller} was created. */
+    private long controllerEpoch;
 
     /** The plan's revision of which the router has been told. */
     private long knownRevision;
@@ -111,28 +110,28 @@
     /** Whether the view of the plan was current at the last {@link #relist}. */
     private boolean wasCurrent;
 
-    WorkAgent(
+    MaintenanceAgent(
             EventLoop loop,
             Clock clock,
-            FleetConfig fleet,
+            FleetConfig fleetConfig,
             TxnType[] types,
             MemberPools memberPools,
             Consumer<MemberList> onList,
             Consumer<String> log) {
         this.loop = loop;
         this.clock = clock;
-        this.rules = fleet.maintenance();
-        this.voters = fleet.voterAddresses().keySet();
+        this.settings = fleetConfig.maintenance();
+        this.voters = fleetConfig.voterAddresses().keySet();
         this.types = types;
         this.memberPools = memberPools;
         this.onList = onList;
         this.log = log;
-        lease = fleet.lease().duration();
-        checkInterval = fleet.lease().heartbeatInterval().dividedBy(2);
-        probeInterval = fleet.lease().duration().dividedBy(PROBES_PER_LEASE);
-        view = new MemberAvailability(rules, now(), fleet.lease().duration());
-        observations = new MemberObservations(fleet.lease().duration());
-        nextRelistAt = view.nextChangeAt(now());
+        leaseDuration = fleetConfig.lease().duration();
+        checkInterval = fleetConfig.lease().heartbeatInterval().dividedBy(2);
+        probeInterval = fleetConfig.lease().duration().dividedBy(PROBES_PER_LEASE);
+        availability = new MemberAvailability(settings, now(), fleetConfig.lease().duration());
+        observations = new MemberObservations(fleetConfig.lease().duration());
+        nextRelistAt = availability.nextChangeAt(now());
     }
 
     /** The time by the fleet's clock, in which leases are expressed. */
@@ -143,7 +142,7 @@
     /** Runs the task once the plan is known, but after the duration of a lease at the latest. */
     void whenKnown(Runnable task) {
         onPlanKnown = task;
-        loop.after(lease, this::planKnown);
+        loop.after(leaseDuration, this::planKnown);
     }
 
     private void planKnown() {
@@ -198,13 +197,13 @@
 
     private Entry effective(Entry entry, Duration now) {
         MemberAvailability.State state =
-                view.state(entry.uid(), () -> groupHasOtherMember(entry), now);
+                availability.state(entry.uid(), () -> groupHasOtherMember(entry), now);
         return switch (state) {
             case AS_LISTED -> entry;
             case DRAINING -> withState(entry, "draining", entry.startedAt());
             case GONE -> withState(entry, "gone", entry.startedAt());
             case COLD -> {
-                Duration returnedAt = view.returningSince(entry.uid());
+                Duration returnedAt = availability.returningSince(entry.uid());
                 double startedAtUnixMs =
                         returnedAt == null
                                 ? entry.startedAt()
@@ -247,11 +246,14 @@
                                 other.group() == entry.group()
                                         && !other.uid().equals(entry.uid())
                                         && !other.draining()
-                                        && (view.planCopy() == null
-                                                || view.planCopy().machineOf(other.uid()) == null
-                                                || view.planCopy()
+                                        && (availability.planCopy() == null
+                                                || availability.planCopy().machineOf(other.uid())
+                                                        == null
+                                                || availability
+                                                                .planCopy()
                                                                 .entry(
-                                                                        view.planCopy()
+                                                                        availability
+                                                                                .planCopy()
                                                                                 .machineOf(
                                                                                         other.uid())
                                                                                 .name())
@@ -272,19 +274,19 @@
         if (!changed.isEmpty()) {
             onList.accept(new MemberList(0, false, changed));
         }
-        nextRelistAt = view.nextChangeAt(now);
-        boolean current = view.isCurrent(now);
+        nextRelistAt = availability.nextChangeAt(now);
+        boolean current = availability.isCurrent(now);
         if (current != wasCurrent) {
             wasCurrent = current;
             log.accept(
                     current
                             ? "work: the plan is known, revision "
-                                    + view.revision()
+                                    + availability.revision()
                                     + ", "
-                                    + view.planCopy().entries().size()
+                                    + availability.planCopy().entries().size()
                                     + " machines requested"
                             : "work: the view of the plan has expired at revision "
-                                    + view.revision()
+                                    + availability.revision()
                                     + ": "
                                     + loggedStages.values().stream()
                                             .filter(MaintenanceStage::announced)
@@ -292,7 +294,7 @@
                                     + " announced machines are avoided");
         }
         if (current) {
-            knownRevision = view.revision();
+            knownRevision = availability.revision();
             updateDrainingSince(now);
             planKnown();
         }
@@ -300,7 +302,9 @@
 
     private void updateDrainingSince(Duration now) {
         Set<String> drainingMachines = new TreeSet<>();
-        view.drainingEntries().forEach(planEntry -> drainingMachines.add(planEntry.machine()));
+        availability
+                .drainingEntries()
+                .forEach(planEntry -> drainingMachines.add(planEntry.machine()));
         drainingSince.keySet().retainAll(drainingMachines);
         drainingMachines.forEach(machine -> drainingSince.putIfAbsent(machine, now));
     }
@@ -364,8 +368,8 @@
                     if (figures != null) {
                         planCopy.updateFleetFigures(figures, liveDrivers);
                     }
-                    if (isNewer || view.planCopy() == null) {
-                        view.updatePlan(planCopy, now());
+                    if (isNewer || availability.planCopy() == null) {
+                        availability.updatePlan(planCopy, now());
                         logStageChanges();
                         relist();
                         sendReport();
@@ -404,20 +408,20 @@
     }
 
     @Override
-    public void leaseUpdated(Duration leaseEnd, boolean sessionEnded, long conductingEpoch) {
+    public void leaseUpdated(Duration leaseEnd, boolean sessionEnded, long conductorEpoch) {
         loop.run(
                 () -> {
-                    epoch = sessionEnded ? 0 : conductingEpoch;
+                    dutyEpoch = sessionEnded ? 0 : conductorEpoch;
                     if (sessionEnded) {
-                        view.endLease();
+                        availability.endLease();
                     } else {
-                        view.extendLease(leaseEnd);
+                        availability.extendLease(leaseEnd);
                     }
-                    if (view.isCurrent(now()) != wasCurrent) {
+                    if (availability.isCurrent(now()) != wasCurrent) {
                         relist();
                         sendReport();
                     } else {
-                        nextRelistAt = view.nextChangeAt(now());
+                        nextRelistAt = availability.nextChangeAt(now());
                     }
                 });
     }
@@ -425,24 +429,24 @@
     private void checkPeriodically() {
         beforeRouting();
         sendReport();
-        conduct();
+        controlMaintenance();
         loop.after(checkInterval, this::checkPeriodically);
     }
 
     /** Sends the fleet this driver's state with regard to the plan. */
     private void sendReport() {
-        if (fleet == null || !view.isKnown()) {
+        if (fleet == null || !availability.isKnown()) {
             return;
         }
         Duration now = now();
         Set<String> clearedMachines = new TreeSet<>();
         Map<Integer, String> believedPrimaries = new TreeMap<>();
         Map<Integer, Long> busyMs = new TreeMap<>();
-        if (view.isCurrent(now)) {
+        if (availability.isCurrent(now)) {
             for (Map.Entry<String, Duration> draining : drainingSince.entrySet()) {
                 Machine machine = planCopy.machines().get(draining.getKey());
                 if (machine != null
-                        && now.minus(draining.getValue()).compareTo(rules.drainGrace()) > 0
+                        && now.minus(draining.getValue()).compareTo(settings.drainGrace()) > 0
                         && !memberPools.hasTxnAt(machine::holds)) {
                     clearedMachines.add(draining.getKey());
                 }
@@ -480,45 +484,45 @@
         return groups;
     }
 
-    // ---- conducting ----
+    // ---- control of maintenance work ----
 
-    private void conduct() {
-        if (epoch == 0 || fleet == null || !view.isCurrent(now())) {
-            conductor = null;
+    private void controlMaintenance() {
+        if (dutyEpoch == 0 || fleet == null || !availability.isCurrent(now())) {
+            controller = null;
             return;
         }
-        if (conductor == null || conductorEpoch != epoch) {
-            conductor = new MaintenanceController(rules, voters);
-            conductorEpoch = epoch;
+        if (controller == null || controllerEpoch != dutyEpoch) {
+            controller = new MaintenanceController(settings, voters);
+            controllerEpoch = dutyEpoch;
             log.accept(
-                    "work: conducts in epoch "
-                            + epoch
+                    "work: this driver is the conductor in epoch "
+                            + dutyEpoch
                             + ", "
                             + planCopy.entries().size()
                             + " machines requested");
         }
-        if (!Objects.equals(planCopy.inventoryLines(), rules.toLines())) {
-            fleet.proposeMachines(epoch, rules.toLines());
+        if (!Objects.equals(planCopy.inventoryLines(), settings.toLines())) {
+            fleet.proposeMachines(dutyEpoch, settings.toLines());
             return;
         }
         List<MaintenanceController.Step> steps =
-                conductor.nextSteps(planCopy, observations, System.currentTimeMillis(), now());
+                controller.nextSteps(planCopy, observations, System.currentTimeMillis(), now());
         probeMembers();
-        conductor
+        controller
                 .takeAlerts()
                 .forEach((machine, text) -> log.accept("work: " + machine + " " + text));
         if (!steps.isEmpty()) {
-            fleet.proposeSteps(epoch, steps);
+            fleet.proposeSteps(dutyEpoch, steps);
         }
     }
 
     /**
-     * Probes the members of the groups concerned, since a conductor with few txns of its own
+     * Probes the members of the groups concerned, since a controller with few txns of its own
      * observes too little.
      */
     private void probeMembers() {
         Duration now = now();
-        Set<Integer> groups = conductor.groupsToObserve(planCopy);
+        Set<Integer> groups = controller.groupsToObserve(planCopy);
         probedAt.keySet().retainAll(discoveredEntries.keySet());
         for (Entry entry : discoveredEntries.values()) {
             Duration lastProbeAt = probedAt.get(entry.uid());
--- a/src/main/java/wingroad/driver/MemberConnection.java
+++ b/src/main/java/wingroad/driver/MemberConnection.java
@@ -100,7 +100,7 @@
         requestTimer =
                 loop.after(
                         newRequest.deadline().minus(requestOrIdleSince),
-                        () -> abandonRequest("response timed out", progress().endIfTimedOut()));
+                        () -> abandonRequest("response timed out", progress().outcomeIfTimedOut()));
     }
 
     /** Sends a request on an idle connection, at once or after the reuse delay. */
@@ -302,13 +302,13 @@
                     lostRequest,
                     rejectedAsFull
                             ? Outcome.FULL
-                            : memberMoved(stateBefore) ? Outcome.MOOT : progress.endIfLost(),
+                            : memberMoved(stateBefore) ? Outcome.MOOT : progress.outcomeIfLost(),
                     pools.now().minus(requestOrIdleSince),
                     reason);
         }
     }
 
-    private void abandonRequest(String reason, Outcome end) {
+    private void abandonRequest(String reason, Outcome outcome) {
         if (state != State.CLOSED) {
             MemberRequest abandoned = request;
             State stateBefore = state;
@@ -316,7 +316,7 @@
             if (abandoned != null) {
                 pools.requestFailed(
                         abandoned,
-                        memberMoved(stateBefore) ? Outcome.MOOT : end,
+                        memberMoved(stateBefore) ? Outcome.MOOT : outcome,
                         pools.now().minus(requestOrIdleSince),
                         reason);
             }
@@ -339,7 +339,7 @@
 
     /** Stops waiting for the response to the request. */
     void cancel() {
-        abandonRequest("cancelled", progress().endIfCancelled());
+        abandonRequest("cancelled", progress().outcomeIfCancelled());
     }
 
     /** Closes the connection; the member is told first if it is idle. */
--- a/src/main/java/wingroad/driver/MemberListRelay.java
+++ b/src/main/java/wingroad/driver/MemberListRelay.java
@@ -28,7 +28,7 @@
 
     private final EventLoop loop;
     private final Clock clock;
-    private final DiscoveryClient discovery;
+    private final DiscoveryClient discoveryClient;
     private final Consumer<MemberList> onList;
     private final Consumer<String> log;
     private final Duration checkInterval;
@@ -44,22 +44,22 @@
     MemberListRelay(
             EventLoop loop,
             Clock clock,
-            DiscoveryClient discovery,
-            FleetConfig rules,
+            DiscoveryClient discoveryClient,
+            FleetConfig fleetConfig,
             long knownVersion,
             Consumer<MemberList> onList,
             Consumer<String> log) {
         this.loop = loop;
         this.clock = clock;
-        this.discovery = discovery;
+        this.discoveryClient = discoveryClient;
         this.onList = onList;
         this.log = log;
-        checkInterval = rules.lease().heartbeatInterval().dividedBy(2);
+        checkInterval = fleetConfig.lease().heartbeatInterval().dividedBy(2);
         relayHealth =
                 new RelayHealth(
-                        rules.lease().heartbeatInterval().multipliedBy(TOLERATED_BEATS),
-                        rules.lease().heartbeatInterval().multipliedBy(TOLERATED_BEATS),
-                        rules.listCheckInterval());
+                        fleetConfig.lease().heartbeatInterval().multipliedBy(TOLERATED_BEATS),
+                        fleetConfig.lease().heartbeatInterval().multipliedBy(TOLERATED_BEATS),
+                        fleetConfig.listCheckInterval());
         version = knownVersion;
         relayHealth.onDirectFetch(knownVersion, clock.now());
     }
@@ -119,17 +119,17 @@
             followsOwner = ownerUsable;
             log.accept(
                     ownerUsable
-                            ? "list: follows the owner, holds " + version
-                            : "list: watches discovery itself, holds " + version);
+                            ? "list: follows the owner, version " + version
+                            : "list: watches discovery itself, version " + version);
         }
         if (ownerUsable) {
-            discovery.stopWatch();
+            discoveryClient.stopWatch();
             if (relayHealth.isCheckDue(now)) {
                 relayHealth.onCheckStarted(now);
-                discovery.fetch();
+                discoveryClient.fetch();
             }
         } else {
-            discovery.watch();
+            discoveryClient.watch();
         }
         if (fleet != null) {
             // Published even if nothing is new, so that drivers can tell a silent owner from a list
@@ -183,10 +183,10 @@
                 clock.now())) {
             case APPLY -> {
                 version = revision;
-                discovery.advanceTo(revision);
+                discoveryClient.advanceTo(revision);
                 onList.accept(new MemberList(revision, whole, entries));
             }
-            case FETCH -> discovery.fetch();
+            case FETCH -> discoveryClient.fetch();
             default -> {
                 // nothing new
             }
--- a/src/main/java/wingroad/driver/MemberPools.java
+++ b/src/main/java/wingroad/driver/MemberPools.java
@@ -124,17 +124,17 @@
             EventLoop loop,
             Clock clock,
             Counters counters,
-            Map<String, Object> terms,
+            Map<String, Object> routerSettings,
             MemberTransportListener listener) {
         this.loop = loop;
         this.clock = clock;
         this.counters = counters;
         this.listener = listener;
-        this.connectTimeout = (Duration) terms.get("connect-time-out");
+        this.connectTimeout = (Duration) routerSettings.get("connect-time-out");
         // Idle connections are closed one connect timeout before the member may close them, so that
         // no request crosses the close. If little time would remain, half of the member's timeout
         // is used: connections that are never reused cost the members more.
-        Duration memberIdleTimeout = (Duration) terms.get("idle-time");
+        Duration memberIdleTimeout = (Duration) routerSettings.get("idle-time");
         this.idleTimeout =
                 max(memberIdleTimeout.minus(connectTimeout), memberIdleTimeout.dividedBy(2));
     }
@@ -358,22 +358,23 @@
                     elapsed,
                     response.probeReport != null ? response.probeReport : response.status.report());
         } else {
-            counters.count(response.end.name());
-            listener.submissionEnded(request, response.end, elapsed, response.status, response.row);
+            counters.count(response.outcome.name());
+            listener.submissionEnded(
+                    request, response.outcome, elapsed, response.status, response.row);
         }
     }
 
-    void requestFailed(MemberRequest request, Outcome end, Duration elapsed, String reason) {
+    void requestFailed(MemberRequest request, Outcome outcome, Duration elapsed, String reason) {
         if (request.isProbe() && request.submission() == ROLE_PROBE_SUBMISSION) {
             listener.roleProbeEnded(request.member(), false, null);
         } else if (request.isProbe()) {
             counters.count("probe " + reason);
             listener.probeEnded(request.member(), false, elapsed, null);
         } else {
-            counters.count(end.name());
+            counters.count(outcome.name());
             counters.count(reason);
             listener.submissionEnded(
-                    request, end, elapsed, TxnDispatcher.MemberStatus.UNKNOWN, null);
+                    request, outcome, elapsed, TxnDispatcher.MemberStatus.UNKNOWN, null);
         }
     }
 
--- a/src/main/java/wingroad/driver/MemberResponse.java
+++ b/src/main/java/wingroad/driver/MemberResponse.java
@@ -19,7 +19,7 @@
     /** Stands for a response that could not be processed; its statement may have run. */
     static final MemberResponse UNREADABLE = new MemberResponse(Outcome.ERROR);
 
-    final Outcome end;
+    final Outcome outcome;
     final MemberStatus status;
 
     /** The messages that carry the row, or null if there is none. */
@@ -28,15 +28,15 @@
     /** The gauges that a probe returned as its row, or null. */
     final MemberReport probeReport;
 
-    private MemberResponse(Outcome end) {
-        this.end = end;
+    private MemberResponse(Outcome outcome) {
+        this.outcome = outcome;
         status = MemberStatus.UNKNOWN;
         row = null;
         probeReport = null;
     }
 
     MemberResponse(MemberInput input, Clock clock, boolean probe) {
-        end = end(input);
+        outcome = outcome(input);
         Double position = Gauges.number(input.parameter("caught_up_to"));
         String gauges = input.parameter("gauges");
         status =
@@ -51,7 +51,7 @@
                         : null;
     }
 
-    private static Outcome end(MemberInput input) {
+    private static Outcome outcome(MemberInput input) {
         if (input.served()) {
             return Outcome.COMMITTED;
         }
--- a/src/main/java/wingroad/driver/MemberTransportListener.java
+++ b/src/main/java/wingroad/driver/MemberTransportListener.java
@@ -14,7 +14,7 @@
      */
     void submissionEnded(
             MemberRequest request,
-            Outcome end,
+            Outcome outcome,
             Duration elapsed,
             TxnDispatcher.MemberStatus status,
             byte[] row);
--- a/src/main/java/wingroad/driver/TxnDispatcher.java
+++ b/src/main/java/wingroad/driver/TxnDispatcher.java
@@ -267,8 +267,8 @@
     // ---- events from clients ----
 
     /**
-     * Accepts a txn, as {@link #txnArrived(Statement, int, long, TxnCallback, Caller, String)} does
-     * for a client without a caller.
+     * Accepts a txn, as {@link #txnArrived(Statement, int, long, TxnCallback, ClientContext,
+     * String)} does for a client of which nothing else is known.
      */
     String txnArrived(Statement statement, int typeIndex, long sessionId, TxnCallback callback) {
         return txnArrived(statement, typeIndex, sessionId, callback, null, null);
@@ -283,7 +283,7 @@
      * Accepts a client's txn.
      *
      * @param sessionId {@link #NO_SESSION} if it belongs to none
-     * @param caller who asks, for the fair queues; may be null
+     * @param clientContext identifies the client to the fair queues; may be null
      * @param tenantName the tenant that the txn counts for, or null if its address does
      * @return the txn's name within the driver, or null if it can't be processed
      */
@@ -292,10 +292,16 @@
             int typeIndex,
             long sessionId,
             TxnCallback callback,
-            ClientContext caller,
+            ClientContext clientContext,
             String tenantName) {
         return txnArrived(
-                statement, typeIndex, sessionId, callback, caller, tenantName, fairQueues != null);
+                statement,
+                typeIndex,
+                sessionId,
+                callback,
+                clientContext,
+                tenantName,
+                fairQueues != null);
     }
 
     private String txnArrived(
@@ -303,7 +309,7 @@
             int typeIndex,
             long sessionId,
             TxnCallback callback,
-            ClientContext caller,
+            ClientContext clientContext,
             String tenantName,
             boolean throughFairQueues) {
         Duration now = clock.now();
@@ -326,7 +332,7 @@
                                 typeIndex,
                                 statement.group(),
                                 timeLeft,
-                                caller,
+                                clientContext,
                                 tenantName,
                                 statement.retry());
                 scheduleRouting();
@@ -377,20 +383,21 @@
     @Override
     public void submissionEnded(
             MemberRequest request,
-            Submission.Outcome end,
+            Submission.Outcome outcome,
             Duration elapsed,
             MemberStatus status,
             byte[] row) {
         Duration now = clock.now();
         passReportToRouter(now, request.member(), status.report());
         if (observer != null) {
-            notifySubmissionEnd(request.member(), end, elapsed, status);
+            notifySubmissionEnd(request.member(), outcome, elapsed, status);
         }
         OpenTxn openTxn = openTxns.get(request.txn());
         if (openTxn != null && openTxn.queuedTxn != null) {
-            fairQueues.onSubmissionEnded(now, openTxn.queuedTxn, end, elapsed);
+            fairQueues.onSubmissionEnded(now, openTxn.queuedTxn, outcome, elapsed);
         }
-        OpenTxn committed = end == Submission.Outcome.COMMITTED ? closeTxn(request.txn()) : null;
+        OpenTxn committed =
+                outcome == Submission.Outcome.COMMITTED ? closeTxn(request.txn()) : null;
         if (committed != null) {
             notifyTxnEnd(committed, now, true);
             committed.callback.committed(row);
@@ -401,7 +408,7 @@
                             request.txn(),
                             request.submission(),
                             request.member(),
-                            end,
+                            outcome,
                             elapsed,
                             committed != null,
                             status.role(),
@@ -433,11 +440,11 @@
     }
 
     private void notifySubmissionEnd(
-            long member, Submission.Outcome end, Duration elapsed, MemberStatus status) {
+            long member, Submission.Outcome outcome, Duration elapsed, MemberStatus status) {
         observer.onSubmissionEnd(member, elapsed);
-        if (end == Submission.Outcome.COMMITTED || status.role() != Member.Role.UNKNOWN) {
+        if (outcome == Submission.Outcome.COMMITTED || status.role() != Member.Role.UNKNOWN) {
             observer.onMemberStatus(member, status.role(), status.position());
-        } else if (end != Submission.Outcome.MOOT && end != Submission.Outcome.CANCELLED) {
+        } else if (outcome != Submission.Outcome.MOOT && outcome != Submission.Outcome.CANCELLED) {
             observer.onMemberFailure(member);
         }
     }
--- a/src/main/java/wingroad/driver/WarmUp.java
+++ b/src/main/java/wingroad/driver/WarmUp.java
@@ -29,11 +29,14 @@
 
     private static final int CONCURRENT_TXN_COUNT = 8;
     private static final int MEMBER_COUNT = 3;
+    private static final long PROBE_TIMEOUT_MS = 250;
+    private static final long RESPONSE_TIME_MS = 10;
+    private static final long PROBE_RESPONSE_TIME_MS = 1;
 
     private final EventLoop loop;
     private final Clock clock = new Clock();
     private final List<String> typeNames;
-    private final Map<String, Object> terms;
+    private final Map<String, Object> routerSettings;
     private final TxnDispatcher dispatcher;
     private final Runnable onDone;
     private final byte[] memberResponse;
@@ -44,24 +47,30 @@
 
     /** Runs the warm-up and then {@code onDone}, both on the loop's thread. */
     static void run(
-            EventLoop loop, List<String> typeNames, Map<String, Object> terms, Runnable onDone) {
-        WarmUp warmUp = new WarmUp(loop, typeNames, terms, onDone);
+            EventLoop loop,
+            List<String> typeNames,
+            Map<String, Object> routerSettings,
+            Runnable onDone) {
+        WarmUp warmUp = new WarmUp(loop, typeNames, routerSettings, onDone);
         loop.run(warmUp::start);
     }
 
     private WarmUp(
-            EventLoop loop, List<String> typeNames, Map<String, Object> terms, Runnable onDone) {
+            EventLoop loop,
+            List<String> typeNames,
+            Map<String, Object> routerSettings,
+            Runnable onDone) {
         this.loop = loop;
         this.typeNames = typeNames;
-        this.terms = terms;
+        this.routerSettings = routerSettings;
         this.onDone = onDone;
         this.startedAt = clock.now();
         dispatcher =
                 new TxnDispatcher(
                         loop,
                         clock,
-                        new TxnRouter(terms, 1, line -> {}),
-                        Duration.ofMillis(250),
+                        new TxnRouter(routerSettings, 1, line -> {}),
+                        Duration.ofMillis(PROBE_TIMEOUT_MS),
                         this::failed);
         dispatcher.attach(
                 new TxnDispatcher.MemberTransport() {
@@ -145,7 +154,7 @@
             return;
         }
         int typeIndex = startedTxnCount++ % typeNames.size();
-        boolean writes = "update".equals(terms.get("txn-type." + typeIndex + ".reads"));
+        boolean writes = "update".equals(routerSettings.get("txn-type." + typeIndex + ".reads"));
         String comment =
                 "/* id=rehearsal"
                         + startedTxnCount
@@ -166,7 +175,7 @@
         dispatcher.txnArrived(
                 statement,
                 typeIndex,
-                -1,
+                TxnDispatcher.NO_SESSION,
                 new TxnDispatcher.TxnCallback() {
                     @Override
                     public void committed(byte[] row) {
@@ -207,12 +216,16 @@
             dispatcher.probeEnded(
                     request.member(),
                     true,
-                    Duration.ofMillis(1),
+                    Duration.ofMillis(PROBE_RESPONSE_TIME_MS),
                     new TxnDispatcher.MemberReport(status.role(), clock.now(), 1, 0, 0));
         } else {
             MemberOutput.query(request.statement().withLeft(2000));
             dispatcher.submissionEnded(
-                    request, Outcome.COMMITTED, Duration.ofMillis(10), status, response.row);
+                    request,
+                    Outcome.COMMITTED,
+                    Duration.ofMillis(RESPONSE_TIME_MS),
+                    status,
+                    response.row);
         }
     }
 
