--- a/src/main/java/wingroad/routing/Decision.java
+++ b/src/main/java/wingroad/routing/Decision.java
@@ -22,13 +22,13 @@
      * Submit the txn to the member; give the submission up at {@code until} (null: with the
      * client).
      */
-    public static Decision submit(String txn, long member, int submission, Duration until) {
-        return new Decision(Kind.SUBMIT, txn, member, submission, until);
+    public static Decision submit(String txn, long member, int submission, Duration deadline) {
+        return new Decision(Kind.SUBMIT, txn, member, submission, deadline);
     }
 
     /** Final answer: nothing ran, a retry is harmless; {@code comeBack} may be null. */
-    public static Decision decline(String txn, Duration comeBack) {
-        return new Decision(Kind.DECLINE, txn, -1, -1, comeBack);
+    public static Decision decline(String txn, Duration retryDelay) {
+        return new Decision(Kind.DECLINE, txn, -1, -1, retryDelay);
     }
 
     /** Final answer: failed, nothing promised. */
--- a/src/main/java/wingroad/routing/Router.java
+++ b/src/main/java/wingroad/routing/Router.java
@@ -15,15 +15,15 @@
  */
 public interface Router {
     /** A member list begins; {@code whole}: what is not named in it is gone. */
-    void memberListStarted(Duration now, boolean whole);
+    void memberListStarted(Duration now, boolean complete);
 
     /** One entry of the list that has begun. {@code startedAt} is null for long ago. */
     void memberListed(
             Duration now,
-            long member,
-            int group,
+            long memberId,
+            int groupId,
             int zone,
-            int kind,
+            int hostClass,
             double weight,
             boolean primary,
             boolean draining,
@@ -37,7 +37,7 @@
      * Whether the member is still thought of; one that is gone and has no work out is let go when a
      * list ends.
      */
-    boolean knowsMember(long member);
+    boolean knowsMember(long memberId);
 
     /** A call for the list failed; the one held stays. */
     void memberListFailed(Duration now);
@@ -53,14 +53,14 @@
      */
     void txnArrived(
             Duration now,
-            String txn,
-            int type,
-            int group,
-            Duration left,
+            String txnId,
+            int typeIndex,
+            int groupId,
+            Duration timeLeft,
             long session,
-            Duration sinceWrite,
+            Duration sinceLastWrite,
             boolean retry,
-            Duration waited);
+            Duration queuedTime);
 
     /**
      * A submission has ended.
@@ -72,43 +72,43 @@
      */
     void submissionEnded(
             Duration now,
-            String txn,
-            int submission,
-            long member,
-            Submission.Outcome end,
-            Duration took,
-            boolean over,
+            String txnId,
+            int submissionNumber,
+            long memberId,
+            Submission.Outcome outcome,
+            Duration duration,
+            boolean isFinal,
             Member.Role role,
             Duration position);
 
     /** A member's own report came with an answer or a probe; figures not in it are NaN. */
     void memberReported(
             Duration now,
-            long member,
+            long memberId,
             Member.Role role,
             Duration position,
-            double held,
-            double waiting,
-            double busy);
+            double activeCount,
+            double queueLength,
+            double utilization);
 
     /** A probe has ended; what it found was given to {@link #memberReported} before. */
-    void probeEnded(Duration now, long member, boolean answered, Duration took);
+    void probeEnded(Duration now, long memberId, boolean answered, Duration duration);
 
     /**
      * Asked by a host for which time passes between the decision to submit and the sending, because
      * a connection has to be opened: whether the submission is still to be sent. If not, it ends as
      * never sent.
      */
-    boolean mayStillSend(Duration now, String txn, long member);
+    boolean mayStillSend(Duration now, String txnId, long memberId);
 
     /**
      * The host ends: all that is open has its final answer by then, whatever its client would wait
      * for.
      */
-    void answerAllBy(Duration now, Duration by);
+    void answerAllBy(Duration now, Duration deadline);
 
     /** The client has left; no answer is owed. */
-    void txnAbandoned(Duration now, String txn);
+    void txnAbandoned(Duration now, String txnId);
 
     /** The next decision, or null when there is none for now. */
     Decision nextDecision(Duration now);
--- a/src/main/java/wingroad/routing/TxnRouter.java
+++ b/src/main/java/wingroad/routing/TxnRouter.java
@@ -45,184 +45,204 @@
     /**
      * The design's figures: the primary's probe at rest, and its fast rate and span after a change.
      */
-    private static final Duration STEADY_PROBE = Duration.ofSeconds(5);
+    private static final Duration STEADY_PROBE_INTERVAL = Duration.ofSeconds(5);
 
-    private static final Duration WATCH_PROBE = Duration.ofMillis(100);
-    private static final Duration WATCH_SPAN = Duration.ofSeconds(30);
-    private static final Duration SEARCH_PAUSE = Duration.ofMillis(100);
-    private static final double SPILL_SHARE = 0.1;
+    private static final Duration FAST_PROBE_INTERVAL = Duration.ofMillis(100);
+    private static final Duration FAST_PROBE_PERIOD = Duration.ofSeconds(30);
+    private static final Duration SEARCH_PROBE_INTERVAL = Duration.ofMillis(100);
+    private static final double MIN_SPILL_SHARE = 0.1;
 
     /** Reads that may be sent to a group, as a multiple of those answered in time of late. */
-    private static final double IN_TIME_MULTIPLE = 1.25;
+    private static final double CREDIT_PER_TIMELY_ANSWER = 1.25;
 
     /**
      * Work that a member may leave unanswered, in usual answer times, before it counts as silent.
      */
-    private static final double PATIENCE = 4;
+    private static final double UNRESPONSIVE_AFTER_MEAN_TIMES = 4;
 
     /** How many submissions a member gets at once before its answers have set its limit. */
-    private static final double FIRST_LIMIT = 8;
+    private static final double INITIAL_CONCURRENCY_LIMIT = 8;
 
     /** After so long a session's last write is no longer told from those of others. */
-    private static final Duration SESSION_MEMORY = Duration.ofSeconds(60);
+    private static final Duration SESSION_WRITE_RETENTION = Duration.ofSeconds(60);
 
-    private record Alarm(Duration at, long number, Object what) {}
+    private record ScheduledEvent(Duration dueAt, long sequence, Object target) {}
 
-    private final Map<String, Object> terms;
+    private final Map<String, Object> settings;
     private final Random random;
     private final Consumer<String> log;
-    private final TxnType[] types;
+    private final TxnType[] txnTypes;
 
     /** How long each txn type takes, over all members and by their kind. */
-    private final ResponseTimes[] took;
+    private final ResponseTimes[] responseTimes;
 
-    private final Map<Integer, ResponseTimes[]> tookByKind = new HashMap<>();
-    private final Map<Integer, HostClassLoad> sentToKind = new LinkedHashMap<>();
-    private final DecayingSum firsts;
-    private final DecayingSum furthers;
-    private final DecayingSum ended;
-    private final DecayingSum committed;
+    private final Map<Integer, ResponseTimes[]> responseTimesByHostClass = new HashMap<>();
+    private final Map<Integer, HostClassLoad> loadByHostClass = new LinkedHashMap<>();
+    private final DecayingSum firstSubmissionCount;
+    private final DecayingSum furtherSubmissionCount;
+    private final DecayingSum endedCount;
+    private final DecayingSum committedCount;
 
     /** Submissions that lately found no connection at a member that lives. */
-    private final DecayingSum refused;
+    private final DecayingSum refusedConnectionCount;
 
-    private final Duration[] longestTry;
-    private final Duration memory;
+    private final Duration[] longestTimeLimits;
+    private final Duration timeScale;
 
     /** The shortest age that a read's data may have. */
-    private final Duration bound;
+    private final Duration shortestAgeLimit;
 
-    private final Duration step;
-    private final Duration cold;
-    private final boolean checked;
-    private final boolean ask;
+    private final Duration granularity;
+    private final Duration warmUpPeriod;
+    private final boolean membersCheckFreshness;
+    private final boolean mustRequestMemberList;
 
     private final Map<Long, Member> members = new LinkedHashMap<>();
     private final Map<Integer, Group> groups = new LinkedHashMap<>();
-    private final Map<String, Txn> txns = new HashMap<>();
-    private final Map<Long, Duration> sessionWrites = new LinkedHashMap<>(16, 0.75f, true);
+    private final Map<String, Txn> openTxns = new HashMap<>();
+    private final Map<Long, Duration> lastWriteBySession = new LinkedHashMap<>(16, 0.75f, true);
 
     /** The latest of those sessions' writes that are no longer told apart, or null. */
-    private Duration oldWrites;
+    private Duration lastWriteOfForgottenSessions;
 
-    private final ArrayDeque<Decision> ready = new ArrayDeque<>();
-    private final ArrayDeque<Group> dirty = new ArrayDeque<>();
-    private final PriorityQueue<Alarm> alarms =
+    private final ArrayDeque<Decision> readyDecisions = new ArrayDeque<>();
+    private final ArrayDeque<Group> dirtyGroups = new ArrayDeque<>();
+    private final PriorityQueue<ScheduledEvent> scheduledEvents =
             new PriorityQueue<>(
                     (a, b) ->
-                            a.at.equals(b.at)
-                                    ? Long.compare(a.number, b.number)
-                                    : a.at.compareTo(b.at));
-    private long alarmNumber;
-    private boolean listWhole;
-    private final List<Member> listNamed = new ArrayList<>();
-    private int listFailures;
-    private Duration listAt;
-
-    public TxnRouter(Map<String, Object> terms, long seed, Consumer<String> log) {
-        this.terms = terms;
+                            a.dueAt.equals(b.dueAt)
+                                    ? Long.compare(a.sequence, b.sequence)
+                                    : a.dueAt.compareTo(b.dueAt));
+    private long nextEventSequence;
+    private boolean memberListIsComplete;
+    private final List<Member> listedMembers = new ArrayList<>();
+    private int memberListFailureCount;
+    private Duration nextMemberListRequestAt;
+
+    public TxnRouter(Map<String, Object> settings, long seed, Consumer<String> log) {
+        this.settings = settings;
         this.random = new Random(seed);
         this.log = log;
-        this.step = time("step");
-        this.cold = time("cold");
-        this.checked = !terms.getOrDefault("members-check", "silent").equals("silent");
-        this.ask = "ask".equals(terms.get("member-list"));
-        this.types = TxnType.fromSettings(terms);
-        this.longestTry = new Duration[types.length];
-        Arrays.fill(longestTry, Duration.ZERO);
+        this.granularity = durationSetting("step");
+        this.warmUpPeriod = durationSetting("cold");
+        this.membersCheckFreshness =
+                !settings.getOrDefault("members-check", "silent").equals("silent");
+        this.mustRequestMemberList = "ask".equals(settings.get("member-list"));
+        this.txnTypes = TxnType.fromSettings(settings);
+        this.longestTimeLimits = new Duration[txnTypes.length];
+        Arrays.fill(longestTimeLimits, Duration.ZERO);
         // Updates set the pace, since the roles are about their member: guards against one txn type
         // that
         // takes many times longer than the rest and would stretch what is remembered of all.
-        Duration pace = Duration.ofSeconds(1);
+        Duration longestUpdateSlaTime = Duration.ofSeconds(1);
         Duration shortest = null;
-        for (TxnType type : types) {
-            pace = type.isUpdate() ? max(pace, type.slaTime()) : pace;
-            Duration age = type.maxDataAge();
-            shortest = age.isZero() ? shortest : shortest == null ? age : min(shortest, age);
-        }
-        this.memory = pace;
-        this.bound = shortest == null ? pace : shortest;
-        this.took = newTook();
-        Duration span = pace.multipliedBy(4);
-        this.firsts = new DecayingSum(span);
-        this.furthers = new DecayingSum(span);
-        this.ended = new DecayingSum(span);
-        this.committed = new DecayingSum(span);
-        this.refused = new DecayingSum(pace);
+        for (TxnType type : txnTypes) {
+            longestUpdateSlaTime =
+                    type.isUpdate()
+                            ? max(longestUpdateSlaTime, type.slaTime())
+                            : longestUpdateSlaTime;
+            Duration ageLimit = type.maxDataAge();
+            shortest =
+                    ageLimit.isZero()
+                            ? shortest
+                            : shortest == null ? ageLimit : min(shortest, ageLimit);
+        }
+        this.timeScale = longestUpdateSlaTime;
+        this.shortestAgeLimit = shortest == null ? longestUpdateSlaTime : shortest;
+        this.responseTimes = newResponseTimes();
+        Duration countHalfLife = longestUpdateSlaTime.multipliedBy(4);
+        this.firstSubmissionCount = new DecayingSum(countHalfLife);
+        this.furtherSubmissionCount = new DecayingSum(countHalfLife);
+        this.endedCount = new DecayingSum(countHalfLife);
+        this.committedCount = new DecayingSum(countHalfLife);
+        this.refusedConnectionCount = new DecayingSum(longestUpdateSlaTime);
     }
 
     // ---- inputs: they only update what is known ----
 
     @Override
-    public void memberListStarted(Duration now, boolean whole) {
-        listWhole = whole;
-        listNamed.clear();
+    public void memberListStarted(Duration now, boolean complete) {
+        memberListIsComplete = complete;
+        listedMembers.clear();
     }
 
     @Override
     public void memberListed(
             Duration now,
-            long id,
-            int group,
+            long memberId,
+            int groupId,
             int zone,
-            int kind,
+            int hostClass,
             double weight,
             boolean primary,
             boolean draining,
             boolean gone,
             Duration startedAt) {
-        Member m = members.computeIfAbsent(id, i -> new Member(i, memory));
-        if (m.group == null) {
-            m.group = groups.computeIfAbsent(group, i -> new Group(i, SPILL_SHARE));
-            m.group.members.add(m);
-            m.concurrencyLimit = FIRST_LIMIT;
-        }
-        m.zone = zone;
-        m.hostClass = kind;
-        sentToKind.computeIfAbsent(kind, k -> new HostClassLoad(memory.multipliedBy(4)));
-        m.drainSeen |= draining;
-        if (startedAt != null && (m.startedAt == null || startedAt.compareTo(m.startedAt) > 0)) {
-            m.startedAt = startedAt;
-            m.creditUpdatedAt = null;
-            m.concurrencyLimit = Math.max(1, FIRST_LIMIT * warmth(m, now));
-        }
-        m.stopLearnedAt =
-                !draining && !gone ? null : m.stopLearnedAt == null ? now : m.stopLearnedAt;
-        m.gone = gone;
-        m.listed = !gone;
-        listNamed.add(m);
+        Member member = members.computeIfAbsent(memberId, i -> new Member(i, timeScale));
+        if (member.group == null) {
+            member.group = groups.computeIfAbsent(groupId, i -> new Group(i, MIN_SPILL_SHARE));
+            member.group.members.add(member);
+            member.concurrencyLimit = INITIAL_CONCURRENCY_LIMIT;
+        }
+        member.zone = zone;
+        member.hostClass = hostClass;
+        loadByHostClass.computeIfAbsent(
+                hostClass, k -> new HostClassLoad(timeScale.multipliedBy(4)));
+        member.drainSeen |= draining;
+        if (startedAt != null
+                && (member.startedAt == null || startedAt.compareTo(member.startedAt) > 0)) {
+            member.startedAt = startedAt;
+            member.creditUpdatedAt = null;
+            member.concurrencyLimit =
+                    Math.max(1, INITIAL_CONCURRENCY_LIMIT * capacityShare(member, now));
+        }
+        member.stopLearnedAt =
+                !draining && !gone
+                        ? null
+                        : member.stopLearnedAt == null ? now : member.stopLearnedAt;
+        member.gone = gone;
+        member.listed = !gone;
+        listedMembers.add(member);
         if (primary
                 && !gone
-                && m.group.primary == null
-                && "late".equals(terms.get("role-in-list"))) {
-            m.group.primary = m;
+                && member.group.primary == null
+                && "late".equals(settings.get("role-in-list"))) {
+            member.group.primary = member;
         }
-        touch(m.group);
+        markDirty(member.group);
     }
 
     @Override
     public void memberListEnded(Duration now) {
-        for (Iterator<Member> i = members.values().iterator(); i.hasNext(); ) {
-            Member m = i.next();
-            if (listWhole && !listNamed.contains(m)) {
-                m.listed = false;
-                m.stopLearnedAt = m.stopLearnedAt == null ? now : m.stopLearnedAt;
-                m.gone = true;
+        for (Iterator<Member> iterator = members.values().iterator(); iterator.hasNext(); ) {
+            Member member = iterator.next();
+            if (memberListIsComplete && !listedMembers.contains(member)) {
+                member.listed = false;
+                member.stopLearnedAt = member.stopLearnedAt == null ? now : member.stopLearnedAt;
+                member.gone = true;
             }
             // What is gone and holds nothing is let go; where the list does not bind, once it is
             // lost long.
-            boolean lost =
-                    m.unreachableSince != null
-                            && now.minus(m.unreachableSince).compareTo(max(cold, memory)) > 0;
-            boolean held = !m.outstanding.isEmpty() || m.probeInFlight || m == m.group.primary;
-            if (m.gone && !held && (lost || mustStop(m, now, false))) {
-                m.group.members.remove(m);
-                i.remove();
+            boolean longUnreachable =
+                    member.unreachableSince != null
+                            && now.minus(member.unreachableSince)
+                                            .compareTo(max(warmUpPeriod, timeScale))
+                                    > 0;
+            boolean inUse =
+                    !member.outstanding.isEmpty()
+                            || member.probeInFlight
+                            || member == member.group.primary;
+            if (member.gone && !inUse && (longUnreachable || mustStop(member, now, false))) {
+                member.group.members.remove(member);
+                iterator.remove();
             }
         }
-        listFailures = 0;
-        if (ask) {
-            askListAt(listAt == null ? now : now.plus(time("ask-within").dividedBy(2)));
+        memberListFailureCount = 0;
+        if (mustRequestMemberList) {
+            scheduleMemberListRequest(
+                    nextMemberListRequestAt == null
+                            ? now
+                            : now.plus(durationSetting("ask-within").dividedBy(2)));
         }
     }
 
@@ -230,198 +250,224 @@
     public void memberListFailed(Duration now) {
         // Guards against asking without a pause: where lists are pushed, the settings name no time
         // for it.
-        if (!ask) {
+        if (!mustRequestMemberList) {
             return;
         }
-        listFailures++;
-        Duration pause = scale(time("ask-within"), Math.pow(2, Math.min(listFailures, 4) - 6));
-        askListAt(now.plus(scale(pause, 0.5 + random.nextDouble())));
+        memberListFailureCount++;
+        Duration delay =
+                scale(
+                        durationSetting("ask-within"),
+                        Math.pow(2, Math.min(memberListFailureCount, 4) - 6));
+        scheduleMemberListRequest(now.plus(scale(delay, 0.5 + random.nextDouble())));
     }
 
     @Override
     public void txnArrived(
             Duration now,
-            String id,
-            int type,
-            int group,
-            Duration left,
+            String txnId,
+            int typeIndex,
+            int groupId,
+            Duration timeLeft,
             long session,
-            Duration sinceWrite,
+            Duration sinceLastWrite,
             boolean retry,
-            Duration waited) {
-        Group g = groups.computeIfAbsent(group, i -> new Group(i, SPILL_SHARE));
-        Txn t = new Txn(id, types[type], g, now.minus(waited), now.plus(left), session, retry);
+            Duration queuedTime) {
+        Group group = groups.computeIfAbsent(groupId, i -> new Group(i, MIN_SPILL_SHARE));
+        Txn txn =
+                new Txn(
+                        txnId,
+                        txnTypes[typeIndex],
+                        group,
+                        now.minus(queuedTime),
+                        now.plus(timeLeft),
+                        session,
+                        retry);
         // The SLA time runs from the first try. One with less time than others of its type is a
         // later one and
         // tells when the first was; where retries are marked, one without a mark has little
         // patience.
-        Duration given = left.plus(waited);
-        longestTry[type] = max(longestTry[type], given);
-        if (given.plus(step).compareTo(longestTry[type]) < 0
-                && (retry || !flag("clients-mark-retries"))) {
-            t.slaDeadline = t.slaDeadline.minus(max(Duration.ZERO, t.type.expiry().minus(given)));
+        Duration timeLimit = timeLeft.plus(queuedTime);
+        longestTimeLimits[typeIndex] = max(longestTimeLimits[typeIndex], timeLimit);
+        if (timeLimit.plus(granularity).compareTo(longestTimeLimits[typeIndex]) < 0
+                && (retry || !flagSetting("clients-mark-retries"))) {
+            txn.slaDeadline =
+                    txn.slaDeadline.minus(max(Duration.ZERO, txn.type.expiry().minus(timeLimit)));
         }
-        if (t.type.freshness() == Freshness.OWN_WRITES) {
-            t.requiredPosition =
-                    "client".equals(terms.get("session-marks"))
-                            ? sinceWrite == null ? null : now.minus(sinceWrite)
-                            : sessionWrites.getOrDefault(session, oldWrites);
+        if (txn.type.freshness() == Freshness.OWN_WRITES) {
+            txn.requiredPosition =
+                    "client".equals(settings.get("session-marks"))
+                            ? sinceLastWrite == null ? null : now.minus(sinceLastWrite)
+                            : lastWriteBySession.getOrDefault(
+                                    session, lastWriteOfForgottenSessions);
         }
-        txns.put(id, t);
-        hold(t, now);
-        alarm(giveUpAt(t, now), t);
+        openTxns.put(txnId, txn);
+        hold(txn, now);
+        scheduleEvent(giveUpAt(txn, now), txn);
     }
 
     @Override
     public void submissionEnded(
             Duration now,
-            String id,
-            int number,
-            long member,
-            Outcome end,
-            Duration took,
-            boolean over,
+            String txnId,
+            int submissionNumber,
+            long memberId,
+            Outcome outcome,
+            Duration duration,
+            boolean isFinal,
             Role role,
             Duration position) {
-        Member m = members.get(member);
-        Txn t = txns.get(id);
-        Submission s =
-                m.outstanding.stream()
-                        .filter(o -> o.txn.id.equals(id) && o.number == number)
+        Member member = members.get(memberId);
+        Txn txn = openTxns.get(txnId);
+        Submission submission =
+                member.outstanding.stream()
+                        .filter(
+                                candidate ->
+                                        candidate.txn.id.equals(txnId)
+                                                && candidate.number == submissionNumber)
                         .findAny()
                         .get();
-        m.outstanding.remove(s);
-        m.endedSinceLastPass = true;
-        s.outcome = end;
+        member.outstanding.remove(submission);
+        member.endedSinceLastPass = true;
+        submission.outcome = outcome;
         // Guards against a member that lives but takes no further connection: a no at once, and
         // nothing ran.
-        boolean turnedAway =
-                end == Outcome.UNREACHABLE
-                        && took.compareTo(time("connect-time-out").dividedBy(2)) < 0;
-        ended.add(now, 1);
-        if (end == Outcome.COMMITTED) {
-            committed.add(now, 1);
-            measure(m, s.txn, took, now);
-            if (warmth(m, now) >= 1 && took.compareTo(s.txn.type.slaTime()) <= 0) {
-                m.creditMs += IN_TIME_MULTIPLE * calm(s.txn.type);
+        boolean connectionRefused =
+                outcome == Outcome.UNREACHABLE
+                        && duration.compareTo(durationSetting("connect-time-out").dividedBy(2)) < 0;
+        endedCount.add(now, 1);
+        if (outcome == Outcome.COMMITTED) {
+            committedCount.add(now, 1);
+            recordResponseTime(member, submission.txn, duration, now);
+            if (capacityShare(member, now) >= 1
+                    && duration.compareTo(submission.txn.type.slaTime()) <= 0) {
+                member.creditMs +=
+                        CREDIT_PER_TIMELY_ANSWER * baselineResponseMs(submission.txn.type);
             }
-            if (s.txn.type.isUpdate()
-                    && s.txn.session >= 0
+            if (submission.txn.type.isUpdate()
+                    && submission.txn.session >= 0
                     && position != null
-                    && "router".equals(terms.get("session-marks"))) {
-                sessionWrites.merge(s.txn.session, position, Durations::max);
-                forgetWrites(now);
+                    && "router".equals(settings.get("session-marks"))) {
+                lastWriteBySession.merge(submission.txn.session, position, Durations::max);
+                forgetOldSessionWrites(now);
             }
         }
-        if (end == Outcome.TIMED_OUT) {
-            m.concurrencyLimit =
-                    Math.max(1, Math.min(m.concurrencyLimit, m.outstanding.size() + 1) * 0.75);
-        }
-        if (end == Outcome.COMMITTED
-                || end == Outcome.MISSED
-                || end == Outcome.ERROR
-                || end == Outcome.FULL) {
-            signOfLife(m, now, end);
-        } else if (turnedAway) {
-            turnedAway(m, now);
-        } else if (end != Outcome.CANCELLED
-                && end != Outcome.MOOT
-                && !(end == Outcome.TIMED_OUT && m.lastProgressAt.compareTo(s.sentAt) > 0)) {
-            fault(m, now, end);
-        }
-        if (m.unresponsive && m.outstanding.isEmpty()) {
-            m.unresponsive = false;
-            fault(m, now, end);
+        if (outcome == Outcome.TIMED_OUT) {
+            member.concurrencyLimit =
+                    Math.max(
+                            1,
+                            Math.min(member.concurrencyLimit, member.outstanding.size() + 1)
+                                    * 0.75);
+        }
+        if (outcome == Outcome.COMMITTED
+                || outcome == Outcome.MISSED
+                || outcome == Outcome.ERROR
+                || outcome == Outcome.FULL) {
+            recordAnswer(member, now, outcome);
+        } else if (connectionRefused) {
+            recordConnectionRefusal(member, now);
+        } else if (outcome != Outcome.CANCELLED
+                && outcome != Outcome.MOOT
+                && !(outcome == Outcome.TIMED_OUT
+                        && member.lastProgressAt.compareTo(submission.sentAt) > 0)) {
+            recordFailure(member, now, outcome);
+        }
+        if (member.unresponsive && member.outstanding.isEmpty()) {
+            member.unresponsive = false;
+            recordFailure(member, now, outcome);
         }
         if (role != Role.UNKNOWN) {
-            heard(m, role, now, now);
+            recordRole(member, role, now, now);
         }
-        heardPosition(m, position, now);
-        Group g = m.group;
-        if (s.txn.type.isUpdate()
-                && g.primary == m
-                && (end == Outcome.MISSED
-                        || end == Outcome.ERROR
-                        || end == Outcome.UNREACHABLE && !turnedAway
-                        || end == Outcome.RESET
-                        || end == Outcome.TIMED_OUT)) {
-            search(g, now, "write " + end + " at " + m.id);
+        recordPosition(member, position, now);
+        Group group = member.group;
+        if (submission.txn.type.isUpdate()
+                && group.primary == member
+                && (outcome == Outcome.MISSED
+                        || outcome == Outcome.ERROR
+                        || outcome == Outcome.UNREACHABLE && !connectionRefused
+                        || outcome == Outcome.RESET
+                        || outcome == Outcome.TIMED_OUT)) {
+            startSearch(group, now, "write " + outcome + " at " + member.id);
         }
-        touch(g);
-        if (t != null && over) {
-            close(t);
-        } else if (t != null && t.outstandingCount() == 0) {
-            hold(t, now);
+        markDirty(group);
+        if (txn != null && isFinal) {
+            close(txn);
+        } else if (txn != null && txn.outstandingCount() == 0) {
+            hold(txn, now);
         }
     }
 
-    private void forgetWrites(Duration now) {
-        Iterator<Duration> i = sessionWrites.values().iterator();
-        for (Duration d = i.next();
-                now.minus(d).compareTo(SESSION_MEMORY) > 0 && i.hasNext();
-                d = i.next()) {
-            oldWrites = oldWrites == null ? d : max(oldWrites, d);
-            i.remove();
+    private void forgetOldSessionWrites(Duration now) {
+        Iterator<Duration> iterator = lastWriteBySession.values().iterator();
+        for (Duration writtenAt = iterator.next();
+                now.minus(writtenAt).compareTo(SESSION_WRITE_RETENTION) > 0 && iterator.hasNext();
+                writtenAt = iterator.next()) {
+            lastWriteOfForgottenSessions =
+                    lastWriteOfForgottenSessions == null
+                            ? writtenAt
+                            : max(lastWriteOfForgottenSessions, writtenAt);
+            iterator.remove();
         }
     }
 
     @Override
-    public boolean knowsMember(long member) {
-        return members.containsKey(member);
+    public boolean knowsMember(long memberId) {
+        return members.containsKey(memberId);
     }
 
     @Override
     public void memberReported(
             Duration now,
-            long member,
+            long memberId,
             Role role,
             Duration position,
-            double held,
-            double waiting,
-            double busy) {
-        Member m = members.get(member);
+            double activeCount,
+            double queueLength,
+            double utilization) {
+        Member member = members.get(memberId);
         // A primary's position is the time of its report, a replica's is never later: it dates the
         // role.
         if (role != Role.UNKNOWN && position != null) {
-            heard(m, role, position, now);
+            recordRole(member, role, position, now);
         }
-        heardPosition(m, position, now);
-        if (!Double.isNaN(waiting)) {
-            m.queueLength = waiting;
-            m.queueReportedAt = now;
+        recordPosition(member, position, now);
+        if (!Double.isNaN(queueLength)) {
+            member.queueLength = queueLength;
+            member.queueReportedAt = now;
         }
-        touch(m.group);
+        markDirty(member.group);
     }
 
     @Override
-    public void probeEnded(Duration now, long member, boolean answered, Duration took) {
-        Member m = members.get(member);
-        m.probeInFlight = false;
+    public void probeEnded(Duration now, long memberId, boolean answered, Duration duration) {
+        Member member = members.get(memberId);
+        member.probeInFlight = false;
         if (!answered) {
-            m.unreachableSince = m.unreachableSince == null ? now : m.unreachableSince;
-            if (m.group.primary == m) {
-                search(m.group, now, "probe failed at " + m.id);
+            member.unreachableSince =
+                    member.unreachableSince == null ? now : member.unreachableSince;
+            if (member.group.primary == member) {
+                startSearch(member.group, now, "probe failed at " + member.id);
             }
         }
-        touch(m.group);
+        markDirty(member.group);
     }
 
     @Override
-    public void txnAbandoned(Duration now, String id) {
-        Txn t = txns.get(id);
-        if (t != null) {
+    public void txnAbandoned(Duration now, String txnId) {
+        Txn txn = openTxns.get(txnId);
+        if (txn != null) {
             // Nobody waits for it: what is still out would only be work for nothing.
-            t.submissions.forEach(this::cancel);
-            close(t);
+            txn.submissions.forEach(this::cancel);
+            close(txn);
         }
     }
 
     @Override
-    public void answerAllBy(Duration now, Duration by) {
-        for (Txn t : txns.values()) {
-            if (t.expiresAt.compareTo(by) > 0) {
-                t.expiresAt = by;
-                alarm(endAt(t), t);
+    public void answerAllBy(Duration now, Duration deadline) {
+        for (Txn txn : openTxns.values()) {
+            if (txn.expiresAt.compareTo(deadline) > 0) {
+                txn.expiresAt = deadline;
+                scheduleEvent(answerDeadline(txn), txn);
             }
         }
     }
@@ -431,18 +477,28 @@
      * that has moved, against changes while a connection opens: a window may end meanwhile.
      */
     @Override
-    public boolean mayStillSend(Duration now, String id, long member) {
-        Txn t = txns.get(id);
-        Member m = members.get(member);
-        Duration need = t == null || checked || stands(m) ? null : needs(t, now);
-        return t != null
-                && !mustStop(m, now, m == m.group.primary)
-                && (!t.type.requiresPrimary()
-                        || (t.type.isUpdate() ? m == m.group.primary : stands(m)))
-                && (mayRepeat(t, now)
-                        || t.submissions.stream()
-                                .noneMatch(s -> !s.isOutstanding() && s.mayHaveRun()))
-                && (need == null || m.position != null && m.position.compareTo(need) >= 0);
+    public boolean mayStillSend(Duration now, String txnId, long memberId) {
+        Txn txn = openTxns.get(txnId);
+        Member member = members.get(memberId);
+        Duration requiredPosition =
+                txn == null || membersCheckFreshness || isConfirmedPrimary(member)
+                        ? null
+                        : requiredPosition(txn, now);
+        return txn != null
+                && !mustStop(member, now, member == member.group.primary)
+                && (!txn.type.requiresPrimary()
+                        || (txn.type.isUpdate()
+                                ? member == member.group.primary
+                                : isConfirmedPrimary(member)))
+                && (mayRunAgain(txn, now)
+                        || txn.submissions.stream()
+                                .noneMatch(
+                                        submission ->
+                                                !submission.isOutstanding()
+                                                        && submission.mayHaveRun()))
+                && (requiredPosition == null
+                        || member.position != null
+                                && member.position.compareTo(requiredPosition) >= 0);
     }
 
     // ---- decisions ----
@@ -450,25 +506,25 @@
     @Override
     public Decision nextDecision(Duration now) {
         while (true) {
-            if (!ready.isEmpty()) {
-                return ready.poll();
+            if (!readyDecisions.isEmpty()) {
+                return readyDecisions.poll();
             }
-            Alarm a = alarms.peek();
-            if (a != null && a.at.compareTo(now) <= 0) {
-                alarms.poll();
-                if (a.what instanceof Txn t) {
-                    check(t, now);
-                } else if (a.what instanceof Group g) {
-                    g.nextPassAt = null;
-                    touch(g);
-                } else if (a.what == listAt) {
-                    askListAt(now.plus(time("ask-within").dividedBy(4)));
+            ScheduledEvent event = scheduledEvents.peek();
+            if (event != null && event.dueAt.compareTo(now) <= 0) {
+                scheduledEvents.poll();
+                if (event.target instanceof Txn txn) {
+                    checkTxn(txn, now);
+                } else if (event.target instanceof Group group) {
+                    group.nextPassAt = null;
+                    markDirty(group);
+                } else if (event.target == nextMemberListRequestAt) {
+                    scheduleMemberListRequest(now.plus(durationSetting("ask-within").dividedBy(4)));
                     return Decision.followList();
                 }
-            } else if (!dirty.isEmpty()) {
-                Group g = dirty.poll();
-                g.dirty = false;
-                decide(g, now);
+            } else if (!dirtyGroups.isEmpty()) {
+                Group group = dirtyGroups.poll();
+                group.dirty = false;
+                processGroup(group, now);
             } else {
                 return null;
             }
@@ -477,28 +533,30 @@
 
     @Override
     public Duration wakeAt() {
-        return alarms.isEmpty() ? null : alarms.peek().at;
+        return scheduledEvents.isEmpty() ? null : scheduledEvents.peek().dueAt;
     }
 
-    private void decide(Group g, Duration now) {
-        Member p = g.primary;
-        if (p != null && !g.searching && mustStop(p, now, true)) {
-            search(g, now, "primary told to stop " + p.id);
+    private void processGroup(Group group, Duration now) {
+        Member primary = group.primary;
+        if (primary != null && !group.searching && mustStop(primary, now, true)) {
+            startSearch(group, now, "primary told to stop " + primary.id);
         }
-        placeWrites(g, now);
-        placeReads(g, now);
-        if (g.searching) {
-            searchOn(g, now);
-        } else if (g.primary != null) {
-            watch(g, g.primary, now);
+        dispatchWrites(group, now);
+        dispatchReads(group, now);
+        if (group.searching) {
+            continueSearch(group, now);
+        } else if (group.primary != null) {
+            monitorPrimary(group, group.primary, now);
         }
         // Guards against members that take few connections: one that stands idle here keeps all
         // others out.
-        for (Member m : g.members) {
-            if (m.endedSinceLastPass && m.outstanding.isEmpty() && refused.valueAt(now) > 1) {
-                ready.add(Decision.release(m.id));
+        for (Member member : group.members) {
+            if (member.endedSinceLastPass
+                    && member.outstanding.isEmpty()
+                    && refusedConnectionCount.valueAt(now) > 1) {
+                readyDecisions.add(Decision.release(member.id));
             }
-            m.endedSinceLastPass = false;
+            member.endedSinceLastPass = false;
         }
     }
 
@@ -507,66 +565,68 @@
     /**
      * Evidence of a role, with the time that it is proven for; the newest claim to be primary wins.
      */
-    private void heard(Member m, Role role, Duration at, Duration now) {
-        Group g = m.group;
-        m.replicaReportedAt = role == Role.REPLICA ? now : m.replicaReportedAt;
-        if (m.roleProvenAt != null && at.compareTo(m.roleProvenAt) < 0) {
+    private void recordRole(Member member, Role role, Duration provenAt, Duration now) {
+        Group group = member.group;
+        member.replicaReportedAt = role == Role.REPLICA ? now : member.replicaReportedAt;
+        if (member.roleProvenAt != null && provenAt.compareTo(member.roleProvenAt) < 0) {
             return;
         }
-        m.roleProvenAt = at;
+        member.roleProvenAt = provenAt;
         if (role == Role.REPLICA) {
-            if (g.primary == m
-                    && (g.primaryClaimAt == null || at.compareTo(g.primaryClaimAt) > 0)) {
-                search(g, now, "primary says replica " + m.id);
+            if (group.primary == member
+                    && (group.primaryClaimAt == null
+                            || provenAt.compareTo(group.primaryClaimAt) > 0)) {
+                startSearch(group, now, "primary says replica " + member.id);
             }
             return;
         }
         // Guards against confirming a primary that is gone or hangs by a report from before it
         // went.
-        if (g.primaryClaimAt != null && at.compareTo(g.primaryClaimAt) < 0
-                || g.primary == m
-                        && g.searching
-                        && (at.compareTo(g.searchStartedAt) <= 0
-                                || m.unresponsive
-                                || m.unreachableSince == null
-                                        && m.backoffUntil.compareTo(now) > 0)) {
+        if (group.primaryClaimAt != null && provenAt.compareTo(group.primaryClaimAt) < 0
+                || group.primary == member
+                        && group.searching
+                        && (provenAt.compareTo(group.searchStartedAt) <= 0
+                                || member.unresponsive
+                                || member.unreachableSince == null
+                                        && member.backoffUntil.compareTo(now) > 0)) {
             return;
         }
-        m.replicaReportedAt =
-                m.replicaReportedAt != null && at.compareTo(m.replicaReportedAt) < 0
-                        ? m.replicaReportedAt
+        member.replicaReportedAt =
+                member.replicaReportedAt != null && provenAt.compareTo(member.replicaReportedAt) < 0
+                        ? member.replicaReportedAt
                         : null;
-        if (g.primary == m && !g.searching) {
-            g.primaryClaimAt = at;
+        if (group.primary == member && !group.searching) {
+            group.primaryClaimAt = provenAt;
             return;
         }
-        Member old = g.primary;
-        g.primary = m;
-        g.primaryClaimAt = at;
-        m.backoffUntil = min(m.backoffUntil, now);
+        Member formerPrimary = group.primary;
+        group.primary = member;
+        group.primaryClaimAt = provenAt;
+        member.backoffUntil = min(member.backoffUntil, now);
         log.accept(
                 "group "
-                        + g.id
+                        + group.id
                         + " primary "
-                        + m.id
-                        + (g.searching
+                        + member.id
+                        + (group.searching
                                 ? " found after "
-                                        + (long) toMillis(now.minus(g.searchStartedAt))
+                                        + (long) toMillis(now.minus(group.searchStartedAt))
                                         + " ms, held "
-                                        + g.heldWrites.size()
+                                        + group.heldWrites.size()
                                 : " by claim"));
-        g.searching = false;
+        group.searching = false;
         // The same primary found again, or a fresh driver's first one, leaves nothing to settle.
-        if (old != null && old != m) {
-            g.fastProbeUntil = now.plus(WATCH_SPAN);
+        if (formerPrimary != null && formerPrimary != member) {
+            group.fastProbeUntil = now.plus(FAST_PROBE_PERIOD);
             // What a former primary still holds of referenced txns goes to the new one.
-            for (Submission s : old.outstanding) {
-                if (s.txn.type.repeatability() == Repeatability.REFERENCED && !s.txn.answered) {
-                    cancel(s);
+            for (Submission submission : formerPrimary.outstanding) {
+                if (submission.txn.type.repeatability() == Repeatability.REFERENCED
+                        && !submission.txn.answered) {
+                    cancel(submission);
                 }
             }
         }
-        touch(g);
+        markDirty(group);
     }
 
     /**
@@ -574,204 +634,230 @@
      * against old data: its word may be dated before that claim, and while it is searched for it
      * stays on record.
      */
-    private static boolean stands(Member m) {
-        return m == m.group.primary && m.replicaReportedAt == null;
+    private static boolean isConfirmedPrimary(Member member) {
+        return member == member.group.primary && member.replicaReportedAt == null;
     }
 
-    private void search(Group g, Duration now, String cause) {
-        if (!g.searching) {
-            g.searching = true;
-            g.searchStartedAt = now;
-            g.searchRounds = 0;
-            g.nextSearchProbeAt = now;
-            log.accept("group " + g.id + " search: " + cause);
-            touch(g);
+    private void startSearch(Group group, Duration now, String cause) {
+        if (!group.searching) {
+            group.searching = true;
+            group.searchStartedAt = now;
+            group.searchRounds = 0;
+            group.nextSearchProbeAt = now;
+            log.accept("group " + group.id + " search: " + cause);
+            markDirty(group);
         }
     }
 
-    private void searchOn(Group g, Duration now) {
-        g.heldWrites.removeIf(t -> t.answered);
+    private void continueSearch(Group group, Duration now) {
+        group.heldWrites.removeIf(txn -> txn.answered);
         // Guards against many drivers' probes that wait for nothing: after one round the rate is
         // steady.
-        boolean idle = g.searchRounds > 0 && g.heldWrites.isEmpty();
-        Duration due = idle ? g.nextSearchProbeAt.plus(STEADY_PROBE) : g.nextSearchProbeAt;
-        if (now.compareTo(due) >= 0) {
-            for (Member m : g.members) {
-                probe(m, now);
+        boolean idle = group.searchRounds > 0 && group.heldWrites.isEmpty();
+        Duration dueAt =
+                idle
+                        ? group.nextSearchProbeAt.plus(STEADY_PROBE_INTERVAL)
+                        : group.nextSearchProbeAt;
+        if (now.compareTo(dueAt) >= 0) {
+            for (Member member : group.members) {
+                probe(member, now);
             }
             // A long search must be no load of its own: the pause grows to the time that a lost
             // probe takes.
-            g.searchRounds++;
-            Duration most = max(SEARCH_PAUSE, time("connect-time-out").multipliedBy(2));
-            g.nextSearchProbeAt =
-                    now.plus(min(most, scale(SEARCH_PAUSE, Math.pow(1.4, g.searchRounds - 1))));
-            due = g.nextSearchProbeAt;
+            group.searchRounds++;
+            Duration longestInterval =
+                    max(SEARCH_PROBE_INTERVAL, durationSetting("connect-time-out").multipliedBy(2));
+            group.nextSearchProbeAt =
+                    now.plus(
+                            min(
+                                    longestInterval,
+                                    scale(
+                                            SEARCH_PROBE_INTERVAL,
+                                            Math.pow(1.4, group.searchRounds - 1))));
+            dueAt = group.nextSearchProbeAt;
         }
-        wake(g, due);
+        scheduleGroup(group, dueAt);
     }
 
     /**
      * Fast after a change, but only while work of this driver is out there: else a probe guards
      * nothing.
      */
-    private void watch(Group g, Member p, Duration now) {
-        boolean fast = now.compareTo(g.fastProbeUntil) < 0 && !p.outstanding.isEmpty();
+    private void monitorPrimary(Group group, Member primary, Duration now) {
+        boolean fast = now.compareTo(group.fastProbeUntil) < 0 && !primary.outstanding.isEmpty();
         // All drivers together ask a primary ten times a second at rest, a hundred after a change,
         // at most.
-        Duration all = scale(WATCH_PROBE, number("drivers"));
-        Duration every = fast ? max(WATCH_PROBE, all.dividedBy(10)) : max(STEADY_PROBE, all);
-        Duration last = p.lastProbeAt == null ? g.primaryClaimAt : p.lastProbeAt;
-        Duration due = last == null ? now : last.plus(every);
-        if (now.compareTo(due) >= 0) {
-            probe(p, now);
-            due = now.plus(every);
-        }
-        wake(g, due);
-    }
-
-    private boolean probe(Member m, Duration now) {
-        if (m.probeInFlight || !flag("may-probe") || mustStop(m, now, true)) {
+        Duration fleetInterval = scale(FAST_PROBE_INTERVAL, numberSetting("drivers"));
+        Duration interval =
+                fast
+                        ? max(FAST_PROBE_INTERVAL, fleetInterval.dividedBy(10))
+                        : max(STEADY_PROBE_INTERVAL, fleetInterval);
+        Duration lastProbeAt =
+                primary.lastProbeAt == null ? group.primaryClaimAt : primary.lastProbeAt;
+        Duration dueAt = lastProbeAt == null ? now : lastProbeAt.plus(interval);
+        if (now.compareTo(dueAt) >= 0) {
+            probe(primary, now);
+            dueAt = now.plus(interval);
+        }
+        scheduleGroup(group, dueAt);
+    }
+
+    private boolean probe(Member member, Duration now) {
+        if (member.probeInFlight || !flagSetting("may-probe") || mustStop(member, now, true)) {
             return false;
         }
-        m.probeInFlight = true;
-        m.lastProbeAt = now;
-        ready.add(Decision.probe(m.id));
+        member.probeInFlight = true;
+        member.lastProbeAt = now;
+        readyDecisions.add(Decision.probe(member.id));
         return true;
     }
 
-    private void placeWrites(Group g, Duration now) {
-        if (g.heldWrites.isEmpty()) {
+    private void dispatchWrites(Group group, Duration now) {
+        if (group.heldWrites.isEmpty()) {
             return;
         }
-        Member p = g.primary;
+        Member primary = group.primary;
         // Guards against once-only writes lost to a primary that takes work and answers none.
-        if (p == null) {
-            search(g, now, "no primary known");
-        } else if (quiet(p, now)) {
-            search(g, now, "primary silent " + p.id + " holding " + p.outstanding.size());
+        if (primary == null) {
+            startSearch(group, now, "no primary known");
+        } else if (checkUnresponsive(primary, now)) {
+            startSearch(
+                    group,
+                    now,
+                    "primary silent " + primary.id + " holding " + primary.outstanding.size());
         }
-        if (g.searching) {
+        if (group.searching) {
             return;
         }
         for (int pass = 0; pass < 2; pass++) {
-            for (Iterator<Txn> i = g.heldWrites.iterator(); i.hasNext(); ) {
-                Txn t = i.next();
-                if (t.answered) {
-                    i.remove();
+            for (Iterator<Txn> iterator = group.heldWrites.iterator(); iterator.hasNext(); ) {
+                Txn txn = iterator.next();
+                if (txn.answered) {
+                    iterator.remove();
                     continue;
                 }
-                if (t.type.freshness() == Freshness.LATEST && !stands(p)) {
-                    probe(p, now);
+                if (txn.type.freshness() == Freshness.LATEST && !isConfirmedPrimary(primary)) {
+                    probe(primary, now);
                     continue;
                 }
-                if (p.outstanding.size() >= room(p, now) || now.compareTo(p.backoffUntil) < 0) {
+                if (primary.outstanding.size() >= submissionLimit(primary, now)
+                        || now.compareTo(primary.backoffUntil) < 0) {
                     // Guards against writes held for a crowd that is over: only a newer report ends
                     // it.
-                    if (crowded(p, now)
-                            && now.minus(p.queueReportedAt).compareTo(memory.dividedBy(2)) > 0) {
-                        probe(p, now);
+                    if (isOverloaded(primary, now)
+                            && now.minus(primary.queueReportedAt).compareTo(timeScale.dividedBy(2))
+                                    > 0) {
+                        probe(primary, now);
                     }
-                    wake(g, max(p.backoffUntil, now.plus(Duration.ofMillis(50))));
+                    scheduleGroup(
+                            group, max(primary.backoffUntil, now.plus(Duration.ofMillis(50))));
                     return;
                 }
                 // First those that can still be in time; those too late for that take what is left.
-                if (pass == 0 && late(t, now)) {
+                if (pass == 0 && isTooLateForSla(txn, now)) {
                     continue;
                 }
-                if (mayGoAgain(t, now)) {
-                    i.remove();
-                    submit(t, p, now);
+                if (maySubmitAgain(txn, now)) {
+                    iterator.remove();
+                    submit(txn, primary, now);
                 }
             }
         }
     }
 
-    private void placeReads(Group g, Duration now) {
+    private void dispatchReads(Group group, Duration now) {
         // Guards a fresh driver whose first list was empty: a group without members holds its txns.
-        if (g.heldReads.isEmpty() || g.members.isEmpty()) {
+        if (group.heldReads.isEmpty() || group.members.isEmpty()) {
             return;
         }
         // Newest first: under overload those that waited long are late anyway, and get what the
         // others leave.
         for (int pass = 0; pass < 2; pass++) {
-            int looked = 0;
-            for (Iterator<Txn> i = g.heldReads.descendingIterator(); i.hasNext() && looked < 32; ) {
-                Txn t = i.next();
-                if (t.answered) {
-                    i.remove();
+            int examinedCount = 0;
+            for (Iterator<Txn> iterator = group.heldReads.descendingIterator();
+                    iterator.hasNext() && examinedCount < 32; ) {
+                Txn txn = iterator.next();
+                if (txn.answered) {
+                    iterator.remove();
                     continue;
                 }
-                boolean last = late(t, now);
-                if (last != (pass == 1) || !mayGoAgain(t, now)) {
+                boolean late = isTooLateForSla(txn, now);
+                if (late != (pass == 1) || !maySubmitAgain(txn, now)) {
                     continue;
                 }
-                looked++;
-                Member m = choose(g, t, last ? 0.5 : 1, now);
-                if (m != null) {
-                    i.remove();
-                    submit(t, m, now);
+                examinedCount++;
+                Member member = chooseReadMember(group, txn, late ? 0.5 : 1, now);
+                if (member != null) {
+                    iterator.remove();
+                    submit(txn, member, now);
                 }
             }
         }
     }
 
     /** What it asks for can hardly be had in time any more. */
-    private boolean late(Txn t, Duration now) {
-        return toMillis(t.slaDeadline.minus(now)) < calm(t.type);
+    private boolean isTooLateForSla(Txn txn, Duration now) {
+        return toMillis(txn.slaDeadline.minus(now)) < baselineResponseMs(txn.type);
     }
 
     /** The member for a read, which may fill the given part of its room, or null: it waits. */
-    private Member choose(Group g, Txn t, double part, Duration now) {
-        Duration need = needs(t, now);
-        Member p = g.primary;
+    private Member chooseReadMember(Group group, Txn txn, double limitShare, Duration now) {
+        Duration requiredPosition = requiredPosition(txn, now);
+        Member primary = group.primary;
         // Guards against writes held for one stuck connection: a repeatable read asks the silent
         // primary,
         // where such reads of all drivers together are no crowd.
-        if (crowd() < 1
-                && g.searching
-                && p != null
-                && p.unresponsive
-                && stands(p)
-                && !mustStop(p, now, true)
-                && t.type.repeatability() == Repeatability.REPEATABLE
-                && p.outstanding.stream()
-                        .allMatch(s -> s.sentAt.compareTo(g.searchStartedAt) < 0)) {
-            return p;
+        if (minimumFleetLoad() < 1
+                && group.searching
+                && primary != null
+                && primary.unresponsive
+                && isConfirmedPrimary(primary)
+                && !mustStop(primary, now, true)
+                && txn.type.repeatability() == Repeatability.REPEATABLE
+                && primary.outstanding.stream()
+                        .allMatch(
+                                submission ->
+                                        submission.sentAt.compareTo(group.searchStartedAt) < 0)) {
+            return primary;
         }
         Member best = null;
-        Member leastBehind = null;
+        Member leastLagging = null;
         double bestCost = 0;
-        int replicas = 0;
-        int fresh = 0;
-        for (Member m : g.members) {
+        int replicaCount = 0;
+        int freshCount = 0;
+        for (Member member : group.members) {
             // While it is in doubt the primary serves what its proven position allows, as any
             // replica.
-            if (stands(m) && !g.searching || mustStop(m, now, false)) {
+            if (isConfirmedPrimary(member) && !group.searching || mustStop(member, now, false)) {
                 continue;
             }
-            replicas++;
-            if (away(m, now)) {
+            replicaCount++;
+            if (isUnavailable(member, now)) {
                 continue;
             }
-            boolean ok = need == null || m.position != null && m.position.compareTo(need) >= 0;
-            if (!ok && checked && m.lag != null) {
-                ok = now.minus(m.lag).compareTo(need) >= 0;
+            boolean isFresh =
+                    requiredPosition == null
+                            || member.position != null
+                                    && member.position.compareTo(requiredPosition) >= 0;
+            if (!isFresh && membersCheckFreshness && member.lag != null) {
+                isFresh = now.minus(member.lag).compareTo(requiredPosition) >= 0;
             }
-            boolean room = m.outstanding.size() < part * room(m, now);
-            if (!ok) {
-                if (room
-                        && !missedAt(t, m)
-                        && !sureMiss(m, need, now)
-                        && (leastBehind == null || behind(m).compareTo(behind(leastBehind)) < 0)) {
-                    leastBehind = m;
+            boolean hasRoom = member.outstanding.size() < limitShare * submissionLimit(member, now);
+            if (!isFresh) {
+                if (hasRoom
+                        && !isOutstandingOrMissedAt(txn, member)
+                        && !isCertainMiss(member, requiredPosition, now)
+                        && (leastLagging == null
+                                || lagOf(member).compareTo(lagOf(leastLagging)) < 0)) {
+                    leastLagging = member;
                 }
                 continue;
             }
-            fresh++;
-            if (room && !missedAt(t, m)) {
-                double cost = cost(m, now);
+            freshCount++;
+            if (hasRoom && !isOutstandingOrMissedAt(txn, member)) {
+                double cost = cost(member, now);
                 if (best == null || cost < bestCost) {
-                    best = m;
+                    best = member;
                     bestCost = cost;
                 }
             }
@@ -779,71 +865,85 @@
         // Guards against a crowd that never ends: trials by many drivers keep a low member full of
         // late work.
         if (best != null
-                && crowd() > 1
-                && best.concurrencyLimit < FIRST_LIMIT / 2
+                && minimumFleetLoad() > 1
+                && best.concurrencyLimit < INITIAL_CONCURRENCY_LIMIT / 2
                 && best.queueReportedAt != null
-                && now.minus(best.queueReportedAt).compareTo(memory) > 0
+                && now.minus(best.queueReportedAt).compareTo(timeScale) > 0
                 && probe(best, now)) {
             return null;
         }
         if (best != null) {
             return best;
         }
-        boolean asked = fresh < 2 && need != null && refresh(g, t, now);
-        if (checked && leastBehind != null && fresh == 0 && t.submissions.size() < 2) {
-            return leastBehind;
-        }
-        if (asked && fresh == 0
-                || p == null
-                || g.searching
-                || !stands(p)
-                || away(p, now)
-                || mustStop(p, now, true)) {
+        boolean probed =
+                freshCount < 2
+                        && requiredPosition != null
+                        && probeReplicasForPosition(group, txn, now);
+        if (membersCheckFreshness
+                && leastLagging != null
+                && freshCount == 0
+                && txn.submissions.size() < 2) {
+            return leastLagging;
+        }
+        if (probed && freshCount == 0
+                || primary == null
+                || group.searching
+                || !isConfirmedPrimary(primary)
+                || isUnavailable(primary, now)
+                || mustStop(primary, now, true)) {
             return null;
         }
         // Reads that need the primary leave a part of its room to the writes.
-        double room = part * room(p, now);
-        if (replicas == 0) {
-            return p.outstanding.size() < room ? p : null;
+        double hasRoom = limitShare * submissionLimit(primary, now);
+        if (replicaCount == 0) {
+            return primary.outstanding.size() < hasRoom ? primary : null;
         }
-        if (p.outstanding.size() + 1 > Math.max(Math.min(1, room), room * 0.75)) {
+        if (primary.outstanding.size() + 1 > Math.max(Math.min(1, hasRoom), hasRoom * 0.75)) {
             return null;
         }
-        if (t.type.freshness() == Freshness.OWN_WRITES) {
-            return p;
+        if (txn.type.freshness() == Freshness.OWN_WRITES) {
+            return primary;
         }
         // By chance, not by turns: a driver with few reads would wait long for its turn.
-        t.maySpillToPrimary =
-                t.maySpillToPrimary == null
-                        ? random.nextDouble() < g.spillShare
-                        : t.maySpillToPrimary;
-        return t.maySpillToPrimary ? p : null;
+        txn.maySpillToPrimary =
+                txn.maySpillToPrimary == null
+                        ? random.nextDouble() < group.spillShare
+                        : txn.maySpillToPrimary;
+        return txn.maySpillToPrimary ? primary : null;
     }
 
     /** It was heard lately to be further behind than it would wait for. */
-    private boolean sureMiss(Member m, Duration need, Duration now) {
-        return m.lag != null
-                && m.positionReportedAt.plus(memory.dividedBy(2)).compareTo(now) > 0
-                && now.minus(m.lag).plus(time("members-hold-for")).compareTo(need) < 0;
+    private boolean isCertainMiss(Member member, Duration requiredPosition, Duration now) {
+        return member.lag != null
+                && member.positionReportedAt.plus(timeScale.dividedBy(2)).compareTo(now) > 0
+                && now.minus(member.lag)
+                                .plus(durationSetting("members-hold-for"))
+                                .compareTo(requiredPosition)
+                        < 0;
     }
 
-    private static Duration behind(Member m) {
-        return m.lag == null ? Duration.ZERO : m.lag;
+    private static Duration lagOf(Member member) {
+        return member.lag == null ? Duration.ZERO : member.lag;
     }
 
-    private static boolean missedAt(Txn t, Member m) {
-        return t.submissions.stream()
-                .anyMatch(s -> s.member == m && (s.isOutstanding() || s.outcome == Outcome.MISSED));
+    private static boolean isOutstandingOrMissedAt(Txn txn, Member member) {
+        return txn.submissions.stream()
+                .anyMatch(
+                        submission ->
+                                submission.member == member
+                                        && (submission.isOutstanding()
+                                                || submission.outcome == Outcome.MISSED));
     }
 
     /**
      * The position that a read's data must have reached, or null; a step more than the bound asks
      * for.
      */
-    private Duration needs(Txn t, Duration now) {
-        return switch (t.type.freshness()) {
-            case RECENT -> now.minus(t.type.maxDataAge()).plus(step);
-            case OWN_WRITES -> t.requiredPosition == null ? null : t.requiredPosition.plus(step);
+    private Duration requiredPosition(Txn txn, Duration now) {
+        return switch (txn.type.freshness()) {
+            case RECENT -> now.minus(txn.type.maxDataAge()).plus(granularity);
+            case OWN_WRITES ->
+                    txn.requiredPosition == null ? null : txn.requiredPosition.plus(granularity);
             default -> null;
         };
     }
@@ -852,492 +952,560 @@
      * Asks replicas of which too little is known for their position, each not too often for the
      * bound.
      */
-    private boolean refresh(Group g, Txn t, Duration now) {
-        Duration bound =
-                t.type.freshness() == Freshness.RECENT ? t.type.maxDataAge() : t.type.slaTime();
-        int asked = 0;
-        int start = random.nextInt(g.members.size());
-        for (int i = 0; i < g.members.size() && asked < 2; i++) {
-            Member m = g.members.get((start + i) % g.members.size());
-            if (m != g.primary
-                    && !away(m, now)
-                    && (m.probeInFlight
-                            || (m.lastProbeAt == null
-                                            || now.minus(m.lastProbeAt)
-                                                            .compareTo(bound.dividedBy(4))
+    private boolean probeReplicasForPosition(Group group, Txn txn, Duration now) {
+        Duration ageLimit =
+                txn.type.freshness() == Freshness.RECENT
+                        ? txn.type.maxDataAge()
+                        : txn.type.slaTime();
+        int probedCount = 0;
+        int start = random.nextInt(group.members.size());
+        for (int i = 0; i < group.members.size() && probedCount < 2; i++) {
+            Member member = group.members.get((start + i) % group.members.size());
+            if (member != group.primary
+                    && !isUnavailable(member, now)
+                    && (member.probeInFlight
+                            || (member.lastProbeAt == null
+                                            || now.minus(member.lastProbeAt)
+                                                            .compareTo(ageLimit.dividedBy(4))
                                                     > 0)
-                                    && (m.positionReportedAt == null
-                                            || now.minus(m.positionReportedAt)
-                                                            .compareTo(bound.dividedBy(4))
+                                    && (member.positionReportedAt == null
+                                            || now.minus(member.positionReportedAt)
+                                                            .compareTo(ageLimit.dividedBy(4))
                                                     > 0)
-                                    && probe(m, now))) {
-                asked++;
+                                    && probe(member, now))) {
+                probedCount++;
             }
         }
-        wake(g, now.plus(bound.dividedBy(8)));
-        return asked > 0;
+        scheduleGroup(group, now.plus(ageLimit.dividedBy(8)));
+        return probedCount > 0;
     }
 
-    private double cost(Member m, Duration now) {
-        double slow = Math.min(4, Math.max(0.5, ratio(m, now)));
-        double away = m.zone != (int) number("zone") && number("price.cross-zone") > 0 ? 0.25 : 0;
-        return (m.outstanding.size() + 0.5) / room(m, now) * slow
-                + away
+    private double cost(Member member, Duration now) {
+        double slowness = Math.min(4, Math.max(0.5, slownessRatio(member, now)));
+        double zonePenalty =
+                member.zone != (int) numberSetting("zone") && numberSetting("price.cross-zone") > 0
+                        ? 0.25
+                        : 0;
+        return (member.outstanding.size() + 0.5) / submissionLimit(member, now) * slowness
+                + zonePenalty
                 + random.nextDouble() * 0.02;
     }
 
-    private void submit(Txn t, Member m, Duration now) {
-        t.held = false;
-        Submission s = new Submission(t, t.submissions.size(), m, now);
-        (t.submissions.isEmpty() ? firsts : furthers).add(now, 1);
-        t.submissions.add(s);
-        m.lastProgressAt = m.outstanding.isEmpty() ? now : m.lastProgressAt;
-        m.outstanding.add(s);
-        sentToKind.get(m.hostClass).submittedWorkMs.add(now, calm(t.type));
-        m.creditMs = Math.max(0, m.creditMs - calm(t.type));
-        ready.add(Decision.submit(t.id, m.id, s.number, null));
-        alarm(min(endAt(t), now.plus(ofMillis(2 * usual(t.type, now)))), t);
-    }
-
-    private void hold(Txn t, Duration now) {
-        if (!t.answered && !t.held) {
-            t.held = true;
-            (t.type.requiresPrimary() ? t.group.heldWrites : t.group.heldReads).add(t);
-            touch(t.group);
-            if (!t.submissions.isEmpty()) {
-                alarm(now, t);
+    private void submit(Txn txn, Member member, Duration now) {
+        txn.held = false;
+        Submission submission = new Submission(txn, txn.submissions.size(), member, now);
+        (txn.submissions.isEmpty() ? firstSubmissionCount : furtherSubmissionCount).add(now, 1);
+        txn.submissions.add(submission);
+        member.lastProgressAt = member.outstanding.isEmpty() ? now : member.lastProgressAt;
+        member.outstanding.add(submission);
+        loadByHostClass
+                .get(member.hostClass)
+                .submittedWorkMs
+                .add(now, baselineResponseMs(txn.type));
+        member.creditMs = Math.max(0, member.creditMs - baselineResponseMs(txn.type));
+        readyDecisions.add(Decision.submit(txn.id, member.id, submission.number, null));
+        scheduleEvent(
+                min(answerDeadline(txn), now.plus(ofMillis(2 * meanResponseMs(txn.type, now)))),
+                txn);
+    }
+
+    private void hold(Txn txn, Duration now) {
+        if (!txn.answered && !txn.held) {
+            txn.held = true;
+            (txn.type.requiresPrimary() ? txn.group.heldWrites : txn.group.heldReads).add(txn);
+            markDirty(txn.group);
+            if (!txn.submissions.isEmpty()) {
+                scheduleEvent(now, txn);
             }
         }
     }
 
-    private void check(Txn t, Duration now) {
-        if (t.answered) {
+    private void checkTxn(Txn txn, Duration now) {
+        if (txn.answered) {
             return;
         }
-        boolean spent = t.submissions.size() >= number("most-submissions");
-        if (now.compareTo(endAt(t)) >= 0
-                || t.held
-                        && (spent
-                                || now.compareTo(giveUpAt(t, now)) >= 0
-                                || t.mayHaveRun() && !mayRepeat(t, now))) {
-            finish(t, now);
+        boolean noSubmissionLeft = txn.submissions.size() >= numberSetting("most-submissions");
+        if (now.compareTo(answerDeadline(txn)) >= 0
+                || txn.held
+                        && (noSubmissionLeft
+                                || now.compareTo(giveUpAt(txn, now)) >= 0
+                                || txn.mayHaveRun() && !mayRunAgain(txn, now))) {
+            answerFailure(txn, now);
             return;
         }
-        if (t.held) {
-            alarm(giveUpAt(t, now), t);
+        if (txn.held) {
+            scheduleEvent(giveUpAt(txn, now), txn);
             return;
         }
-        for (Submission s : t.submissions) {
-            if (s.isOutstanding() && quiet(s.member, now)) {
-                moveOn(t, s, now);
+        for (Submission submission : txn.submissions) {
+            if (submission.isOutstanding() && checkUnresponsive(submission.member, now)) {
+                resubmitElsewhere(txn, submission, now);
             }
         }
-        alarm(min(endAt(t), now.plus(ofMillis(usual(t.type, now)))), t);
+        scheduleEvent(
+                min(answerDeadline(txn), now.plus(ofMillis(meanResponseMs(txn.type, now)))), txn);
     }
 
     /** A submission is out at a member that has gone silent. */
-    private void moveOn(Txn t, Submission s, Duration now) {
-        Group g = t.group;
-        if (g.primary == s.member) {
-            search(
-                    g,
+    private void resubmitElsewhere(Txn txn, Submission submission, Duration now) {
+        Group group = txn.group;
+        if (group.primary == submission.member) {
+            startSearch(
+                    group,
                     now,
-                    "primary silent " + s.member.id + " holding " + s.member.outstanding.size());
-        }
-        if (t.type.repeatability() != Repeatability.REPEATABLE
-                || s.cancelRequested
-                || late(t, now)
-                || t.held
-                || t.submissions.size() >= number("most-submissions")
-                || !budget(now)) {
+                    "primary silent "
+                            + submission.member.id
+                            + " holding "
+                            + submission.member.outstanding.size());
+        }
+        if (txn.type.repeatability() != Repeatability.REPEATABLE
+                || submission.cancelRequested
+                || isTooLateForSla(txn, now)
+                || txn.held
+                || txn.submissions.size() >= numberSetting("most-submissions")
+                || !hasRetryBudget(now)) {
             return;
         }
-        if (!flag("second-copies")) {
-            cancel(s);
-        } else if (t.outstandingCount() < 2) {
-            t.held = true;
-            (t.type.requiresPrimary() ? g.heldWrites : g.heldReads).add(t);
-            touch(g);
+        if (!flagSetting("second-copies")) {
+            cancel(submission);
+        } else if (txn.outstandingCount() < 2) {
+            txn.held = true;
+            (txn.type.requiresPrimary() ? group.heldWrites : group.heldReads).add(txn);
+            markDirty(group);
         }
     }
 
-    private void cancel(Submission s) {
-        if (s.isOutstanding() && !s.cancelRequested && flag("may-cancel")) {
-            s.cancelRequested = true;
-            ready.add(Decision.cancel(s.txn.id, s.number));
+    private void cancel(Submission submission) {
+        if (submission.isOutstanding()
+                && !submission.cancelRequested
+                && flagSetting("may-cancel")) {
+            submission.cancelRequested = true;
+            readyDecisions.add(Decision.cancel(submission.txn.id, submission.number));
         }
     }
 
     /** The final answer: a decline where a retry is harmless, else a rollback. */
-    private void finish(Txn t, Duration now) {
-        boolean harmless =
-                t.type.repeatability() == Repeatability.REPEATABLE
-                        || !t.mayHaveRun()
-                        || t.type.repeatability() == Repeatability.REFERENCED
-                                && t.type.everyMemberDropsRepeats();
+    private void answerFailure(Txn txn, Duration now) {
+        boolean retryIsHarmless =
+                txn.type.repeatability() == Repeatability.REPEATABLE
+                        || !txn.mayHaveRun()
+                        || txn.type.repeatability() == Repeatability.REFERENCED
+                                && txn.type.everyMemberDropsRepeats();
         // A client that can still be in time may come back at once; one that is too late better
         // waits.
-        boolean away = flag("may-advise-come-back") && late(t, now);
-        ready.add(
-                !harmless
-                        ? Decision.rollBack(t.id)
-                        : Decision.decline(t.id, away ? time("longest-come-back") : null));
-        close(t);
+        boolean adviseRetryDelay = flagSetting("may-advise-come-back") && isTooLateForSla(txn, now);
+        readyDecisions.add(
+                !retryIsHarmless
+                        ? Decision.rollBack(txn.id)
+                        : Decision.decline(
+                                txn.id,
+                                adviseRetryDelay ? durationSetting("longest-come-back") : null));
+        close(txn);
     }
 
-    private void close(Txn t) {
-        t.answered = true;
-        t.held = false;
-        txns.remove(t.id);
+    private void close(Txn txn) {
+        txn.answered = true;
+        txn.held = false;
+        openTxns.remove(txn.id);
     }
 
     /** When a held txn is given up: what it waits for could no longer be of use by then. */
-    private Duration giveUpAt(Txn t, Duration now) {
-        Duration takes = ofMillis(Math.max(calm(t.type), usual(t.type, now)));
-        Duration last =
-                (t.type.lateShare() > 0 ? t.expiresAt : min(t.slaDeadline, t.expiresAt))
-                        .minus(takes);
-        if (t.type.lateShare() == 0) {
+    private Duration giveUpAt(Txn txn, Duration now) {
+        Duration expectedTime =
+                ofMillis(Math.max(baselineResponseMs(txn.type), meanResponseMs(txn.type, now)));
+        Duration latestUsefulStart =
+                (txn.type.lateShare() > 0 ? txn.expiresAt : min(txn.slaDeadline, txn.expiresAt))
+                        .minus(expectedTime);
+        if (txn.type.lateShare() == 0) {
             // Half of it: a client that asks again may then still be served in time.
-            last = min(last, t.arrivedAt.plus(t.type.slaTime().minus(takes).dividedBy(2)));
+            latestUsefulStart =
+                    min(
+                            latestUsefulStart,
+                            txn.arrivedAt.plus(
+                                    txn.type.slaTime().minus(expectedTime).dividedBy(2)));
         }
-        return min(endAt(t), max(t.arrivedAt.plus(step), last));
+        return min(answerDeadline(txn), max(txn.arrivedAt.plus(granularity), latestUsefulStart));
     }
 
-    private Duration endAt(Txn t) {
-        return t.expiresAt.minus(step);
+    private Duration answerDeadline(Txn txn) {
+        return txn.expiresAt.minus(granularity);
     }
 
-    private boolean mayRepeat(Txn t, Duration now) {
-        return t.type.repeatability() == Repeatability.REPEATABLE
-                || !t.mayHaveRun()
-                || t.type.repeatability() == Repeatability.REFERENCED
-                        && now.plus(step)
+    private boolean mayRunAgain(Txn txn, Duration now) {
+        return txn.type.repeatability() == Repeatability.REPEATABLE
+                || !txn.mayHaveRun()
+                || txn.type.repeatability() == Repeatability.REFERENCED
+                        && now.plus(granularity)
                                         .compareTo(
-                                                t.earliestPossibleRunAt()
-                                                        .plus(t.type.repeatWindow()))
+                                                txn.earliestPossibleRunAt()
+                                                        .plus(txn.type.repeatWindow()))
                                 < 0;
     }
 
-    private boolean mayGoAgain(Txn t, Duration now) {
-        return t.submissions.isEmpty()
-                || mayRepeat(t, now)
-                        && (t.outstandingCount() == 0 || flag("second-copies"))
-                        && t.submissions.size() < number("most-submissions")
-                        && budget(now);
+    private boolean maySubmitAgain(Txn txn, Duration now) {
+        return txn.submissions.isEmpty()
+                || mayRunAgain(txn, now)
+                        && (txn.outstandingCount() == 0 || flagSetting("second-copies"))
+                        && txn.submissions.size() < numberSetting("most-submissions")
+                        && hasRetryBudget(now);
     }
 
     /** Further submissions follow the share of recent ones that succeeded. */
-    private boolean budget(Duration now) {
-        double share = (committed.valueAt(now) + 1) / (ended.valueAt(now) + 1);
-        return furthers.valueAt(now) < 4 + 0.5 * share * firsts.valueAt(now);
+    private boolean hasRetryBudget(Duration now) {
+        double successShare = (committedCount.valueAt(now) + 1) / (endedCount.valueAt(now) + 1);
+        return furtherSubmissionCount.valueAt(now)
+                < 4 + 0.5 * successShare * firstSubmissionCount.valueAt(now);
     }
 
     // ---- members' health ----
 
-    private void measure(Member m, Txn t, Duration time, Duration now) {
-        for (ResponseTimes of :
-                new ResponseTimes[] {took[t.type.index()], kind(m)[t.type.index()]}) {
-            of.add(now, toMillis(time));
+    private void recordResponseTime(Member member, Txn txn, Duration responseTime, Duration now) {
+        for (ResponseTimes times :
+                new ResponseTimes[] {
+                    responseTimes[txn.type.index()], responseTimesOf(member)[txn.type.index()]
+                }) {
+            times.add(now, toMillis(responseTime));
             // A low mean that rises only slowly; the mean of a few is no ground for it.
-            of.baselineMs =
-                    of.sampleCount.valueAt(now) < 16
-                            ? of.baselineMs
-                            : Math.min(of.baselineMs * 1.0002, of.meanMs(now));
+            times.baselineMs =
+                    times.sampleCount.valueAt(now) < 16
+                            ? times.baselineMs
+                            : Math.min(times.baselineMs * 1.0002, times.meanMs(now));
         }
-        m.answerCount.add(now, 1);
-        m.slownessSum.add(now, toMillis(time) / target(m, t.type));
+        member.answerCount.add(now, 1);
+        member.slownessSum.add(now, toMillis(responseTime) / targetResponseMs(member, txn.type));
         // Guards against replicas that fall behind as they are crowded: a lag well inside the bound
         // lowers
         // the limit while it grows, else keeps it from rising. Where answers are quick it has
         // another cause.
-        boolean behind =
-                m != m.group.primary
-                        && behind(m).compareTo(bound.dividedBy(4)) > 0
-                        && ratio(m, now) > 0.75;
-        boolean growing = behind(m).compareTo(m.previousLag) > 0;
-        m.previousLag = behind(m);
-        if (ratio(m, now) > 1 || behind && growing) {
-            m.concurrencyLimit =
-                    Math.max(1, Math.min(m.concurrencyLimit, m.outstanding.size() + 1) * 0.75);
-        } else if (!behind && m.outstanding.size() + 1 >= m.concurrencyLimit - 1) {
-            m.concurrencyLimit += 1 / m.concurrencyLimit;
-        }
-        if (m == t.group.primary && !t.type.isUpdate()) {
-            t.group.spillShare =
-                    ratio(m, now) > 1
-                            ? Math.max(SPILL_SHARE, t.group.spillShare * 0.8)
-                            : Math.min(1, t.group.spillShare * 1.5);
+        boolean lagging =
+                member != member.group.primary
+                        && lagOf(member).compareTo(shortestAgeLimit.dividedBy(4)) > 0
+                        && slownessRatio(member, now) > 0.75;
+        boolean lagIsGrowing = lagOf(member).compareTo(member.previousLag) > 0;
+        member.previousLag = lagOf(member);
+        if (slownessRatio(member, now) > 1 || lagging && lagIsGrowing) {
+            member.concurrencyLimit =
+                    Math.max(
+                            1,
+                            Math.min(member.concurrencyLimit, member.outstanding.size() + 1)
+                                    * 0.75);
+        } else if (!lagging && member.outstanding.size() + 1 >= member.concurrencyLimit - 1) {
+            member.concurrencyLimit += 1 / member.concurrencyLimit;
+        }
+        if (member == txn.group.primary && !txn.type.isUpdate()) {
+            txn.group.spillShare =
+                    slownessRatio(member, now) > 1
+                            ? Math.max(MIN_SPILL_SHARE, txn.group.spillShare * 0.8)
+                            : Math.min(1, txn.group.spillShare * 1.5);
         }
     }
 
     /** What an answer may take of a member that is used but not crowded. */
-    private double target(Member m, TxnType type) {
-        double calm = kind(m)[type.index()].baselineMs;
-        return Math.sqrt(calm * toMillis(type.slaTime()));
+    private double targetResponseMs(Member member, TxnType type) {
+        double baselineMs = responseTimesOf(member)[type.index()].baselineMs;
+        return Math.sqrt(baselineMs * toMillis(type.slaTime()));
     }
 
-    private ResponseTimes[] kind(Member m) {
-        return tookByKind.computeIfAbsent(m.hostClass, k -> newTook());
+    private ResponseTimes[] responseTimesOf(Member member) {
+        return responseTimesByHostClass.computeIfAbsent(member.hostClass, k -> newResponseTimes());
     }
 
-    private ResponseTimes[] newTook() {
-        ResponseTimes[] all = new ResponseTimes[types.length];
-        for (int i = 0; i < all.length; i++) {
-            all[i] = new ResponseTimes(memory.multipliedBy(4), toMillis(types[i].slaTime()) / 4);
+    private ResponseTimes[] newResponseTimes() {
+        ResponseTimes[] times = new ResponseTimes[txnTypes.length];
+        for (int i = 0; i < times.length; i++) {
+            times[i] =
+                    new ResponseTimes(
+                            timeScale.multipliedBy(4), toMillis(txnTypes[i].slaTime()) / 4);
         }
-        return all;
+        return times;
     }
 
-    private double ratio(Member m, Duration now) {
-        return (m.slownessSum.valueAt(now) + 0.5) / (m.answerCount.valueAt(now) + 1);
+    private double slownessRatio(Member member, Duration now) {
+        return (member.slownessSum.valueAt(now) + 0.5) / (member.answerCount.valueAt(now) + 1);
     }
 
-    private double usual(TxnType type, Duration now) {
-        return took[type.index()].meanMs(now);
+    private double meanResponseMs(TxnType type, Duration now) {
+        return responseTimes[type.index()].meanMs(now);
     }
 
-    private double calm(TxnType type) {
-        return took[type.index()].baselineMs;
+    private double baselineResponseMs(TxnType type) {
+        return responseTimes[type.index()].baselineMs;
     }
 
     /**
      * Silent: its work has waited, all together, several usual answer times since its last sign.
      */
-    private boolean quiet(Member m, Duration now) {
-        if (m.unresponsive || m.outstanding.isEmpty()) {
-            return m.unresponsive;
+    private boolean checkUnresponsive(Member member, Duration now) {
+        if (member.unresponsive || member.outstanding.isEmpty()) {
+            return member.unresponsive;
         }
-        double waited = 0;
-        for (Submission s : m.outstanding) {
+        double waitedMeanTimes = 0;
+        for (Submission submission : member.outstanding) {
             // One that later answers have overtaken by far is stuck by itself: it says nothing of
             // the member.
-            double usual = usual(s.txn.type, now);
-            waited +=
-                    toMillis(m.lastProgressAt.minus(s.sentAt)) > PATIENCE * usual
+            double meanMs = meanResponseMs(submission.txn.type, now);
+            waitedMeanTimes +=
+                    toMillis(member.lastProgressAt.minus(submission.sentAt))
+                                    > UNRESPONSIVE_AFTER_MEAN_TIMES * meanMs
                             ? 0
-                            : toMillis(now.minus(max(s.sentAt, m.lastProgressAt))) / usual;
+                            : toMillis(now.minus(max(submission.sentAt, member.lastProgressAt)))
+                                    / meanMs;
         }
         // The last sign must be a usual answer time away as well: many out are no reason to doubt
         // sooner.
-        Txn any = m.outstanding.iterator().next().txn;
-        if (waited > PATIENCE && toMillis(now.minus(m.lastProgressAt)) > usual(any.type, now)) {
-            m.unresponsive = true;
+        Txn firstTxn = member.outstanding.iterator().next().txn;
+        if (waitedMeanTimes > UNRESPONSIVE_AFTER_MEAN_TIMES
+                && toMillis(now.minus(member.lastProgressAt))
+                        > meanResponseMs(firstTxn.type, now)) {
+            member.unresponsive = true;
             log.accept(
                     "member "
-                            + m.id
+                            + member.id
                             + " silent for "
-                            + (long) toMillis(now.minus(m.lastProgressAt))
+                            + (long) toMillis(now.minus(member.lastProgressAt))
                             + " ms holding "
-                            + m.outstanding.size());
+                            + member.outstanding.size());
         }
-        return m.unresponsive;
+        return member.unresponsive;
     }
 
     /** Not to be used now: silent, or left alone after faults. */
-    private boolean away(Member m, Duration now) {
-        return now.compareTo(m.backoffUntil) < 0 || quiet(m, now);
+    private boolean isUnavailable(Member member, Duration now) {
+        return now.compareTo(member.backoffUntil) < 0 || checkUnresponsive(member, now);
     }
 
-    private void signOfLife(Member m, Duration now, Outcome end) {
-        m.lastProgressAt = now;
-        if (m.unresponsive) {
-            m.unresponsive = false;
-            log.accept("member " + m.id + " answers again");
+    private void recordAnswer(Member member, Duration now, Outcome outcome) {
+        member.lastProgressAt = now;
+        if (member.unresponsive) {
+            member.unresponsive = false;
+            log.accept("member " + member.id + " answers again");
         }
-        if (end == Outcome.FULL) {
-            m.concurrencyLimit = Math.max(1, m.concurrencyLimit / 2);
-            m.backoffUntil = max(m.backoffUntil, now.plus(ofMillis(calm(types[0]))));
+        if (outcome == Outcome.FULL) {
+            member.concurrencyLimit = Math.max(1, member.concurrencyLimit / 2);
+            member.backoffUntil =
+                    max(member.backoffUntil, now.plus(ofMillis(baselineResponseMs(txnTypes[0]))));
         } else {
-            m.consecutiveFailures = 0;
+            member.consecutiveFailures = 0;
             // Guards against pushing over one that is back before the list says so: out of reach
             // for a while.
-            if (m.unreachableSince != null && now.minus(m.unreachableSince).compareTo(memory) > 0) {
-                m.startedAt = now;
-                m.creditUpdatedAt = null;
+            if (member.unreachableSince != null
+                    && now.minus(member.unreachableSince).compareTo(timeScale) > 0) {
+                member.startedAt = now;
+                member.creditUpdatedAt = null;
             }
-            m.unreachableSince = null;
+            member.unreachableSince = null;
         }
     }
 
     /**
      * Whether it still lives is asked of the primary alone; should that fail, the search begins.
      */
-    private void turnedAway(Member m, Duration now) {
-        refused.add(now, 1);
-        m.consecutiveFailures++;
-        m.unreachableSince =
-                m.unreachableSince == null && m.outstanding.isEmpty() ? now : m.unreachableSince;
-        Duration pause =
-                ofMillis(calm(types[0]) / 4 * Math.pow(2, Math.min(m.consecutiveFailures, 4)));
-        m.backoffUntil = now.plus(scale(pause, 0.75 + 0.5 * random.nextDouble()));
-        if (m == m.group.primary && !m.group.searching && !probe(m, now)) {
-            search(m.group, now, "no connection to " + m.id);
-        }
-    }
-
-    private void fault(Member m, Duration now, Outcome end) {
-        m.consecutiveFailures++;
-        if (m.unreachableSince == null && (end == Outcome.UNREACHABLE || end == Outcome.RESET)) {
-            m.unreachableSince = now;
+    private void recordConnectionRefusal(Member member, Duration now) {
+        refusedConnectionCount.add(now, 1);
+        member.consecutiveFailures++;
+        member.unreachableSince =
+                member.unreachableSince == null && member.outstanding.isEmpty()
+                        ? now
+                        : member.unreachableSince;
+        Duration backoff =
+                ofMillis(
+                        baselineResponseMs(txnTypes[0])
+                                / 4
+                                * Math.pow(2, Math.min(member.consecutiveFailures, 4)));
+        member.backoffUntil = now.plus(scale(backoff, 0.75 + 0.5 * random.nextDouble()));
+        if (member == member.group.primary && !member.group.searching && !probe(member, now)) {
+            startSearch(member.group, now, "no connection to " + member.id);
+        }
+    }
+
+    private void recordFailure(Member member, Duration now, Outcome outcome) {
+        member.consecutiveFailures++;
+        if (member.unreachableSince == null
+                && (outcome == Outcome.UNREACHABLE || outcome == Outcome.RESET)) {
+            member.unreachableSince = now;
         }
         // One broken connection among answers is no loss; with the next it is left alone for a
         // while.
-        if (m.consecutiveFailures < 2 && (end == Outcome.RESET || end == Outcome.UNREACHABLE)) {
+        if (member.consecutiveFailures < 2
+                && (outcome == Outcome.RESET || outcome == Outcome.UNREACHABLE)) {
             return;
         }
-        Duration pause =
+        Duration backoff =
                 scale(
-                        max(Duration.ofMillis(250), time("connect-time-out")),
-                        Math.pow(2, Math.min(m.consecutiveFailures - 1, 3)));
-        m.backoffUntil = now.plus(scale(pause, 0.75 + 0.5 * random.nextDouble()));
+                        max(Duration.ofMillis(250), durationSetting("connect-time-out")),
+                        Math.pow(2, Math.min(member.consecutiveFailures - 1, 3)));
+        member.backoffUntil = now.plus(scale(backoff, 0.75 + 0.5 * random.nextDouble()));
     }
 
     /** How many submissions the member may hold of this driver. */
-    private double room(Member m, Duration now) {
-        double most = m == m.group.primary && !m.group.searching ? 2 : FIRST_LIMIT / 2;
-        double least = Math.min(most, 1 + crowd());
-        if (crowded(m, now) && crowd() > 1) {
+    private double submissionLimit(Member member, Duration now) {
+        double highestMinimum =
+                member == member.group.primary && !member.group.searching
+                        ? 2
+                        : INITIAL_CONCURRENCY_LIMIT / 2;
+        double minimumLimit = Math.min(highestMinimum, 1 + minimumFleetLoad());
+        if (isOverloaded(member, now) && minimumFleetLoad() > 1) {
             return 0;
         }
-        if ((m.concurrencyLimit < least || warmth(m, now) < 1 || crowded(m, now))
-                && credit(m, now) < calm(types[0])) {
+        if ((member.concurrencyLimit < minimumLimit
+                        || capacityShare(member, now) < 1
+                        || isOverloaded(member, now))
+                && refillCredit(member, now) < baselineResponseMs(txnTypes[0])) {
             return 0;
         }
-        return m.consecutiveFailures > 1
-                        || m.consecutiveFailures > 0 && now.compareTo(m.backoffUntil) < 0
+        return member.consecutiveFailures > 1
+                        || member.consecutiveFailures > 0 && now.compareTo(member.backoffUntil) < 0
                 ? 1
-                : m.concurrencyLimit;
+                : member.concurrencyLimit;
     }
 
     /**
      * Its own report shows more waiting than is answered in time; one that shows little proves
      * nothing.
      */
-    private boolean crowded(Member m, Duration now) {
-        return m.queueReportedAt != null
-                && m.queueLength * calm(types[0]) > toMillis(memory) / 2
-                && now.minus(m.queueReportedAt).compareTo(scale(memory, Math.max(4, crowd()))) < 0;
+    private boolean isOverloaded(Member member, Duration now) {
+        return member.queueReportedAt != null
+                && member.queueLength * baselineResponseMs(txnTypes[0]) > toMillis(timeScale) / 2
+                && now.minus(member.queueReportedAt)
+                                .compareTo(scale(timeScale, Math.max(4, minimumFleetLoad())))
+                        < 0;
     }
 
     /**
      * One submission of each driver at one member, in the updates' SLA times: what limits of one
      * come to.
      */
-    private double crowd() {
-        return number("drivers") * calm(types[0]) / toMillis(memory);
+    private double minimumFleetLoad() {
+        return numberSetting("drivers") * baselineResponseMs(txnTypes[0]) / toMillis(timeScale);
     }
 
     // Work that may be sent, saved up at a rate, as rates add up over many drivers. A cold member
     // gets a warm
     // one's, times its warm part and 0.6 of the multiple; a replica of low limit what it answers in
     // time.
-    private double credit(Member m, Duration now) {
-        double calm = calm(types[0]);
-        double warm = warmth(m, now);
-        double rate = Math.min(calm / toMillis(memory.multipliedBy(8)), 0.5 / number("drivers"));
-        double most = 2 * calm;
-        if (warm < 1) {
-            HostClassLoad load = sentToKind.get(m.hostClass);
-            if (load.countedAt == null || now.minus(load.countedAt).compareTo(time("fall")) > 0) {
+    private double refillCredit(Member member, Duration now) {
+        double baselineMs = baselineResponseMs(txnTypes[0]);
+        double capacityShare = capacityShare(member, now);
+        double creditPerMs =
+                Math.min(
+                        baselineMs / toMillis(timeScale.multipliedBy(8)),
+                        0.5 / numberSetting("drivers"));
+        double maxCreditMs = 2 * baselineMs;
+        if (capacityShare < 1) {
+            HostClassLoad load = loadByHostClass.get(member.hostClass);
+            if (load.countedAt == null
+                    || now.minus(load.countedAt).compareTo(durationSetting("fall")) > 0) {
                 load.countedAt = now;
                 // Each counts whole: by warm parts, many that start at once would each get the
                 // share of few.
                 load.memberCount =
                         members.values().stream()
-                                .filter(o -> o.listed && o.hostClass == m.hostClass)
+                                .filter(
+                                        other ->
+                                                other.listed && other.hostClass == member.hostClass)
                                 .count();
             }
-            rate =
+            creditPerMs =
                     Math.max(
-                            calm / toMillis(cold),
-                            warm
-                                    * number("fall-multiple")
+                            baselineMs / toMillis(warmUpPeriod),
+                            capacityShare
+                                    * numberSetting("fall-multiple")
                                     * 0.6
                                     * load.submittedWorkMs.valueAt(now)
                                     * Math.log(2)
                                     / toMillis(load.halfLife)
                                     / Math.max(1, load.memberCount));
-            most = calm + rate * toMillis(time("fall")) / 4;
+            maxCreditMs = baselineMs + creditPerMs * toMillis(durationSetting("fall")) / 4;
         }
-        if (m.creditUpdatedAt == null) {
-            m.creditMs = warm < 1 || crowd() > 1 ? random.nextDouble() * calm : most;
+        if (member.creditUpdatedAt == null) {
+            member.creditMs =
+                    capacityShare < 1 || minimumFleetLoad() > 1
+                            ? random.nextDouble() * baselineMs
+                            : maxCreditMs;
         } else {
-            m.creditMs = Math.min(most, m.creditMs + rate * toMillis(now.minus(m.creditUpdatedAt)));
+            member.creditMs =
+                    Math.min(
+                            maxCreditMs,
+                            member.creditMs
+                                    + creditPerMs * toMillis(now.minus(member.creditUpdatedAt)));
         }
-        m.creditUpdatedAt = now;
-        return m.creditMs;
+        member.creditUpdatedAt = now;
+        return member.creditMs;
     }
 
-    private double warmth(Member m, Duration now) {
-        if (m.startedAt == null || cold.isZero()) {
+    private double capacityShare(Member member, Duration now) {
+        if (member.startedAt == null || warmUpPeriod.isZero()) {
             return 1;
         }
-        double age = toMillis(now.minus(m.startedAt)) / toMillis(cold);
-        return age >= 1 ? 1 : number("cold-share") + (1 - number("cold-share")) * Math.max(0, age);
+        double warmUpProgress = toMillis(now.minus(member.startedAt)) / toMillis(warmUpPeriod);
+        return warmUpProgress >= 1
+                ? 1
+                : numberSetting("cold-share")
+                        + (1 - numberSetting("cold-share")) * Math.max(0, warmUpProgress);
     }
 
     /**
      * Nothing new goes there; a primary is used on for most of the grace, until it has handed over.
      */
-    private boolean mustStop(Member m, Duration now, boolean asPrimary) {
+    private boolean mustStop(Member member, Duration now, boolean asPrimary) {
         // Where the list does not prove who is gone, the txn path does: faults there leave a member
         // alone.
-        if (m.stopLearnedAt == null || m.gone && !m.drainSeen && flag("removal-not-binding")) {
+        if (member.stopLearnedAt == null
+                || member.gone && !member.drainSeen && flagSetting("removal-not-binding")) {
             return false;
         }
         Duration grace =
-                asPrimary && !m.gone
-                        ? time("drain-grace").minus(step.multipliedBy(2))
+                asPrimary && !member.gone
+                        ? durationSetting("drain-grace").minus(granularity.multipliedBy(2))
                         : Duration.ZERO;
-        return now.compareTo(m.stopLearnedAt.plus(grace)) >= 0;
+        return now.compareTo(member.stopLearnedAt.plus(grace)) >= 0;
     }
 
-    private void heardPosition(Member m, Duration position, Duration now) {
+    private void recordPosition(Member member, Duration position, Duration now) {
         if (position == null) {
             return;
         }
-        m.position = m.position == null ? position : max(m.position, position);
-        m.lag = now.minus(m.position);
-        m.positionReportedAt = now;
+        member.position = member.position == null ? position : max(member.position, position);
+        member.lag = now.minus(member.position);
+        member.positionReportedAt = now;
     }
 
     /**
      * Where the list must be asked for: follow it, again after failures and when it was quiet for
      * long.
      */
-    private void askListAt(Duration at) {
-        listAt = at;
-        alarm(at, at);
+    private void scheduleMemberListRequest(Duration dueAt) {
+        nextMemberListRequestAt = dueAt;
+        scheduleEvent(dueAt, dueAt);
     }
 
-    private void touch(Group g) {
-        if (!g.dirty) {
-            g.dirty = true;
-            dirty.add(g);
+    private void markDirty(Group group) {
+        if (!group.dirty) {
+            group.dirty = true;
+            dirtyGroups.add(group);
         }
     }
 
-    private void wake(Group g, Duration at) {
-        if (g.nextPassAt == null || at.compareTo(g.nextPassAt) < 0) {
-            g.nextPassAt = at;
-            alarm(at, g);
+    private void scheduleGroup(Group group, Duration dueAt) {
+        if (group.nextPassAt == null || dueAt.compareTo(group.nextPassAt) < 0) {
+            group.nextPassAt = dueAt;
+            scheduleEvent(dueAt, group);
         }
     }
 
-    private void alarm(Duration at, Object what) {
-        alarms.add(new Alarm(at, alarmNumber++, what));
+    private void scheduleEvent(Duration dueAt, Object target) {
+        scheduledEvents.add(new ScheduledEvent(dueAt, nextEventSequence++, target));
     }
 
-    private double number(String name) {
-        return terms.get(name) instanceof Double d ? d : 0;
+    private double numberSetting(String name) {
+        return settings.get(name) instanceof Double d ? d : 0;
     }
 
-    private Duration time(String name) {
-        return terms.get(name) instanceof Duration d ? d : Duration.ZERO;
+    private Duration durationSetting(String name) {
+        return settings.get(name) instanceof Duration d ? d : Duration.ZERO;
     }
 
-    private boolean flag(String name) {
-        return Boolean.TRUE.equals(terms.get(name));
+    private boolean flagSetting(String name) {
+        return Boolean.TRUE.equals(settings.get(name));
     }
 }
--- a/src/main/java/wingroad/simhost/Instance.java
+++ b/src/main/java/wingroad/simhost/DriverInstance.java
@@ -19,54 +19,54 @@
 /**
  * One driver on the wire: its module, its clock's start, and the one wake-up that it keeps armed.
  */
-final class Instance {
-    private final double startWall;
-    private final double zero;
-    private final List<?> reportNames;
+final class DriverInstance {
+    private final double startWallMs;
+    private final double positionZeroWallMs;
+    private final List<?> gaugeNames;
     private final Router router;
 
     /** Where log lines go: the reply being written. */
     private JsonGenerator log;
 
-    private Duration armed;
-    private long armedNumber;
+    private Duration armedWakeUpAt;
+    private long wakeUpNumber;
 
-    Instance(double wall, long seed, Map<String, Object> profile, JsonGenerator steps) {
-        this.startWall = wall;
+    DriverInstance(double wallMs, long seed, Map<String, Object> profile, JsonGenerator output) {
+        this.startWallMs = wallMs;
         Object family = profile.get("family-info");
-        this.zero =
+        this.positionZeroWallMs =
                 family instanceof Map<?, ?> m && m.get("zero") instanceof Number n
                         ? n.doubleValue()
                         : 0;
         Object report = profile.get("report");
-        this.reportNames =
+        this.gaugeNames =
                 report instanceof Map<?, ?> m && m.get("names") instanceof List<?> names
                         ? names
                         : List.of();
-        this.log = steps;
+        this.log = output;
         this.router = new TxnRouter(RouterSettings.fromWire(profile), seed, this::writeLog);
     }
 
-    private Duration sinceStart(double wall) {
-        return Json.span(wall - startWall);
+    private Duration sinceStart(double wallMs) {
+        return Json.span(wallMs - startWallMs);
     }
 
-    private double wall(Duration at) {
-        return Json.ms(at.plusNanos(Math.round(startWall * 1000) * 1000));
+    private double toWallMs(Duration at) {
+        return Json.ms(at.plusNanos(Math.round(startWallMs * 1000) * 1000));
     }
 
-    void take(
-            double wall,
+    void handleEvent(
+            double wallMs,
             String name,
             Map<String, Object> event,
             Map<Long, List<?>> lists,
-            JsonGenerator steps)
+            JsonGenerator output)
             throws IOException {
-        log = steps;
-        Duration now = sinceStart(wall);
+        log = output;
+        Duration now = sinceStart(wallMs);
         try {
             switch (name) {
-                case "view" -> view(now, event, lists);
+                case "view" -> handleMemberList(now, event, lists);
                 case "new-request" ->
                         router.txnArrived(
                                 now,
@@ -78,30 +78,30 @@
                                 sinceWrite(event),
                                 (Json.number(event, "marks", 0).intValue() & 2) != 0,
                                 Duration.ZERO);
-                case "result" -> result(now, event);
+                case "result" -> handleResult(now, event);
                 case "status-back" -> {
                     long member = Json.number(event, "member").longValue();
-                    report(now, member, event);
+                    handleReport(now, member, event);
                     // One that takes no further probe lives: many drivers may ask it at once.
                     boolean lives =
                             "ok".equals(event.get("state-code"))
                                     || "full".equals(event.get("state-code"));
-                    router.probeEnded(now, member, lives, took(event));
+                    router.probeEnded(now, member, lives, duration(event));
                 }
                 case "lapsed" -> router.txnAbandoned(now, Json.text(event, "op-id"));
                 case "fired" -> {
-                    if (Long.toString(armedNumber).equals(event.get("token"))) {
-                        armed = null;
+                    if (Long.toString(wakeUpNumber).equals(event.get("token"))) {
+                        armedWakeUpAt = null;
                     }
                 }
                 default -> {
                     // an event of a later wire: not ours
                 }
             }
-        } catch (Json.Malformed bad) {
-            throw bad;
-        } catch (RuntimeException bug) {
-            crash(steps, bug);
+        } catch (Json.Malformed malformed) {
+            throw malformed;
+        } catch (RuntimeException exception) {
+            writeCrash(output, exception);
         }
     }
 
@@ -110,11 +110,12 @@
         return ms > 0 ? Json.span(ms) : null;
     }
 
-    private static Duration took(Map<String, Object> event) {
+    private static Duration duration(Map<String, Object> event) {
         return Json.span(Json.number(event, "duration", 0));
     }
 
-    private void view(Duration now, Map<String, Object> event, Map<Long, List<?>> lists) {
+    private void handleMemberList(
+            Duration now, Map<String, Object> event, Map<Long, List<?>> lists) {
         String kind = Json.text(event, "kind");
         if (kind.equals("broken")) {
             router.memberListFailed(now);
@@ -144,10 +145,10 @@
         router.memberListEnded(now);
     }
 
-    private void result(Duration now, Map<String, Object> event) {
+    private void handleResult(Duration now, Map<String, Object> event) {
         long member = Json.number(event, "member").longValue();
-        report(now, member, event);
-        Submission.Outcome end =
+        handleReport(now, member, event);
+        Submission.Outcome outcome =
                 switch (Json.text(event, "state-code")) {
                     case "ok" -> Submission.Outcome.COMMITTED;
                     case "full" -> Submission.Outcome.FULL;
@@ -160,14 +161,14 @@
                     default -> Submission.Outcome.ERROR;
                 };
         long stand = Json.number(event, "stand", 0).longValue();
-        Duration position = stand >> 2 == 0 ? null : sinceStart(zero + (stand >> 2));
+        Duration position = stand >> 2 == 0 ? null : sinceStart(positionZeroWallMs + (stand >> 2));
         router.submissionEnded(
                 now,
                 Json.text(event, "op-id"),
                 Json.number(event, "round-no", 0).intValue(),
                 member,
-                end,
-                took(event),
+                outcome,
+                duration(event),
                 Boolean.TRUE.equals(event.get("terminal")),
                 role((int) (stand & 3)),
                 position);
@@ -179,101 +180,104 @@
                 : number == 2 ? Member.Role.REPLICA : Member.Role.UNKNOWN;
     }
 
-    private void report(Duration now, long member, Map<String, Object> event) {
-        if (!(event.get("metrics") instanceof List<?> figures) || figures.isEmpty()) {
+    private void handleReport(Duration now, long member, Map<String, Object> event) {
+        if (!(event.get("metrics") instanceof List<?> gauges) || gauges.isEmpty()) {
             return;
         }
         Member.Role role = Member.Role.UNKNOWN;
         Duration position = null;
-        double held = Double.NaN;
-        double waiting = Double.NaN;
-        double busy = Double.NaN;
-        for (int i = 0; i < figures.size() && i < reportNames.size(); i++) {
-            if (!(figures.get(i) instanceof Number n)) {
+        double activeCount = Double.NaN;
+        double queueLength = Double.NaN;
+        double utilization = Double.NaN;
+        for (int i = 0; i < gauges.size() && i < gaugeNames.size(); i++) {
+            if (!(gauges.get(i) instanceof Number n)) {
                 continue;
             }
-            double v = n.doubleValue();
-            switch (RouterSettings.gaugeName(String.valueOf(reportNames.get(i)))) {
-                case "position" -> position = sinceStart(zero + v * 1000);
-                case "primary" -> role = v == 1 ? Member.Role.PRIMARY : Member.Role.REPLICA;
-                case "held" -> held = v;
-                case "waiting" -> waiting = v;
-                case "busy" -> busy = v;
+            double value = n.doubleValue();
+            switch (RouterSettings.gaugeName(String.valueOf(gaugeNames.get(i)))) {
+                case "position" -> position = sinceStart(positionZeroWallMs + value * 1000);
+                case "primary" -> role = value == 1 ? Member.Role.PRIMARY : Member.Role.REPLICA;
+                case "held" -> activeCount = value;
+                case "waiting" -> queueLength = value;
+                case "busy" -> utilization = value;
                 default -> {
                     // a figure that the module has no use for
                 }
             }
         }
-        router.memberReported(now, member, role, position, held, waiting, busy);
+        router.memberReported(now, member, role, position, activeCount, queueLength, utilization);
     }
 
     /** Pulls the decisions until there is none and keeps the next wake-up armed. */
-    void decide(double wall, JsonGenerator steps) throws IOException {
-        log = steps;
-        Duration now = sinceStart(wall);
+    void writeDecisions(double wallMs, JsonGenerator output) throws IOException {
+        log = output;
+        Duration now = sinceStart(wallMs);
         try {
-            for (Decision d = router.nextDecision(now); d != null; d = router.nextDecision(now)) {
-                write(steps, d);
+            for (Decision decision = router.nextDecision(now);
+                    decision != null;
+                    decision = router.nextDecision(now)) {
+                writeDecision(output, decision);
             }
-            Duration wake = router.wakeAt();
-            if (wake != null && (armed == null || wake.compareTo(armed) < 0)) {
-                armed = wake;
-                armedNumber++;
-                Duration wait = wake.minus(now);
-                steps.writeStartObject();
-                steps.writeStringField("msg", "arm");
-                steps.writeNumberField("wait", wait.isNegative() ? 0.0 : Json.ms(wait));
-                steps.writeStringField("token", Long.toString(armedNumber));
-                steps.writeEndObject();
+            Duration wakeUpAt = router.wakeAt();
+            if (wakeUpAt != null
+                    && (armedWakeUpAt == null || wakeUpAt.compareTo(armedWakeUpAt) < 0)) {
+                armedWakeUpAt = wakeUpAt;
+                wakeUpNumber++;
+                Duration delay = wakeUpAt.minus(now);
+                output.writeStartObject();
+                output.writeStringField("msg", "arm");
+                output.writeNumberField("wait", delay.isNegative() ? 0.0 : Json.ms(delay));
+                output.writeStringField("token", Long.toString(wakeUpNumber));
+                output.writeEndObject();
             }
-        } catch (RuntimeException bug) {
-            crash(steps, bug);
+        } catch (RuntimeException exception) {
+            writeCrash(output, exception);
         }
     }
 
-    private void write(JsonGenerator steps, Decision d) throws IOException {
-        steps.writeStartObject();
-        switch (d.kind()) {
+    private void writeDecision(JsonGenerator output, Decision decision) throws IOException {
+        output.writeStartObject();
+        switch (decision.kind()) {
             case SUBMIT -> {
-                steps.writeStringField("msg", "submit-to");
-                steps.writeStringField("op-id", d.txn());
-                steps.writeNumberField("member", d.member());
-                if (d.deadlineOrRetryDelay() != null) {
-                    steps.writeNumberField("until", wall(d.deadlineOrRetryDelay()));
+                output.writeStringField("msg", "submit-to");
+                output.writeStringField("op-id", decision.txn());
+                output.writeNumberField("member", decision.member());
+                if (decision.deadlineOrRetryDelay() != null) {
+                    output.writeNumberField("until", toWallMs(decision.deadlineOrRetryDelay()));
                 }
             }
             case DECLINE -> {
-                steps.writeStringField("msg", "refuse");
-                steps.writeStringField("op-id", d.txn());
-                if (d.deadlineOrRetryDelay() != null) {
-                    steps.writeNumberField("come-back", Json.ms(d.deadlineOrRetryDelay()));
+                output.writeStringField("msg", "refuse");
+                output.writeStringField("op-id", decision.txn());
+                if (decision.deadlineOrRetryDelay() != null) {
+                    output.writeNumberField("come-back", Json.ms(decision.deadlineOrRetryDelay()));
                 }
             }
             case ROLL_BACK -> {
-                steps.writeStringField("msg", "fail");
-                steps.writeStringField("op-id", d.txn());
+                output.writeStringField("msg", "fail");
+                output.writeStringField("op-id", decision.txn());
             }
             case CANCEL -> {
-                steps.writeStringField("msg", "cancel");
-                steps.writeStringField("op-id", d.txn());
-                steps.writeNumberField("round-no", d.submission());
+                output.writeStringField("msg", "cancel");
+                output.writeStringField("op-id", decision.txn());
+                output.writeNumberField("round-no", decision.submission());
             }
             case PROBE -> {
-                steps.writeStringField("msg", "sample");
-                steps.writeNumberField("member", d.member());
+                output.writeStringField("msg", "sample");
+                output.writeNumberField("member", decision.member());
             }
             case RELEASE -> {
-                steps.writeStringField("msg", "free-links");
-                steps.writeNumberField("member", d.member());
+                output.writeStringField("msg", "free-links");
+                output.writeNumberField("member", decision.member());
             }
             case FOLLOW_LIST -> {
-                steps.writeStringField("msg", "tail");
-                steps.writeBooleanField("enable", true);
+                output.writeStringField("msg", "tail");
+                output.writeBooleanField("enable", true);
             }
-            case FETCH_LIST -> steps.writeStringField("msg", "query-all");
-            default -> throw new IllegalStateException("no words for " + d.kind());
+            case FETCH_LIST -> output.writeStringField("msg", "query-all");
+            default -> throw new IllegalStateException("no words for " + decision.kind());
         }
-        steps.writeEndObject();
+        output.writeEndObject();
     }
 
     private void writeLog(String line) {
@@ -287,18 +291,21 @@
         }
     }
 
-    static void crash(JsonGenerator steps, RuntimeException bug) throws IOException {
-        StackTraceElement[] at = bug.getStackTrace();
-        steps.writeStartObject();
-        steps.writeStringField("msg", "crash");
-        steps.writeStringField(
+    static void writeCrash(JsonGenerator output, RuntimeException exception) throws IOException {
+        StackTraceElement[] stackTrace = exception.getStackTrace();
+        output.writeStartObject();
+        output.writeStringField("msg", "crash");
+        output.writeStringField(
                 "reason-text",
-                bug.getClass().getSimpleName()
+                exception.getClass().getSimpleName()
                         + ": "
-                        + bug.getMessage()
-                        + (at.length > 0
-                                ? " at " + at[0].getFileName() + ":" + at[0].getLineNumber()
+                        + exception.getMessage()
+                        + (stackTrace.length > 0
+                                ? " at "
+                                        + stackTrace[0].getFileName()
+                                        + ":"
+                                        + stackTrace[0].getLineNumber()
                                 : ""));
-        steps.writeEndObject();
+        output.writeEndObject();
     }
 }
--- a/src/main/java/wingroad/simhost/SimHost.java
+++ b/src/main/java/wingroad/simhost/SimHost.java
@@ -5,6 +5,9 @@
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.core.JsonToken;
+
+import wingroad.protocol.Json;
+
 import java.io.BufferedReader;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -16,7 +19,6 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import wingroad.protocol.Json;
 
 /**
  * The adapter for the simulator's wire: one line in, one line out, many instances. It decodes,
@@ -26,11 +28,11 @@
     private final BufferedReader in;
     private final OutputStream out;
     private final PrintStream err;
-    private final JsonFactory json = new JsonFactory();
-    private final Map<Long, Instance> instances = new HashMap<>();
+    private final JsonFactory jsonFactory = new JsonFactory();
+    private final Map<Long, DriverInstance> instances = new HashMap<>();
 
     /** Lists by number; a newer one takes over an older one's number. */
-    private final Map<Long, List<?>> lists = new HashMap<>();
+    private final Map<Long, List<?>> memberLists = new HashMap<>();
 
     public SimHost(InputStream in, OutputStream out, PrintStream err) {
         this.in = new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8), 1 << 16);
@@ -61,7 +63,7 @@
 
     private void answer(String line, OutputStream reply) throws IOException {
         Map<String, Object> batch;
-        try (JsonParser parser = json.createParser(line)) {
+        try (JsonParser parser = jsonFactory.createParser(line)) {
             if (parser.nextToken() != JsonToken.START_OBJECT) {
                 throw new Json.Malformed("no object");
             }
@@ -70,64 +72,64 @@
                 throw new Json.Malformed("more than one value");
             }
         }
-        double wall = Json.number(batch, "wall").doubleValue();
-        try (JsonGenerator steps = json.createGenerator(reply)) {
-            steps.disable(JsonGenerator.Feature.AUTO_CLOSE_TARGET);
-            steps.writeStartObject();
-            steps.writeArrayFieldStart("groups");
+        double wallMs = Json.number(batch, "wall").doubleValue();
+        try (JsonGenerator output = jsonFactory.createGenerator(reply)) {
+            output.disable(JsonGenerator.Feature.AUTO_CLOSE_TARGET);
+            output.writeStartObject();
+            output.writeArrayFieldStart("groups");
             for (Object part : Json.list(batch, "groups")) {
                 Map<String, Object> group = Json.object(part, "a group");
-                long id = Json.number(group, "driver-id").longValue();
-                steps.writeStartObject();
-                steps.writeNumberField("driver-id", id);
-                steps.writeArrayFieldStart("steps");
-                serve(wall, id, Json.list(group, "events"), steps);
-                steps.writeEndArray();
-                steps.writeEndObject();
+                long instanceId = Json.number(group, "driver-id").longValue();
+                output.writeStartObject();
+                output.writeNumberField("driver-id", instanceId);
+                output.writeArrayFieldStart("steps");
+                handleEvents(wallMs, instanceId, Json.list(group, "events"), output);
+                output.writeEndArray();
+                output.writeEndObject();
             }
-            steps.writeEndArray();
-            steps.writeEndObject();
+            output.writeEndArray();
+            output.writeEndObject();
         }
     }
 
-    private void serve(double wall, long id, List<?> events, JsonGenerator steps)
+    private void handleEvents(double wallMs, long instanceId, List<?> events, JsonGenerator output)
             throws IOException {
-        for (Object e : events) {
-            Map<String, Object> event = Json.object(e, "an event");
+        for (Object entry : events) {
+            Map<String, Object> event = Json.object(entry, "an event");
             String name = Json.text(event, "msg");
             switch (name) {
                 case "inventory" ->
-                        lists.put(
+                        memberLists.put(
                                 Json.number(event, "buffer").longValue(),
                                 Json.list(event, "members-list"));
-                case "crash-now" -> instances.remove(id);
+                case "crash-now" -> instances.remove(instanceId);
                 case "power-on" -> {
                     try {
                         instances.put(
-                                id,
-                                new Instance(
-                                        wall,
+                                instanceId,
+                                new DriverInstance(
+                                        wallMs,
                                         Json.number(event, "salt").longValue(),
                                         Json.object(
                                                 Json.need(event, "profile-data"), "'profile-data'"),
-                                        steps));
-                    } catch (Json.Malformed bad) {
-                        throw bad;
-                    } catch (RuntimeException bug) {
-                        Instance.crash(steps, bug);
+                                        output));
+                    } catch (Json.Malformed malformed) {
+                        throw malformed;
+                    } catch (RuntimeException exception) {
+                        DriverInstance.writeCrash(output, exception);
                     }
                 }
                 default -> {
-                    Instance instance = instances.get(id);
+                    DriverInstance instance = instances.get(instanceId);
                     if (instance != null) {
-                        instance.take(wall, name, event, lists, steps);
+                        instance.handleEvent(wallMs, name, event, memberLists, output);
                     }
                 }
             }
         }
-        Instance instance = instances.get(id);
+        DriverInstance instance = instances.get(instanceId);
         if (instance != null) {
-            instance.decide(wall, steps);
+            instance.writeDecisions(wallMs, output);
         }
     }
 }
--- a/src/main/java/wingroad/state/DecayingSum.java
+++ b/src/main/java/wingroad/state/DecayingSum.java
@@ -6,7 +6,7 @@
 public final class DecayingSum {
     private final double halfLifeNanos;
     private double sum;
-    private long at;
+    private long updatedAtNanos;
 
     public DecayingSum(Duration halfLife) {
         this.halfLifeNanos = halfLife.toNanos();
@@ -17,12 +17,12 @@
     }
 
     public double valueAt(Duration now) {
-        long nanos = now.toNanos();
-        if (nanos > at) {
+        long nowNanos = now.toNanos();
+        if (nowNanos > updatedAtNanos) {
             if (sum != 0) {
-                sum *= Math.exp(-0.6931471805599453 * (nanos - at) / halfLifeNanos);
+                sum *= Math.exp(-0.6931471805599453 * (nowNanos - updatedAtNanos) / halfLifeNanos);
             }
-            at = nanos;
+            updatedAtNanos = nowNanos;
         }
         return sum;
     }
--- a/src/main/java/wingroad/state/Durations.java
+++ b/src/main/java/wingroad/state/Durations.java
@@ -6,23 +6,23 @@
 public final class Durations {
     private Durations() {}
 
-    public static double toMillis(Duration d) {
-        return d.toNanos() / 1e6;
+    public static double toMillis(Duration duration) {
+        return duration.toNanos() / 1e6;
     }
 
     public static Duration ofMillis(double ms) {
         return Duration.ofNanos((long) (ms * 1e6));
     }
 
-    public static Duration scale(Duration d, double by) {
-        return Duration.ofNanos((long) (d.toNanos() * by));
+    public static Duration scale(Duration duration, double factor) {
+        return Duration.ofNanos((long) (duration.toNanos() * factor));
     }
 
-    public static Duration max(Duration a, Duration b) {
-        return a.compareTo(b) >= 0 ? a : b;
+    public static Duration max(Duration first, Duration second) {
+        return first.compareTo(second) >= 0 ? first : second;
     }
 
-    public static Duration min(Duration a, Duration b) {
-        return a.compareTo(b) <= 0 ? a : b;
+    public static Duration min(Duration first, Duration second) {
+        return first.compareTo(second) <= 0 ? first : second;
     }
 }
--- a/src/main/java/wingroad/state/Member.java
+++ b/src/main/java/wingroad/state/Member.java
@@ -86,9 +86,9 @@
     public boolean probeInFlight;
     public Duration lastProbeAt;
 
-    public Member(long id, Duration memory) {
+    public Member(long id, Duration halfLife) {
         this.id = id;
-        this.answerCount = new DecayingSum(memory);
-        this.slownessSum = new DecayingSum(memory);
+        this.answerCount = new DecayingSum(halfLife);
+        this.slownessSum = new DecayingSum(halfLife);
     }
 }
--- a/src/main/java/wingroad/state/ResponseTimes.java
+++ b/src/main/java/wingroad/state/ResponseTimes.java
@@ -10,10 +10,10 @@
     /** A low mean: what it takes of a member that is not crowded. */
     public double baselineMs;
 
-    public ResponseTimes(Duration memory, double calm) {
-        this.totalMs = new DecayingSum(memory);
-        this.sampleCount = new DecayingSum(memory);
-        this.baselineMs = calm;
+    public ResponseTimes(Duration halfLife, double initialBaselineMs) {
+        this.totalMs = new DecayingSum(halfLife);
+        this.sampleCount = new DecayingSum(halfLife);
+        this.baselineMs = initialBaselineMs;
     }
 
     public void add(Duration now, double ms) {
@@ -23,7 +23,7 @@
 
     /** The present mean, or {@link #baselineMs} where too little is known. */
     public double meanMs(Duration now) {
-        double n = sampleCount.valueAt(now);
-        return n < 1 ? baselineMs : totalMs.valueAt(now) / n;
+        double samples = sampleCount.valueAt(now);
+        return samples < 1 ? baselineMs : totalMs.valueAt(now) / samples;
     }
 }
--- a/src/main/java/wingroad/state/TimingWheel.java
+++ b/src/main/java/wingroad/state/TimingWheel.java
@@ -7,16 +7,16 @@
  * wheel, so nothing is allocated for it. Measured against a heap in bench/fair-queues.sh.
  */
 public final class TimingWheel {
-    private static final int SLOT_BITS = 22;
-    private static final int SLOTS = 1024;
+    private static final int SLOT_NANOS_BITS = 22;
+    private static final int SLOT_COUNT = 1024;
 
     /** What is due at a time; it is in one wheel at most. */
     public static class Timer {
         private long dueNanos;
-        private Timer before;
-        private Timer behind;
+        private Timer previous;
+        private Timer next;
         private TimingWheel wheel;
-        private int at;
+        private int slotIndex;
 
         /** In nanoseconds; counts only while it is set. */
         public final long dueNanos() {
@@ -29,10 +29,10 @@
     }
 
     /** The ends of each slot's ring. */
-    private final Timer[] slots = new Timer[SLOTS];
+    private final Timer[] slots = new Timer[SLOT_COUNT];
 
-    private final long[] used = new long[SLOTS / 64];
-    private long slot;
+    private final long[] occupiedSlots = new long[SLOT_COUNT / 64];
+    private long currentSlot;
     private int size;
 
     public int size() {
@@ -43,62 +43,64 @@
      * Sets the timer, anew where it was set. One that is due in the past comes out with the present
      * slot.
      */
-    public void schedule(Timer t, long due) {
-        cancel(t);
-        t.dueNanos = due;
-        t.wheel = this;
-        int at = (int) Math.max(due >> SLOT_BITS, slot) & SLOTS - 1;
-        t.at = at;
-        Timer end = slots[at];
-        if (end == null) {
-            end = new Timer();
-            end.before = end;
-            end.behind = end;
-            slots[at] = end;
+    public void schedule(Timer timer, long dueNanos) {
+        cancel(timer);
+        timer.dueNanos = dueNanos;
+        timer.wheel = this;
+        int slotIndex = (int) Math.max(dueNanos >> SLOT_NANOS_BITS, currentSlot) & SLOT_COUNT - 1;
+        timer.slotIndex = slotIndex;
+        Timer sentinel = slots[slotIndex];
+        if (sentinel == null) {
+            sentinel = new Timer();
+            sentinel.previous = sentinel;
+            sentinel.next = sentinel;
+            slots[slotIndex] = sentinel;
         }
-        t.before = end.before;
-        t.behind = end;
-        end.before.behind = t;
-        end.before = t;
-        used[at >> 6] |= 1L << at;
+        timer.previous = sentinel.previous;
+        timer.next = sentinel;
+        sentinel.previous.next = timer;
+        sentinel.previous = timer;
+        occupiedSlots[slotIndex >> 6] |= 1L << slotIndex;
         size++;
     }
 
-    public void cancel(Timer t) {
-        if (t.wheel == null) {
+    public void cancel(Timer timer) {
+        if (timer.wheel == null) {
             return;
         }
-        if (t.wheel != this) {
+        if (timer.wheel != this) {
             throw new IllegalArgumentException("the timer is set in another wheel");
         }
-        t.before.behind = t.behind;
-        t.behind.before = t.before;
-        if (t.before == t.behind) {
+        timer.previous.next = timer.next;
+        timer.next.previous = timer.previous;
+        if (timer.previous == timer.next) {
             // Only the slot's end is left.
-            used[t.at >> 6] &= ~(1L << t.at);
+            occupiedSlots[timer.slotIndex >> 6] &= ~(1L << timer.slotIndex);
         }
-        t.before = null;
-        t.behind = null;
-        t.wheel = null;
+        timer.previous = null;
+        timer.next = null;
+        timer.wheel = null;
         size--;
     }
 
     /** Takes out a timer whose slot has passed, or null where there is none. */
-    public Timer poll(long now) {
-        long end = now >> SLOT_BITS;
+    public Timer poll(long nowNanos) {
+        long nowSlot = nowNanos >> SLOT_NANOS_BITS;
         if (size == 0) {
-            slot = Math.max(slot, end);
+            currentSlot = Math.max(currentSlot, nowSlot);
             return null;
         }
         // Once round meets every slot; what is due in a later round stays where it is.
-        for (slot = Math.max(slot, end - SLOTS); slot < end; slot++) {
-            int at = (int) slot & SLOTS - 1;
-            if ((used[at >> 6] & 1L << at) != 0) {
-                Timer last = slots[at];
-                for (Timer t = last.behind; t != last; t = t.behind) {
-                    if (t.dueNanos <= now) {
-                        cancel(t);
-                        return t;
+        for (currentSlot = Math.max(currentSlot, nowSlot - SLOT_COUNT);
+                currentSlot < nowSlot;
+                currentSlot++) {
+            int slotIndex = (int) currentSlot & SLOT_COUNT - 1;
+            if ((occupiedSlots[slotIndex >> 6] & 1L << slotIndex) != 0) {
+                Timer sentinel = slots[slotIndex];
+                for (Timer timer = sentinel.next; timer != sentinel; timer = timer.next) {
+                    if (timer.dueNanos <= nowNanos) {
+                        cancel(timer);
+                        return timer;
                     }
                 }
             }
@@ -114,14 +116,15 @@
         if (size == 0) {
             return -1;
         }
-        for (int i = 0; i < SLOTS; ) {
-            int at = (int) (slot + i) & SLOTS - 1;
-            long word = used[at >> 6] >>> (at & 63);
+        for (int offset = 0; offset < SLOT_COUNT; ) {
+            int slotIndex = (int) (currentSlot + offset) & SLOT_COUNT - 1;
+            long word = occupiedSlots[slotIndex >> 6] >>> (slotIndex & 63);
             if (word != 0) {
-                return slot + i + Long.numberOfTrailingZeros(word) + 1 << SLOT_BITS;
+                return currentSlot + offset + Long.numberOfTrailingZeros(word) + 1
+                        << SLOT_NANOS_BITS;
             }
-            i += 64 - (at & 63);
+            offset += 64 - (slotIndex & 63);
         }
-        return slot + SLOTS << SLOT_BITS;
+        return currentSlot + SLOT_COUNT << SLOT_NANOS_BITS;
     }
 }
--- a/src/main/java/wingroad/state/Txn.java
+++ b/src/main/java/wingroad/state/Txn.java
@@ -54,18 +54,18 @@
     }
 
     public int outstandingCount() {
-        int n = 0;
-        for (Submission s : submissions) {
-            if (s.isOutstanding()) {
-                n++;
+        int count = 0;
+        for (Submission submission : submissions) {
+            if (submission.isOutstanding()) {
+                count++;
             }
         }
-        return n;
+        return count;
     }
 
     public boolean mayHaveRun() {
-        for (Submission s : submissions) {
-            if (s.mayHaveRun()) {
+        for (Submission submission : submissions) {
+            if (submission.mayHaveRun()) {
                 return true;
             }
         }
@@ -74,9 +74,9 @@
 
     /** When the earliest submission that may have run was sent, or null. */
     public Duration earliestPossibleRunAt() {
-        for (Submission s : submissions) {
-            if (s.mayHaveRun()) {
-                return s.sentAt;
+        for (Submission submission : submissions) {
+            if (submission.mayHaveRun()) {
+                return submission.sentAt;
             }
         }
         return null;
--- a/src/main/java/wingroad/state/TxnType.java
+++ b/src/main/java/wingroad/state/TxnType.java
@@ -24,10 +24,10 @@
         ONCE_ONLY;
 
         /** The kind that the word names; one that is not known must never run twice. */
-        public static Repeatability fromSetting(Object word) {
-            return "repeatable".equals(word)
+        public static Repeatability fromSetting(Object value) {
+            return "repeatable".equals(value)
                     ? REPEATABLE
-                    : "referenced".equals(word) ? REFERENCED : ONCE_ONLY;
+                    : "referenced".equals(value) ? REFERENCED : ONCE_ONLY;
         }
     }
 
@@ -39,10 +39,10 @@
         RECENT,
         LOOSE;
 
-        public static Freshness fromSetting(Object word) {
-            for (Freshness f : values()) {
-                if (f.name().toLowerCase(Locale.ROOT).replace('_', '-').equals(word)) {
-                    return f;
+        public static Freshness fromSetting(Object value) {
+            for (Freshness freshness : values()) {
+                if (freshness.name().toLowerCase(Locale.ROOT).replace('_', '-').equals(value)) {
+                    return freshness;
                 }
             }
             return LOOSE;
@@ -50,32 +50,34 @@
     }
 
     /** The types that the terms describe, by their numbers. */
-    public static TxnType[] fromSettings(Map<String, Object> terms) {
-        TxnType[] all = new TxnType[terms.get("txn-types") instanceof Double n ? n.intValue() : 0];
-        for (int i = 0; i < all.length; i++) {
-            String t = "txn-type." + i + ".";
-            all[i] =
+    public static TxnType[] fromSettings(Map<String, Object> settings) {
+        TxnType[] types =
+                new TxnType
+                        [settings.get("txn-types") instanceof Double count ? count.intValue() : 0];
+        for (int i = 0; i < types.length; i++) {
+            String prefix = "txn-type." + i + ".";
+            types[i] =
                     new TxnType(
                             i,
-                            time(terms, t + "sla-time"),
-                            time(terms, t + "expiry"),
-                            number(terms, t + "value"),
-                            number(terms, t + "late-share"),
-                            Repeatability.fromSetting(terms.get(t + "repeat")),
-                            Freshness.fromSetting(terms.get(t + "reads")),
-                            time(terms, t + "oldest-data"),
-                            time(terms, t + "window"),
-                            "all".equals(terms.get(t + "repeats-dropped-by")));
+                            durationSetting(settings, prefix + "sla-time"),
+                            durationSetting(settings, prefix + "expiry"),
+                            numberSetting(settings, prefix + "value"),
+                            numberSetting(settings, prefix + "late-share"),
+                            Repeatability.fromSetting(settings.get(prefix + "repeat")),
+                            Freshness.fromSetting(settings.get(prefix + "reads")),
+                            durationSetting(settings, prefix + "oldest-data"),
+                            durationSetting(settings, prefix + "window"),
+                            "all".equals(settings.get(prefix + "repeats-dropped-by")));
         }
-        return all;
+        return types;
     }
 
-    private static double number(Map<String, Object> terms, String name) {
-        return terms.get(name) instanceof Double d ? d : 0;
+    private static double numberSetting(Map<String, Object> settings, String name) {
+        return settings.get(name) instanceof Double d ? d : 0;
     }
 
-    private static Duration time(Map<String, Object> terms, String name) {
-        return terms.get(name) instanceof Duration d ? d : Duration.ZERO;
+    private static Duration durationSetting(Map<String, Object> settings, String name) {
+        return settings.get(name) instanceof Duration d ? d : Duration.ZERO;
     }
 
     public boolean isUpdate() {
--- a/src/main/java/wingroad/terms/SettingsValidator.java
+++ b/src/main/java/wingroad/terms/SettingsValidator.java
@@ -13,7 +13,7 @@
  */
 public final class SettingsValidator {
     private static final double DAY_MS = 86_400_000;
-    private static final double MANY = 1e6;
+    private static final double MAX_NUMBER = 1e6;
 
     private final Map<String, Object> settings;
     private final List<String> problems = new ArrayList<>();
@@ -25,101 +25,103 @@
     /** The problems, in the order of the wire's page; none where the settings can be used. */
     public static List<String> problems(Map<String, Object> settings) {
         SettingsValidator check = new SettingsValidator(settings);
-        check.whole();
-        check.types();
-        check.shapes();
+        check.checkDeploymentSettings();
+        check.checkTxnTypes();
+        check.checkConsistency();
         return check.problems;
     }
 
-    private void whole() {
-        number("balancers", 1, MANY);
-        number("index", 0, MANY);
-        number("zone", 0, MANY);
-        number("granularity", 0, 1000);
-        word("discovery", Set.of("push", "ask"));
-        word("family-info.checks", Set.of("silent", "reject", "hold"));
-        number("family-info.holds-for", 0, DAY_MS);
-        word("family-info.role-in-list", Set.of("delayed", "initial", "silent"));
-        flag("family-info.stamps");
-        word("family-info.write-marks", Set.of("client", "router"));
-        word("report.source", Set.of("piggyback", "pull", "silent"));
-        flag("callers.marks-retry");
+    private void checkDeploymentSettings() {
+        checkNumber("balancers", 1, MAX_NUMBER);
+        checkNumber("index", 0, MAX_NUMBER);
+        checkNumber("zone", 0, MAX_NUMBER);
+        checkNumber("granularity", 0, 1000);
+        checkWord("discovery", Set.of("push", "ask"));
+        checkWord("family-info.checks", Set.of("silent", "reject", "hold"));
+        checkNumber("family-info.holds-for", 0, DAY_MS);
+        checkWord("family-info.role-in-list", Set.of("delayed", "initial", "silent"));
+        checkFlag("family-info.stamps");
+        checkWord("family-info.write-marks", Set.of("client", "router"));
+        checkWord("report.source", Set.of("piggyback", "pull", "silent"));
+        checkFlag("callers.marks-retry");
         for (String name :
                 List.of("cancelling", "peers", "probes", "retry-after", "second-copies")) {
-            flag("limits." + name);
+            checkFlag("limits." + name);
         }
-        number("limits.max-attempts", 1, MANY);
-        number("limits.max-retry-after", 0, DAY_MS);
-        number("limits.connect-timeout", 1, DAY_MS);
-        number("limits.keepalive", 0, DAY_MS);
-        number("limits.streams-per-conn", 1, MANY);
-        number("rules.answer-slack", 0, DAY_MS);
-        number("rules.ask-within", 0, DAY_MS);
-        number("rules.cold", 0, DAY_MS);
-        number("rules.cold-share", 0, 1);
-        number("rules.drain-grace", 0, DAY_MS);
-        number("rules.fall", 0, DAY_MS);
-        number("rules.fall-multiple", 0, MANY);
-        flag("rules.removal-not-binding");
+        checkNumber("limits.max-attempts", 1, MAX_NUMBER);
+        checkNumber("limits.max-retry-after", 0, DAY_MS);
+        checkNumber("limits.connect-timeout", 1, DAY_MS);
+        checkNumber("limits.keepalive", 0, DAY_MS);
+        checkNumber("limits.streams-per-conn", 1, MAX_NUMBER);
+        checkNumber("rules.answer-slack", 0, DAY_MS);
+        checkNumber("rules.ask-within", 0, DAY_MS);
+        checkNumber("rules.cold", 0, DAY_MS);
+        checkNumber("rules.cold-share", 0, 1);
+        checkNumber("rules.drain-grace", 0, DAY_MS);
+        checkNumber("rules.fall", 0, DAY_MS);
+        checkNumber("rules.fall-multiple", 0, MAX_NUMBER);
+        checkFlag("rules.removal-not-binding");
         for (String name : List.of("cross-zone", "waste", "probe", "late-fail")) {
-            number("prices." + name, 0, MANY);
+            checkNumber("prices." + name, 0, MAX_NUMBER);
         }
     }
 
-    private void types() {
+    private void checkTxnTypes() {
         if (!(RouterSettings.valueAt(settings, "grades") instanceof List<?> types)
                 || types.isEmpty()) {
             problems.add("grades: a list of the txn types, one at the least, is needed");
             return;
         }
         for (int i = 0; i < types.size(); i++) {
-            String type = "grades[" + i + "].";
-            number(type + "aim", 1, DAY_MS);
-            number(type + "deadline", 1, DAY_MS);
-            number(type + "worth", 0, MANY);
-            number(type + "late-share", 0, 1);
-            word(type + "semantics", Set.of("repeatable", "by_key", "once"));
-            word(type + "group", Set.of("all", "zone", "cell"));
-            number(type + "window", 0, DAY_MS);
-            word(
+            String typePath = "grades[" + i + "].";
+            checkNumber(typePath + "aim", 1, DAY_MS);
+            checkNumber(typePath + "deadline", 1, DAY_MS);
+            checkNumber(typePath + "worth", 0, MAX_NUMBER);
+            checkNumber(typePath + "late-share", 0, 1);
+            checkWord(typePath + "semantics", Set.of("repeatable", "by_key", "once"));
+            checkWord(typePath + "group", Set.of("all", "zone", "cell"));
+            checkNumber(typePath + "window", 0, DAY_MS);
+            checkWord(
                     "family-info.consistency[" + i + "]",
                     Set.of("update", "latest", "own_writes", "recent", "loose"));
-            number("family-info.oldest-data[" + i + "]", 0, DAY_MS);
-            if (value(type + "aim", 0) > value(type + "deadline", DAY_MS)) {
-                problems.add(type + "deadline: earlier than " + type + "aim");
+            checkNumber("family-info.oldest-data[" + i + "]", 0, DAY_MS);
+            if (numberAt(typePath + "aim", 0) > numberAt(typePath + "deadline", DAY_MS)) {
+                problems.add(typePath + "deadline: earlier than " + typePath + "aim");
             }
-            if ("by_key".equals(get(type + "semantics")) && value(type + "window", 0) <= 0) {
-                problems.add(type + "window: needed where semantics is by_key");
+            if ("by_key".equals(valueAt(typePath + "semantics"))
+                    && numberAt(typePath + "window", 0) <= 0) {
+                problems.add(typePath + "window: needed where semantics is by_key");
             }
         }
         for (String list : List.of("family-info.consistency", "family-info.oldest-data")) {
-            if (get(list) != null
-                    && (!(get(list) instanceof List<?> l) || l.size() != types.size())) {
+            if (valueAt(list) != null
+                    && (!(valueAt(list) instanceof List<?> l) || l.size() != types.size())) {
                 problems.add(list + ": a list of as many values as grades has is needed");
             }
         }
     }
 
     /** Settings that hold at different shapes of deployment and together mean nothing. */
-    private void shapes() {
-        if ("ask".equals(get("discovery")) && value("rules.ask-within", 0) <= 0) {
+    private void checkConsistency() {
+        if ("ask".equals(valueAt("discovery")) && numberAt("rules.ask-within", 0) <= 0) {
             problems.add("rules.ask-within: needed where discovery is ask");
         }
-        boolean holds = "hold".equals(get("family-info.checks"));
-        if (holds != value("family-info.holds-for", 0) > 0) {
+        boolean membersHold = "hold".equals(valueAt("family-info.checks"));
+        if (membersHold != numberAt("family-info.holds-for", 0) > 0) {
             problems.add("family-info.holds-for: goes with checks hold, and with it alone");
         }
-        if ("pull".equals(get("report.source")) && !Boolean.TRUE.equals(get("limits.probes"))) {
+        if ("pull".equals(valueAt("report.source"))
+                && !Boolean.TRUE.equals(valueAt("limits.probes"))) {
             problems.add("limits.probes: needed where report.source is pull");
         }
-        if (value("rules.drain-grace", DAY_MS) < 2 * value("granularity", 0)) {
+        if (numberAt("rules.drain-grace", DAY_MS) < 2 * numberAt("granularity", 0)) {
             problems.add("rules.drain-grace: shorter than two steps of granularity");
         }
-        boolean proven =
-                !"silent".equals(text("family-info.checks", "silent"))
-                        || Boolean.TRUE.equals(get("family-info.stamps"))
-                        || !"silent".equals(text("report.source", "silent"))
-                                && get("report.names") instanceof List<?> names
+        boolean positionsKnown =
+                !"silent".equals(textAt("family-info.checks", "silent"))
+                        || Boolean.TRUE.equals(valueAt("family-info.stamps"))
+                        || !"silent".equals(textAt("report.source", "silent"))
+                                && valueAt("report.names") instanceof List<?> names
                                 && names.stream()
                                         .anyMatch(
                                                 n ->
@@ -128,74 +130,74 @@
                                                                         RouterSettings.gaugeName(
                                                                                 String.valueOf(
                                                                                         n))));
-        int types = get("grades") instanceof List<?> l ? l.size() : 0;
-        for (int i = 0; i < types; i++) {
-            boolean recent = "recent".equals(get("family-info.consistency[" + i + "]"));
-            if (recent != value("family-info.oldest-data[" + i + "]", 0) > 0) {
+        int typeCount = valueAt("grades") instanceof List<?> l ? l.size() : 0;
+        for (int i = 0; i < typeCount; i++) {
+            boolean recent = "recent".equals(valueAt("family-info.consistency[" + i + "]"));
+            if (recent != numberAt("family-info.oldest-data[" + i + "]", 0) > 0) {
                 problems.add(
                         "family-info.oldest-data["
                                 + i
                                 + "]: goes with consistency recent, and with it alone");
             }
-            if (recent && !proven) {
+            if (recent && !positionsKnown) {
                 problems.add(
                         "family-info.stamps: members neither check nor tell a position, so no"
-                            + " replica may be read");
+                                + " replica may be read");
             }
         }
     }
 
-    private Object get(String path) {
+    private Object valueAt(String path) {
         return RouterSettings.valueAt(settings, path);
     }
 
-    private String text(String path, String absent) {
-        return get(path) instanceof String s ? s : absent;
+    private String textAt(String path, String defaultValue) {
+        return valueAt(path) instanceof String s ? s : defaultValue;
     }
 
-    private double value(String path, double absent) {
-        return get(path) instanceof Number n ? n.doubleValue() : absent;
+    private double numberAt(String path, double defaultValue) {
+        return valueAt(path) instanceof Number n ? n.doubleValue() : defaultValue;
     }
 
-    private void number(String path, double least, double most) {
-        Object v = get(path);
-        if (v == null) {
+    private void checkNumber(String path, double min, double max) {
+        Object value = valueAt(path);
+        if (value == null) {
             return;
         }
-        double d = v instanceof Number n ? n.doubleValue() : Double.NaN;
-        if (!(d >= least && d <= most)) {
+        double number = value instanceof Number n ? n.doubleValue() : Double.NaN;
+        if (!(number >= min && number <= max)) {
             problems.add(
                     path
                             + ": a number from "
-                            + (long) least
+                            + (long) min
                             + " to "
-                            + (long) most
+                            + (long) max
                             + " is needed, not "
-                            + shown(v));
+                            + abbreviated(value));
         }
     }
 
-    private void word(String path, Set<String> words) {
-        Object v = get(path);
-        if (v != null && !(v instanceof String s && words.contains(s))) {
+    private void checkWord(String path, Set<String> allowed) {
+        Object value = valueAt(path);
+        if (value != null && !(value instanceof String s && allowed.contains(s))) {
             problems.add(
                     path
                             + ": one of "
-                            + String.join(", ", words.stream().sorted().toList())
+                            + String.join(", ", allowed.stream().sorted().toList())
                             + " is needed, not "
-                            + shown(v));
+                            + abbreviated(value));
         }
     }
 
-    private void flag(String path) {
-        Object v = get(path);
-        if (v != null && !(v instanceof Boolean)) {
-            problems.add(path + ": true or false is needed, not " + shown(v));
+    private void checkFlag(String path) {
+        Object value = valueAt(path);
+        if (value != null && !(value instanceof Boolean)) {
+            problems.add(path + ": true or false is needed, not " + abbreviated(value));
         }
     }
 
-    private static String shown(Object v) {
-        String s = v instanceof String ? "\"" + v + "\"" : String.valueOf(v);
-        return s.length() > 40 ? s.substring(0, 40) + "..." : s;
+    private static String abbreviated(Object value) {
+        String text = value instanceof String ? "\"" + value + "\"" : String.valueOf(value);
+        return text.length() > 40 ? text.substring(0, 40) + "..." : text;
     }
 }
