--- a/src/main/java/wingroad/routing/Router.java
+++ b/src/main/java/wingroad/routing/Router.java
@@ -6,18 +6,28 @@
 import java.time.Duration;
 
 /**
- * What a host (a protocol's front, or a simulator's adapter) says to the module, and how it gets
- * decisions.
+ * Interface between the routing decisions and their host, which is the driver's protocol front end
+ * or the simulator's adapter.
  *
- * <p>All times are spans since the instance's start; {@code now} never goes back. The input calls
- * only update what is known. After any of them, and at {@link #wakeAt()}, the host calls {@link
- * #next} until it returns null and carries out each decision in turn.
+ * <p>All times are durations since the start of the instance; {@code now} never decreases. The
+ * input methods only update the router's state. After any of them, and at {@link #wakeAt()}, the
+ * host calls {@link #nextDecision} until it returns null and carries out the decisions in that
+ * order.
  */
 public interface Router {
-    /** A member list begins; {@code whole}: what is not named in it is gone. */
+    /**
+     * A member list begins.
+     *
+     * @param complete whether members that the list does not name are gone
+     */
     void memberListStarted(Duration now, boolean complete);
 
-    /** One entry of the list that has begun. {@code startedAt} is null for long ago. */
+    /**
+     * One entry of the list that has begun.
+     *
+     * @param hostClass number of the member's hardware class
+     * @param startedAt when the member started, or null if that was long ago
+     */
     void memberListed(
             Duration now,
             long memberId,
@@ -34,22 +44,22 @@
     void memberListEnded(Duration now);
 
     /**
-     * Whether the member is still thought of; one that is gone and has no work out is let go when a
-     * list ends.
+     * Whether the router tracks the member. One that is gone and has no work outstanding is
+     * forgotten at the end of a member list.
      */
     boolean knowsMember(long memberId);
 
-    /** A call for the list failed; the one held stays. */
+    /** A request for the member list failed; the present list stays valid. */
     void memberListFailed(Duration now);
 
     /**
-     * A client's txn was accepted; one final answer is owed within {@code left}.
+     * A client's txn was accepted; it gets one final answer within {@code timeLeft}.
      *
-     * @param session the client's session, or -1
-     * @param sinceWrite how long ago the session's last write was committed, or null
-     * @param retry the client is known to have asked before
-     * @param waited how long it has waited at the host's door; what the client gave was {@code
-     *     left} and this
+     * @param session the client's session, or -1 if it has none
+     * @param sinceLastWrite how long ago the session's last write was committed, or null
+     * @param retry whether the client marked the txn as a retry
+     * @param queuedTime how long the txn was queued by the host; the client's time limit was {@code
+     *     timeLeft} plus this
      */
     void txnArrived(
             Duration now,
@@ -65,8 +75,9 @@
     /**
      * A submission has ended.
      *
-     * @param over the txn has its final answer
-     * @param role what the answer says of the member's role
+     * @param duration time from sending to the end
+     * @param isFinal whether the txn has its final answer with this
+     * @param role the member's role according to the answer
      * @param position the log position in the answer (for a committed write its commit time), or
      *     null
      */
@@ -81,7 +92,15 @@
             Member.Role role,
             Duration position);
 
-    /** A member's own report came with an answer or a probe; figures not in it are NaN. */
+    /**
+     * A member reported its state with an answer or a probe. Numbers that it did not report are
+     * NaN.
+     *
+     * @param position the member's log position, or null
+     * @param activeCount submissions that the member is working on
+     * @param queueLength txns that wait at the member
+     * @param utilization busy share of the member's capacity
+     */
     void memberReported(
             Duration now,
             long memberId,
@@ -91,28 +110,27 @@
             double queueLength,
             double utilization);
 
-    /** A probe has ended; what it found was given to {@link #memberReported} before. */
+    /** A probe has ended; its result was passed to {@link #memberReported} before. */
     void probeEnded(Duration now, long memberId, boolean answered, Duration duration);
 
     /**
-     * Asked by a host for which time passes between the decision to submit and the sending, because
-     * a connection has to be opened: whether the submission is still to be sent. If not, it ends as
-     * never sent.
+     * Whether a submission that was decided earlier is still to be sent. Asked by a host that had
+     * to open a connection in between; if false, the submission ends without having been sent.
      */
     boolean mayStillSend(Duration now, String txnId, long memberId);
 
     /**
-     * The host ends: all that is open has its final answer by then, whatever its client would wait
-     * for.
+     * The host shuts down: every open txn gets its final answer by the deadline, even if its client
+     * would wait longer.
      */
     void answerAllBy(Duration now, Duration deadline);
 
-    /** The client has left; no answer is owed. */
+    /** The client has disconnected; the txn needs no answer any more. */
     void txnAbandoned(Duration now, String txnId);
 
-    /** The next decision, or null when there is none for now. */
+    /** Returns the next decision, or null if there is none at present. */
     Decision nextDecision(Duration now);
 
-    /** When to call {@link #nextDecision} again even if nothing comes in, or null. */
+    /** When to call {@link #nextDecision} again even without input, or null if never. */
     Duration wakeAt();
 }
--- a/src/main/java/wingroad/routing/TxnRouter.java
+++ b/src/main/java/wingroad/routing/TxnRouter.java
@@ -1,7 +1,3 @@
-// THE MODULE: every decision of the driver. Router.java, beside this file, is its interface: tell
-// it what
-// happens; after each call, and at wakeAt(), pull next(now) until it is null. The reasons:
-// docs/design.md.
 package wingroad.routing;
 
 import static wingroad.state.Durations.max;
@@ -38,34 +34,122 @@
 import java.util.function.Consumer;
 
 /**
- * Decides by the Failover Plugin v2 mechanism: roles per group, writer search, held writes, fresh
- * reads.
+ * The routing decisions of one driver: which member gets which txn, when a txn is retried, declined
+ * or rolled back, and which members are probed.
+ *
+ * <p>Follows the mechanism of the Failover Plugin v2: it tracks the roles of each group's members,
+ * starts a writer search when the primary is in doubt, holds writes until the search ends, and
+ * sends reads only to replicas whose position is fresh enough. {@code docs/design.md} gives the
+ * reasons.
  */
 public final class TxnRouter implements Router {
-    /**
-     * The design's figures: the primary's probe at rest, and its fast rate and span after a change.
-     */
+    /** Interval between probes of a primary whose role has not changed lately. */
     private static final Duration STEADY_PROBE_INTERVAL = Duration.ofSeconds(5);
 
+    /** Interval between probes of a primary for {@link #FAST_PROBE_PERIOD} after it took over. */
     private static final Duration FAST_PROBE_INTERVAL = Duration.ofMillis(100);
+
     private static final Duration FAST_PROBE_PERIOD = Duration.ofSeconds(30);
+
+    /** Interval between the first two probe rounds of a writer search. */
     private static final Duration SEARCH_PROBE_INTERVAL = Duration.ofMillis(100);
+
+    /** Factor by which the probe interval of a writer search grows with each round. */
+    private static final double SEARCH_INTERVAL_GROWTH = 1.4;
+
+    /** How many times faster all drivers together may probe a primary after a change. */
+    private static final long FAST_PROBE_RATE_FACTOR = 10;
+
+    /** Smallest share of the reads without a fresh replica that may go to the primary. */
     private static final double MIN_SPILL_SHARE = 0.1;
 
-    /** Reads that may be sent to a group, as a multiple of those answered in time of late. */
+    /** Change of the spill share on an answer of the primary that is slower than its target. */
+    private static final double SPILL_DECREASE_FACTOR = 0.8;
+
+    /** Change of the spill share on an answer of the primary that meets its target. */
+    private static final double SPILL_INCREASE_FACTOR = 1.5;
+
+    /** Share of the primary's limit that reads may fill; the rest is left to the writes. */
+    private static final double READ_SHARE_OF_PRIMARY_LIMIT = 0.75;
+
+    /** Credit that a member gains by an answer within the SLA time, as a multiple of its work. */
     private static final double CREDIT_PER_TIMELY_ANSWER = 1.25;
 
     /**
-     * Work that a member may leave unanswered, in usual answer times, before it counts as silent.
+     * Part of the setting {@code fall-multiple} that a member in its warm-up is given credit for.
      */
+    private static final double WARM_UP_CREDIT_FACTOR = 0.6;
+
+    /** Unanswered work, in mean response times, after which a member counts as unresponsive. */
     private static final double UNRESPONSIVE_AFTER_MEAN_TIMES = 4;
 
-    /** How many submissions a member gets at once before its answers have set its limit. */
+    /** Concurrency limit of a member whose answers have not set one yet. */
     private static final double INITIAL_CONCURRENCY_LIMIT = 8;
 
-    /** After so long a session's last write is no longer told from those of others. */
+    /** Multiplicative decrease of a concurrency limit; the increase is additive. */
+    private static final double LIMIT_DECREASE_FACTOR = 0.75;
+
+    /** Slowness ratio above which a replica's lag is attributed to its load. */
+    private static final double LOADED_SLOWNESS_RATIO = 0.75;
+
+    /** Number of recent answers below which their mean does not change the baseline. */
+    private static final double MIN_BASELINE_SAMPLE_COUNT = 16;
+
+    /** Largest rise of a baseline response time with one answer. */
+    private static final double BASELINE_RISE_PER_ANSWER = 1.0002;
+
+    /** Half-life of counts and mean response times, in multiples of {@link #timeScale}. */
+    private static final long HALF_LIFE_TIME_SCALES = 4;
+
+    /** Retries that are allowed whatever the number of first submissions. */
+    private static final double RETRY_BUDGET_MIN_COUNT = 4;
+
+    /** Retries allowed for each recent first submission if all recent submissions committed. */
+    private static final double RETRY_BUDGET_PER_FIRST_SUBMISSION = 0.5;
+
+    /** Held reads that one pass over a group examines at most. */
+    private static final int MAX_EXAMINED_READ_COUNT = 32;
+
+    /** Share of a member's limit that reads too late for their SLA time may fill. */
+    private static final double LATE_READ_LIMIT_SHARE = 0.5;
+
+    /** Time until held writes are looked at again when the primary takes no more. */
+    private static final long HELD_WRITE_RETRY_MS = 50;
+
+    /** Replicas that are probed for their position at once for one read. */
+    private static final int MAX_POSITION_PROBE_COUNT = 2;
+
+    /** Bounds of a member's slowness ratio in its cost. */
+    private static final double MIN_COST_SLOWNESS = 0.5;
+
+    private static final double MAX_COST_SLOWNESS = 4;
+
+    /** Cost added to a member in another zone where traffic between zones has a price. */
+    private static final double CROSS_ZONE_COST = 0.25;
+
+    /** Largest random cost, which spreads reads over members of nearly the same cost. */
+    private static final double COST_JITTER = 0.02;
+
+    /** Shortest backoff after a failure, before jitter. */
+    private static final long MIN_FAILURE_BACKOFF_MS = 250;
+
+    private static final int MAX_FAILURE_BACKOFF_DOUBLINGS = 3;
+    private static final int MAX_REFUSAL_BACKOFF_DOUBLINGS = 4;
+
+    /** A backoff is multiplied by a random factor from this to this plus the range. */
+    private static final double BACKOFF_JITTER_MIN = 0.75;
+
+    private static final double BACKOFF_JITTER_RANGE = 0.5;
+
+    /** Time after which a session's last write is merged with those of other old sessions. */
     private static final Duration SESSION_WRITE_RETENTION = Duration.ofSeconds(60);
 
+    /**
+     * Something to look at once it is due.
+     *
+     * @param sequence orders events that are due at the same time
+     * @param target a {@link Txn}, a {@link Group}, or the time of a member list request
+     */
     private record ScheduledEvent(Duration dueAt, long sequence, Object target) {}
 
     private final Map<String, Object> settings;
@@ -73,52 +157,79 @@
     private final Consumer<String> log;
     private final TxnType[] txnTypes;
 
-    /** How long each txn type takes, over all members and by their kind. */
+    /** Response times over all members, by txn type index. */
     private final ResponseTimes[] responseTimes;
 
+    /** Response times of the members of each host class, by txn type index. */
     private final Map<Integer, ResponseTimes[]> responseTimesByHostClass = new HashMap<>();
+
     private final Map<Integer, HostClassLoad> loadByHostClass = new LinkedHashMap<>();
     private final DecayingSum firstSubmissionCount;
     private final DecayingSum furtherSubmissionCount;
     private final DecayingSum endedCount;
     private final DecayingSum committedCount;
 
-    /** Submissions that lately found no connection at a member that lives. */
+    /** Recent submissions that failed because a running member refused the connection. */
     private final DecayingSum refusedConnectionCount;
 
+    /** Longest time limit that a client has given so far, by txn type index. */
     private final Duration[] longestTimeLimits;
+
+    /** Longest SLA time of an update, at least 1 s; half-lives and timeouts are derived from it. */
     private final Duration timeScale;
 
-    /** The shortest age that a read's data may have. */
+    /** Smallest maximum data age of the txn types; {@link #timeScale} where none has one. */
     private final Duration shortestAgeLimit;
 
+    /** Resolution of the times in answers and reports; safety margin of deadlines. */
     private final Duration granularity;
+
+    /** Time that a member needs from its start to its full capacity. */
     private final Duration warmUpPeriod;
+
+    /** Whether members reject or hold reads for which their data is not fresh enough. */
     private final boolean membersCheckFreshness;
+
+    /** Whether the member list must be requested; otherwise it is pushed. */
     private final boolean mustRequestMemberList;
 
     private final Map<Long, Member> members = new LinkedHashMap<>();
     private final Map<Integer, Group> groups = new LinkedHashMap<>();
     private final Map<String, Txn> openTxns = new HashMap<>();
+
+    /** Commit time of each session's last write, least recently used first. */
     private final Map<Long, Duration> lastWriteBySession = new LinkedHashMap<>(16, 0.75f, true);
 
-    /** The latest of those sessions' writes that are no longer told apart, or null. */
+    /** Latest write of all sessions that are no longer tracked one by one, or null. */
     private Duration lastWriteOfForgottenSessions;
 
     private final ArrayDeque<Decision> readyDecisions = new ArrayDeque<>();
+
+    /** Groups that need a pass of {@link #processGroup}. */
     private final ArrayDeque<Group> dirtyGroups = new ArrayDeque<>();
+
     private final PriorityQueue<ScheduledEvent> scheduledEvents =
             new PriorityQueue<>(
-                    (a, b) ->
-                            a.dueAt.equals(b.dueAt)
-                                    ? Long.compare(a.sequence, b.sequence)
-                                    : a.dueAt.compareTo(b.dueAt));
+                    (first, second) ->
+                            first.dueAt.equals(second.dueAt)
+                                    ? Long.compare(first.sequence, second.sequence)
+                                    : first.dueAt.compareTo(second.dueAt));
     private long nextEventSequence;
     private boolean memberListIsComplete;
     private final List<Member> listedMembers = new ArrayList<>();
     private int memberListFailureCount;
+
+    /** Null before the first request. */
     private Duration nextMemberListRequestAt;
 
+    /**
+     * Creates a router without members.
+     *
+     * @param settings the deployment's settings by their names in {@code RouterSettings}; durations
+     *     as {@link Duration}, numbers as {@link Double}
+     * @param seed seed of the random numbers used for jitter and for spreading reads
+     * @param log receives one line for each change of a primary's or a member's state
+     */
     public TxnRouter(Map<String, Object> settings, long seed, Consumer<String> log) {
         this.settings = settings;
         this.random = new Random(seed);
@@ -131,9 +242,8 @@
         this.txnTypes = TxnType.fromSettings(settings);
         this.longestTimeLimits = new Duration[txnTypes.length];
         Arrays.fill(longestTimeLimits, Duration.ZERO);
-        // Updates set the pace, since the roles are about their member: guards against one txn type
-        // that
-        // takes many times longer than the rest and would stretch what is remembered of all.
+        // Only updates count, since roles are tracked for the member that takes them. One txn type
+        // with a far longer SLA time than the rest must not lengthen the half-lives of all.
         Duration longestUpdateSlaTime = Duration.ofSeconds(1);
         Duration shortest = null;
         for (TxnType type : txnTypes) {
@@ -150,7 +260,7 @@
         this.timeScale = longestUpdateSlaTime;
         this.shortestAgeLimit = shortest == null ? longestUpdateSlaTime : shortest;
         this.responseTimes = newResponseTimes();
-        Duration countHalfLife = longestUpdateSlaTime.multipliedBy(4);
+        Duration countHalfLife = longestUpdateSlaTime.multipliedBy(HALF_LIFE_TIME_SCALES);
         this.firstSubmissionCount = new DecayingSum(countHalfLife);
         this.furtherSubmissionCount = new DecayingSum(countHalfLife);
         this.endedCount = new DecayingSum(countHalfLife);
@@ -158,7 +268,7 @@
         this.refusedConnectionCount = new DecayingSum(longestUpdateSlaTime);
     }
 
-    // ---- inputs: they only update what is known ----
+    // ---- Input: updates the state; decisions are made in nextDecision ----
 
     @Override
     public void memberListStarted(Duration now, boolean complete) {
@@ -187,7 +297,7 @@
         member.zone = zone;
         member.hostClass = hostClass;
         loadByHostClass.computeIfAbsent(
-                hostClass, k -> new HostClassLoad(timeScale.multipliedBy(4)));
+                hostClass, k -> new HostClassLoad(timeScale.multipliedBy(HALF_LIFE_TIME_SCALES)));
         member.drainSeen |= draining;
         if (startedAt != null
                 && (member.startedAt == null || startedAt.compareTo(member.startedAt) > 0)) {
@@ -221,8 +331,8 @@
                 member.stopLearnedAt = member.stopLearnedAt == null ? now : member.stopLearnedAt;
                 member.gone = true;
             }
-            // What is gone and holds nothing is let go; where the list does not bind, once it is
-            // lost long.
+            // Forgets members that are gone and have no work outstanding; where a removal from the
+            // list is not binding, only once they have been unreachable for long.
             boolean longUnreachable =
                     member.unreachableSince != null
                             && now.minus(member.unreachableSince)
@@ -248,12 +358,13 @@
 
     @Override
     public void memberListFailed(Duration now) {
-        // Guards against asking without a pause: where lists are pushed, the settings name no time
-        // for it.
+        // Where lists are pushed, no request interval is configured: a request here would be
+        // repeated without delay.
         if (!mustRequestMemberList) {
             return;
         }
         memberListFailureCount++;
+        // Exponential backoff with jitter, from 1/32 up to 1/4 of the longest request interval.
         Duration delay =
                 scale(
                         durationSetting("ask-within"),
@@ -282,10 +393,9 @@
                         now.plus(timeLeft),
                         session,
                         retry);
-        // The SLA time runs from the first try. One with less time than others of its type is a
-        // later one and
-        // tells when the first was; where retries are marked, one without a mark has little
-        // patience.
+        // The SLA time runs from the client's first attempt. A txn with less time than others of
+        // its type is taken for a retry, and the missing time is what the earlier attempts took.
+        // Where clients mark retries, an unmarked txn just has a shorter time limit.
         Duration timeLimit = timeLeft.plus(queuedTime);
         longestTimeLimits[typeIndex] = max(longestTimeLimits[typeIndex], timeLimit);
         if (timeLimit.plus(granularity).compareTo(longestTimeLimits[typeIndex]) < 0
@@ -329,8 +439,8 @@
         member.outstanding.remove(submission);
         member.endedSinceLastPass = true;
         submission.outcome = outcome;
-        // Guards against a member that lives but takes no further connection: a no at once, and
-        // nothing ran.
+        // A running member at its connection limit refuses at once, and nothing has run there. It
+        // must not be treated as a member that is down.
         boolean connectionRefused =
                 outcome == Outcome.UNREACHABLE
                         && duration.compareTo(durationSetting("connect-time-out").dividedBy(2)) < 0;
@@ -356,7 +466,7 @@
                     Math.max(
                             1,
                             Math.min(member.concurrencyLimit, member.outstanding.size() + 1)
-                                    * 0.75);
+                                    * LIMIT_DECREASE_FACTOR);
         }
         if (outcome == Outcome.COMMITTED
                 || outcome == Outcome.MISSED
@@ -387,7 +497,7 @@
                         || outcome == Outcome.UNREACHABLE && !connectionRefused
                         || outcome == Outcome.RESET
                         || outcome == Outcome.TIMED_OUT)) {
-            startSearch(group, now, "write " + outcome + " at " + member.id);
+            startSearch(group, now, "write ended with " + outcome + " at member " + member.id);
         }
         markDirty(group);
         if (txn != null && isFinal) {
@@ -425,8 +535,8 @@
             double queueLength,
             double utilization) {
         Member member = members.get(memberId);
-        // A primary's position is the time of its report, a replica's is never later: it dates the
-        // role.
+        // A primary's position is the time of its report and a replica's is never later, so the
+        // position tells for which time the role is proven.
         if (role != Role.UNKNOWN && position != null) {
             recordRole(member, role, position, now);
         }
@@ -446,7 +556,7 @@
             member.unreachableSince =
                     member.unreachableSince == null ? now : member.unreachableSince;
             if (member.group.primary == member) {
-                startSearch(member.group, now, "probe failed at " + member.id);
+                startSearch(member.group, now, "probe failed at primary " + member.id);
             }
         }
         markDirty(member.group);
@@ -456,7 +566,7 @@
     public void txnAbandoned(Duration now, String txnId) {
         Txn txn = openTxns.get(txnId);
         if (txn != null) {
-            // Nobody waits for it: what is still out would only be work for nothing.
+            // No client waits for the answer: outstanding submissions would be wasted work.
             txn.submissions.forEach(this::cancel);
             close(txn);
         }
@@ -473,8 +583,11 @@
     }
 
     /**
-     * Guards the rules on drains, old data, answered txns and repeats, and writes for a primary
-     * that has moved, against changes while a connection opens: a window may end meanwhile.
+     * {@inheritDoc}
+     *
+     * <p>Checks again what may have changed since the decision: the txn may be answered, the member
+     * may be draining, the primary may have moved, the data may have become too old, and the time
+     * in which a repeat is recognized may have ended.
      */
     @Override
     public boolean mayStillSend(Duration now, String txnId, long memberId) {
@@ -501,7 +614,7 @@
                                 && member.position.compareTo(requiredPosition) >= 0);
     }
 
-    // ---- decisions ----
+    // ---- Decisions ----
 
     @Override
     public Decision nextDecision(Duration now) {
@@ -536,10 +649,11 @@
         return scheduledEvents.isEmpty() ? null : scheduledEvents.peek().dueAt;
     }
 
+    /** Sends what can be sent of a group's held txns and schedules its probes. */
     private void processGroup(Group group, Duration now) {
         Member primary = group.primary;
         if (primary != null && !group.searching && mustStop(primary, now, true)) {
-            startSearch(group, now, "primary told to stop " + primary.id);
+            startSearch(group, now, "primary " + primary.id + " was told to stop");
         }
         dispatchWrites(group, now);
         dispatchReads(group, now);
@@ -548,8 +662,8 @@
         } else if (group.primary != null) {
             monitorPrimary(group, group.primary, now);
         }
-        // Guards against members that take few connections: one that stands idle here keeps all
-        // others out.
+        // Members have few connections: one that is idle at this driver may keep other drivers from
+        // connecting.
         for (Member member : group.members) {
             if (member.endedSinceLastPass
                     && member.outstanding.isEmpty()
@@ -560,10 +674,12 @@
         }
     }
 
-    // ---- roles and the writer search ----
+    // ---- Roles and the writer search ----
 
     /**
-     * Evidence of a role, with the time that it is proven for; the newest claim to be primary wins.
+     * Records a member's role; the newest claim to be the primary wins.
+     *
+     * @param provenAt the time for which the role is proven, which may be earlier than now
      */
     private void recordRole(Member member, Role role, Duration provenAt, Duration now) {
         Group group = member.group;
@@ -576,12 +692,11 @@
             if (group.primary == member
                     && (group.primaryClaimAt == null
                             || provenAt.compareTo(group.primaryClaimAt) > 0)) {
-                startSearch(group, now, "primary says replica " + member.id);
+                startSearch(group, now, "primary " + member.id + " reports that it is a replica");
             }
             return;
         }
-        // Guards against confirming a primary that is gone or hangs by a report from before it
-        // went.
+        // A report from before a primary went down or hung must not confirm it.
         if (group.primaryClaimAt != null && provenAt.compareTo(group.primaryClaimAt) < 0
                 || group.primary == member
                         && group.searching
@@ -606,19 +721,19 @@
         log.accept(
                 "group "
                         + group.id
-                        + " primary "
+                        + ": primary "
                         + member.id
                         + (group.searching
                                 ? " found after "
                                         + (long) toMillis(now.minus(group.searchStartedAt))
-                                        + " ms, held "
+                                        + " ms; held writes: "
                                         + group.heldWrites.size()
-                                : " by claim"));
+                                : " confirmed by its own report"));
         group.searching = false;
-        // The same primary found again, or a fresh driver's first one, leaves nothing to settle.
+        // Nothing moves if the same primary was found again or this is the driver's first one.
         if (formerPrimary != null && formerPrimary != member) {
             group.fastProbeUntil = now.plus(FAST_PROBE_PERIOD);
-            // What a former primary still holds of referenced txns goes to the new one.
+            // Referenced txns outstanding at the former primary are repeated at the new one.
             for (Submission submission : formerPrimary.outstanding) {
                 if (submission.txn.type.repeatability() == Repeatability.REFERENCED
                         && !submission.txn.answered) {
@@ -630,29 +745,31 @@
     }
 
     /**
-     * It is the primary on record and has not said otherwise since it last claimed to be. Guards
-     * against old data: its word may be dated before that claim, and while it is searched for it
-     * stays on record.
+     * Whether the member is the recorded primary and has not reported to be a replica since it last
+     * claimed to be the primary. A report may be dated before that claim, and the primary stays on
+     * record during a writer search, so the record alone would allow reads of old data.
      */
     private static boolean isConfirmedPrimary(Member member) {
         return member == member.group.primary && member.replicaReportedAt == null;
     }
 
+    /** Starts a writer search unless one is running; held writes wait until it ends. */
     private void startSearch(Group group, Duration now, String cause) {
         if (!group.searching) {
             group.searching = true;
             group.searchStartedAt = now;
             group.searchRounds = 0;
             group.nextSearchProbeAt = now;
-            log.accept("group " + group.id + " search: " + cause);
+            log.accept("group " + group.id + ": writer search started: " + cause);
             markDirty(group);
         }
     }
 
+    /** Probes all members of the group when the next round of the writer search is due. */
     private void continueSearch(Group group, Duration now) {
         group.heldWrites.removeIf(txn -> txn.answered);
-        // Guards against many drivers' probes that wait for nothing: after one round the rate is
-        // steady.
+        // Without held writes the search is not urgent: after the first round its probes are sent
+        // at the steady rate, since those of many drivers add up.
         boolean idle = group.searchRounds > 0 && group.heldWrites.isEmpty();
         Duration dueAt =
                 idle
@@ -662,8 +779,8 @@
             for (Member member : group.members) {
                 probe(member, now);
             }
-            // A long search must be no load of its own: the pause grows to the time that a lost
-            // probe takes.
+            // The interval grows up to twice the connect timeout, the time that a lost probe takes,
+            // so that a long search does not load the members.
             group.searchRounds++;
             Duration longestInterval =
                     max(SEARCH_PROBE_INTERVAL, durationSetting("connect-time-out").multipliedBy(2));
@@ -673,24 +790,25 @@
                                     longestInterval,
                                     scale(
                                             SEARCH_PROBE_INTERVAL,
-                                            Math.pow(1.4, group.searchRounds - 1))));
+                                            Math.pow(
+                                                    SEARCH_INTERVAL_GROWTH,
+                                                    group.searchRounds - 1))));
             dueAt = group.nextSearchProbeAt;
         }
         scheduleGroup(group, dueAt);
     }
 
     /**
-     * Fast after a change, but only while work of this driver is out there: else a probe guards
-     * nothing.
+     * Probes the primary: at the fast rate after a change while this driver has work outstanding
+     * there, else at the steady rate.
      */
     private void monitorPrimary(Group group, Member primary, Duration now) {
         boolean fast = now.compareTo(group.fastProbeUntil) < 0 && !primary.outstanding.isEmpty();
-        // All drivers together ask a primary ten times a second at rest, a hundred after a change,
-        // at most.
+        // All drivers together send a primary at most 10 probes a second, and 100 after a change.
         Duration fleetInterval = scale(FAST_PROBE_INTERVAL, numberSetting("drivers"));
         Duration interval =
                 fast
-                        ? max(FAST_PROBE_INTERVAL, fleetInterval.dividedBy(10))
+                        ? max(FAST_PROBE_INTERVAL, fleetInterval.dividedBy(FAST_PROBE_RATE_FACTOR))
                         : max(STEADY_PROBE_INTERVAL, fleetInterval);
         Duration lastProbeAt =
                 primary.lastProbeAt == null ? group.primaryClaimAt : primary.lastProbeAt;
@@ -702,6 +820,7 @@
         scheduleGroup(group, dueAt);
     }
 
+    /** Sends a probe unless one is in flight or not allowed; returns whether it was sent. */
     private boolean probe(Member member, Duration now) {
         if (member.probeInFlight || !flagSetting("may-probe") || mustStop(member, now, true)) {
             return false;
@@ -717,14 +836,18 @@
             return;
         }
         Member primary = group.primary;
-        // Guards against once-only writes lost to a primary that takes work and answers none.
+        // A primary that accepts work and answers nothing would cost once-only writes, which cannot
+        // be retried.
         if (primary == null) {
             startSearch(group, now, "no primary known");
         } else if (checkUnresponsive(primary, now)) {
             startSearch(
                     group,
                     now,
-                    "primary silent " + primary.id + " holding " + primary.outstanding.size());
+                    "primary "
+                            + primary.id
+                            + " is unresponsive; outstanding submissions: "
+                            + primary.outstanding.size());
         }
         if (group.searching) {
             return;
@@ -742,18 +865,22 @@
                 }
                 if (primary.outstanding.size() >= submissionLimit(primary, now)
                         || now.compareTo(primary.backoffUntil) < 0) {
-                    // Guards against writes held for a crowd that is over: only a newer report ends
-                    // it.
+                    // Only a newer report ends an overload: without a probe, writes would be held
+                    // for one that is over.
                     if (isOverloaded(primary, now)
                             && now.minus(primary.queueReportedAt).compareTo(timeScale.dividedBy(2))
                                     > 0) {
                         probe(primary, now);
                     }
                     scheduleGroup(
-                            group, max(primary.backoffUntil, now.plus(Duration.ofMillis(50))));
+                            group,
+                            max(
+                                    primary.backoffUntil,
+                                    now.plus(Duration.ofMillis(HELD_WRITE_RETRY_MS))));
                     return;
                 }
-                // First those that can still be in time; those too late for that take what is left.
+                // The first pass is for writes that can still meet their SLA time; the others get
+                // what is left of the limit.
                 if (pass == 0 && isTooLateForSla(txn, now)) {
                     continue;
                 }
@@ -766,16 +893,16 @@
     }
 
     private void dispatchReads(Group group, Duration now) {
-        // Guards a fresh driver whose first list was empty: a group without members holds its txns.
+        // A group has no members if the first member list was empty: its txns stay held.
         if (group.heldReads.isEmpty() || group.members.isEmpty()) {
             return;
         }
-        // Newest first: under overload those that waited long are late anyway, and get what the
-        // others leave.
+        // Newest first: under overload, reads that have waited long miss their SLA time anyway and
+        // get what the others leave of the limit.
         for (int pass = 0; pass < 2; pass++) {
             int examinedCount = 0;
             for (Iterator<Txn> iterator = group.heldReads.descendingIterator();
-                    iterator.hasNext() && examinedCount < 32; ) {
+                    iterator.hasNext() && examinedCount < MAX_EXAMINED_READ_COUNT; ) {
                 Txn txn = iterator.next();
                 if (txn.answered) {
                     iterator.remove();
@@ -786,7 +913,7 @@
                     continue;
                 }
                 examinedCount++;
-                Member member = chooseReadMember(group, txn, late ? 0.5 : 1, now);
+                Member member = chooseReadMember(group, txn, late ? LATE_READ_LIMIT_SHARE : 1, now);
                 if (member != null) {
                     iterator.remove();
                     submit(txn, member, now);
@@ -795,18 +922,22 @@
         }
     }
 
-    /** What it asks for can hardly be had in time any more. */
+    /** Whether less time is left to the SLA deadline than an uncrowded member takes. */
     private boolean isTooLateForSla(Txn txn, Duration now) {
         return toMillis(txn.slaDeadline.minus(now)) < baselineResponseMs(txn.type);
     }
 
-    /** The member for a read, which may fill the given part of its room, or null: it waits. */
+    /**
+     * The member for a read, or null if the read has to wait.
+     *
+     * @param limitShare share of a member's submission limit that may be used
+     */
     private Member chooseReadMember(Group group, Txn txn, double limitShare, Duration now) {
         Duration requiredPosition = requiredPosition(txn, now);
         Member primary = group.primary;
-        // Guards against writes held for one stuck connection: a repeatable read asks the silent
-        // primary,
-        // where such reads of all drivers together are no crowd.
+        // One stuck connection may have started the search. One repeatable read is sent to the
+        // unresponsive primary to find out, provided that such reads of all drivers together do not
+        // overload it.
         if (minimumFleetLoad() < 1
                 && group.searching
                 && primary != null
@@ -826,8 +957,8 @@
         int replicaCount = 0;
         int freshCount = 0;
         for (Member member : group.members) {
-            // While it is in doubt the primary serves what its proven position allows, as any
-            // replica.
+            // During a writer search the primary counts as a replica: it may serve reads for which
+            // its proven position is fresh enough.
             if (isConfirmedPrimary(member) && !group.searching || mustStop(member, now, false)) {
                 continue;
             }
@@ -862,8 +993,8 @@
                 }
             }
         }
-        // Guards against a crowd that never ends: trials by many drivers keep a low member full of
-        // late work.
+        // An overload could last forever if many drivers kept a member with a low limit busy with
+        // late work: it is probed for its queue length first.
         if (best != null
                 && minimumFleetLoad() > 1
                 && best.concurrencyLimit < INITIAL_CONCURRENCY_LIMIT / 2
@@ -893,18 +1024,20 @@
                 || mustStop(primary, now, true)) {
             return null;
         }
-        // Reads that need the primary leave a part of its room to the writes.
-        double hasRoom = limitShare * submissionLimit(primary, now);
+        // Reads leave a part of the primary's limit to the writes.
+        double readLimit = limitShare * submissionLimit(primary, now);
         if (replicaCount == 0) {
-            return primary.outstanding.size() < hasRoom ? primary : null;
+            return primary.outstanding.size() < readLimit ? primary : null;
         }
-        if (primary.outstanding.size() + 1 > Math.max(Math.min(1, hasRoom), hasRoom * 0.75)) {
+        if (primary.outstanding.size() + 1
+                > Math.max(Math.min(1, readLimit), readLimit * READ_SHARE_OF_PRIMARY_LIMIT)) {
             return null;
         }
         if (txn.type.freshness() == Freshness.OWN_WRITES) {
             return primary;
         }
-        // By chance, not by turns: a driver with few reads would wait long for its turn.
+        // Decided at random and not by counting: a driver with few reads would rarely reach the
+        // count.
         txn.maySpillToPrimary =
                 txn.maySpillToPrimary == null
                         ? random.nextDouble() < group.spillShare
@@ -912,7 +1045,9 @@
         return txn.maySpillToPrimary ? primary : null;
     }
 
-    /** It was heard lately to be further behind than it would wait for. */
+    /**
+     * Whether the member reported recently that it is further behind than it would hold a read for.
+     */
     private boolean isCertainMiss(Member member, Duration requiredPosition, Duration now) {
         return member.lag != null
                 && member.positionReportedAt.plus(timeScale.dividedBy(2)).compareTo(now) > 0
@@ -926,6 +1061,7 @@
         return member.lag == null ? Duration.ZERO : member.lag;
     }
 
+    /** Whether a submission of the txn is outstanding at the member or was missed there. */
     private static boolean isOutstandingOrMissedAt(Txn txn, Member member) {
         return txn.submissions.stream()
                 .anyMatch(
@@ -936,8 +1072,8 @@
     }
 
     /**
-     * The position that a read's data must have reached, or null; a step more than the bound asks
-     * for.
+     * The position that a member must have reached to serve the read, or null for any. It includes
+     * the clock granularity as a margin.
      */
     private Duration requiredPosition(Txn txn, Duration now) {
         return switch (txn.type.freshness()) {
@@ -949,8 +1085,8 @@
     }
 
     /**
-     * Asks replicas of which too little is known for their position, each not too often for the
-     * bound.
+     * Probes replicas whose position was not reported within a quarter of the read's age limit.
+     * Returns whether any probe is in flight.
      */
     private boolean probeReplicasForPosition(Group group, Txn txn, Duration now) {
         Duration ageLimit =
@@ -959,7 +1095,7 @@
                         : txn.type.slaTime();
         int probedCount = 0;
         int start = random.nextInt(group.members.size());
-        for (int i = 0; i < group.members.size() && probedCount < 2; i++) {
+        for (int i = 0; i < group.members.size() && probedCount < MAX_POSITION_PROBE_COUNT; i++) {
             Member member = group.members.get((start + i) % group.members.size());
             if (member != group.primary
                     && !isUnavailable(member, now)
@@ -980,15 +1116,18 @@
         return probedCount > 0;
     }
 
+    /** Cost of sending a read to the member; the cheapest member gets it. */
     private double cost(Member member, Duration now) {
-        double slowness = Math.min(4, Math.max(0.5, slownessRatio(member, now)));
+        double slowness =
+                Math.min(
+                        MAX_COST_SLOWNESS, Math.max(MIN_COST_SLOWNESS, slownessRatio(member, now)));
         double zonePenalty =
                 member.zone != (int) numberSetting("zone") && numberSetting("price.cross-zone") > 0
-                        ? 0.25
+                        ? CROSS_ZONE_COST
                         : 0;
         return (member.outstanding.size() + 0.5) / submissionLimit(member, now) * slowness
                 + zonePenalty
-                + random.nextDouble() * 0.02;
+                + random.nextDouble() * COST_JITTER;
     }
 
     private void submit(Txn txn, Member member, Duration now) {
@@ -1009,6 +1148,7 @@
                 txn);
     }
 
+    /** Holds the txn until a member can take it. */
     private void hold(Txn txn, Duration now) {
         if (!txn.answered && !txn.held) {
             txn.held = true;
@@ -1020,6 +1160,7 @@
         }
     }
 
+    /** Ends a txn that is out of time, or retries it where a member has become unresponsive. */
     private void checkTxn(Txn txn, Duration now) {
         if (txn.answered) {
             return;
@@ -1046,16 +1187,16 @@
                 min(answerDeadline(txn), now.plus(ofMillis(meanResponseMs(txn.type, now)))), txn);
     }
 
-    /** A submission is out at a member that has gone silent. */
+    /** Retries a repeatable txn that has a submission outstanding at an unresponsive member. */
     private void resubmitElsewhere(Txn txn, Submission submission, Duration now) {
         Group group = txn.group;
         if (group.primary == submission.member) {
             startSearch(
                     group,
                     now,
-                    "primary silent "
+                    "primary "
                             + submission.member.id
-                            + " holding "
+                            + " is unresponsive; outstanding submissions: "
                             + submission.member.outstanding.size());
         }
         if (txn.type.repeatability() != Repeatability.REPEATABLE
@@ -1084,15 +1225,14 @@
         }
     }
 
-    /** The final answer: a decline where a retry is harmless, else a rollback. */
+    /** Gives the final answer: a decline where a retry is harmless, else a rollback. */
     private void answerFailure(Txn txn, Duration now) {
         boolean retryIsHarmless =
                 txn.type.repeatability() == Repeatability.REPEATABLE
                         || !txn.mayHaveRun()
                         || txn.type.repeatability() == Repeatability.REFERENCED
                                 && txn.type.everyMemberDropsRepeats();
-        // A client that can still be in time may come back at once; one that is too late better
-        // waits.
+        // A client that can still meet the SLA time may retry at once; others are advised to wait.
         boolean adviseRetryDelay = flagSetting("may-advise-come-back") && isTooLateForSla(txn, now);
         readyDecisions.add(
                 !retryIsHarmless
@@ -1109,7 +1249,7 @@
         openTxns.remove(txn.id);
     }
 
-    /** When a held txn is given up: what it waits for could no longer be of use by then. */
+    /** Time at which a held txn is given up, since an answer would come too late to be useful. */
     private Duration giveUpAt(Txn txn, Duration now) {
         Duration expectedTime =
                 ofMillis(Math.max(baselineResponseMs(txn.type), meanResponseMs(txn.type, now)));
@@ -1117,7 +1257,7 @@
                 (txn.type.lateShare() > 0 ? txn.expiresAt : min(txn.slaDeadline, txn.expiresAt))
                         .minus(expectedTime);
         if (txn.type.lateShare() == 0) {
-            // Half of it: a client that asks again may then still be served in time.
+            // At half of the SLA time, so that a retry of the client can still be served in time.
             latestUsefulStart =
                     min(
                             latestUsefulStart,
@@ -1127,10 +1267,12 @@
         return min(answerDeadline(txn), max(txn.arrivedAt.plus(granularity), latestUsefulStart));
     }
 
+    /** Time by which the final answer is given, a margin before the client gives up. */
     private Duration answerDeadline(Txn txn) {
         return txn.expiresAt.minus(granularity);
     }
 
+    /** Whether another submission cannot make the txn take effect twice. */
     private boolean mayRunAgain(Txn txn, Duration now) {
         return txn.type.repeatability() == Repeatability.REPEATABLE
                 || !txn.mayHaveRun()
@@ -1150,37 +1292,42 @@
                         && hasRetryBudget(now);
     }
 
-    /** Further submissions follow the share of recent ones that succeeded. */
+    /** Whether a retry is allowed; the budget shrinks with the share of recent successes. */
     private boolean hasRetryBudget(Duration now) {
         double successShare = (committedCount.valueAt(now) + 1) / (endedCount.valueAt(now) + 1);
         return furtherSubmissionCount.valueAt(now)
-                < 4 + 0.5 * successShare * firstSubmissionCount.valueAt(now);
+                < RETRY_BUDGET_MIN_COUNT
+                        + RETRY_BUDGET_PER_FIRST_SUBMISSION
+                                * successShare
+                                * firstSubmissionCount.valueAt(now);
     }
 
-    // ---- members' health ----
+    // ---- Health and load of members ----
 
+    /** Updates the statistics, the member's concurrency limit and the group's spill share. */
     private void recordResponseTime(Member member, Txn txn, Duration responseTime, Duration now) {
         for (ResponseTimes times :
                 new ResponseTimes[] {
                     responseTimes[txn.type.index()], responseTimesOf(member)[txn.type.index()]
                 }) {
             times.add(now, toMillis(responseTime));
-            // A low mean that rises only slowly; the mean of a few is no ground for it.
+            // The baseline follows the mean down at once and up only slowly, so that it stays the
+            // response time without queueing. A mean of few answers does not change it.
             times.baselineMs =
-                    times.sampleCount.valueAt(now) < 16
+                    times.sampleCount.valueAt(now) < MIN_BASELINE_SAMPLE_COUNT
                             ? times.baselineMs
-                            : Math.min(times.baselineMs * 1.0002, times.meanMs(now));
+                            : Math.min(
+                                    times.baselineMs * BASELINE_RISE_PER_ANSWER, times.meanMs(now));
         }
         member.answerCount.add(now, 1);
         member.slownessSum.add(now, toMillis(responseTime) / targetResponseMs(member, txn.type));
-        // Guards against replicas that fall behind as they are crowded: a lag well inside the bound
-        // lowers
-        // the limit while it grows, else keeps it from rising. Where answers are quick it has
+        // Overloaded replicas fall behind. A lag well within the age limit lowers the concurrency
+        // limit while it grows and else keeps it from rising. If answers are quick, the lag has
         // another cause.
         boolean lagging =
                 member != member.group.primary
                         && lagOf(member).compareTo(shortestAgeLimit.dividedBy(4)) > 0
-                        && slownessRatio(member, now) > 0.75;
+                        && slownessRatio(member, now) > LOADED_SLOWNESS_RATIO;
         boolean lagIsGrowing = lagOf(member).compareTo(member.previousLag) > 0;
         member.previousLag = lagOf(member);
         if (slownessRatio(member, now) > 1 || lagging && lagIsGrowing) {
@@ -1188,19 +1335,23 @@
                     Math.max(
                             1,
                             Math.min(member.concurrencyLimit, member.outstanding.size() + 1)
-                                    * 0.75);
+                                    * LIMIT_DECREASE_FACTOR);
         } else if (!lagging && member.outstanding.size() + 1 >= member.concurrencyLimit - 1) {
             member.concurrencyLimit += 1 / member.concurrencyLimit;
         }
         if (member == txn.group.primary && !txn.type.isUpdate()) {
             txn.group.spillShare =
                     slownessRatio(member, now) > 1
-                            ? Math.max(MIN_SPILL_SHARE, txn.group.spillShare * 0.8)
-                            : Math.min(1, txn.group.spillShare * 1.5);
+                            ? Math.max(
+                                    MIN_SPILL_SHARE, txn.group.spillShare * SPILL_DECREASE_FACTOR)
+                            : Math.min(1, txn.group.spillShare * SPILL_INCREASE_FACTOR);
         }
     }
 
-    /** What an answer may take of a member that is used but not crowded. */
+    /**
+     * Response time of a member that is well used but not overloaded: the geometric mean of its
+     * baseline and the SLA time.
+     */
     private double targetResponseMs(Member member, TxnType type) {
         double baselineMs = responseTimesOf(member)[type.index()].baselineMs;
         return Math.sqrt(baselineMs * toMillis(type.slaTime()));
@@ -1215,11 +1366,13 @@
         for (int i = 0; i < times.length; i++) {
             times[i] =
                     new ResponseTimes(
-                            timeScale.multipliedBy(4), toMillis(txnTypes[i].slaTime()) / 4);
+                            timeScale.multipliedBy(HALF_LIFE_TIME_SCALES),
+                            toMillis(txnTypes[i].slaTime()) / 4);
         }
         return times;
     }
 
+    /** Mean ratio of recent response times to their targets; above 1 the member is too slow. */
     private double slownessRatio(Member member, Duration now) {
         return (member.slownessSum.valueAt(now) + 0.5) / (member.answerCount.valueAt(now) + 1);
     }
@@ -1233,7 +1386,8 @@
     }
 
     /**
-     * Silent: its work has waited, all together, several usual answer times since its last sign.
+     * Whether the member is unresponsive: its outstanding submissions together have waited several
+     * mean response times since its last answer.
      */
     private boolean checkUnresponsive(Member member, Duration now) {
         if (member.unresponsive || member.outstanding.isEmpty()) {
@@ -1241,8 +1395,8 @@
         }
         double waitedMeanTimes = 0;
         for (Submission submission : member.outstanding) {
-            // One that later answers have overtaken by far is stuck by itself: it says nothing of
-            // the member.
+            // A submission that much later answers have overtaken is stuck alone and says nothing
+            // about the member.
             double meanMs = meanResponseMs(submission.txn.type, now);
             waitedMeanTimes +=
                     toMillis(member.lastProgressAt.minus(submission.sentAt))
@@ -1251,8 +1405,8 @@
                             : toMillis(now.minus(max(submission.sentAt, member.lastProgressAt)))
                                     / meanMs;
         }
-        // The last sign must be a usual answer time away as well: many out are no reason to doubt
-        // sooner.
+        // A mean response time must have passed since the last answer as well: many outstanding
+        // submissions alone are no reason for doubt.
         Txn firstTxn = member.outstanding.iterator().next().txn;
         if (waitedMeanTimes > UNRESPONSIVE_AFTER_MEAN_TIMES
                 && toMillis(now.minus(member.lastProgressAt))
@@ -1261,19 +1415,20 @@
             log.accept(
                     "member "
                             + member.id
-                            + " silent for "
+                            + " has not answered for "
                             + (long) toMillis(now.minus(member.lastProgressAt))
-                            + " ms holding "
+                            + " ms; outstanding submissions: "
                             + member.outstanding.size());
         }
         return member.unresponsive;
     }
 
-    /** Not to be used now: silent, or left alone after faults. */
+    /** Whether the member is unresponsive or in backoff after failures. */
     private boolean isUnavailable(Member member, Duration now) {
         return now.compareTo(member.backoffUntil) < 0 || checkUnresponsive(member, now);
     }
 
+    /** Any answer of the member, an error or a rejection included, proves that it runs. */
     private void recordAnswer(Member member, Duration now, Outcome outcome) {
         member.lastProgressAt = now;
         if (member.unresponsive) {
@@ -1286,8 +1441,8 @@
                     max(member.backoffUntil, now.plus(ofMillis(baselineResponseMs(txnTypes[0]))));
         } else {
             member.consecutiveFailures = 0;
-            // Guards against pushing over one that is back before the list says so: out of reach
-            // for a while.
+            // A member that was unreachable for a while may have restarted before the list says so:
+            // it starts its warm-up, so that it is not overloaded.
             if (member.unreachableSince != null
                     && now.minus(member.unreachableSince).compareTo(timeScale) > 0) {
                 member.startedAt = now;
@@ -1298,7 +1453,8 @@
     }
 
     /**
-     * Whether it still lives is asked of the primary alone; should that fail, the search begins.
+     * Backs off from a member that refused a connection. A primary is probed as well, and a writer
+     * search starts if the probe cannot be sent or fails.
      */
     private void recordConnectionRefusal(Member member, Duration now) {
         refusedConnectionCount.add(now, 1);
@@ -1311,10 +1467,18 @@
                 ofMillis(
                         baselineResponseMs(txnTypes[0])
                                 / 4
-                                * Math.pow(2, Math.min(member.consecutiveFailures, 4)));
-        member.backoffUntil = now.plus(scale(backoff, 0.75 + 0.5 * random.nextDouble()));
+                                * Math.pow(
+                                        2,
+                                        Math.min(
+                                                member.consecutiveFailures,
+                                                MAX_REFUSAL_BACKOFF_DOUBLINGS)));
+        member.backoffUntil =
+                now.plus(
+                        scale(
+                                backoff,
+                                BACKOFF_JITTER_MIN + BACKOFF_JITTER_RANGE * random.nextDouble()));
         if (member == member.group.primary && !member.group.searching && !probe(member, now)) {
-            startSearch(member.group, now, "no connection to " + member.id);
+            startSearch(member.group, now, "primary " + member.id + " refused a connection");
         }
     }
 
@@ -1324,20 +1488,29 @@
                 && (outcome == Outcome.UNREACHABLE || outcome == Outcome.RESET)) {
             member.unreachableSince = now;
         }
-        // One broken connection among answers is no loss; with the next it is left alone for a
-        // while.
+        // A single broken connection between answers is tolerated; the next one starts a backoff.
         if (member.consecutiveFailures < 2
                 && (outcome == Outcome.RESET || outcome == Outcome.UNREACHABLE)) {
             return;
         }
         Duration backoff =
                 scale(
-                        max(Duration.ofMillis(250), durationSetting("connect-time-out")),
-                        Math.pow(2, Math.min(member.consecutiveFailures - 1, 3)));
-        member.backoffUntil = now.plus(scale(backoff, 0.75 + 0.5 * random.nextDouble()));
-    }
-
-    /** How many submissions the member may hold of this driver. */
+                        max(
+                                Duration.ofMillis(MIN_FAILURE_BACKOFF_MS),
+                                durationSetting("connect-time-out")),
+                        Math.pow(
+                                2,
+                                Math.min(
+                                        member.consecutiveFailures - 1,
+                                        MAX_FAILURE_BACKOFF_DOUBLINGS)));
+        member.backoffUntil =
+                now.plus(
+                        scale(
+                                backoff,
+                                BACKOFF_JITTER_MIN + BACKOFF_JITTER_RANGE * random.nextDouble()));
+    }
+
+    /** How many submissions this driver may have outstanding at the member. */
     private double submissionLimit(Member member, Duration now) {
         double highestMinimum =
                 member == member.group.primary && !member.group.searching
@@ -1360,8 +1533,8 @@
     }
 
     /**
-     * Its own report shows more waiting than is answered in time; one that shows little proves
-     * nothing.
+     * Whether the member's last report, if recent, shows a longer queue than it can answer in time.
+     * A report of a short queue proves nothing, so false does not mean that it has capacity left.
      */
     private boolean isOverloaded(Member member, Duration now) {
         return member.queueReportedAt != null
@@ -1372,17 +1545,20 @@
     }
 
     /**
-     * One submission of each driver at one member, in the updates' SLA times: what limits of one
-     * come to.
+     * Time that a member needs for one submission of each driver, in multiples of {@link
+     * #timeScale}. Above 1, even concurrency limits of 1 at all drivers overload the member.
      */
     private double minimumFleetLoad() {
         return numberSetting("drivers") * baselineResponseMs(txnTypes[0]) / toMillis(timeScale);
     }
 
-    // Work that may be sent, saved up at a rate, as rates add up over many drivers. A cold member
-    // gets a warm
-    // one's, times its warm part and 0.6 of the multiple; a replica of low limit what it answers in
-    // time.
+    /**
+     * Refills the member's credit, a token bucket of work in baseline response milliseconds, and
+     * returns it. Rates are limited instead of outstanding work because rates of many drivers add
+     * up. A member in its warm-up gets the rate of a warm one, times its present capacity share and
+     * 0.6 of the setting {@code fall-multiple}. A replica with a low limit gets what it answers in
+     * time.
+     */
     private double refillCredit(Member member, Duration now) {
         double baselineMs = baselineResponseMs(txnTypes[0]);
         double capacityShare = capacityShare(member, now);
@@ -1396,8 +1572,8 @@
             if (load.countedAt == null
                     || now.minus(load.countedAt).compareTo(durationSetting("fall")) > 0) {
                 load.countedAt = now;
-                // Each counts whole: by warm parts, many that start at once would each get the
-                // share of few.
+                // Members in their warm-up count fully. Counted by their capacity share, many that
+                // start at once would each get the rate meant for a few.
                 load.memberCount =
                         members.values().stream()
                                 .filter(
@@ -1410,7 +1586,7 @@
                             baselineMs / toMillis(warmUpPeriod),
                             capacityShare
                                     * numberSetting("fall-multiple")
-                                    * 0.6
+                                    * WARM_UP_CREDIT_FACTOR
                                     * load.submittedWorkMs.valueAt(now)
                                     * Math.log(2)
                                     / toMillis(load.halfLife)
@@ -1433,6 +1609,7 @@
         return member.creditMs;
     }
 
+    /** Share of its full capacity that the member has reached in its warm-up, up to 1. */
     private double capacityShare(Member member, Duration now) {
         if (member.startedAt == null || warmUpPeriod.isZero()) {
             return 1;
@@ -1445,11 +1622,14 @@
     }
 
     /**
-     * Nothing new goes there; a primary is used on for most of the grace, until it has handed over.
+     * Whether nothing new may be sent to the member because it is draining or gone.
+     *
+     * @param asPrimary a draining primary is used for most of the drain grace, until it has handed
+     *     over
      */
     private boolean mustStop(Member member, Duration now, boolean asPrimary) {
-        // Where the list does not prove who is gone, the txn path does: faults there leave a member
-        // alone.
+        // Where a removal from the list is not binding, only failed submissions stop the use of a
+        // member.
         if (member.stopLearnedAt == null
                 || member.gone && !member.drainSeen && flagSetting("removal-not-binding")) {
             return false;
@@ -1470,10 +1650,7 @@
         member.positionReportedAt = now;
     }
 
-    /**
-     * Where the list must be asked for: follow it, again after failures and when it was quiet for
-     * long.
-     */
+    /** Schedules a request for the member list, replacing the one scheduled before. */
     private void scheduleMemberListRequest(Duration dueAt) {
         nextMemberListRequestAt = dueAt;
         scheduleEvent(dueAt, dueAt);
@@ -1486,6 +1663,7 @@
         }
     }
 
+    /** Schedules a pass over the group unless an earlier one is scheduled. */
     private void scheduleGroup(Group group, Duration dueAt) {
         if (group.nextPassAt == null || dueAt.compareTo(group.nextPassAt) < 0) {
             group.nextPassAt = dueAt;
