--- /dev/null
+++ b/src/main/java/wingroad/simhost/package-info.java
@@ -0,0 +1,2 @@
+/** Adapter that runs routers inside a simulator, over its line-based JSON protocol. */
+package wingroad.simhost;
--- a/src/main/java/wingroad/state/Durations.java
+++ b/src/main/java/wingroad/state/Durations.java
@@ -2,14 +2,16 @@
 
 import java.time.Duration;
 
-/** Arithmetic on spans of time. */
+/** Arithmetic on durations. */
 public final class Durations {
     private Durations() {}
 
+    /** Milliseconds with fraction, unlike {@link Duration#toMillis}. */
     public static double toMillis(Duration duration) {
         return duration.toNanos() / 1e6;
     }
 
+    /** A duration of milliseconds with fraction. */
     public static Duration ofMillis(double ms) {
         return Duration.ofNanos((long) (ms * 1e6));
     }
--- a/src/main/java/wingroad/state/Group.java
+++ b/src/main/java/wingroad/state/Group.java
@@ -5,33 +5,43 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** One primary and its replicas: their roles, and the txns that wait for them at this driver. */
+/** A primary and its replicas as one driver knows them, and the txns that it holds for them. */
 public final class Group {
     public final int id;
     public final List<Member> members = new ArrayList<>();
+
+    /** The primary on record, also during a writer search; null if none is known yet. */
     public Member primary;
+
+    /** Whether a writer search is running; the next fields belong to the last one. */
     public boolean searching;
+
     public Duration searchStartedAt;
+
+    /** Probe rounds sent in the search. */
     public int searchRounds;
+
     public Duration nextSearchProbeAt;
 
-    /** Probe at the fast rate until then. */
+    /** The primary is probed at the fast rate until then. */
     public Duration fastProbeUntil = Duration.ZERO;
 
-    /** Txns that wait for a member, in the order in which they came. */
+    /** Txns that wait for the primary, in order of arrival. */
     public final ArrayDeque<Txn> heldWrites = new ArrayDeque<>();
 
+    /** Txns that wait for any suitable member, in order of arrival. */
     public final ArrayDeque<Txn> heldReads = new ArrayDeque<>();
 
-    /** The part of the reads without a fit replica that may go to the primary. */
+    /** Share of the reads without a fresh replica that may go to the primary, from 0 to 1. */
     public double spillShare;
 
-    /** The time for which the newest claim to be primary was proven. */
+    /** Time for which the newest claim of a member to be the primary was proven, or null. */
     public Duration primaryClaimAt;
 
-    /** When this group asked to be looked at again, or null. */
+    /** When the next pass over this group is scheduled, or null. */
     public Duration nextPassAt;
 
+    /** Whether the group is queued for a pass because something has changed. */
     public boolean dirty;
 
     public Group(int id, double spillShare) {
--- a/src/main/java/wingroad/state/HostClassLoad.java
+++ b/src/main/java/wingroad/state/HostClassLoad.java
@@ -2,16 +2,18 @@
 
 import java.time.Duration;
 
-/** Work that one driver submits to the members of one kind. */
+/** Work that one driver submits to the members of one hardware class. */
 public final class HostClassLoad {
+    /** Half-life of {@link #submittedWorkMs}. */
     public final Duration halfLife;
 
-    /** Work submitted, in calm answer times; its half-life is the span. */
+    /** Submitted work as the sum of baseline response times. */
     public final DecayingSum submittedWorkMs;
 
-    /** How many members of the kind are listed, and when counted. */
+    /** Listed members of the class when they were last counted. */
     public long memberCount;
 
+    /** When the members were counted, or null. */
     public Duration countedAt;
 
     public HostClassLoad(Duration span) {
--- a/src/main/java/wingroad/state/Member.java
+++ b/src/main/java/wingroad/state/Member.java
@@ -3,9 +3,9 @@
 import java.time.Duration;
 import java.util.LinkedHashSet;
 
-/** What one driver knows of one member of a group. */
+/** State of one group member as one driver knows it. */
 public final class Member {
-    /** What a member said of its role. */
+    /** Role that a member reported. */
     public enum Role {
         UNKNOWN,
         PRIMARY,
@@ -15,77 +15,100 @@
     public final long id;
     public Group group;
     public int zone;
+
+    /** Number of its hardware class. */
     public int hostClass;
+
+    /** Whether the member list names it as not gone. */
     public boolean listed;
 
-    /** When this driver learned that it drains or is gone, or null. */
+    /** When this driver learned that it is draining or gone, or null. */
     public Duration stopLearnedAt;
 
     public boolean gone;
+
+    /** Whether the list has ever shown it as draining. */
     public boolean drainSeen;
 
     /** When it last started, or null for long ago or unknown. */
     public Duration startedAt;
 
-    /** The time for which its role was last proven. */
+    /** Time for which its role was last proven, or null. */
     public Duration roleProvenAt;
 
     /**
-     * When it said that it is a replica, or null: it has not since it last claimed to be the
-     * primary.
+     * When it last reported to be a replica, or null if it has not done so since it last claimed to
+     * be the primary.
      */
     public Duration replicaReportedAt;
 
-    /** Proven lower bound of its log position, or null. */
+    /**
+     * Proven lower bound of its log position, as a time since the start of the instance; or null.
+     */
     public Duration position;
 
-    /** How far behind it was when that position was heard, and when. */
+    /** Its lag when the position was last reported, or null. */
     public Duration lag;
 
     public Duration positionReportedAt;
 
-    /** How far behind it was when it was last measured. */
+    /** Its lag at the previous answer for which a response time was recorded. */
     public Duration previousLag = Duration.ZERO;
 
+    /** Submissions without an outcome, in the order in which they were sent. */
     public final LinkedHashSet<Submission> outstanding = new LinkedHashSet<>();
 
-    /** The last sign of life on the txn path, or when it got its first outstanding work. */
+    /** Its last answer to a submission, or when it got work after it had none. */
     public Duration lastProgressAt = Duration.ZERO;
 
-    /** Mode: silent on work that it holds. */
+    /** Whether it is not answering its outstanding submissions. */
     public boolean unresponsive;
 
+    /** Submissions that this driver may have outstanding there; adapted to response times. */
     public double concurrencyLimit;
 
-    /** Decaying answers and their summed slowness (took as a ratio of the target). */
+    /** Recent answers for which a response time was recorded. */
     public final DecayingSum answerCount;
 
+    /** Sum of their response times, each as a ratio of its target. */
     public final DecayingSum slownessSum;
 
     /**
-     * Work saved up for it while it gets little, in calm answer times, and when; null since a
-     * start.
+     * Work that may be sent while it is in its warm-up, has a low limit or is overloaded, in
+     * milliseconds of baseline response time.
      */
     public double creditMs;
 
+    /** When the credit was last refilled, or null if not since the member started. */
     public Duration creditUpdatedAt;
+
     public int consecutiveFailures;
+
+    /** No new work is sent before this time. */
     public Duration backoffUntil = Duration.ZERO;
 
-    /** Since when it has been out of reach, or null. */
+    /** Since when it has been unreachable, or null. */
     public Duration unreachableSince;
 
-    /** How many txns waited there by its newest report, and when that was heard, or null. */
+    /** Txns that waited there by its last report. */
     public double queueLength;
 
+    /** When the queue length was last reported, or null. */
     public Duration queueReportedAt;
 
-    /** A submission has ended there since its group was last looked at. */
+    /** Whether a submission has ended there since the last pass over its group. */
     public boolean endedSinceLastPass;
 
     public boolean probeInFlight;
+
+    /** When the last probe was sent, or null. */
     public Duration lastProbeAt;
 
+    /**
+     * Creates a member of which nothing but its id is known.
+     *
+     * @param halfLife half-life of the response statistics
+     */
     public Member(long id, Duration halfLife) {
         this.id = id;
         this.answerCount = new DecayingSum(halfLife);
--- a/src/main/java/wingroad/state/ResponseTimes.java
+++ b/src/main/java/wingroad/state/ResponseTimes.java
@@ -2,12 +2,15 @@
 
 import java.time.Duration;
 
-/** How long one txn type takes of one kind of member, in milliseconds. */
+/** Recent response times of one txn type, for all members or for those of one hardware class. */
 public final class ResponseTimes {
+    /** Sum of recent response times in milliseconds. */
     public final DecayingSum totalMs;
+
+    /** Number of recent response times. */
     public final DecayingSum sampleCount;
 
-    /** A low mean: what it takes of a member that is not crowded. */
+    /** Response time of a member that is not crowded, in milliseconds. */
     public double baselineMs;
 
     public ResponseTimes(Duration halfLife, double initialBaselineMs) {
@@ -21,7 +24,7 @@
         sampleCount.add(now, 1);
     }
 
-    /** The present mean, or {@link #baselineMs} where too little is known. */
+    /** Mean of recent response times, or {@link #baselineMs} if there are none. */
     public double meanMs(Duration now) {
         double samples = sampleCount.valueAt(now);
         return samples < 1 ? baselineMs : totalMs.valueAt(now) / samples;
--- a/src/main/java/wingroad/state/TimingWheel.java
+++ b/src/main/java/wingroad/state/TimingWheel.java
@@ -1,16 +1,20 @@
 package wingroad.state;
 
 /**
- * Timers by the time at which they are due: a hashed wheel. Adding and taking out cost the same
- * however many there are; what is due comes out when its slot of about 4 ms has passed, in the
- * order of the slots, within one in the order in which it was added. A timer is its own link in the
- * wheel, so nothing is allocated for it. Measured against a heap in bench/fair-queues.sh.
+ * A hashed timing wheel. Scheduling and cancelling take constant time whatever the number of
+ * timers. A timer expires when its slot of about 4 ms has passed; timers expire in the order of
+ * their slots and within a slot in the order in which they were scheduled. Timers are linked into
+ * the wheel themselves, so that nothing is allocated. {@code bench/fair-queues.sh} compares it with
+ * a heap.
  */
 public final class TimingWheel {
+    /** Binary logarithm of a slot's length in nanoseconds. */
     private static final int SLOT_NANOS_BITS = 22;
+
+    /** Must be a power of two and a multiple of 64. */
     private static final int SLOT_COUNT = 1024;
 
-    /** What is due at a time; it is in one wheel at most. */
+    /** A timer, scheduled in at most one wheel. */
     public static class Timer {
         private long dueNanos;
         private Timer previous;
@@ -18,7 +22,7 @@
         private TimingWheel wheel;
         private int slotIndex;
 
-        /** In nanoseconds; counts only while it is set. */
+        /** Time at which it is due, in nanoseconds; valid only while it is scheduled. */
         public final long dueNanos() {
             return dueNanos;
         }
@@ -28,20 +32,25 @@
         }
     }
 
-    /** The ends of each slot's ring. */
+    /** The sentinel of each slot's circular list, or null if the slot was never used. */
     private final Timer[] slots = new Timer[SLOT_COUNT];
 
+    /** One bit for each slot that holds a timer. */
     private final long[] occupiedSlots = new long[SLOT_COUNT / 64];
+
+    /** Absolute number of the first slot that has not passed; not reduced to an index. */
     private long currentSlot;
+
     private int size;
 
+    /** Number of scheduled timers. */
     public int size() {
         return size;
     }
 
     /**
-     * Sets the timer, anew where it was set. One that is due in the past comes out with the present
-     * slot.
+     * Schedules the timer, again if it was scheduled. One that is due in the past expires with the
+     * current slot.
      */
     public void schedule(Timer timer, long dueNanos) {
         cancel(timer);
@@ -64,17 +73,18 @@
         size++;
     }
 
+    /** Cancels the timer; does nothing if it is not scheduled. */
     public void cancel(Timer timer) {
         if (timer.wheel == null) {
             return;
         }
         if (timer.wheel != this) {
-            throw new IllegalArgumentException("the timer is set in another wheel");
+            throw new IllegalArgumentException("the timer is scheduled in another wheel");
         }
         timer.previous.next = timer.next;
         timer.next.previous = timer.previous;
         if (timer.previous == timer.next) {
-            // Only the slot's end is left.
+            // Only the sentinel is left.
             occupiedSlots[timer.slotIndex >> 6] &= ~(1L << timer.slotIndex);
         }
         timer.previous = null;
@@ -83,14 +93,14 @@
         size--;
     }
 
-    /** Takes out a timer whose slot has passed, or null where there is none. */
+    /** Removes and returns a timer whose slot has passed, or null if there is none. */
     public Timer poll(long nowNanos) {
         long nowSlot = nowNanos >> SLOT_NANOS_BITS;
         if (size == 0) {
             currentSlot = Math.max(currentSlot, nowSlot);
             return null;
         }
-        // Once round meets every slot; what is due in a later round stays where it is.
+        // One round visits every slot; timers that are due in a later round stay where they are.
         for (currentSlot = Math.max(currentSlot, nowSlot - SLOT_COUNT);
                 currentSlot < nowSlot;
                 currentSlot++) {
@@ -109,8 +119,8 @@
     }
 
     /**
-     * When to poll next, in nanoseconds: no later than the end of the slot in which the first is
-     * due; -1 where none is set.
+     * When to poll next, in nanoseconds: not after the end of the slot in which the first timer is
+     * due; -1 if none is scheduled.
      */
     public long nextPollNanos() {
         if (size == 0) {
--- a/src/main/java/wingroad/state/Txn.java
+++ b/src/main/java/wingroad/state/Txn.java
@@ -4,35 +4,37 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** One client request that a driver has accepted, from its arrival to its final answer. */
+/** A client request that the driver has accepted, from its arrival to its final answer. */
 public final class Txn {
     public final String id;
     public final TxnType type;
     public final Group group;
     public final Duration arrivedAt;
+
+    /** When the client gives up. */
     public Duration expiresAt;
 
-    /** Until when an answer has its full value, as far as is known. */
+    /** Time until which an answer has its full value, counted from the first attempt if known. */
     public Duration slaDeadline;
 
-    /** The client says that it has asked before. */
+    /** Whether the client marked it as a retry. */
     public final boolean retry;
 
-    /** The session, or -1. */
+    /** The client's session, or -1 if it has none. */
     public final long session;
 
-    /** The position that the session has written up to, or null. */
+    /** Position of the session's last write, which a read must reflect; or null. */
     public Duration requiredPosition;
 
     public final List<Submission> submissions = new ArrayList<>(2);
+
+    /** Whether the final answer was given or is no longer needed. */
     public boolean answered;
 
-    /** True while it waits at the router for a member. */
+    /** Whether it waits in one of its group's queues of held txns. */
     public boolean held;
 
-    /**
-     * Whether it is of the part of reads without a fit replica that may spill; null: not asked yet.
-     */
+    /** Whether it may go to the primary if no replica is fresh enough; null if not decided yet. */
     public Boolean maySpillToPrimary;
 
     public Txn(
@@ -53,6 +55,7 @@
         this.retry = retry;
     }
 
+    /** Number of submissions without an outcome. */
     public int outstandingCount() {
         int count = 0;
         for (Submission submission : submissions) {
@@ -63,6 +66,7 @@
         return count;
     }
 
+    /** Whether any submission may have run. */
     public boolean mayHaveRun() {
         for (Submission submission : submissions) {
             if (submission.mayHaveRun()) {
@@ -72,7 +76,7 @@
         return false;
     }
 
-    /** When the earliest submission that may have run was sent, or null. */
+    /** When the first submission that may have run was sent, or null if there is none. */
     public Duration earliestPossibleRunAt() {
         for (Submission submission : submissions) {
             if (submission.mayHaveRun()) {
--- a/src/main/java/wingroad/state/TxnType.java
+++ b/src/main/java/wingroad/state/TxnType.java
@@ -4,7 +4,18 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** One kind of txn as the deployment describes it. */
+/**
+ * A txn type of the deployment.
+ *
+ * @param index number of the type in the settings, from 0
+ * @param slaTime time within which an answer has its full value
+ * @param expiry time after which clients of this type give up
+ * @param value what a timely answer is worth
+ * @param lateShare share of the value that an answer after the SLA time still has, from 0 to 1
+ * @param maxDataAge greatest age of the data for {@link Freshness#RECENT}, else zero
+ * @param repeatWindow time in which a repeat is recognized, for {@link Repeatability#REFERENCED}
+ * @param everyMemberDropsRepeats whether repeats are recognized at every member
+ */
 public record TxnType(
         int index,
         Duration slaTime,
@@ -17,13 +28,18 @@
         Duration repeatWindow,
         boolean everyMemberDropsRepeats) {
 
-    /** What running a txn twice would do. */
+    /** Whether a txn may be submitted again after it may have run. */
     public enum Repeatability {
+        /** Running it twice does no harm. */
         REPEATABLE,
+
+        /** Members recognize a repeat by its reference for the repeat window. */
         REFERENCED,
+
+        /** It must never run twice. */
         ONCE_ONLY;
 
-        /** The kind that the word names; one that is not known must never run twice. */
+        /** Converts the setting; an unknown value counts as {@link #ONCE_ONLY}. */
         public static Repeatability fromSetting(Object value) {
             return "repeatable".equals(value)
                     ? REPEATABLE
@@ -31,14 +47,24 @@
         }
     }
 
-    /** What the data that a txn works on must reflect. */
+    /** What the data that a txn works on must reflect at least. */
     public enum Freshness {
+        /** Not a read: it changes data at the primary. */
         UPDATE,
+
+        /** All committed writes. */
         LATEST,
+
+        /** The writes of the client's own session. */
         OWN_WRITES,
+
+        /** All writes older than {@link TxnType#maxDataAge}. */
         RECENT,
+
+        /** Nothing in particular. */
         LOOSE;
 
+        /** Converts the setting; an unknown value counts as {@link #LOOSE}. */
         public static Freshness fromSetting(Object value) {
             for (Freshness freshness : values()) {
                 if (freshness.name().toLowerCase(Locale.ROOT).replace('_', '-').equals(value)) {
@@ -49,7 +75,7 @@
         }
     }
 
-    /** The types that the terms describe, by their numbers. */
+    /** The txn types in the settings, ordered by their index. */
     public static TxnType[] fromSettings(Map<String, Object> settings) {
         TxnType[] types =
                 new TxnType
@@ -84,7 +110,7 @@
         return freshness == Freshness.UPDATE;
     }
 
-    /** Only the primary can serve it. */
+    /** Whether only the primary can serve it. */
     public boolean requiresPrimary() {
         return isUpdate() || freshness == Freshness.LATEST;
     }
