--- a/src/main/java/wingroad/simhost/DriverInstance.java
+++ b/src/main/java/wingroad/simhost/DriverInstance.java
@@ -17,18 +17,37 @@
 import java.util.Map;
 
 /**
- * One driver on the wire: its module, its clock's start, and the one wake-up that it keeps armed.
+ * One simulated driver. Translates the simulator's events into calls of its {@link Router}, and the
+ * router's decisions and log lines into actions; the simulator has at most one wake-up of it armed.
  */
 final class DriverInstance {
+    private static final int RETRY_MARK = 2;
+
+    /** A position and role in one number: the lowest bits are the role's code. */
+    private static final int ROLE_BITS = 2;
+
+    private static final long ROLE_MASK = 3;
+    private static final int PRIMARY_CODE = 1;
+    private static final int REPLICA_CODE = 2;
+
+    /** The simulator's time at the start of this instance, in milliseconds. */
     private final double startWallMs;
+
+    /** The simulator's time from which positions count, in milliseconds. */
     private final double positionZeroWallMs;
+
+    /** Names of the gauges in members' reports, in the order of their values. */
     private final List<?> gaugeNames;
+
     private final Router router;
 
-    /** Where log lines go: the reply being written. */
+    /** The reply that is being written; log lines become part of it. */
     private JsonGenerator log;
 
+    /** When the armed wake-up is due, or null. */
     private Duration armedWakeUpAt;
+
+    /** Token of the last armed wake-up; earlier ones are ignored. */
     private long wakeUpNumber;
 
     DriverInstance(double wallMs, long seed, Map<String, Object> profile, JsonGenerator output) {
@@ -47,26 +66,29 @@
         this.router = new TxnRouter(RouterSettings.fromWire(profile), seed, this::writeLog);
     }
 
+    /** Converts the simulator's time to the time since the start of this instance. */
     private Duration sinceStart(double wallMs) {
         return Json.span(wallMs - startWallMs);
     }
 
+    /** Converts a time since the start of this instance to the simulator's time. */
     private double toWallMs(Duration at) {
         return Json.ms(at.plusNanos(Math.round(startWallMs * 1000) * 1000));
     }
 
+    /** Passes one event to the router; events of unknown names are ignored. */
     void handleEvent(
             double wallMs,
-            String name,
+            String eventName,
             Map<String, Object> event,
-            Map<Long, List<?>> lists,
+            Map<Long, List<?>> memberLists,
             JsonGenerator output)
             throws IOException {
         log = output;
         Duration now = sinceStart(wallMs);
         try {
-            switch (name) {
-                case "view" -> handleMemberList(now, event, lists);
+            switch (eventName) {
+                case "view" -> handleMemberList(now, event, memberLists);
                 case "new-request" ->
                         router.txnArrived(
                                 now,
@@ -75,18 +97,20 @@
                                 Json.number(event, "shard", 0).intValue(),
                                 Json.span(Json.number(event, "ttl")),
                                 Json.number(event, "user", -1).longValue(),
-                                sinceWrite(event),
-                                (Json.number(event, "marks", 0).intValue() & 2) != 0,
+                                sinceLastWrite(event),
+                                (Json.number(event, "marks", 0).intValue() & RETRY_MARK) != 0,
                                 Duration.ZERO);
                 case "result" -> handleResult(now, event);
                 case "status-back" -> {
-                    long member = Json.number(event, "member").longValue();
-                    handleReport(now, member, event);
-                    // One that takes no further probe lives: many drivers may ask it at once.
-                    boolean lives =
+                    long memberId = Json.number(event, "member").longValue();
+                    handleReport(now, memberId, event);
+                    // A member that rejects a probe because of too many is running: many drivers
+                    // may
+                    // probe it at once.
+                    boolean running =
                             "ok".equals(event.get("state-code"))
                                     || "full".equals(event.get("state-code"));
-                    router.probeEnded(now, member, lives, duration(event));
+                    router.probeEnded(now, memberId, running, duration(event));
                 }
                 case "lapsed" -> router.txnAbandoned(now, Json.text(event, "op-id"));
                 case "fired" -> {
@@ -95,7 +119,7 @@
                     }
                 }
                 default -> {
-                    // an event of a later wire: not ours
+                    // an event of a newer protocol version
                 }
             }
         } catch (Json.Malformed malformed) {
@@ -105,9 +129,9 @@
         }
     }
 
-    private static Duration sinceWrite(Map<String, Object> event) {
-        double ms = Json.number(event, "token-age-ms", 0).doubleValue();
-        return ms > 0 ? Json.span(ms) : null;
+    private static Duration sinceLastWrite(Map<String, Object> event) {
+        double ageMs = Json.number(event, "token-age-ms", 0).doubleValue();
+        return ageMs > 0 ? Json.span(ageMs) : null;
     }
 
     private static Duration duration(Map<String, Object> event) {
@@ -115,20 +139,20 @@
     }
 
     private void handleMemberList(
-            Duration now, Map<String, Object> event, Map<Long, List<?>> lists) {
+            Duration now, Map<String, Object> event, Map<Long, List<?>> memberLists) {
         String kind = Json.text(event, "kind");
         if (kind.equals("broken")) {
             router.memberListFailed(now);
             return;
         }
-        List<?> entries = lists.get(Json.number(event, "buffer").longValue());
+        List<?> entries = memberLists.get(Json.number(event, "buffer").longValue());
         if (entries == null) {
-            throw new Json.Malformed("no list of that number");
+            throw new Json.Malformed("unknown member list number");
         }
         router.memberListStarted(now, !kind.equals("patch"));
-        for (Object e : entries) {
-            Map<String, Object> entry = Json.object(e, "a list entry");
-            double launched = Json.number(entry, "launched", 0).doubleValue();
+        for (Object element : entries) {
+            Map<String, Object> entry = Json.object(element, "a list entry");
+            double launchedWallMs = Json.number(entry, "launched", 0).doubleValue();
             String readiness = entry.get("readiness") instanceof String s ? s : "in_service";
             router.memberListed(
                     now,
@@ -140,14 +164,14 @@
                     Json.number(entry, "head", 0).doubleValue() == 1,
                     readiness.equals("terminating"),
                     readiness.equals("terminated"),
-                    launched > 0 ? sinceStart(launched) : null);
+                    launchedWallMs > 0 ? sinceStart(launchedWallMs) : null);
         }
         router.memberListEnded(now);
     }
 
     private void handleResult(Duration now, Map<String, Object> event) {
-        long member = Json.number(event, "member").longValue();
-        handleReport(now, member, event);
+        long memberId = Json.number(event, "member").longValue();
+        handleReport(now, memberId, event);
         Submission.Outcome outcome =
                 switch (Json.text(event, "state-code")) {
                     case "ok" -> Submission.Outcome.COMMITTED;
@@ -160,27 +184,30 @@
                     case "miss" -> Submission.Outcome.MISSED;
                     default -> Submission.Outcome.ERROR;
                 };
-        long stand = Json.number(event, "stand", 0).longValue();
-        Duration position = stand >> 2 == 0 ? null : sinceStart(positionZeroWallMs + (stand >> 2));
+        long positionAndRole = Json.number(event, "stand", 0).longValue();
+        Duration position =
+                positionAndRole >> ROLE_BITS == 0
+                        ? null
+                        : sinceStart(positionZeroWallMs + (positionAndRole >> ROLE_BITS));
         router.submissionEnded(
                 now,
                 Json.text(event, "op-id"),
                 Json.number(event, "round-no", 0).intValue(),
-                member,
+                memberId,
                 outcome,
                 duration(event),
                 Boolean.TRUE.equals(event.get("terminal")),
-                role((int) (stand & 3)),
+                role((int) (positionAndRole & ROLE_MASK)),
                 position);
     }
 
-    private static Member.Role role(int number) {
-        return number == 1
+    private static Member.Role role(int code) {
+        return code == PRIMARY_CODE
                 ? Member.Role.PRIMARY
-                : number == 2 ? Member.Role.REPLICA : Member.Role.UNKNOWN;
+                : code == REPLICA_CODE ? Member.Role.REPLICA : Member.Role.UNKNOWN;
     }
 
-    private void handleReport(Duration now, long member, Map<String, Object> event) {
+    private void handleReport(Duration now, long memberId, Map<String, Object> event) {
         if (!(event.get("metrics") instanceof List<?> gauges) || gauges.isEmpty()) {
             return;
         }
@@ -201,14 +228,14 @@
                 case "waiting" -> queueLength = value;
                 case "busy" -> utilization = value;
                 default -> {
-                    // a figure that the module has no use for
+                    // a gauge that the router does not use
                 }
             }
         }
-        router.memberReported(now, member, role, position, activeCount, queueLength, utilization);
+        router.memberReported(now, memberId, role, position, activeCount, queueLength, utilization);
     }
 
-    /** Pulls the decisions until there is none and keeps the next wake-up armed. */
+    /** Writes all pending decisions and arms the next wake-up. */
     void writeDecisions(double wallMs, JsonGenerator output) throws IOException {
         log = output;
         Duration now = sinceStart(wallMs);
@@ -275,7 +302,7 @@
                 output.writeBooleanField("enable", true);
             }
             case FETCH_LIST -> output.writeStringField("msg", "query-all");
-            default -> throw new IllegalStateException("no words for " + decision.kind());
+            default -> throw new IllegalStateException("no action for decision " + decision.kind());
         }
         output.writeEndObject();
     }
@@ -291,6 +318,7 @@
         }
     }
 
+    /** Reports an unexpected exception to the simulator. */
     static void writeCrash(JsonGenerator output, RuntimeException exception) throws IOException {
         StackTraceElement[] stackTrace = exception.getStackTrace();
         output.writeStartObject();
--- a/src/main/java/wingroad/simhost/SimHost.java
+++ b/src/main/java/wingroad/simhost/SimHost.java
@@ -21,37 +21,41 @@
 import java.util.Map;
 
 /**
- * The adapter for the simulator's wire: one line in, one line out, many instances. It decodes,
- * renames and encodes, and decides nothing.
+ * Serves the simulator's protocol: each input line holds a batch of events for any number of driver
+ * instances and is answered by one line of actions. All decisions are made by the routers.
  */
 public final class SimHost {
+    private static final int BUFFER_SIZE_BYTES = 1 << 16;
+
     private final BufferedReader in;
     private final OutputStream out;
     private final PrintStream err;
     private final JsonFactory jsonFactory = new JsonFactory();
     private final Map<Long, DriverInstance> instances = new HashMap<>();
 
-    /** Lists by number; a newer one takes over an older one's number. */
+    /** Member lists by number; a newer list may reuse the number of an older one. */
     private final Map<Long, List<?>> memberLists = new HashMap<>();
 
     public SimHost(InputStream in, OutputStream out, PrintStream err) {
-        this.in = new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8), 1 << 16);
+        this.in =
+                new BufferedReader(
+                        new InputStreamReader(in, StandardCharsets.UTF_8), BUFFER_SIZE_BYTES);
         this.out = out;
         this.err = err;
     }
 
-    /** Serves until the input ends; returns the exit status. */
+    /** Serves until the input ends; returns the exit status, 1 after an invalid line. */
     public int run() throws IOException {
-        ByteArrayOutputStream reply = new ByteArrayOutputStream(1 << 16);
+        ByteArrayOutputStream reply = new ByteArrayOutputStream(BUFFER_SIZE_BYTES);
         for (String line = in.readLine(); line != null; line = in.readLine()) {
             reply.reset();
             try {
                 answer(line, reply);
             } catch (JsonProcessingException e) {
-                err.println("simhost: not a line of the wire: " + e.getOriginalMessage());
+                err.println("simhost: invalid input line: " + e.getOriginalMessage());
                 return 1;
             } catch (Json.Malformed e) {
-                err.println("simhost: not a line of the wire: " + e.getMessage());
+                err.println("simhost: invalid input line: " + e.getMessage());
                 return 1;
             }
             reply.write('\n');
@@ -65,11 +69,11 @@
         Map<String, Object> batch;
         try (JsonParser parser = jsonFactory.createParser(line)) {
             if (parser.nextToken() != JsonToken.START_OBJECT) {
-                throw new Json.Malformed("no object");
+                throw new Json.Malformed("a JSON object is expected");
             }
             batch = Json.object(Json.value(parser), "the line");
             if (parser.nextToken() != null) {
-                throw new Json.Malformed("more than one value");
+                throw new Json.Malformed("more than one value in the line");
             }
         }
         double wallMs = Json.number(batch, "wall").doubleValue();
@@ -94,10 +98,10 @@
 
     private void handleEvents(double wallMs, long instanceId, List<?> events, JsonGenerator output)
             throws IOException {
-        for (Object entry : events) {
-            Map<String, Object> event = Json.object(entry, "an event");
-            String name = Json.text(event, "msg");
-            switch (name) {
+        for (Object element : events) {
+            Map<String, Object> event = Json.object(element, "an event");
+            String eventName = Json.text(event, "msg");
+            switch (eventName) {
                 case "inventory" ->
                         memberLists.put(
                                 Json.number(event, "buffer").longValue(),
@@ -122,7 +126,7 @@
                 default -> {
                     DriverInstance instance = instances.get(instanceId);
                     if (instance != null) {
-                        instance.handleEvent(wallMs, name, event, memberLists, output);
+                        instance.handleEvent(wallMs, eventName, event, memberLists, output);
                     }
                 }
             }
--- a/src/main/java/wingroad/terms/RouterSettings.java
+++ b/src/main/java/wingroad/terms/RouterSettings.java
@@ -8,9 +8,10 @@
 import java.util.Map;
 
 /**
- * Renames the start-up object, the same on the simulator's wire and in a driver's configuration,
- * into the flat map of names to values that the module reads: the users' words, times as Durations.
- * What has no name here is skipped; what is absent takes the wire's default.
+ * Translates a deployment's settings into the flat map that the router reads. The input object is
+ * the same in the simulator's protocol and in a driver's configuration. Values become {@link
+ * Double}, {@link Duration}, {@link String} or {@link Boolean}; unknown keys are skipped and absent
+ * keys take their defaults.
  */
 public final class RouterSettings {
     private static final int NUMBER = 0;
@@ -18,6 +19,13 @@
     private static final int WORD = 2;
     private static final int FLAG = 3;
 
+    /**
+     * One setting.
+     *
+     * @param wirePath its path in the input
+     * @param name its name in the router's map
+     * @param type one of the constants above
+     */
     private record Setting(String wirePath, String name, int type, Object defaultValue) {}
 
     private static final Setting[] DEPLOYMENT_SETTINGS = {
@@ -58,6 +66,7 @@
         new Setting("prices.late-fail", "price.late-rollback", NUMBER, 0.0),
     };
 
+    /** Settings of each txn type; paths are relative to its entry in {@code grades}. */
     private static final Setting[] TXN_TYPE_SETTINGS = {
         new Setting("aim", "sla-time", DURATION_MS, Duration.ZERO),
         new Setting("deadline", "expiry", DURATION_MS, Duration.ZERO),
@@ -68,6 +77,7 @@
         new Setting("window", "window", DURATION_MS, Duration.ZERO),
     };
 
+    /** Names of the router for values of {@link #WORD} settings; other values stay as they are. */
     private static final Map<String, String> VALUE_NAMES =
             Map.of(
                     "by_key",
@@ -85,7 +95,7 @@
                     "pull",
                     "probes");
 
-    /** What a figure in a member's report is called here; one that is not known keeps its name. */
+    /** Names of the router for gauges in members' reports; other gauges keep their names. */
     private static final Map<String, String> GAUGE_NAMES =
             Map.of(
                     "x0",
@@ -105,10 +115,12 @@
 
     private RouterSettings() {}
 
+    /** The router's name for a gauge in a member's report. */
     public static String gaugeName(String wireName) {
         return GAUGE_NAMES.getOrDefault(wireName, wireName);
     }
 
+    /** Translates the settings; values of a wrong type count as absent. */
     public static Map<String, Object> fromWire(Map<String, Object> wire) {
         Map<String, Object> settings = new HashMap<>();
         for (Setting setting : DEPLOYMENT_SETTINGS) {
@@ -137,7 +149,7 @@
         return list instanceof List<?> l && index < l.size() ? l.get(index) : null;
     }
 
-    /** What stands at this path, such as {@code grades[0].aim}, or null. */
+    /** The value at a path such as {@code grades[0].aim}, or null. */
     static Object valueAt(Map<String, Object> wire, String path) {
         Object value = wire;
         for (String part : path.split("\\.")) {
--- a/src/main/java/wingroad/terms/SettingsValidator.java
+++ b/src/main/java/wingroad/terms/SettingsValidator.java
@@ -6,15 +6,21 @@
 import java.util.Set;
 
 /**
- * What is wrong with a deployment's settings, each with the path of its key: a value of the wrong
- * form, out of range, a word that nobody knows, and settings that contradict each other because
- * they are of two shapes of deployment. What is absent takes its default; keys that are not read
- * are not looked at, as the wire asks.
+ * Validates a deployment's settings. Finds values of the wrong type or out of range, unknown words,
+ * and settings that contradict each other because they belong to different kinds of deployment.
+ * Absent keys take their defaults; unknown keys are ignored, as the protocol requires.
  */
 public final class SettingsValidator {
     private static final double DAY_MS = 86_400_000;
+
+    /** Upper limit of counts, factors and prices. */
     private static final double MAX_NUMBER = 1e6;
 
+    private static final double MAX_GRANULARITY_MS = 1000;
+
+    /** Longer values are cut off in messages. */
+    private static final int MAX_SHOWN_CHARS = 40;
+
     private final Map<String, Object> settings;
     private final List<String> problems = new ArrayList<>();
 
@@ -22,20 +28,20 @@
         this.settings = settings;
     }
 
-    /** The problems, in the order of the wire's page; none where the settings can be used. */
+    /** The problems found, each starting with the path of its key; empty for valid settings. */
     public static List<String> problems(Map<String, Object> settings) {
-        SettingsValidator check = new SettingsValidator(settings);
-        check.checkDeploymentSettings();
-        check.checkTxnTypes();
-        check.checkConsistency();
-        return check.problems;
+        SettingsValidator validator = new SettingsValidator(settings);
+        validator.checkDeploymentSettings();
+        validator.checkTxnTypes();
+        validator.checkConsistency();
+        return validator.problems;
     }
 
     private void checkDeploymentSettings() {
         checkNumber("balancers", 1, MAX_NUMBER);
         checkNumber("index", 0, MAX_NUMBER);
         checkNumber("zone", 0, MAX_NUMBER);
-        checkNumber("granularity", 0, 1000);
+        checkNumber("granularity", 0, MAX_GRANULARITY_MS);
         checkWord("discovery", Set.of("push", "ask"));
         checkWord("family-info.checks", Set.of("silent", "reject", "hold"));
         checkNumber("family-info.holds-for", 0, DAY_MS);
@@ -69,7 +75,7 @@
     private void checkTxnTypes() {
         if (!(RouterSettings.valueAt(settings, "grades") instanceof List<?> types)
                 || types.isEmpty()) {
-            problems.add("grades: a list of the txn types, one at the least, is needed");
+            problems.add("grades: must be a list of at least one txn type");
             return;
         }
         for (int i = 0; i < types.size(); i++) {
@@ -86,36 +92,36 @@
                     Set.of("update", "latest", "own_writes", "recent", "loose"));
             checkNumber("family-info.oldest-data[" + i + "]", 0, DAY_MS);
             if (numberAt(typePath + "aim", 0) > numberAt(typePath + "deadline", DAY_MS)) {
-                problems.add(typePath + "deadline: earlier than " + typePath + "aim");
+                problems.add(typePath + "deadline: must not be earlier than " + typePath + "aim");
             }
             if ("by_key".equals(valueAt(typePath + "semantics"))
                     && numberAt(typePath + "window", 0) <= 0) {
-                problems.add(typePath + "window: needed where semantics is by_key");
+                problems.add(typePath + "window: required if semantics is by_key");
             }
         }
-        for (String list : List.of("family-info.consistency", "family-info.oldest-data")) {
-            if (valueAt(list) != null
-                    && (!(valueAt(list) instanceof List<?> l) || l.size() != types.size())) {
-                problems.add(list + ": a list of as many values as grades has is needed");
+        for (String listPath : List.of("family-info.consistency", "family-info.oldest-data")) {
+            if (valueAt(listPath) != null
+                    && (!(valueAt(listPath) instanceof List<?> l) || l.size() != types.size())) {
+                problems.add(listPath + ": must be a list of as many values as grades has");
             }
         }
     }
 
-    /** Settings that hold at different shapes of deployment and together mean nothing. */
+    /** Finds settings that contradict each other. */
     private void checkConsistency() {
         if ("ask".equals(valueAt("discovery")) && numberAt("rules.ask-within", 0) <= 0) {
             problems.add("rules.ask-within: needed where discovery is ask");
         }
         boolean membersHold = "hold".equals(valueAt("family-info.checks"));
         if (membersHold != numberAt("family-info.holds-for", 0) > 0) {
-            problems.add("family-info.holds-for: goes with checks hold, and with it alone");
+            problems.add("family-info.holds-for: must be set if and only if checks is hold");
         }
         if ("pull".equals(valueAt("report.source"))
                 && !Boolean.TRUE.equals(valueAt("limits.probes"))) {
-            problems.add("limits.probes: needed where report.source is pull");
+            problems.add("limits.probes: required if report.source is pull");
         }
         if (numberAt("rules.drain-grace", DAY_MS) < 2 * numberAt("granularity", 0)) {
-            problems.add("rules.drain-grace: shorter than two steps of granularity");
+            problems.add("rules.drain-grace: must be at least twice the granularity");
         }
         boolean positionsKnown =
                 !"silent".equals(textAt("family-info.checks", "silent"))
@@ -137,12 +143,12 @@
                 problems.add(
                         "family-info.oldest-data["
                                 + i
-                                + "]: goes with consistency recent, and with it alone");
+                                + "]: must be set if and only if consistency is recent");
             }
             if (recent && !positionsKnown) {
                 problems.add(
-                        "family-info.stamps: members neither check nor tell a position, so no"
-                                + " replica may be read");
+                        "family-info.stamps: members neither check freshness nor report a"
+                                + " position, so no replica may be read");
             }
         }
     }
@@ -168,11 +174,11 @@
         if (!(number >= min && number <= max)) {
             problems.add(
                     path
-                            + ": a number from "
+                            + ": must be a number from "
                             + (long) min
                             + " to "
                             + (long) max
-                            + " is needed, not "
+                            + ", not "
                             + abbreviated(value));
         }
     }
@@ -182,9 +188,9 @@
         if (value != null && !(value instanceof String s && allowed.contains(s))) {
             problems.add(
                     path
-                            + ": one of "
+                            + ": must be one of "
                             + String.join(", ", allowed.stream().sorted().toList())
-                            + " is needed, not "
+                            + ", not "
                             + abbreviated(value));
         }
     }
@@ -192,12 +198,13 @@
     private void checkFlag(String path) {
         Object value = valueAt(path);
         if (value != null && !(value instanceof Boolean)) {
-            problems.add(path + ": true or false is needed, not " + abbreviated(value));
+            problems.add(path + ": must be true or false, not " + abbreviated(value));
         }
     }
 
+    /** The value as shown in a message. */
     private static String abbreviated(Object value) {
         String text = value instanceof String ? "\"" + value + "\"" : String.valueOf(value);
-        return text.length() > 40 ? text.substring(0, 40) + "..." : text;
+        return text.length() > MAX_SHOWN_CHARS ? text.substring(0, MAX_SHOWN_CHARS) + "..." : text;
     }
 }
--- a/src/test/java/wingroad/terms/SettingsValidatorTest.java
+++ b/src/test/java/wingroad/terms/SettingsValidatorTest.java
@@ -90,7 +90,7 @@
                 "\"discovery\": \"push\" | \"discovery\": \"ask\" | rules.ask-within",
                 "\"checks\": \"silent\" | \"checks\": \"hold\" | family-info.holds-for",
                 "\"checks\": \"silent\" | \"checks\": \"silent\", \"holds-for\": 40 |"
-                    + " family-info.holds-for",
+                        + " family-info.holds-for",
                 "\"source\": \"piggyback\" | \"source\": \"answers\" | report.source"
             })
     void aWrongValueOrAMixOfShapesIsRefusedByItsKey(String here, String instead, String key) {
@@ -104,7 +104,7 @@
         assertThat(
                         SettingsValidator.problems(
                                 settings(ASKED.replace("\"probes\": true", "\"probes\": false"))))
-                .containsExactly("limits.probes: needed where report.source is pull");
+                .containsExactly("limits.probes: required if report.source is pull");
     }
 
     @Test
@@ -115,7 +115,7 @@
                         .replace("[\"x0\", \"x1\"]", "[\"x1\"]");
         assertThat(SettingsValidator.problems(settings(mute)))
                 .containsExactly(
-                        "family-info.stamps: members neither check nor tell a position, so no"
-                            + " replica may be read");
+                        "family-info.stamps: members neither check freshness nor report a position,"
+                            + " so no replica may be read");
     }
 }
