--- a/src/main/java/wingroad/driver/AttemptProgress.java
+++ b/src/main/java/wingroad/driver/AttemptProgress.java
@@ -3,8 +3,8 @@
 import wingroad.state.Submission.Outcome;
 
 /**
- * How far an attempt had come when its connection was lost or given up: that tells whether it may
- * have run.
+ * How far a submission had come when its connection was lost or abandoned. This decides whether the
+ * member may have executed it.
  */
 enum AttemptProgress {
     NOT_CONNECTED,
@@ -12,18 +12,18 @@
     WRITTEN,
     ANSWERING;
 
-    /** The end of an attempt whose connection was refused, never came up, or broke. */
-    Outcome lost() {
+    /** The end of a submission whose connection was refused, timed out or was lost. */
+    Outcome endIfLost() {
         return mayHaveRun() ? Outcome.RESET : Outcome.UNREACHABLE;
     }
 
-    /** The end of an attempt that is not waited for any longer. */
-    Outcome timedOut() {
+    /** The end of a submission whose deadline has passed. */
+    Outcome endIfTimedOut() {
         return this == NOT_CONNECTED ? Outcome.UNREACHABLE : Outcome.TIMED_OUT;
     }
 
-    /** The end of an attempt that is called off. A write that is out may still go through. */
-    Outcome calledOff() {
+    /** The end of a cancelled submission. A write that was sent may still be committed. */
+    Outcome endIfCancelled() {
         return this == NOT_CONNECTED ? Outcome.MOOT : Outcome.CANCELLED;
     }
 
--- a/src/main/java/wingroad/driver/ChoreExecutor.java
+++ b/src/main/java/wingroad/driver/ChoreExecutor.java
@@ -14,135 +14,142 @@
 import java.util.function.Consumer;
 
 /**
- * Where chores become txns: of a type of their own, once-only and worth less than any client's,
- * with the lease's end for an expiry. So a statement is neither sent nor waited for once another
- * driver may own the duty.
+ * Runs the statements of chores as txns. They have a txn type of their own, which is once-only and
+ * has less value than any client's type, and expire at the end of the lease. So a statement is
+ * neither sent nor waited for once another driver may own the duty.
  */
 final class ChoreExecutor implements ChoreRunner {
-    /** What a chore is worth beside the least of the clients' types. */
-    private static final double WORTH = 0.01;
+    /** The value of a chore relative to the least value among the clients' types. */
+    private static final double VALUE_FACTOR = 0.01;
 
-    /** A statement that can't end before its lease has so little left is not begun. */
-    private static final Duration LEAST = Duration.ofMillis(20);
+    /** A statement is not started with less time than this left of its lease. */
+    private static final Duration MIN_TIME_LEFT = Duration.ofMillis(20);
 
     private final EventLoop loop;
-    private final Exchange exchange;
-    private final int type;
-    private final Duration expiry;
-    private volatile Consumer<Runnable> answers;
+    private final TxnDispatcher dispatcher;
+    private final int choreTypeIndex;
 
-    ChoreExecutor(EventLoop loop, Exchange exchange, Map<String, Object> terms) {
+    /** The longest expiry of the clients' types, which limits a chore as well. */
+    private final Duration longestExpiry;
+
+    /** Runs a task on the fleet's thread. */
+    private volatile Consumer<Runnable> fleetThread;
+
+    ChoreExecutor(EventLoop loop, TxnDispatcher dispatcher, Map<String, Object> terms) {
         this.loop = loop;
-        this.exchange = exchange;
+        this.dispatcher = dispatcher;
         TxnType[] types = TxnType.fromSettings(terms);
-        type = types.length;
-        expiry = expiry(types);
+        choreTypeIndex = types.length;
+        longestExpiry = longestExpiry(types);
     }
 
-    /** How to get back onto the fleet's thread. */
-    void answerOn(Consumer<Runnable> thread) {
-        answers = thread;
+    /** Sets the executor of the fleet's thread, on which outcomes are reported. */
+    void setFleetThread(Consumer<Runnable> executor) {
+        fleetThread = executor;
     }
 
-    private static Duration expiry(TxnType[] types) {
+    private static Duration longestExpiry(TxnType[] types) {
         Duration longest = Duration.ofSeconds(1);
-        for (TxnType t : types) {
-            longest = t.expiry().compareTo(longest) > 0 ? t.expiry() : longest;
+        for (TxnType type : types) {
+            longest = type.expiry().compareTo(longest) > 0 ? type.expiry() : longest;
         }
         return longest;
     }
 
-    /** The fleet's rules with what the deployment's terms say of work on machines. */
-    static FleetConfig settled(FleetConfig rules, Map<String, Object> terms) {
-        return rules.withWork(
-                rules.work()
-                        .in(
-                                expiry(TxnType.fromSettings(terms)),
+    /** The fleet's rules, completed by what the deployment's terms say about maintenance work. */
+    static FleetConfig withDeploymentTerms(FleetConfig rules, Map<String, Object> terms) {
+        return rules.withMaintenance(
+                rules.maintenance()
+                        .withDeploymentSettings(
+                                longestExpiry(TxnType.fromSettings(terms)),
                                 (Duration) terms.get("cold"),
                                 (Duration) terms.get("drain-grace")));
     }
 
-    /** The terms with one more txn type behind the clients' own, whose numbers stay. */
-    static Map<String, Object> withType(Map<String, Object> terms) {
+    /**
+     * The terms with the chores' txn type added after the clients' types, which keep their indexes.
+     */
+    static Map<String, Object> withChoreType(Map<String, Object> terms) {
         TxnType[] types = TxnType.fromSettings(terms);
-        Map<String, Object> more = new HashMap<>(terms);
-        String t = "txn-type." + types.length + ".";
-        double least = 1;
-        for (TxnType o : types) {
-            least = Math.min(least, o.value());
+        Map<String, Object> extended = new HashMap<>(terms);
+        String prefix = "txn-type." + types.length + ".";
+        double leastValue = 1;
+        for (TxnType type : types) {
+            leastValue = Math.min(leastValue, type.value());
         }
-        more.put("txn-types", types.length + 1.0);
-        more.put(t + "sla-time", expiry(types));
-        more.put(t + "expiry", expiry(types));
-        more.put(t + "value", least * WORTH);
-        more.put(t + "late-share", 0.0);
-        more.put(t + "repeat", "once-only");
-        more.put(t + "repeats-dropped-by", "all");
-        more.put(t + "window", Duration.ZERO);
-        more.put(t + "reads", "update");
-        more.put(t + "oldest-data", Duration.ZERO);
-        return more;
+        extended.put("txn-types", types.length + 1.0);
+        extended.put(prefix + "sla-time", longestExpiry(types));
+        extended.put(prefix + "expiry", longestExpiry(types));
+        extended.put(prefix + "value", leastValue * VALUE_FACTOR);
+        extended.put(prefix + "late-share", 0.0);
+        extended.put(prefix + "repeat", "once-only");
+        extended.put(prefix + "repeats-dropped-by", "all");
+        extended.put(prefix + "window", Duration.ZERO);
+        extended.put(prefix + "reads", "update");
+        extended.put(prefix + "oldest-data", Duration.ZERO);
+        return extended;
     }
 
     @Override
-    public void run(Chore chore, long epoch, long turn, Duration until, Completion ended) {
-        loop.run(() -> begin(chore, epoch, turn, until, ended));
+    public void run(Chore chore, long epoch, long turn, Duration leaseEnd, Completion callback) {
+        loop.run(() -> submit(chore, epoch, turn, leaseEnd, callback));
     }
 
-    private void begin(Chore chore, long epoch, long turn, Duration until, Completion ended) {
-        // The clock is read here, behind all waiting; what comes after this is the fence's to
-        // catch.
-        Duration left = until.minus(Duration.ofNanos(System.nanoTime()));
-        left = left.compareTo(expiry) < 0 ? left : expiry;
-        if (left.compareTo(LEAST) < 0) {
-            tell(ended, "not begun: the lease ends");
+    private void submit(
+            Chore chore, long epoch, long turn, Duration leaseEnd, Completion callback) {
+        // The clock is read here, after all queueing. A delay after this point is caught by the
+        // fencing epoch.
+        Duration timeLeft = leaseEnd.minus(Duration.ofNanos(System.nanoTime()));
+        timeLeft = timeLeft.compareTo(longestExpiry) < 0 ? timeLeft : longestExpiry;
+        if (timeLeft.compareTo(MIN_TIME_LEFT) < 0) {
+            report(callback, "not begun: the lease ends");
             return;
         }
         String txn =
-                exchange.ownArrived(
-                        statement(chore, epoch, turn, left),
-                        type,
-                        new Exchange.TxnCallback() {
+                dispatcher.ownTxnArrived(
+                        statement(chore, epoch, turn, timeLeft),
+                        choreTypeIndex,
+                        new TxnDispatcher.TxnCallback() {
                             @Override
                             public void committed(byte[] row) {
-                                tell(ended, "ran");
+                                report(callback, "ran");
                             }
 
                             @Override
-                            public void declined(Duration comeBack) {
-                                tell(ended, "declined, never ran");
+                            public void declined(Duration retryAfter) {
+                                report(callback, "declined, never ran");
                             }
 
                             @Override
                             public void rolledBack() {
-                                tell(ended, "refused or broken off: has run or not");
+                                report(callback, "refused or broken off: has run or not");
                             }
                         });
         if (txn == null) {
-            tell(ended, "not taken, never ran");
+            report(callback, "not taken, never ran");
         }
     }
 
-    private void tell(Completion ended, String outcome) {
-        answers.accept(() -> ended.completed(outcome));
+    private void report(Completion callback, String outcome) {
+        fleetThread.accept(() -> callback.completed(outcome));
     }
 
-    static Statement statement(Chore chore, long epoch, long turn, Duration left) {
+    static Statement statement(Chore chore, long epoch, long turn, Duration timeLeft) {
         String id = "chore-" + chore.name() + "-" + epoch + "-" + turn;
         String head = "/* id=" + id + ",c=chore,d=";
-        String ms = Long.toString(left.toMillis());
+        String timeLeftMs = Long.toString(timeLeft.toMillis());
         String text =
                 head
-                        + ms
+                        + timeLeftMs
                         + ",cluster="
                         + chore.group()
                         + " */ "
                         + chore.statement().replace("{epoch}", Long.toString(epoch));
-        // Positions are of bytes: the head is plain ASCII, since names are.
+        // Positions count bytes: the head is ASCII, as chores' names are.
         return new Statement(
                 id,
                 "chore",
-                left.toMillis(),
+                timeLeft.toMillis(),
                 chore.group(),
                 null,
                 false,
@@ -150,6 +157,6 @@
                 id,
                 text.getBytes(StandardCharsets.UTF_8),
                 head.length(),
-                head.length() + ms.length());
+                head.length() + timeLeftMs.length());
     }
 }
--- a/src/main/java/wingroad/fleet/FleetConfig.java
+++ b/src/main/java/wingroad/fleet/FleetConfig.java
@@ -1,7 +1,7 @@
 package wingroad.fleet;
 
 import wingroad.duty.Lease;
-import wingroad.work.WorkRules;
+import wingroad.work.MaintenanceSettings;
 
 import java.nio.file.Path;
 import java.time.Duration;
@@ -21,7 +21,7 @@
  * @param chores statements that one driver runs for all
  * @param listCheckInterval how often a driver asks discovery that goes by the list's owner, or
  *     null: each asks for itself
- * @param work machines that may be taken out for work, or null: none are
+ * @param maintenance machines that may be taken out for work, or null: none are
  */
 public record FleetConfig(
         String name,
@@ -32,7 +32,7 @@
         Lease lease,
         List<Chore> chores,
         Duration listCheckInterval,
-        WorkRules work) {
+        MaintenanceSettings maintenance) {
     /** The duty of asking discovery for all. */
     public static final String LIST_DUTY = "list";
 
@@ -40,13 +40,22 @@
     public FleetConfig(
             String name,
             String driver,
-            String listen,
-            Map<String, String> voters,
-            Path state,
+            String listenAddress,
+            Map<String, String> voterAddresses,
+            Path stateFolder,
             Lease lease,
             List<Chore> chores,
-            Duration listCheck) {
-        this(name, driver, listen, voters, state, lease, chores, listCheck, null);
+            Duration listCheckInterval) {
+        this(
+                name,
+                driver,
+                listenAddress,
+                voterAddresses,
+                stateFolder,
+                lease,
+                chores,
+                listCheckInterval,
+                null);
     }
 
     /** A statement for the primary of a group, once in each span. */
@@ -59,34 +68,34 @@
 
     /** The duties that this driver would do. */
     public List<String> duties() {
-        List<String> all = new ArrayList<>(chores.stream().map(Chore::duty).toList());
+        List<String> duties = new ArrayList<>(chores.stream().map(Chore::duty).toList());
         if (listCheckInterval != null) {
-            all.add(LIST_DUTY);
+            duties.add(LIST_DUTY);
         }
-        if (work != null) {
-            all.add(WorkRules.CONDUCTOR);
+        if (maintenance != null) {
+            duties.add(MaintenanceSettings.CONTROLLER_DUTY);
         }
-        return all;
+        return duties;
     }
 
     /** The same for a driver of this name where the file gives it none. */
-    public FleetConfig withDefaultDriver(String name) {
+    public FleetConfig withDefaultDriver(String defaultDriver) {
         return driver.isEmpty()
                 ? new FleetConfig(
                         this.name,
-                        name,
+                        defaultDriver,
                         listenAddress,
                         voterAddresses,
                         stateFolder,
                         lease,
                         chores,
                         listCheckInterval,
-                        work)
+                        maintenance)
                 : this;
     }
 
     /** The same with these rules of work. */
-    public FleetConfig withWork(WorkRules of) {
+    public FleetConfig withMaintenance(MaintenanceSettings newMaintenance) {
         return new FleetConfig(
                 name,
                 driver,
@@ -96,6 +105,6 @@
                 lease,
                 chores,
                 listCheckInterval,
-                of);
+                newMaintenance);
     }
 }
