--- a/src/main/java/wingroad/terms/SettingsValidator.java
+++ b/src/main/java/wingroad/terms/SettingsValidator.java
@@ -110,7 +110,7 @@
     /** Finds settings that contradict each other. */
     private void checkConsistency() {
         if ("ask".equals(valueAt("discovery")) && numberAt("rules.ask-within", 0) <= 0) {
-            problems.add("rules.ask-within: needed where discovery is ask");
+            problems.add("rules.ask-within: required if discovery is ask");
         }
         boolean membersHold = "hold".equals(valueAt("family-info.checks"));
         if (membersHold != numberAt("family-info.holds-for", 0) > 0) {
