--- a/src/main/java/wingroad/simhost/SimHost.java
+++ b/src/main/java/wingroad/simhost/SimHost.java
@@ -5,6 +5,9 @@
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.core.JsonToken;
+
+import wingroad.protocol.Json;
+
 import java.io.BufferedReader;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -16,40 +19,43 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import wingroad.protocol.Json;
 
 /**
- * The adapter for the simulator's wire: one line in, one line out, many instances. It decodes,
- * renames and encodes, and decides nothing.
+ * Serves the simulator's protocol: each input line holds a batch of events for any number of driver
+ * instances and is answered by one line of actions. All decisions are made by the routers.
  */
 public final class SimHost {
+    private static final int BUFFER_SIZE_BYTES = 1 << 16;
+
     private final BufferedReader in;
     private final OutputStream out;
     private final PrintStream err;
-    private final JsonFactory json = new JsonFactory();
-    private final Map<Long, Instance> instances = new HashMap<>();
+    private final JsonFactory jsonFactory = new JsonFactory();
+    private final Map<Long, DriverInstance> instances = new HashMap<>();
 
-    /** Lists by number; a newer one takes over an older one's number. */
-    private final Map<Long, List<?>> lists = new HashMap<>();
+    /** Member lists by number; a newer list may reuse the number of an older one. */
+    private final Map<Long, List<?>> memberLists = new HashMap<>();
 
     public SimHost(InputStream in, OutputStream out, PrintStream err) {
-        this.in = new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8), 1 << 16);
+        this.in =
+                new BufferedReader(
+                        new InputStreamReader(in, StandardCharsets.UTF_8), BUFFER_SIZE_BYTES);
         this.out = out;
         this.err = err;
     }
 
-    /** Serves until the input ends; returns the exit status. */
+    /** Serves until the input ends; returns the exit status, 1 after an invalid line. */
     public int run() throws IOException {
-        ByteArrayOutputStream reply = new ByteArrayOutputStream(1 << 16);
+        ByteArrayOutputStream reply = new ByteArrayOutputStream(BUFFER_SIZE_BYTES);
         for (String line = in.readLine(); line != null; line = in.readLine()) {
             reply.reset();
             try {
                 answer(line, reply);
             } catch (JsonProcessingException e) {
-                err.println("simhost: not a line of the wire: " + e.getOriginalMessage());
+                err.println("simhost: invalid input line: " + e.getOriginalMessage());
                 return 1;
             } catch (Json.Malformed e) {
-                err.println("simhost: not a line of the wire: " + e.getMessage());
+                err.println("simhost: invalid input line: " + e.getMessage());
                 return 1;
             }
             reply.write('\n');
@@ -61,73 +67,73 @@
 
     private void answer(String line, OutputStream reply) throws IOException {
         Map<String, Object> batch;
-        try (JsonParser parser = json.createParser(line)) {
+        try (JsonParser parser = jsonFactory.createParser(line)) {
             if (parser.nextToken() != JsonToken.START_OBJECT) {
-                throw new Json.Malformed("no object");
+                throw new Json.Malformed("a JSON object is expected");
             }
             batch = Json.object(Json.value(parser), "the line");
             if (parser.nextToken() != null) {
-                throw new Json.Malformed("more than one value");
+                throw new Json.Malformed("more than one value in the line");
             }
         }
-        double wall = Json.number(batch, "wall").doubleValue();
-        try (JsonGenerator steps = json.createGenerator(reply)) {
-            steps.disable(JsonGenerator.Feature.AUTO_CLOSE_TARGET);
-            steps.writeStartObject();
-            steps.writeArrayFieldStart("groups");
+        double wallMs = Json.number(batch, "wall").doubleValue();
+        try (JsonGenerator output = jsonFactory.createGenerator(reply)) {
+            output.disable(JsonGenerator.Feature.AUTO_CLOSE_TARGET);
+            output.writeStartObject();
+            output.writeArrayFieldStart("groups");
             for (Object part : Json.list(batch, "groups")) {
                 Map<String, Object> group = Json.object(part, "a group");
-                long id = Json.number(group, "driver-id").longValue();
-                steps.writeStartObject();
-                steps.writeNumberField("driver-id", id);
-                steps.writeArrayFieldStart("steps");
-                serve(wall, id, Json.list(group, "events"), steps);
-                steps.writeEndArray();
-                steps.writeEndObject();
+                long instanceId = Json.number(group, "driver-id").longValue();
+                output.writeStartObject();
+                output.writeNumberField("driver-id", instanceId);
+                output.writeArrayFieldStart("steps");
+                handleEvents(wallMs, instanceId, Json.list(group, "events"), output);
+                output.writeEndArray();
+                output.writeEndObject();
             }
-            steps.writeEndArray();
-            steps.writeEndObject();
+            output.writeEndArray();
+            output.writeEndObject();
         }
     }
 
-    private void serve(double wall, long id, List<?> events, JsonGenerator steps)
+    private void handleEvents(double wallMs, long instanceId, List<?> events, JsonGenerator output)
             throws IOException {
-        for (Object e : events) {
-            Map<String, Object> event = Json.object(e, "an event");
-            String name = Json.text(event, "msg");
-            switch (name) {
+        for (Object element : events) {
+            Map<String, Object> event = Json.object(element, "an event");
+            String eventName = Json.text(event, "msg");
+            switch (eventName) {
                 case "inventory" ->
-                        lists.put(
+                        memberLists.put(
                                 Json.number(event, "buffer").longValue(),
                                 Json.list(event, "members-list"));
-                case "crash-now" -> instances.remove(id);
+                case "crash-now" -> instances.remove(instanceId);
                 case "power-on" -> {
                     try {
                         instances.put(
-                                id,
-                                new Instance(
-                                        wall,
+                                instanceId,
+                                new DriverInstance(
+                                        wallMs,
                                         Json.number(event, "salt").longValue(),
                                         Json.object(
                                                 Json.need(event, "profile-data"), "'profile-data'"),
-                                        steps));
-                    } catch (Json.Malformed bad) {
-                        throw bad;
-                    } catch (RuntimeException bug) {
-                        Instance.crash(steps, bug);
+                                        output));
+                    } catch (Json.Malformed malformed) {
+                        throw malformed;
+                    } catch (RuntimeException exception) {
+                        DriverInstance.writeCrash(output, exception);
                     }
                 }
                 default -> {
-                    Instance instance = instances.get(id);
+                    DriverInstance instance = instances.get(instanceId);
                     if (instance != null) {
-                        instance.take(wall, name, event, lists, steps);
+                        instance.handleEvent(wallMs, eventName, event, memberLists, output);
                     }
                 }
             }
         }
-        Instance instance = instances.get(id);
+        DriverInstance instance = instances.get(instanceId);
         if (instance != null) {
-            instance.decide(wall, steps);
+            instance.writeDecisions(wallMs, output);
         }
     }
 }
