--- a/src/main/java/wingroad/driver/ClientFrontend.java
+++ b/src/main/java/wingroad/driver/ClientFrontend.java
@@ -160,7 +160,7 @@
         return new ClientContext(address, parameters);
     }
 
-    /** The tenant's name for this txn, or null if the client's address stands for it. */
+    /** The tenant's name for this txn, or null if the client's address is used instead. */
     private String tenantName(Statement statement, ClientContext clientContext) {
         for (FairQueueSettings.TenantNameSource source : fairQueueSettings.tenantNameSources()) {
             String name =
--- a/src/main/java/wingroad/driver/DiscoveryClient.java
+++ b/src/main/java/wingroad/driver/DiscoveryClient.java
@@ -15,14 +15,14 @@
  * watch), and the whole list by a single request (the fetch).
  *
  * <p>In push mode an agent on the driver's own machine responds, at no cost, and what it holds
- * counts as told to the driver whether or not a watch is open. Therefore a lost watch is reopened
+ * counts as known to the driver whether or not a watch is open. Therefore a lost watch is reopened
  * here, and a silent one is detected soon. In pull mode each request loads a service that all
  * drivers share, and the router decides when to make another.
  */
 final class DiscoveryClient implements TxnDispatcher.MemberListSource {
     /**
      * How long a watch may wait for changes in push mode. Changes that a silent watch misses count
-     * as told 6 s after it fell silent, or 2 s after the end of its wait if that is later. With
+     * as known 6 s after it fell silent, or 2 s after the end of its wait if that is later. With
      * this wait a silent watch is detected after 3 s at most, and the new one has its response in
      * time.
      */
@@ -326,7 +326,7 @@
                 close();
                 if (isWatch && (hasDeliveredList || !pullMode)) {
                     // A lost connection does not mean that discovery failed. What it holds counts
-                    // as told, so the watch is reopened.
+                    // as known, so the watch is reopened.
                     watchAgain(false);
                 } else {
                     onFailure.run();
--- a/src/main/java/wingroad/driver/Driver.java
+++ b/src/main/java/wingroad/driver/Driver.java
@@ -296,8 +296,8 @@
     private void start() throws IOException {
         Runtime.getRuntime().addShutdownHook(new Thread(this::stop, "stop"));
         CompletableFuture<Void> ready = new CompletableFuture<>();
-        // What discovery's agent holds counts as told from the start of the process, so the list is
-        // fetched before any client is accepted.
+        // What discovery's agent holds counts as known from the start of the process, so the list
+        // is fetched before any client is accepted.
         loop.run(
                 () -> {
                     applyList(
--- a/src/main/java/wingroad/driver/MaintenanceAgent.java
+++ b/src/main/java/wingroad/driver/MaintenanceAgent.java
@@ -65,7 +65,7 @@
     /** Discovery's entries by the member's uid. */
     private final Map<String, Entry> discoveredEntries = new TreeMap<>();
 
-    /** What the router was last told of each member, by the member's uid. */
+    /** The entries that the router was last given, by the member's uid. */
     private final Map<String, Entry> effectiveEntries = new TreeMap<>();
 
     /** By machine: since when this driver has known that it drains or is out. */
@@ -86,7 +86,7 @@
     /** Runs once the plan is known; null if it has run. */
     private Runnable onPlanKnown;
 
-    /** When the effective entries change next even if nothing is heard, or null. */
+    /** When the effective entries change next even without a call from the fleet, or null. */
     private Duration nextRelistAt;
 
     /** The epoch under which this driver owns the controller's duty, or 0. */
@@ -98,7 +98,7 @@
     /** The epoch for which {@link #controller} was created. */
     private long controllerEpoch;
 
-    /** The plan's revision of which the router has been told. */
+    /** The plan's revision that the router's member list reflects. */
     private long knownRevision;
 
     /** Txns committed within their SLA time. */
@@ -208,7 +208,7 @@
                         returnedAt == null
                                 ? entry.startedAt()
                                 : System.currentTimeMillis() - now.minus(returnedAt).toMillis();
-                // What the router is told of the member should not change from list to list.
+                // What the router knows of the member should not change from list to list.
                 Entry previous = effectiveEntries.get(entry.uid());
                 boolean isSteady =
                         previous != null
--- a/src/main/java/wingroad/driver/MemberConnection.java
+++ b/src/main/java/wingroad/driver/MemberConnection.java
@@ -342,7 +342,7 @@
         abandonRequest("cancelled", progress().outcomeIfCancelled());
     }
 
-    /** Closes the connection; the member is told first if it is idle. */
+    /** Closes the connection, with a Terminate message if it is idle. */
     void close() {
         if (state == State.IDLE || state == State.REUSE_DELAYED) {
             connection.send(MemberOutput.terminate());
--- a/src/main/java/wingroad/driver/MemberTransportListener.java
+++ b/src/main/java/wingroad/driver/MemberTransportListener.java
@@ -4,7 +4,7 @@
 import wingroad.driver.TxnDispatcher.MemberRequest;
 import wingroad.state.Submission.Outcome;
 
-/** Is told of the outcome of requests to members, and consulted by their transport. */
+/** Receives the outcome of requests to members; the transport also consults it. */
 interface MemberTransportListener {
     /**
      * A submission has ended.
--- a/src/main/java/wingroad/driver/TxnDispatcher.java
+++ b/src/main/java/wingroad/driver/TxnDispatcher.java
@@ -70,7 +70,7 @@
     }
 
     /**
-     * Is told of responses and txn ends, and called before each run of the router. There is an
+     * Observes responses and txn ends; also called before each run of the router. There is an
      * observer only if maintenance work is planned by the fleet.
      */
     interface Observer {
--- a/src/test/java/wingroad/driver/DriverIT.java
+++ b/src/test/java/wingroad/driver/DriverIT.java
@@ -1,7 +1,6 @@
 package wingroad.driver;
 
 import static org.assertj.core.api.Assertions.assertThat;
-
 import static wingroad.Fixtures.DESCRIPTION;
 import static wingroad.Fixtures.entry;
 import static wingroad.Fixtures.message;
@@ -9,17 +8,6 @@
 import static wingroad.Fixtures.text;
 import static wingroad.Fixtures.write;
 
-import org.junit.jupiter.api.AfterEach;
-import org.junit.jupiter.api.Test;
-import org.junit.jupiter.api.io.TempDir;
-import org.junit.jupiter.api.parallel.Isolated;
-
-import wingroad.Fixtures;
-import wingroad.Fixtures.Client;
-import wingroad.Fixtures.StandInDiscovery;
-import wingroad.Fixtures.StandInMember;
-import wingroad.rig.Peer;
-
 import java.io.BufferedReader;
 import java.io.FileOutputStream;
 import java.io.IOException;
@@ -38,6 +26,15 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.Semaphore;
 import java.util.concurrent.TimeUnit;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+import org.junit.jupiter.api.parallel.Isolated;
+import wingroad.Fixtures;
+import wingroad.Fixtures.Client;
+import wingroad.Fixtures.StandInDiscovery;
+import wingroad.Fixtures.StandInMember;
+import wingroad.rig.Peer;
 
 /** Starts the packaged program as deploy/balancer.toml does, and speaks to it over sockets. */
 @Isolated
