--- a/src/main/java/wingroad/driver/ClientConnection.java
+++ b/src/main/java/wingroad/driver/ClientConnection.java
@@ -32,7 +32,10 @@
      */
     private static final Duration IDLE_TIMEOUT = Duration.ofMillis(2200);
 
-    /** How long a client may read nothing at all; one that reads slowly is not limited. */
+    /**
+     * How long a client may read nothing at all before it is taken as gone; one that reads slowly
+     * is not limited.
+     */
     private static final Duration WRITE_TIMEOUT = Duration.ofSeconds(3);
 
     /** How long a client has to end its side after the output was shut down. */
