--- a/src/main/java/wingroad/door/ClientContext.java
+++ b/src/main/java/wingroad/door/ClientContext.java
@@ -10,29 +10,29 @@
     final String address;
 
     /** What it said of itself at the start of the connection. */
-    final Map<String, String> startupParameter;
+    final Map<String, String> startupParameters;
 
     /** When it is expected back, or null. */
-    Booking booking;
+    RetryReservation reservation;
 
     /** The last name that it used and what came of it: most use one name only. */
-    String lastName;
+    String lastTenantName;
 
-    long lastHash;
+    long lastTenantHash;
     long addressHash;
-    boolean known;
+    boolean addressHashed;
 
     /** It has asked before, over this connection. */
-    boolean came;
+    boolean hasSentTxn;
 
-    public ClientContext(String address, Map<String, String> said) {
+    public ClientContext(String address, Map<String, String> startupParameters) {
         this.address = address;
-        this.startupParameter = said;
+        this.startupParameters = startupParameters;
     }
 
     /** What it said under this name, or null. */
     public String startupParameter(String name) {
-        String value = startupParameter.get(name);
+        String value = startupParameters.get(name);
         return value == null || value.isEmpty() ? null : value;
     }
 }
--- a/src/main/java/wingroad/door/FairQueues.java
+++ b/src/main/java/wingroad/door/FairQueues.java
@@ -25,96 +25,101 @@
  * #next} until it is null, and again at {@link #nextWakeUp}. Which member, whether to submit again
  * and what is declined once it is in stays with the module.
  */
-public final class FairQueues implements Accounts.Lanes {
+public final class FairQueues implements FlowTable.EvictionHandler {
     /**
      * The part of the time that the module would hold a txn which may pass at the door: some is
      * left for the module.
      */
-    private static final double DOORS_PART = 0.9;
+    private static final double QUEUE_TIME_SHARE = 0.9;
 
     /**
      * Waits are foretold only for accounts with so many claims: one who asks for little is never
      * declined by a forecast.
      */
-    private static final int FEW = 2;
+    private static final int MIN_FORECAST_CLAIMS = 2;
 
     /**
      * A submission out for so many usual answer times no longer fills a place: it may never be
      * answered.
      */
-    private static final double STUCK = 4;
+    private static final double STUCK_LATENCY_FACTOR = 4;
 
     /**
      * A txn that turns out to be so many times the usual work is charged no more: a silent member
      * is no tenant's work.
      */
-    private static final double MOST_CHARGED = 4;
+    private static final double MAX_CHARGE_FACTOR = 4;
 
-    private static final double LEAST_CHARGED = 0.05;
-    private static final Duration LEAST_ADVICE = Duration.ofMillis(10);
+    private static final double MIN_CHARGE_FACTOR = 0.05;
+    private static final Duration MIN_RETRY_AFTER = Duration.ofMillis(10);
 
     /** Who comes so much before its time is as good as on time: advice is in whole milliseconds. */
-    private static final long EARLY = 5_000_000;
+    private static final long EARLY_RETRY_TOLERANCE_NANOS = 5_000_000;
 
     /** A booking stands for a quarter of its wait past its time, and so much more. */
-    private static final long STANDS_ON = 30_000_000;
+    private static final long RESERVATION_GRACE_NANOS = 30_000_000;
 
-    private static final int MOST_BOOKINGS = 1024;
+    private static final int MAX_RESERVATIONS = 1024;
 
     /** How many accounts are drawn to find a long queue when all is full. */
-    private static final int DRAWS = 8;
+    private static final int OVERFLOW_SAMPLE_COUNT = 8;
 
-    private static final Duration MODE_AFTER = Duration.ofMillis(500);
+    private static final Duration SATURATED_AFTER = Duration.ofMillis(500);
 
-    private final TxnType[] types;
+    private final TxnType[] txnTypes;
 
     /**
      * The work of each type as lately measured, and its usual answer time over a long span: the
      * unit of the windows.
      */
-    private final Took[] works;
+    private final Took[] workEstimates;
 
-    private final Took[] usual;
-    private final boolean mayAdvise;
-    private final boolean marksRetries;
-    private final Duration longestAdvice;
+    private final Took[] latencyEstimates;
+    private final boolean sendsRetryAfter;
+    private final boolean clientsMarkRetries;
+    private final Duration maxRetryAfter;
     private final Random random;
     private final Consumer<String> log;
     private final Hasher64 hasher;
 
-    private final Accounts accounts = new Accounts();
-    private final Booking[] firstBooking = new Booking[Accounts.ROWS];
-    private final Names names;
-    private final List<Lane> lanes = new ArrayList<>();
-    private final Map<Long, Lane> lanesByGroup = new HashMap<>();
-    private final Wheel wheel = new Wheel();
-    private final ArrayDeque<Lane> dirty = new ArrayDeque<>();
-    private final ArrayDeque<AdmissionDecision> ready = new ArrayDeque<>();
-    private FairQueueSettings updateSettings;
+    private final FlowTable flows = new FlowTable();
+    private final RetryReservation[] firstReservations = new RetryReservation[FlowTable.CAPACITY];
+    private final TenantNameSlots tenantNameSlots;
+    private final List<FairQueue> queues = new ArrayList<>();
+    private final Map<Long, FairQueue> queuesByGroup = new HashMap<>();
+    private final Wheel timers = new Wheel();
+    private final ArrayDeque<FairQueue> dispatchQueue = new ArrayDeque<>();
+    private final ArrayDeque<AdmissionDecision> decisions = new ArrayDeque<>();
+    private FairQueueSettings settings;
     private int queuedCount;
-    private int bookings;
-    private Duration drainBy;
-    private long letIn;
-    private long declined;
+    private int reservationCount;
+    private Duration drainDeadline;
+    private long admittedCount;
+    private long declinedCount;
 
     public FairQueues(
-            Map<String, Object> terms, FairQueueSettings rules, long seed, Consumer<String> log) {
-        this.updateSettings = rules;
+            Map<String, Object> routingSettings,
+            FairQueueSettings settings,
+            long seed,
+            Consumer<String> log) {
+        this.settings = settings;
         this.random = new Random(seed);
         this.log = log;
         this.hasher = Hashing.komihash5_0(random.nextLong());
-        this.names = new Names(rules.maxNamesPerAddress());
-        this.mayAdvise = Boolean.TRUE.equals(terms.get("may-advise-come-back"));
-        this.marksRetries = Boolean.TRUE.equals(terms.get("clients-mark-retries"));
-        this.longestAdvice =
-                terms.get("longest-come-back") instanceof Duration d ? d : Duration.ZERO;
-        this.types = TxnType.all(terms);
-        this.works = new Took[types.length];
-        this.usual = new Took[types.length];
-        for (int i = 0; i < types.length; i++) {
-            double guess = Math.max(1, Spans.ms(types[i].slaTime()) / 4);
-            works[i] = new Took(Duration.ofSeconds(4), guess);
-            usual[i] = new Took(Duration.ofSeconds(60), guess);
+        this.tenantNameSlots = new TenantNameSlots(settings.maxNamesPerAddress());
+        this.sendsRetryAfter = Boolean.TRUE.equals(routingSettings.get("may-advise-come-back"));
+        this.clientsMarkRetries = Boolean.TRUE.equals(routingSettings.get("clients-mark-retries"));
+        this.maxRetryAfter =
+                routingSettings.get("longest-come-back") instanceof Duration longest
+                        ? longest
+                        : Duration.ZERO;
+        this.txnTypes = TxnType.all(routingSettings);
+        this.workEstimates = new Took[txnTypes.length];
+        this.latencyEstimates = new Took[txnTypes.length];
+        for (int i = 0; i < txnTypes.length; i++) {
+            double initialEstimateMs = Math.max(1, Spans.ms(txnTypes[i].slaTime()) / 4);
+            workEstimates[i] = new Took(Duration.ofSeconds(4), initialEstimateMs);
+            latencyEstimates[i] = new Took(Duration.ofSeconds(60), initialEstimateMs);
         }
     }
 
@@ -124,44 +129,49 @@
      * Other rules from now on. What waits keeps its place; weights count from the next txn that is
      * let in.
      */
-    public void updateSettings(Duration now, FairQueueSettings next) {
-        updateSettings = next;
-        names.each(next.maxNamesPerAddress());
+    public void updateSettings(Duration now, FairQueueSettings newSettings) {
+        settings = newSettings;
+        tenantNameSlots.setSlotsPerAddress(newSettings.maxNamesPerAddress());
         // First as if nobody were listed; whose queue is empty learns what it is due when it comes
         // again.
-        for (int row = 0; row < Accounts.ROWS; row++) {
-            if (accounts.waiting[row] > 0) {
-                dues(row, next.defaultTenant());
+        for (int row = 0; row < FlowTable.CAPACITY; row++) {
+            if (flows.queuedCounts[row] > 0) {
+                applyTenantSettings(row, newSettings.defaultTenant());
             }
         }
-        for (Lane lane : lanes) {
-            next.tenants()
+        for (FairQueue queue : queues) {
+            newSettings
+                    .tenants()
                     .forEach(
-                            (name, due) -> {
-                                int row = accounts.find(key(hasher.hashCharsToLong(name), lane));
+                            (tenantName, tenant) -> {
+                                int row =
+                                        flows.find(
+                                                flowKey(hasher.hashCharsToLong(tenantName), queue));
                                 if (row >= 0) {
-                                    dues(row, due);
+                                    applyTenantSettings(row, tenant);
                                 }
                             });
-            touch(lane);
+            scheduleDispatch(queue);
         }
     }
 
-    private void dues(int row, FairQueueSettings.TenantSettings due) {
-        if (accounts.waiting[row] > 0) {
-            lanes.get(accounts.lanes[row]).waitingWeight += due.weight() - accounts.weights[row];
+    private void applyTenantSettings(int row, FairQueueSettings.TenantSettings tenant) {
+        if (flows.queuedCounts[row] > 0) {
+            queues.get(flows.queueIndexes[row]).backloggedWeight +=
+                    tenant.weight() - flows.weights[row];
         }
-        accounts.weights[row] = (float) due.weight();
-        accounts.caps[row] = (float) due.maxConcurrencyShare();
+        flows.weights[row] = (float) tenant.weight();
+        flows.maxConcurrencyShares[row] = (float) tenant.maxConcurrencyShare();
     }
 
     /** The program ends: nothing waits past this time. */
-    public void drainBy(Duration at) {
-        drainBy = at;
-        for (QueuedTxn first : accounts.first) {
-            for (QueuedTxn v = first; v != null; v = v.behind) {
-                Duration last = at.minus(Spans.millis(usual(v.type, at)));
-                wheel.set(v, Math.min(v.due(), last.toNanos()));
+    public void drainBy(Duration deadline) {
+        drainDeadline = deadline;
+        for (QueuedTxn head : flows.heads) {
+            for (QueuedTxn txn = head; txn != null; txn = txn.next) {
+                Duration latestAdmission =
+                        deadline.minus(Spans.millis(usualLatencyMs(txn.txnType, deadline)));
+                timers.set(txn, Math.min(txn.due(), latestAdmission.toNanos()));
             }
         }
     }
@@ -174,197 +184,201 @@
      */
     public QueuedTxn onTxnArrived(
             Duration now,
-            String txn,
-            int type,
+            String txnId,
+            int txnType,
             int group,
-            Duration left,
-            ClientContext caller,
-            String name,
-            boolean retry) {
-        long nanos = now.toNanos();
-        Lane lane = lane(group, types[type].toPrimary());
-        int row = account(nanos, lane, caller, name);
-        boolean told = row >= 0 && keepsTime(nanos, row, caller, retry);
-        QueuedTxn v = new QueuedTxn(txn, type, lane.number, row, now, caller);
+            Duration timeLeft,
+            ClientContext client,
+            String tenantName,
+            boolean isRetry) {
+        long nowNanos = now.toNanos();
+        FairQueue queue = queueFor(group, txnTypes[txnType].toPrimary());
+        int row = findOrCreateFlow(nowNanos, queue, client, tenantName);
+        boolean reserved = row >= 0 && consumeReservation(nowNanos, row, client, isRetry);
+        QueuedTxn txn = new QueuedTxn(txnId, txnType, queue.index, row, now, client);
         if (row < 0) {
-            v.place = QueuedTxn.Place.OVER;
-            ready.add(
-                    new AdmissionDecision(v, false, mayAdvise ? spread(longestAdvice, 0.9) : null));
-            return v;
-        }
-        long budget = mayWait(types[type], now, left).toNanos();
-        int claims = accounts.waiting[row] + accounts.booked[row];
-        if (!told
-                && claims >= FEW
-                && !lane.stands(nanos)
-                && claims / rate(row, lane, nanos) * 1e9 > budget) {
-            decline(v, now, budget);
-            return v;
-        }
-        if (queuedCount >= updateSettings.maxQueuedTxns() && !makeRoom(row, now)) {
-            decline(v, now, budget);
-            return v;
-        }
-        enqueue(v, row, lane, nanos);
-        wheel.set(v, nanos + Math.max(0, budget));
-        return v;
-    }
-
-    private void enqueue(QueuedTxn v, int row, Lane lane, long now) {
-        v.before = accounts.last[row];
-        if (v.before == null) {
-            accounts.first[row] = v;
+            txn.state = QueuedTxn.State.CLOSED;
+            decisions.add(
+                    new AdmissionDecision(
+                            txn, false, sendsRetryAfter ? withJitter(maxRetryAfter, 0.9) : null));
+            return txn;
+        }
+        long queueBudgetNanos = maxQueueTime(txnTypes[txnType], now, timeLeft).toNanos();
+        int claims = flows.queuedCounts[row] + flows.reservationCounts[row];
+        if (!reserved
+                && claims >= MIN_FORECAST_CLAIMS
+                && !queue.isStalled(nowNanos)
+                && claims / admissionsPerSecond(row, queue, nowNanos) * 1e9 > queueBudgetNanos) {
+            decline(txn, now, queueBudgetNanos);
+            return txn;
+        }
+        if (queuedCount >= settings.maxQueuedTxns() && !displaceFromLongerFlow(row, now)) {
+            decline(txn, now, queueBudgetNanos);
+            return txn;
+        }
+        enqueue(txn, row, queue, nowNanos);
+        timers.set(txn, nowNanos + Math.max(0, queueBudgetNanos));
+        return txn;
+    }
+
+    private void enqueue(QueuedTxn txn, int row, FairQueue queue, long nowNanos) {
+        txn.previous = flows.tails[row];
+        if (txn.previous == null) {
+            flows.heads[row] = txn;
         } else {
-            v.before.behind = v;
+            txn.previous.next = txn;
         }
-        accounts.last[row] = v;
+        flows.tails[row] = txn;
         queuedCount++;
-        if (lane.waiting++ == 0) {
-            lane.waitingSince = now;
+        if (queue.queuedCount++ == 0) {
+            queue.backloggedSinceNanos = nowNanos;
         }
-        if (accounts.waiting[row]++ == 0) {
-            lane.waitingWeight += accounts.weights[row];
-            stand(row, lane);
+        if (flows.queuedCounts[row]++ == 0) {
+            queue.backloggedWeight += flows.weights[row];
+            makeEligible(row, queue);
         }
-        touch(lane);
+        scheduleDispatch(queue);
     }
 
     /**
      * Puts an account with something waiting among those that may be next. An idle one hoards no
      * credit.
      */
-    private void stand(int row, Lane lane) {
-        accounts.aside[row] = false;
-        accounts.tags[row] = Math.max(accounts.tags[row], lane.virtualTime);
-        lane.heaps[accounts.first[row].type].add(row);
+    private void makeEligible(int row, FairQueue queue) {
+        flows.capBlocked[row] = false;
+        flows.startTags[row] = Math.max(flows.startTags[row], queue.virtualTime);
+        queue.flowHeaps[flows.heads[row].txnType].add(row);
     }
 
-    private void unqueue(QueuedTxn v) {
-        int row = v.row;
-        Lane lane = lanes.get(v.lane);
-        boolean wasFirst = v.before == null;
+    private void dequeue(QueuedTxn txn) {
+        int row = txn.flowRow;
+        FairQueue queue = queues.get(txn.queueIndex);
+        boolean wasFirst = txn.previous == null;
         if (wasFirst) {
-            if (accounts.places[row] >= 0) {
-                lane.heaps[v.type].remove(row);
+            if (flows.heapPositions[row] >= 0) {
+                queue.flowHeaps[txn.txnType].remove(row);
             }
-            accounts.first[row] = v.behind;
+            flows.heads[row] = txn.next;
         } else {
-            v.before.behind = v.behind;
+            txn.previous.next = txn.next;
         }
-        if (v.behind == null) {
-            accounts.last[row] = v.before;
+        if (txn.next == null) {
+            flows.tails[row] = txn.previous;
         } else {
-            v.behind.before = v.before;
+            txn.next.previous = txn.previous;
         }
-        v.before = null;
-        v.behind = null;
+        txn.previous = null;
+        txn.next = null;
         queuedCount--;
-        if (--lane.waiting == 0) {
-            lane.waitingSince = -1;
+        if (--queue.queuedCount == 0) {
+            queue.backloggedSinceNanos = -1;
         }
-        if (--accounts.waiting[row] == 0) {
-            lane.waitingWeight = lane.waiting == 0 ? 0 : lane.waitingWeight - accounts.weights[row];
-            accounts.aside[row] = false;
-        } else if (wasFirst && !accounts.aside[row]) {
-            stand(row, lane);
+        if (--flows.queuedCounts[row] == 0) {
+            queue.backloggedWeight =
+                    queue.queuedCount == 0 ? 0 : queue.backloggedWeight - flows.weights[row];
+            flows.capBlocked[row] = false;
+        } else if (wasFirst && !flows.capBlocked[row]) {
+            makeEligible(row, queue);
         }
     }
 
     /** A submission of a txn that is in goes out. */
-    public void onSubmitted(Duration now, QueuedTxn v) {
-        Lane lane = lanes.get(v.lane);
-        v.submissionsOut++;
-        if (v.place == QueuedTxn.Place.HELD) {
-            v.place = QueuedTxn.Place.OUT;
-            lane.heldAll--;
-            lane.held[v.type]--;
-            lane.out++;
-            v.round = lane.window.round();
-            lane.window.begins(lane.out);
-            lane.movedAt = now.toNanos();
-            wheel.set(
-                    v,
+    public void onSubmitted(Duration now, QueuedTxn txn) {
+        FairQueue queue = queues.get(txn.queueIndex);
+        txn.inFlightSubmissions++;
+        if (txn.state == QueuedTxn.State.PENDING) {
+            txn.state = QueuedTxn.State.IN_FLIGHT;
+            queue.pendingCount--;
+            queue.pendingByTxnType[txn.txnType]--;
+            queue.inFlight++;
+            txn.limitRound = queue.concurrencyLimit.round();
+            queue.concurrencyLimit.onSubmissionStarted(queue.inFlight);
+            queue.lastProgressNanos = now.toNanos();
+            timers.set(
+                    txn,
                     now.toNanos()
                             + (long)
-                                    (STUCK
+                                    (STUCK_LATENCY_FACTOR
                                             * Math.max(
-                                                    usual(v.type, now) * 1e6,
-                                                    lane.window.meanNanos())));
-            touch(lane);
+                                                    usualLatencyMs(txn.txnType, now) * 1e6,
+                                                    queue.concurrencyLimit.meanLatencyNanos())));
+            scheduleDispatch(queue);
         }
     }
 
     /** A submission of a txn that is in has ended. */
-    public void onSubmissionEnded(Duration now, QueuedTxn v, End end, Duration took) {
-        Lane lane = lanes.get(v.lane);
-        double ms = Spans.ms(took);
-        v.submissionsOut--;
-        v.work += end.neverRan() ? 0 : ms;
-        if (end == End.COMMITTED) {
-            double share = ms / Math.max(0.01, usual(v.type, now));
-            usual[v.type].add(now, ms);
-            works[v.type].add(now, v.work);
-            lane.window.answered(
+    public void onSubmissionEnded(Duration now, QueuedTxn txn, End outcome, Duration latency) {
+        FairQueue queue = queues.get(txn.queueIndex);
+        double latencyMs = Spans.ms(latency);
+        txn.inFlightSubmissions--;
+        txn.workMs += outcome.neverRan() ? 0 : latencyMs;
+        if (outcome == End.COMMITTED) {
+            double relativeLatency = latencyMs / Math.max(0.01, usualLatencyMs(txn.txnType, now));
+            latencyEstimates[txn.txnType].add(now, latencyMs);
+            workEstimates[txn.txnType].add(now, txn.workMs);
+            queue.concurrencyLimit.onCommitted(
                     now.toNanos(),
-                    v.place == QueuedTxn.Place.OUT ? v.round : -1,
-                    share,
-                    took.toNanos());
+                    txn.state == QueuedTxn.State.IN_FLIGHT ? txn.limitRound : -1,
+                    relativeLatency,
+                    latency.toNanos());
         }
-        if (v.submissionsOut == 0
-                && (v.place == QueuedTxn.Place.OUT || v.place == QueuedTxn.Place.STUCK)) {
-            lane.out -= v.place == QueuedTxn.Place.OUT ? 1 : 0;
-            wheel.cancel(v);
-            hold(v, lane);
-            touch(lane);
+        if (txn.inFlightSubmissions == 0
+                && (txn.state == QueuedTxn.State.IN_FLIGHT || txn.state == QueuedTxn.State.STUCK)) {
+            queue.inFlight -= txn.state == QueuedTxn.State.IN_FLIGHT ? 1 : 0;
+            timers.cancel(txn);
+            markPending(txn, queue);
+            scheduleDispatch(queue);
         }
     }
 
-    private void hold(QueuedTxn v, Lane lane) {
-        v.place = QueuedTxn.Place.HELD;
-        lane.heldAll++;
-        lane.held[v.type]++;
+    private void markPending(QueuedTxn txn, FairQueue queue) {
+        txn.state = QueuedTxn.State.PENDING;
+        queue.pendingCount++;
+        queue.pendingByTxnType[txn.txnType]++;
     }
 
     /** The txn has its final answer, or its client has left. */
-    public void onTxnClosed(Duration now, QueuedTxn v) {
-        Lane lane = lanes.get(v.lane);
-        wheel.cancel(v);
-        switch (v.place) {
-            case WAITING -> unqueue(v);
-            case HELD -> {
-                lane.heldAll--;
-                lane.held[v.type]--;
-                leaves(v, lane);
+    public void onTxnClosed(Duration now, QueuedTxn txn) {
+        FairQueue queue = queues.get(txn.queueIndex);
+        timers.cancel(txn);
+        switch (txn.state) {
+            case QUEUED -> dequeue(txn);
+            case PENDING -> {
+                queue.pendingCount--;
+                queue.pendingByTxnType[txn.txnType]--;
+                settleCharge(txn, queue);
             }
-            case OUT -> {
-                lane.out--;
-                leaves(v, lane);
+            case IN_FLIGHT -> {
+                queue.inFlight--;
+                settleCharge(txn, queue);
             }
-            case STUCK -> leaves(v, lane);
+            case STUCK -> settleCharge(txn, queue);
             default -> {
                 return;
             }
         }
-        v.place = QueuedTxn.Place.OVER;
-        touch(lane);
+        txn.state = QueuedTxn.State.CLOSED;
+        scheduleDispatch(queue);
     }
 
-    private void leaves(QueuedTxn v, Lane lane) {
-        int row = v.row;
-        accounts.in[row]--;
+    private void settleCharge(QueuedTxn txn, FairQueue queue) {
+        int row = txn.flowRow;
+        flows.admittedCounts[row]--;
         // What it has cost is known now: the account is charged the difference.
-        double owed =
-                Math.max(LEAST_CHARGED * v.charged, Math.min(MOST_CHARGED * v.charged, v.work));
-        accounts.tags[row] += (owed - v.charged) / accounts.weights[row];
-        if (accounts.places[row] >= 0) {
-            accounts.tags[row] = Math.max(accounts.tags[row], lane.virtualTime);
-            lane.heaps[accounts.first[row].type].moved(row);
-        } else if (accounts.aside[row]) {
-            stand(row, lane);
-        }
-        if (lane.waiting == 0 && lane.out + lane.heldAll == 0) {
+        double finalChargeMs =
+                Math.max(
+                        MIN_CHARGE_FACTOR * txn.chargedWorkMs,
+                        Math.min(MAX_CHARGE_FACTOR * txn.chargedWorkMs, txn.workMs));
+        flows.startTags[row] += (finalChargeMs - txn.chargedWorkMs) / flows.weights[row];
+        if (flows.heapPositions[row] >= 0) {
+            flows.startTags[row] = Math.max(flows.startTags[row], queue.virtualTime);
+            queue.flowHeaps[flows.heads[row].txnType].onTagChanged(row);
+        } else if (flows.capBlocked[row]) {
+            makeEligible(row, queue);
+        }
+        if (queue.queuedCount == 0 && queue.inFlight + queue.pendingCount == 0) {
             // Nobody is here: nobody is ahead of anybody.
-            lane.virtualTime = Math.max(lane.virtualTime, lane.largestTag);
+            queue.virtualTime = Math.max(queue.virtualTime, queue.maxFinishTag);
         }
     }
 
@@ -372,20 +386,20 @@
 
     /** The next verdict, or null where there is none for now. */
     public AdmissionDecision nextDecision(Duration now) {
-        long nanos = now.toNanos();
+        long nowNanos = now.toNanos();
         while (true) {
-            if (!ready.isEmpty()) {
-                return ready.poll();
+            if (!decisions.isEmpty()) {
+                return decisions.poll();
             }
-            Wheel.Timer due = wheel.poll(nanos);
-            if (due instanceof QueuedTxn v) {
-                overdue(v, now);
-            } else if (due instanceof Booking b) {
-                drop(b);
-            } else if (!dirty.isEmpty()) {
-                Lane lane = dirty.poll();
-                lane.dirty = false;
-                serve(lane, now);
+            Wheel.Timer timer = timers.poll(nowNanos);
+            if (timer instanceof QueuedTxn txn) {
+                onTimeout(txn, now);
+            } else if (timer instanceof RetryReservation reservation) {
+                releaseReservation(reservation);
+            } else if (!dispatchQueue.isEmpty()) {
+                FairQueue queue = dispatchQueue.poll();
+                queue.dispatchScheduled = false;
+                dispatch(queue, now);
             } else {
                 return null;
             }
@@ -394,112 +408,124 @@
 
     /** When to call {@link #nextDecision} again even if nothing comes in, or null. */
     public Duration nextWakeUp() {
-        long due = wheel.nextDue();
+        long due = timers.nextDue();
         return due < 0 ? null : Duration.ofNanos(due);
     }
 
-    private void overdue(QueuedTxn v, Duration now) {
-        Lane lane = lanes.get(v.lane);
-        if (v.place == QueuedTxn.Place.WAITING) {
-            unqueue(v);
-            decline(v, now, 0);
-        } else if (v.place == QueuedTxn.Place.OUT) {
+    private void onTimeout(QueuedTxn txn, Duration now) {
+        FairQueue queue = queues.get(txn.queueIndex);
+        if (txn.state == QueuedTxn.State.QUEUED) {
+            dequeue(txn);
+            decline(txn, now, 0);
+        } else if (txn.state == QueuedTxn.State.IN_FLIGHT) {
             // Guards against a silent member that would fill the lane's places with what it never
             // answers.
-            v.place = QueuedTxn.Place.STUCK;
-            lane.out--;
+            txn.state = QueuedTxn.State.STUCK;
+            queue.inFlight--;
         }
-        touch(lane);
+        scheduleDispatch(queue);
     }
 
-    private void serve(Lane lane, Duration now) {
-        long nanos = now.toNanos();
-        while (lane.mayLetIn()) {
-            TagHeap heap = lane.next(accounts.tags);
+    private void dispatch(FairQueue queue, Duration now) {
+        long nowNanos = now.toNanos();
+        while (queue.hasCapacity()) {
+            TagHeap heap = queue.nextFlowHeap(flows.startTags);
             if (heap == null) {
                 break;
             }
             int row = heap.first();
-            if (accounts.in[row] >= Math.max(1, accounts.caps[row] * lane.window.limit())) {
+            if (flows.admittedCounts[row]
+                    >= Math.max(
+                            1,
+                            flows.maxConcurrencyShares[row]
+                                    * queue.concurrencyLimit.currentLimit())) {
                 heap.remove(row);
-                accounts.aside[row] = true;
+                flows.capBlocked[row] = true;
                 continue;
             }
-            letIn(accounts.first[row], row, lane, nanos, now);
+            admit(flows.heads[row], row, queue, nowNanos, now);
         }
-        if (lane.anyInLine()) {
-            lane.window.waits(!lane.mayLetIn());
+        if (queue.hasEligibleFlow()) {
+            queue.concurrencyLimit.onBacklog(!queue.hasCapacity());
         }
-        boolean full = lane.waiting > 0 && nanos - lane.waitingSince > MODE_AFTER.toNanos();
-        if (full != lane.full && (full || lane.waiting == 0)) {
-            lane.full = full;
+        boolean saturated =
+                queue.queuedCount > 0
+                        && nowNanos - queue.backloggedSinceNanos > SATURATED_AFTER.toNanos();
+        if (saturated != queue.saturated && (saturated || queue.queuedCount == 0)) {
+            queue.saturated = saturated;
             log.accept(
                     "door "
-                            + lane.name
-                            + (full ? " is full: " : " is open: ")
+                            + queue.name
+                            + (saturated ? " is full: " : " is open: ")
                             + "window "
-                            + Math.round(lane.window.width())
+                            + Math.round(queue.concurrencyLimit.fullLimit())
                             + ", out "
-                            + lane.out
+                            + queue.inFlight
                             + ", held "
-                            + lane.heldAll
+                            + queue.pendingCount
                             + ", waiting "
-                            + lane.waiting
+                            + queue.queuedCount
                             + ", let in "
-                            + Math.round(lane.rate(nanos))
+                            + Math.round(queue.admissionsPerSecond(nowNanos))
                             + " a second");
         }
     }
 
-    private void letIn(QueuedTxn v, int row, Lane lane, long nanos, Duration now) {
-        double tag = accounts.tags[row];
-        lane.virtualTime = Math.max(lane.virtualTime, tag);
-        v.charged = works[v.type].usual(now);
-        accounts.letIn[row] = Lane.decayed(accounts.letIn[row], accounts.letInAt[row], nanos) + 1;
-        accounts.letInAt[row] = nanos;
-        accounts.in[row]++;
-        wheel.cancel(v);
-        lane.heaps[v.type].remove(row);
-        accounts.tags[row] = tag + v.charged / accounts.weights[row];
-        lane.largestTag = Math.max(lane.largestTag, accounts.tags[row]);
-        unqueue(v);
-        lane.letIn(nanos);
-        hold(v, lane);
-        letIn++;
-        ready.add(new AdmissionDecision(v, true, null));
-    }
-
-    private void decline(QueuedTxn v, Duration now, long budget) {
-        v.place = QueuedTxn.Place.OVER;
-        declined++;
-        ready.add(new AdmissionDecision(v, false, book(v, now, budget)));
+    private void admit(QueuedTxn txn, int row, FairQueue queue, long nowNanos, Duration now) {
+        double startTag = flows.startTags[row];
+        queue.virtualTime = Math.max(queue.virtualTime, startTag);
+        txn.chargedWorkMs = workEstimates[txn.txnType].usual(now);
+        flows.admissionCounts[row] =
+                FairQueue.decayedCount(
+                                flows.admissionCounts[row],
+                                flows.admissionCountAtNanos[row],
+                                nowNanos)
+                        + 1;
+        flows.admissionCountAtNanos[row] = nowNanos;
+        flows.admittedCounts[row]++;
+        timers.cancel(txn);
+        queue.flowHeaps[txn.txnType].remove(row);
+        flows.startTags[row] = startTag + txn.chargedWorkMs / flows.weights[row];
+        queue.maxFinishTag = Math.max(queue.maxFinishTag, flows.startTags[row]);
+        dequeue(txn);
+        queue.onAdmitted(nowNanos);
+        markPending(txn, queue);
+        admittedCount++;
+        decisions.add(new AdmissionDecision(txn, true, null));
+    }
+
+    private void decline(QueuedTxn txn, Duration now, long queueBudgetNanos) {
+        txn.state = QueuedTxn.State.CLOSED;
+        declinedCount++;
+        decisions.add(new AdmissionDecision(txn, false, reserveRetry(txn, now, queueBudgetNanos)));
     }
 
     /**
      * All places to wait are taken: one that waits in a long queue makes room for one of a short
      * queue, the last of it. False where the newcomer's own is as long as any that was drawn.
      */
-    private boolean makeRoom(int row, Duration now) {
-        int longest = row;
-        for (int i = 0; i < DRAWS; i++) {
-            TagHeap heap = drawHeap();
+    private boolean displaceFromLongerFlow(int row, Duration now) {
+        int longestRow = row;
+        for (int i = 0; i < OVERFLOW_SAMPLE_COUNT; i++) {
+            TagHeap heap = randomNonEmptyHeap();
             if (heap != null) {
-                int drawn = heap.at(random.nextInt(heap.size()));
-                longest =
-                        accounts.waiting[drawn] / accounts.weights[drawn]
-                                        > (accounts.waiting[longest] + (longest == row ? 1 : 0))
-                                                / accounts.weights[longest]
-                                ? drawn
-                                : longest;
+                int sampledRow = heap.rowAt(random.nextInt(heap.size()));
+                longestRow =
+                        flows.queuedCounts[sampledRow] / flows.weights[sampledRow]
+                                        > (flows.queuedCounts[longestRow]
+                                                        + (longestRow == row ? 1 : 0))
+                                                / flows.weights[longestRow]
+                                ? sampledRow
+                                : longestRow;
             }
         }
-        if (longest == row) {
+        if (longestRow == row) {
             return false;
         }
-        QueuedTxn gives = accounts.last[longest];
-        wheel.cancel(gives);
-        unqueue(gives);
-        decline(gives, now, 0);
+        QueuedTxn displaced = flows.tails[longestRow];
+        timers.cancel(displaced);
+        dequeue(displaced);
+        decline(displaced, now, 0);
         return true;
     }
 
@@ -507,12 +533,13 @@
      * One in which somebody stands, by chance: the first from a lane and type that were drawn; null
      * where there is none.
      */
-    private TagHeap drawHeap() {
-        int each = types.length;
-        int start = random.nextInt(lanes.size() * each);
-        for (int i = 0; i < lanes.size() * each; i++) {
-            int at = (start + i) % (lanes.size() * each);
-            TagHeap heap = lanes.get(at / each).heaps[at % each];
+    private TagHeap randomNonEmptyHeap() {
+        int heapsPerQueue = txnTypes.length;
+        int start = random.nextInt(queues.size() * heapsPerQueue);
+        for (int i = 0; i < queues.size() * heapsPerQueue; i++) {
+            int heapIndex = (start + i) % (queues.size() * heapsPerQueue);
+            TagHeap heap =
+                    queues.get(heapIndex / heapsPerQueue).flowHeaps[heapIndex % heapsPerQueue];
             if (heap.size() > 0) {
                 return heap;
             }
@@ -526,252 +553,282 @@
      * For a txn that the module declines: when its client should come back, or null where none may
      * be told.
      */
-    public Duration retryAfter(Duration now, QueuedTxn v) {
-        return v.place == QueuedTxn.Place.OVER ? null : book(v, now, 0);
+    public Duration retryAfter(Duration now, QueuedTxn txn) {
+        return txn.state == QueuedTxn.State.CLOSED ? null : reserveRetry(txn, now, 0);
     }
 
-    private Duration book(QueuedTxn v, Duration now, long budget) {
-        if (!mayAdvise || longestAdvice.isZero()) {
+    private Duration reserveRetry(QueuedTxn txn, Duration now, long queueBudgetNanos) {
+        if (!sendsRetryAfter || maxRetryAfter.isZero()) {
             return null;
         }
-        Lane lane = lanes.get(v.lane);
-        long nanos = now.toNanos();
-        int claims = accounts.waiting[v.row] + accounts.booked[v.row];
-        double each = 1e9 / Math.max(1e-3, rate(v.row, lane, nanos));
-        double wait =
-                Math.max(LEAST_ADVICE.toNanos(), Math.max(each, claims * each - budget / 2.0))
+        FairQueue queue = queues.get(txn.queueIndex);
+        long nowNanos = now.toNanos();
+        int claims = flows.queuedCounts[txn.flowRow] + flows.reservationCounts[txn.flowRow];
+        double nanosPerTxn =
+                1e9 / Math.max(1e-3, admissionsPerSecond(txn.flowRow, queue, nowNanos));
+        double waitNanos =
+                Math.max(
+                                MIN_RETRY_AFTER.toNanos(),
+                                Math.max(
+                                        nanosPerTxn, claims * nanosPerTxn - queueBudgetNanos / 2.0))
                         * (1 + 0.1 * random.nextDouble());
-        if (lane.stands(nanos) || wait > longestAdvice.toNanos() || bookings >= MOST_BOOKINGS) {
-            return spread(longestAdvice, 0.9);
+        if (queue.isStalled(nowNanos)
+                || waitNanos > maxRetryAfter.toNanos()
+                || reservationCount >= MAX_RESERVATIONS) {
+            return withJitter(maxRetryAfter, 0.9);
         }
-        Booking b = new Booking(v.row, nanos + (long) wait);
+        RetryReservation reservation =
+                new RetryReservation(txn.flowRow, nowNanos + (long) waitNanos);
         // In the order of their times: that is the order in which they are made, but for the
         // spread.
-        if (firstBooking[v.row] == null) {
-            firstBooking[v.row] = b;
-            b.behind = b;
-            b.before = b;
+        if (firstReservations[txn.flowRow] == null) {
+            firstReservations[txn.flowRow] = reservation;
+            reservation.next = reservation;
+            reservation.previous = reservation;
         } else {
-            Booking end = firstBooking[v.row];
-            b.before = end.before;
-            b.behind = end;
-            end.before.behind = b;
-            end.before = b;
+            RetryReservation head = firstReservations[txn.flowRow];
+            reservation.previous = head.previous;
+            reservation.next = head;
+            head.previous.next = reservation;
+            head.previous = reservation;
         }
-        bookings++;
-        accounts.booked[v.row]++;
-        wheel.set(b, nanos + (long) (1.25 * wait) + STANDS_ON);
-        v.caller.booking = b;
-        return Duration.ofNanos((long) wait);
+        reservationCount++;
+        flows.reservationCounts[txn.flowRow]++;
+        timers.set(reservation, nowNanos + (long) (1.25 * waitNanos) + RESERVATION_GRACE_NANOS);
+        txn.client.reservation = reservation;
+        return Duration.ofNanos((long) waitNanos);
     }
 
-    private Duration spread(Duration most, double least) {
-        return Spans.times(most, least + (1 - least) * random.nextDouble());
+    private Duration withJitter(Duration longest, double minShare) {
+        return Spans.times(longest, minShare + (1 - minShare) * random.nextDouble());
     }
 
-    private void drop(Booking b) {
-        wheel.cancel(b);
-        bookings--;
-        accounts.booked[b.row]--;
-        if (b.behind == b) {
-            firstBooking[b.row] = null;
+    private void releaseReservation(RetryReservation reservation) {
+        timers.cancel(reservation);
+        reservationCount--;
+        flows.reservationCounts[reservation.flowRow]--;
+        if (reservation.next == reservation) {
+            firstReservations[reservation.flowRow] = null;
         } else {
-            b.before.behind = b.behind;
-            b.behind.before = b.before;
-            firstBooking[b.row] = firstBooking[b.row] == b ? b.behind : firstBooking[b.row];
+            reservation.previous.next = reservation.next;
+            reservation.next.previous = reservation.previous;
+            firstReservations[reservation.flowRow] =
+                    firstReservations[reservation.flowRow] == reservation
+                            ? reservation.next
+                            : firstReservations[reservation.flowRow];
         }
-        b.over = true;
+        reservation.released = true;
     }
 
     /** Whether it was told to come now; its booking has served, or is forfeit. */
-    private boolean keepsTime(long now, int row, ClientContext caller, boolean retry) {
-        Booking own = caller.booking;
-        caller.booking = null;
-        boolean fresh = !caller.came;
-        caller.came = true;
-        if (own != null && !own.over) {
-            drop(own);
-            return own.row == row && now >= own.at - EARLY;
+    private boolean consumeReservation(
+            long nowNanos, int row, ClientContext client, boolean isRetry) {
+        RetryReservation ownReservation = client.reservation;
+        client.reservation = null;
+        boolean isFirstTxn = !client.hasSentTxn;
+        client.hasSentTxn = true;
+        if (ownReservation != null && !ownReservation.released) {
+            releaseReservation(ownReservation);
+            return ownReservation.flowRow == row
+                    && nowNanos >= ownReservation.retryAtNanos - EARLY_RETRY_TOLERANCE_NANOS;
         }
         // Marked as a retry, or where nobody marks them over a new connection: the first due was
         // meant for one like it.
-        Booking due = own == null && (marksRetries ? retry : fresh) ? firstBooking[row] : null;
-        if (due == null || now < due.at - EARLY) {
+        RetryReservation nextReservation =
+                ownReservation == null && (clientsMarkRetries ? isRetry : isFirstTxn)
+                        ? firstReservations[row]
+                        : null;
+        if (nextReservation == null
+                || nowNanos < nextReservation.retryAtNanos - EARLY_RETRY_TOLERANCE_NANOS) {
             return false;
         }
-        drop(due);
+        releaseReservation(nextReservation);
         return true;
     }
 
     // ---- who, where, how fast ----
 
-    private int account(long now, Lane lane, ClientContext caller, String name) {
-        if (!caller.known) {
-            caller.known = true;
-            caller.addressHash = hasher.hashCharsToLong(caller.address);
-        }
-        FairQueueSettings.TenantSettings due =
-                updateSettings.tenants().get(name == null ? caller.address : name);
-        long who = caller.addressHash;
-        if (name != null) {
-            if (!name.equals(caller.lastName)) {
-                caller.lastName = name;
-                caller.lastHash = hasher.hashCharsToLong(name);
+    private int findOrCreateFlow(
+            long nowNanos, FairQueue queue, ClientContext client, String tenantName) {
+        if (!client.addressHashed) {
+            client.addressHashed = true;
+            client.addressHash = hasher.hashCharsToLong(client.address);
+        }
+        FairQueueSettings.TenantSettings tenant =
+                settings.tenants().get(tenantName == null ? client.address : tenantName);
+        long tenantHash = client.addressHash;
+        if (tenantName != null) {
+            if (!tenantName.equals(client.lastTenantName)) {
+                client.lastTenantName = tenantName;
+                client.lastTenantHash = hasher.hashCharsToLong(tenantName);
             }
-            if (due != null || names.apart(now, caller.lastHash, caller.addressHash)) {
-                who = caller.lastHash;
+            if (tenant != null
+                    || tenantNameSlots.claimSlot(
+                            nowNanos, client.lastTenantHash, client.addressHash)) {
+                tenantHash = client.lastTenantHash;
             }
         }
-        due = due == null ? updateSettings.defaultTenant() : due;
-        long key = key(who, lane);
-        int row = accounts.find(key);
+        tenant = tenant == null ? settings.defaultTenant() : tenant;
+        long key = flowKey(tenantHash, queue);
+        int row = flows.find(key);
         if (row < 0) {
-            row = accounts.open(key, lane.number, this);
+            row = flows.insert(key, queue.index, this);
             if (row < 0) {
                 return -1;
             }
-            accounts.tags[row] = lane.debts == null ? 0 : lane.debts.tag(key);
-            accounts.weights[row] = (float) due.weight();
-            accounts.caps[row] = (float) due.maxConcurrencyShare();
-        } else if (accounts.weights[row] != (float) due.weight()
-                || accounts.caps[row] != (float) due.maxConcurrencyShare()) {
-            dues(row, due);
+            flows.startTags[row] = queue.evictedTags == null ? 0 : queue.evictedTags.tag(key);
+            flows.weights[row] = (float) tenant.weight();
+            flows.maxConcurrencyShares[row] = (float) tenant.maxConcurrencyShare();
+        } else if (flows.weights[row] != (float) tenant.weight()
+                || flows.maxConcurrencyShares[row] != (float) tenant.maxConcurrencyShare()) {
+            applyTenantSettings(row, tenant);
         }
         return row;
     }
 
-    private static long key(long who, Lane lane) {
-        long k = (who ^ lane.number * 0x9e3779b97f4a7c15L) * 0xbf58476d1ce4e5b9L;
-        return k ^ k >>> 29;
+    private static long flowKey(long tenantHash, FairQueue queue) {
+        long mixed = (tenantHash ^ queue.index * 0x9e3779b97f4a7c15L) * 0xbf58476d1ce4e5b9L;
+        return mixed ^ mixed >>> 29;
     }
 
-    private Lane lane(int group, boolean toPrimary) {
-        return lanesByGroup.computeIfAbsent(
+    private FairQueue queueFor(int group, boolean toPrimary) {
+        return queuesByGroup.computeIfAbsent(
                 2L * group + (toPrimary ? 1 : 0),
                 k -> {
-                    TagHeap[] heaps = new TagHeap[types.length];
-                    for (int i = 0; i < heaps.length; i++) {
-                        heaps[i] = new TagHeap(accounts.tags, accounts.places);
+                    TagHeap[] flowHeaps = new TagHeap[txnTypes.length];
+                    for (int i = 0; i < flowHeaps.length; i++) {
+                        flowHeaps[i] = new TagHeap(flows.startTags, flows.heapPositions);
                     }
-                    Lane lane =
-                            new Lane(
-                                    lanes.size(),
+                    FairQueue queue =
+                            new FairQueue(
+                                    queues.size(),
                                     "group " + group + (toPrimary ? " primary" : " reads"),
-                                    types.length,
-                                    heaps);
-                    lanes.add(lane);
-                    return lane;
+                                    txnTypes.length,
+                                    flowHeaps);
+                    queues.add(queue);
+                    return queue;
                 });
     }
 
-    private void touch(Lane lane) {
-        if (!lane.dirty) {
-            lane.dirty = true;
-            dirty.add(lane);
+    private void scheduleDispatch(FairQueue queue) {
+        if (!queue.dispatchScheduled) {
+            queue.dispatchScheduled = true;
+            dispatchQueue.add(queue);
         }
     }
 
     @Override
-    public double virtualTime(int lane) {
-        return lanes.get(lane).virtualTime;
+    public double virtualTime(int queueIndex) {
+        return queues.get(queueIndex).virtualTime;
     }
 
     @Override
-    public void owes(int lane, long key, double tag) {
-        Lane l = lanes.get(lane);
-        l.debts = l.debts == null ? new TagSketch() : l.debts;
-        l.debts.put(key, tag);
+    public void onEvicted(int queueIndex, long key, double startTag) {
+        FairQueue queue = queues.get(queueIndex);
+        queue.evictedTags = queue.evictedTags == null ? new TagSketch() : queue.evictedTags;
+        queue.evictedTags.put(key, startTag);
     }
 
     /**
      * How many txns a second the account is let in: as measured, or its fair share where that is
      * more.
      */
-    private double rate(int row, Lane lane, long now) {
-        double weight = accounts.weights[row];
-        double all = lane.waitingWeight + (accounts.waiting[row] > 0 ? 0 : weight);
-        double own = Lane.perSecond(Lane.decayed(accounts.letIn[row], accounts.letInAt[row], now));
-        return Math.max(own, lane.rate(now) * weight / Math.max(weight, all));
+    private double admissionsPerSecond(int row, FairQueue queue, long nowNanos) {
+        double weight = flows.weights[row];
+        double backloggedWeight =
+                queue.backloggedWeight + (flows.queuedCounts[row] > 0 ? 0 : weight);
+        double measured =
+                FairQueue.ratePerSecond(
+                        FairQueue.decayedCount(
+                                flows.admissionCounts[row],
+                                flows.admissionCountAtNanos[row],
+                                nowNanos));
+        return Math.max(
+                measured,
+                queue.admissionsPerSecond(nowNanos) * weight / Math.max(weight, backloggedWeight));
     }
 
     /**
      * How long it may wait at the door: by the module's own measure it can still be in time then.
      */
-    private Duration mayWait(TxnType type, Duration now, Duration left) {
-        Duration takes = Spans.millis(usual(type.index(), now));
-        Duration most =
-                (type.lateShare() > 0 ? left : Spans.min(type.slaTime(), left)).minus(takes);
-        if (type.lateShare() == 0) {
-            most = Spans.min(most, type.slaTime().minus(takes).dividedBy(2));
+    private Duration maxQueueTime(TxnType txnType, Duration now, Duration timeLeft) {
+        Duration usualLatency = Spans.millis(usualLatencyMs(txnType.index(), now));
+        Duration longest =
+                (txnType.lateShare() > 0 ? timeLeft : Spans.min(txnType.slaTime(), timeLeft))
+                        .minus(usualLatency);
+        if (txnType.lateShare() == 0) {
+            longest = Spans.min(longest, txnType.slaTime().minus(usualLatency).dividedBy(2));
         }
-        most = Spans.times(most, DOORS_PART);
-        return drainBy == null ? most : Spans.min(most, drainBy.minus(now).minus(takes));
+        longest = Spans.times(longest, QUEUE_TIME_SHARE);
+        return drainDeadline == null
+                ? longest
+                : Spans.min(longest, drainDeadline.minus(now).minus(usualLatency));
     }
 
-    private double usual(int type, Duration now) {
-        return usual[type].usual(now);
+    private double usualLatencyMs(int txnType, Duration now) {
+        return latencyEstimates[txnType].usual(now);
     }
 
     // ---- for the log, the bench and the tests ----
 
     /** What was done since the last time, and how it stands; null where nothing was. */
     public String takeStatsLine() {
-        if (letIn + declined == 0) {
+        if (admittedCount + declinedCount == 0) {
             return null;
         }
-        StringBuilder s =
+        StringBuilder line =
                 new StringBuilder("door let in ")
-                        .append(letIn)
+                        .append(admittedCount)
                         .append(", declined ")
-                        .append(declined)
+                        .append(declinedCount)
                         .append(", waiting ")
                         .append(queuedCount)
                         .append(", booked ")
-                        .append(bookings)
+                        .append(reservationCount)
                         .append(", accounts ")
-                        .append(accounts.used())
+                        .append(flows.usedCount())
                         .append(", gave way ")
-                        .append(accounts.gaveWay());
-        for (Lane l : lanes) {
-            if (l.full) {
-                s.append("; ")
-                        .append(l.name)
+                        .append(flows.evictedCount());
+        for (FairQueue queue : queues) {
+            if (queue.saturated) {
+                line.append("; ")
+                        .append(queue.name)
                         .append(" window ")
-                        .append(Math.round(l.window.width()))
+                        .append(Math.round(queue.concurrencyLimit.fullLimit()))
                         .append(" out ")
-                        .append(l.out)
+                        .append(queue.inFlight)
                         .append(" waiting ")
-                        .append(l.waiting);
+                        .append(queue.queuedCount);
             }
         }
-        letIn = 0;
-        declined = 0;
-        return s.toString();
+        admittedCount = 0;
+        declinedCount = 0;
+        return line.toString();
     }
 
     public int queuedCount() {
         return queuedCount;
     }
 
-    int accountsUsed() {
-        return accounts.used();
+    int flowCount() {
+        return flows.usedCount();
     }
 
     /** The width of the group's window. */
-    double window(int group, boolean toPrimary) {
-        return lane(group, toPrimary).window.width();
+    double concurrencyLimit(int group, boolean toPrimary) {
+        return queueFor(group, toPrimary).concurrencyLimit.fullLimit();
     }
 
-    int out(int group, boolean toPrimary) {
-        return lane(group, toPrimary).out;
+    int inFlight(int group, boolean toPrimary) {
+        return queueFor(group, toPrimary).inFlight;
     }
 
     /** Bytes of its own state, txns that wait aside. */
     public int memoryBytes() {
-        int all = accounts.bytes() + names.bytes() + 4 * Accounts.ROWS;
-        for (Lane l : lanes) {
-            all += l.bytes();
+        int total = flows.memoryBytes() + tenantNameSlots.memoryBytes() + 4 * FlowTable.CAPACITY;
+        for (FairQueue queue : queues) {
+            total += queue.memoryBytes();
         }
-        return all;
+        return total;
     }
 }
--- a/src/main/java/wingroad/door/QueuedTxn.java
+++ b/src/main/java/wingroad/door/QueuedTxn.java
@@ -10,44 +10,50 @@
  */
 public final class QueuedTxn extends Wheel.Timer {
     /** Where it is. */
-    enum Place {
-        WAITING,
-        HELD,
-        OUT,
+    enum State {
+        QUEUED,
+        PENDING,
+        IN_FLIGHT,
         STUCK,
-        OVER
+        CLOSED
     }
 
     final String txnId;
-    final int type;
-    final int lane;
-    final int row;
+    final int txnType;
+    final int queueIndex;
+    final int flowRow;
     final Duration arrivedAt;
-    final ClientContext caller;
+    final ClientContext client;
 
     /**
      * What it was charged when it was let in, and the work that it has been so far, in
      * milliseconds.
      */
-    double charged;
+    double chargedWorkMs;
 
-    double work;
-    int submissionsOut;
+    double workMs;
+    int inFlightSubmissions;
 
     /** The window's round in which its last submission began. */
-    long round;
+    long limitRound;
 
-    Place place = Place.WAITING;
-    QueuedTxn behind;
-    QueuedTxn before;
+    State state = State.QUEUED;
+    QueuedTxn next;
+    QueuedTxn previous;
 
-    QueuedTxn(String txn, int type, int lane, int row, Duration arrivedAt, ClientContext caller) {
-        this.txnId = txn;
-        this.type = type;
-        this.lane = lane;
-        this.row = row;
+    QueuedTxn(
+            String txnId,
+            int txnType,
+            int queueIndex,
+            int flowRow,
+            Duration arrivedAt,
+            ClientContext client) {
+        this.txnId = txnId;
+        this.txnType = txnType;
+        this.queueIndex = queueIndex;
+        this.flowRow = flowRow;
         this.arrivedAt = arrivedAt;
-        this.caller = caller;
+        this.client = client;
     }
 
     /** How long it waited at the door, up to now. */
--- a/src/main/java/wingroad/door/TagHeap.java
+++ b/src/main/java/wingroad/door/TagHeap.java
@@ -7,19 +7,19 @@
  * middle can be moved.
  */
 final class TagHeap {
-    private static final int CHILDREN = 4;
+    private static final int ARITY = 4;
 
-    private final double[] tags;
+    private final double[] startTags;
 
     /** Where each row stands in its heap, or -1; shared by all heaps, a row is in one at most. */
-    private final int[] places;
+    private final int[] positions;
 
     private int[] rows = new int[16];
     private int size;
 
-    TagHeap(double[] tags, int[] places) {
-        this.tags = tags;
-        this.places = places;
+    TagHeap(double[] startTags, int[] positions) {
+        this.startTags = startTags;
+        this.positions = positions;
     }
 
     int size() {
@@ -31,8 +31,8 @@
         return rows[0];
     }
 
-    int at(int place) {
-        return rows[place];
+    int rowAt(int position) {
+        return rows[position];
     }
 
     void add(int row) {
@@ -40,69 +40,72 @@
             rows = Arrays.copyOf(rows, 2 * size);
         }
         rows[size] = row;
-        places[row] = size;
-        up(size++);
+        positions[row] = size;
+        siftUp(size++);
     }
 
     void remove(int row) {
-        int place = places[row];
-        places[row] = -1;
-        int last = rows[--size];
-        if (last != row) {
-            rows[place] = last;
-            places[last] = place;
-            up(place);
-            down(places[last]);
+        int position = positions[row];
+        positions[row] = -1;
+        int lastRow = rows[--size];
+        if (lastRow != row) {
+            rows[position] = lastRow;
+            positions[lastRow] = position;
+            siftUp(position);
+            siftDown(positions[lastRow]);
         }
     }
 
     /** The row's tag is another one now. */
-    void moved(int row) {
-        up(places[row]);
-        down(places[row]);
+    void onTagChanged(int row) {
+        siftUp(positions[row]);
+        siftDown(positions[row]);
     }
 
-    private boolean before(int a, int b) {
-        return tags[a] < tags[b] || tags[a] == tags[b] && a < b;
+    private boolean precedes(int row, int otherRow) {
+        return startTags[row] < startTags[otherRow]
+                || startTags[row] == startTags[otherRow] && row < otherRow;
     }
 
-    private void up(int place) {
-        int row = rows[place];
-        while (place > 0) {
-            int parent = (place - 1) / CHILDREN;
-            if (!before(row, rows[parent])) {
+    private void siftUp(int position) {
+        int row = rows[position];
+        while (position > 0) {
+            int parent = (position - 1) / ARITY;
+            if (!precedes(row, rows[parent])) {
                 break;
             }
-            rows[place] = rows[parent];
-            places[rows[place]] = place;
-            place = parent;
+            rows[position] = rows[parent];
+            positions[rows[position]] = position;
+            position = parent;
         }
-        rows[place] = row;
-        places[row] = place;
+        rows[position] = row;
+        positions[row] = position;
     }
 
-    private void down(int place) {
-        int row = rows[place];
+    private void siftDown(int position) {
+        int row = rows[position];
         while (true) {
-            int best = CHILDREN * place + 1;
-            if (best >= size) {
+            int smallestChild = ARITY * position + 1;
+            if (smallestChild >= size) {
                 break;
             }
-            for (int c = best + 1; c < Math.min(size, CHILDREN * place + 1 + CHILDREN); c++) {
-                best = before(rows[c], rows[best]) ? c : best;
+            for (int child = smallestChild + 1;
+                    child < Math.min(size, ARITY * position + 1 + ARITY);
+                    child++) {
+                smallestChild = precedes(rows[child], rows[smallestChild]) ? child : smallestChild;
             }
-            if (!before(rows[best], row)) {
+            if (!precedes(rows[smallestChild], row)) {
                 break;
             }
-            rows[place] = rows[best];
-            places[rows[place]] = place;
-            place = best;
+            rows[position] = rows[smallestChild];
+            positions[rows[position]] = position;
+            position = smallestChild;
         }
-        rows[place] = row;
-        places[row] = place;
+        rows[position] = row;
+        positions[row] = position;
     }
 
-    int bytes() {
+    int memoryBytes() {
         return 4 * rows.length;
     }
 }
--- a/src/main/java/wingroad/door/TagSketch.java
+++ b/src/main/java/wingroad/door/TagSketch.java
@@ -6,31 +6,31 @@
  * larger tag in both rows. It needs no ageing: a tag behind the virtual time says nothing.
  */
 final class TagSketch {
-    private static final int CELLS = 256;
+    private static final int CELLS_PER_ROW = 256;
 
-    private final double[] cells = new double[2 * CELLS];
+    private final double[] cells = new double[2 * CELLS_PER_ROW];
 
     void put(long key, double tag) {
-        int a = first(key);
-        int b = second(key);
-        cells[a] = Math.max(cells[a], tag);
-        cells[b] = Math.max(cells[b], tag);
+        int first = firstCell(key);
+        int second = secondCell(key);
+        cells[first] = Math.max(cells[first], tag);
+        cells[second] = Math.max(cells[second], tag);
     }
 
     /** At least the largest tag that was put in for the key; 0 where none was. */
     double tag(long key) {
-        return Math.min(cells[first(key)], cells[second(key)]);
+        return Math.min(cells[firstCell(key)], cells[secondCell(key)]);
     }
 
-    private static int first(long key) {
-        return (int) key & CELLS - 1;
+    private static int firstCell(long key) {
+        return (int) key & CELLS_PER_ROW - 1;
     }
 
-    private static int second(long key) {
-        return CELLS + ((int) (key >>> 32) & CELLS - 1);
+    private static int secondCell(long key) {
+        return CELLS_PER_ROW + ((int) (key >>> 32) & CELLS_PER_ROW - 1);
     }
 
-    int bytes() {
+    int memoryBytes() {
         return 8 * cells.length;
     }
 }
--- a/src/test/java/wingroad/door/FairQueuesTest.java
+++ b/src/test/java/wingroad/door/FairQueuesTest.java
@@ -170,7 +170,7 @@
         playFor(2000);
         assertServedAsIfAlone(light);
         assertThat(heavy.committed / 2.0 + 30).isGreaterThan(0.9 * 120);
-        assertThat(play.door.window(7, false)).isBetween(5.0, 10.5);
+        assertThat(play.door.concurrencyLimit(7, false)).isBetween(5.0, 10.5);
         play.places = 12;
         play.until(play.now + 2000);
         playFor(2000);
@@ -196,7 +196,7 @@
         playFor(2000);
         // Its limit is seen to be wanted: something is always held for it to learn from.
         assertThat(play.out).isBetween(4, 5);
-        assertThat(play.door.window(7, false)).isLessThan(12);
+        assertThat(play.door.concurrencyLimit(7, false)).isLessThan(12);
         assertThat(heavy.committed / 2.0).isGreaterThan(0.9 * 100);
         play.moduleLimit = 1000;
         play.until(play.now + 2000);
@@ -391,7 +391,7 @@
         }
         assertThat(verdicts).isEqualTo(10_000);
         assertThat(play.door.memoryBytes()).isLessThan(1 << 20);
-        assertThat(play.door.accountsUsed()).isLessThanOrEqualTo(Accounts.ROWS);
+        assertThat(play.door.flowCount()).isLessThanOrEqualTo(FlowTable.CAPACITY);
     }
 
     @Test
@@ -404,7 +404,7 @@
             play.door.onSubmitted(at(i), v);
             stuck.add(v);
         }
-        assertThat(play.door.out(7, false)).isEqualTo(8);
+        assertThat(play.door.inFlight(7, false)).isEqualTo(8);
         play.door.onTxnArrived(at(20), "next", 0, 7, at(5000), caller, null, false);
         assertThat(play.door.nextDecision(at(20))).isNull();
         assertThat(play.door.nextDecision(play.door.nextWakeUp())).isNotNull();
@@ -415,7 +415,7 @@
                     play.door.onTxnClosed(at(3000), v);
                     play.door.onTxnClosed(at(3000), v);
                 });
-        assertThat(play.door.out(7, false)).isZero();
+        assertThat(play.door.inFlight(7, false)).isZero();
     }
 
     @Test
--- a/src/test/java/wingroad/door/PartsTest.java
+++ b/src/test/java/wingroad/door/PartsTest.java
@@ -2,16 +2,17 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
+import org.junit.jupiter.api.Test;
+
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Random;
-import org.junit.jupiter.api.Test;
 
 /** The structures that the door's state is made of, each against a plain one. */
 class PartsTest {
-    private static final class Still implements Accounts.Lanes {
+    private static final class Still implements FlowTable.EvictionHandler {
         double virtualTime;
         final Map<Long, Double> owed = new HashMap<>();
 
@@ -21,14 +22,14 @@
         }
 
         @Override
-        public void owes(int lane, long key, double tag) {
+        public void onEvicted(int lane, long key, double tag) {
             owed.put(key, tag);
         }
     }
 
     @Test
     void accountsAreFoundAsInAMapWhateverComesAndGoes() {
-        Accounts accounts = new Accounts();
+        FlowTable accounts = new FlowTable();
         Still lanes = new Still();
         Random random = new Random(3);
         Map<Long, Double> tags = new HashMap<>();
@@ -37,36 +38,36 @@
             long key = (long) random.nextInt(3000) << 20 | random.nextInt(4);
             int row = accounts.find(key);
             if (row < 0) {
-                row = accounts.open(key, 0, lanes);
+                row = accounts.insert(key, 0, lanes);
                 assertThat(tags.getOrDefault(key, 0.0))
                         .isLessThanOrEqualTo(
                                 Math.max(lanes.virtualTime, lanes.owed.getOrDefault(key, 0.0)));
             } else {
-                assertThat(accounts.tags[row]).isEqualTo(tags.get(key));
+                assertThat(accounts.startTags[row]).isEqualTo(tags.get(key));
             }
-            accounts.tags[row] = lanes.virtualTime + random.nextInt(1000);
-            tags.put(key, accounts.tags[row]);
+            accounts.startTags[row] = lanes.virtualTime + random.nextInt(1000);
+            tags.put(key, accounts.startTags[row]);
             lanes.virtualTime += 0.1;
         }
-        assertThat(accounts.gaveWay()).isPositive();
+        assertThat(accounts.evictedCount()).isPositive();
     }
 
     @Test
     void whoHasSomethingWaitingInOrBookedNeverGivesWay() {
-        Accounts accounts = new Accounts();
+        FlowTable accounts = new FlowTable();
         Still lanes = new Still();
-        for (long key = 1; key <= Accounts.ROWS; key++) {
-            int row = accounts.open(key, 0, lanes);
-            accounts.waiting[row] = key % 3 == 0 ? 1 : 0;
-            accounts.in[row] = key % 3 == 1 ? 1 : 0;
-            accounts.booked[row] = key % 3 == 2 && key > 2 ? 1 : 0;
+        for (long key = 1; key <= FlowTable.CAPACITY; key++) {
+            int row = accounts.insert(key, 0, lanes);
+            accounts.queuedCounts[row] = key % 3 == 0 ? 1 : 0;
+            accounts.admittedCounts[row] = key % 3 == 1 ? 1 : 0;
+            accounts.reservationCounts[row] = key % 3 == 2 && key > 2 ? 1 : 0;
         }
-        assertThat(accounts.open(5001, 0, lanes)).isNotNegative();
+        assertThat(accounts.insert(5001, 0, lanes)).isNotNegative();
         assertThat(accounts.find(2)).isNegative();
-        assertThat(accounts.open(5002, 0, lanes)).isNotNegative();
+        assertThat(accounts.insert(5002, 0, lanes)).isNotNegative();
         assertThat(accounts.find(5001)).isNegative();
-        accounts.in[accounts.find(5002)] = 1;
-        assertThat(accounts.open(5003, 0, lanes)).isNegative();
+        accounts.admittedCounts[accounts.find(5002)] = 1;
+        assertThat(accounts.insert(5003, 0, lanes)).isNegative();
     }
 
     @Test
@@ -99,7 +100,7 @@
                 in.add(row);
             } else if (random.nextBoolean()) {
                 tags[row] = random.nextInt(100);
-                heap.moved(row);
+                heap.onTagChanged(row);
             } else {
                 heap.remove(row);
                 in.remove((Integer) row);
@@ -114,14 +115,14 @@
 
     @Test
     void anAddressTellsItsFirstNamesApartAndAFreeSlotAgainAfterTenSeconds() {
-        Names names = new Names(2);
+        TenantNameSlots names = new TenantNameSlots(2);
         long second = 1_000_000_000L;
-        assertThat(names.apart(0, 1L << 32, 99)).isTrue();
-        assertThat(names.apart(0, 2L << 32, 99)).isTrue();
-        assertThat(names.apart(9 * second, 3L << 32, 99)).isFalse();
-        assertThat(names.apart(9 * second, 1L << 32, 99)).isTrue();
-        assertThat(names.apart(11 * second, 3L << 32, 99)).isTrue();
-        assertThat(names.apart(11 * second, 2L << 32, 99)).isFalse();
-        assertThat(names.apart(11 * second, 2L << 32, 77L << 48)).isTrue();
+        assertThat(names.claimSlot(0, 1L << 32, 99)).isTrue();
+        assertThat(names.claimSlot(0, 2L << 32, 99)).isTrue();
+        assertThat(names.claimSlot(9 * second, 3L << 32, 99)).isFalse();
+        assertThat(names.claimSlot(9 * second, 1L << 32, 99)).isTrue();
+        assertThat(names.claimSlot(11 * second, 3L << 32, 99)).isTrue();
+        assertThat(names.claimSlot(11 * second, 2L << 32, 99)).isFalse();
+        assertThat(names.claimSlot(11 * second, 2L << 32, 77L << 48)).isTrue();
     }
 }
