--- a/src/main/java/wingroad/door/FairQueueSettings.java
+++ b/src/main/java/wingroad/door/FairQueueSettings.java
@@ -4,13 +4,14 @@
 import java.util.Map;
 
 /**
- * What the operator says of the door.
+ * The operator's settings of admission control and fair queueing.
  *
- * @param tenantNameSources where a tenant's name is looked for, the first that has one counts
- * @param maxNamesPerAddress how many names that are not listed are told apart from one address
- * @param maxQueuedTxns how many txns wait at most
- * @param defaultTenant for those that are not listed
- * @param tenants by their names; an address may be listed as well
+ * @param tenantNameSources where a txn's tenant name is looked up, in this order; the first source
+ *     with a value applies
+ * @param maxNamesPerAddress how many names that are not listed are distinguished at one address
+ * @param maxQueuedTxns how many txns may be queued, over all queues
+ * @param defaultTenant settings of tenants that are not listed
+ * @param tenants settings by tenant name; an address may be listed as well
  */
 public record FairQueueSettings(
         List<TenantNameSource> tenantNameSources,
@@ -18,24 +19,31 @@
         int maxQueuedTxns,
         TenantSettings defaultTenant,
         Map<String, TenantSettings> tenants) {
-    /** Where a name may stand. */
+    /**
+     * Where a tenant name comes from: the comment of a statement, a startup parameter, the address.
+     */
     public enum SourceType {
         COMMENT,
         STARTUP,
         ADDRESS
     }
 
-    /** A place, and there the name of the value; none for an address. */
+    /**
+     * A source of tenant names.
+     *
+     * @param parameterName key in the comment or name of the startup parameter; null for an address
+     */
     public record TenantNameSource(SourceType type, String parameterName) {}
 
     /**
-     * What is due to a tenant.
+     * Settings of one tenant.
      *
-     * @param weight its share against the others' weights
-     * @param cap the largest part of what a lane lets in at once
+     * @param weight its share of each queue, relative to the weights of the other tenants
+     * @param maxConcurrencyShare fraction of a queue's concurrency limit that it may use, up to 1
      */
     public record TenantSettings(double weight, double maxConcurrencyShare) {}
 
+    /** The settings that apply where the operator's file gives none. */
     public static final FairQueueSettings DEFAULTS =
             new FairQueueSettings(
                     List.of(new TenantNameSource(SourceType.ADDRESS, null)),
--- a/src/main/java/wingroad/door/FairQueues.java
+++ b/src/main/java/wingroad/door/FairQueues.java
@@ -19,62 +19,102 @@
 import java.util.function.Consumer;
 
 /**
- * Decides who goes next to the module, who is declined at the door, and when to come back:
- * start-time fair queueing by tenant, charged by work, within a window that each lane finds for
- * itself. The reasons: docs/notes/fair-queues.md. The host tells what happens, then pulls {@link
- * #next} until it is null, and again at {@link #nextWakeUp}. Which member, whether to submit again
- * and what is declined once it is in stays with the module.
+ * Admission control with weighted fair queueing, before the decision module: decides which queued
+ * txn is admitted next, which txns are declined, and when the clients of declined txns should
+ * retry. Uses start-time fair queueing among tenants, charged by the work of their txns, within an
+ * adaptive concurrency limit for each queue. The design is described in docs/notes/fair-queues.md.
+ *
+ * <p>The host reports events, then calls {@link #nextDecision} until it returns null, and again at
+ * {@link #nextWakeUp}. The choice of the member, further submissions of a txn and declining an
+ * admitted txn are up to the decision module.
  */
 public final class FairQueues implements FlowTable.EvictionHandler {
     /**
-     * The part of the time that the module would hold a txn which may pass at the door: some is
-     * left for the module.
+     * Fraction of the time that the decision module would keep a txn which the txn may spend in the
+     * queue: the rest is left for the decision module.
      */
     private static final double QUEUE_TIME_SHARE = 0.9;
 
     /**
-     * Waits are foretold only for accounts with so many claims: one who asks for little is never
-     * declined by a forecast.
+     * Queue times are predicted only for flows with so many queued txns and reservations: a tenant
+     * that asks for little is never declined by a prediction.
      */
     private static final int MIN_FORECAST_CLAIMS = 2;
 
     /**
-     * A submission out for so many usual answer times no longer fills a place: it may never be
-     * answered.
+     * Multiple of the usual latency after which a txn in flight no longer counts against the
+     * concurrency limit: its submission may never be answered.
      */
     private static final double STUCK_LATENCY_FACTOR = 4;
 
     /**
-     * A txn that turns out to be so many times the usual work is charged no more: a silent member
-     * is no tenant's work.
+     * Upper bound of a txn's final charge, as a multiple of its estimated work: time lost to an
+     * unresponsive member is not the tenant's work.
      */
     private static final double MAX_CHARGE_FACTOR = 4;
 
+    /** Lower bound of a txn's final charge, as a multiple of its estimated work. */
     private static final double MIN_CHARGE_FACTOR = 0.05;
+
     private static final Duration MIN_RETRY_AFTER = Duration.ofMillis(10);
 
-    /** Who comes so much before its time is as good as on time: advice is in whole milliseconds. */
+    /**
+     * A retry that is early by at most this time is on time: retry times are sent in whole
+     * milliseconds.
+     */
     private static final long EARLY_RETRY_TOLERANCE_NANOS = 5_000_000;
 
-    /** A booking stands for a quarter of its wait past its time, and so much more. */
+    /**
+     * A reservation is released at this multiple of the wait until the retry, plus {@link
+     * #RESERVATION_GRACE_NANOS}.
+     */
+    private static final double RESERVATION_WAIT_FACTOR = 1.25;
+
     private static final long RESERVATION_GRACE_NANOS = 30_000_000;
 
     private static final int MAX_RESERVATIONS = 1024;
 
-    /** How many accounts are drawn to find a long queue when all is full. */
+    /** Relative random addition to the predicted wait, so that clients don't retry all at once. */
+    private static final double RETRY_JITTER = 0.1;
+
+    /** Lower bound of an unpredicted wait until the retry, as a fraction of the longest one. */
+    private static final double MIN_UNPREDICTED_WAIT_SHARE = 0.9;
+
+    /** Lower bound of the admission rate in the prediction of a wait. */
+    private static final double MIN_ADMISSIONS_PER_SECOND = 1e-3;
+
+    /** Number of flows sampled to find one to displace a txn from at the maximum of queued txns. */
     private static final int OVERFLOW_SAMPLE_COUNT = 8;
 
+    /** A queue is logged as saturated after it has not been empty for this time. */
     private static final Duration SATURATED_AFTER = Duration.ofMillis(500);
 
+    /** Time over which the mean work of a txn type is taken. */
+    private static final long WORK_MEMORY_SECONDS = 4;
+
+    /** Time over which the mean latency of a txn type is taken. */
+    private static final long LATENCY_MEMORY_SECONDS = 60;
+
+    /** Lower bound of the usual latency that a latency is divided by. */
+    private static final double MIN_LATENCY_MS = 0.01;
+
+    private static final double NANOS_PER_SECOND = 1e9;
+    private static final double NANOS_PER_MS = 1e6;
+
     private final TxnType[] txnTypes;
 
     /**
-     * The work of each type as lately measured, and its usual answer time over a long span: the
-     * unit of the windows.
+     * The work of each txn type in milliseconds, over a short time: what a txn is charged when it
+     * is admitted.
      */
     private final Took[] workEstimates;
 
+    /**
+     * The latency of each txn type in milliseconds, over a long time: the concurrency limits'
+     * latencies are relative to it.
+     */
     private final Took[] latencyEstimates;
+
     private final boolean sendsRetryAfter;
     private final boolean clientsMarkRetries;
     private final Duration maxRetryAfter;
@@ -83,20 +123,37 @@
     private final Hasher64 hasher;
 
     private final FlowTable flows = new FlowTable();
+
+    /** By row of the flow: its reservation with the earliest time, or null. */
     private final RetryReservation[] firstReservations = new RetryReservation[FlowTable.CAPACITY];
+
     private final TenantNameSlots tenantNameSlots;
     private final List<FairQueue> queues = new ArrayList<>();
+
+    /** Keys combine the group with whether txns need its primary. */
     private final Map<Long, FairQueue> queuesByGroup = new HashMap<>();
+
     private final Wheel timers = new Wheel();
+
+    /** Queues in which txns may have become admissible. */
     private final ArrayDeque<FairQueue> dispatchQueue = new ArrayDeque<>();
+
     private final ArrayDeque<AdmissionDecision> decisions = new ArrayDeque<>();
     private FairQueueSettings settings;
     private int queuedCount;
     private int reservationCount;
+
+    /** Null while the process is not stopping. */
     private Duration drainDeadline;
+
     private long admittedCount;
     private long declinedCount;
 
+    /**
+     * @param routingSettings the decision module's settings
+     * @param seed of the jitter, the sampling and the hashes
+     * @param log receives lines for the operator
+     */
     public FairQueues(
             Map<String, Object> routingSettings,
             FairQueueSettings settings,
@@ -118,22 +175,23 @@
         this.latencyEstimates = new Took[txnTypes.length];
         for (int i = 0; i < txnTypes.length; i++) {
             double initialEstimateMs = Math.max(1, Spans.ms(txnTypes[i].slaTime()) / 4);
-            workEstimates[i] = new Took(Duration.ofSeconds(4), initialEstimateMs);
-            latencyEstimates[i] = new Took(Duration.ofSeconds(60), initialEstimateMs);
+            workEstimates[i] = new Took(Duration.ofSeconds(WORK_MEMORY_SECONDS), initialEstimateMs);
+            latencyEstimates[i] =
+                    new Took(Duration.ofSeconds(LATENCY_MEMORY_SECONDS), initialEstimateMs);
         }
     }
 
-    // ---- inputs: they only update what is known ----
+    // ---- events: they update the state, decisions follow in nextDecision ----
 
     /**
-     * Other rules from now on. What waits keeps its place; weights count from the next txn that is
-     * let in.
+     * Replaces the settings. Queued txns keep their order; new weights apply from the next admitted
+     * txn.
      */
     public void updateSettings(Duration now, FairQueueSettings newSettings) {
         settings = newSettings;
         tenantNameSlots.setSlotsPerAddress(newSettings.maxNamesPerAddress());
-        // First as if nobody were listed; whose queue is empty learns what it is due when it comes
-        // again.
+        // All backlogged flows first get the default, since tenants may no longer be listed; flows
+        // without queued txns get their settings when their next txn arrives.
         for (int row = 0; row < FlowTable.CAPACITY; row++) {
             if (flows.queuedCounts[row] > 0) {
                 applyTenantSettings(row, newSettings.defaultTenant());
@@ -164,7 +222,7 @@
         flows.maxConcurrencyShares[row] = (float) tenant.maxConcurrencyShare();
     }
 
-    /** The program ends: nothing waits past this time. */
+    /** The process is stopping: no txn stays queued past the deadline. */
     public void drainBy(Duration deadline) {
         drainDeadline = deadline;
         for (QueuedTxn head : flows.heads) {
@@ -177,10 +235,12 @@
     }
 
     /**
-     * A txn has come. Its verdict is pulled.
+     * A txn has arrived. {@link #nextDecision} returns the decision on it.
      *
-     * @param name the tenant's name as far as the txn or the connection tells one, or null
-     * @param retry the client is known to have asked before
+     * @param txnType index of the txn type
+     * @param timeLeft time until the txn expires
+     * @param tenantName the tenant's name as given by the txn or by the connection, or null
+     * @param isRetry whether the txn is known to be a retry of a declined one
      */
     public QueuedTxn onTxnArrived(
             Duration now,
@@ -200,7 +260,11 @@
             txn.state = QueuedTxn.State.CLOSED;
             decisions.add(
                     new AdmissionDecision(
-                            txn, false, sendsRetryAfter ? withJitter(maxRetryAfter, 0.9) : null));
+                            txn,
+                            false,
+                            sendsRetryAfter
+                                    ? withJitter(maxRetryAfter, MIN_UNPREDICTED_WAIT_SHARE)
+                                    : null));
             return txn;
         }
         long queueBudgetNanos = maxQueueTime(txnTypes[txnType], now, timeLeft).toNanos();
@@ -208,7 +272,8 @@
         if (!reserved
                 && claims >= MIN_FORECAST_CLAIMS
                 && !queue.isStalled(nowNanos)
-                && claims / admissionsPerSecond(row, queue, nowNanos) * 1e9 > queueBudgetNanos) {
+                && claims / admissionsPerSecond(row, queue, nowNanos) * NANOS_PER_SECOND
+                        > queueBudgetNanos) {
             decline(txn, now, queueBudgetNanos);
             return txn;
         }
@@ -241,8 +306,8 @@
     }
 
     /**
-     * Puts an account with something waiting among those that may be next. An idle one hoards no
-     * credit.
+     * Adds a backlogged flow to those that may be served next. Its start tag is at least the
+     * virtual time, so that an idle flow accumulates no credit.
      */
     private void makeEligible(int row, FairQueue queue) {
         flows.capBlocked[row] = false;
@@ -282,7 +347,7 @@
         }
     }
 
-    /** A submission of a txn that is in goes out. */
+    /** A submission of an admitted txn is sent to a member. */
     public void onSubmitted(Duration now, QueuedTxn txn) {
         FairQueue queue = queues.get(txn.queueIndex);
         txn.inFlightSubmissions++;
@@ -300,20 +365,25 @@
                             + (long)
                                     (STUCK_LATENCY_FACTOR
                                             * Math.max(
-                                                    usualLatencyMs(txn.txnType, now) * 1e6,
+                                                    usualLatencyMs(txn.txnType, now) * NANOS_PER_MS,
                                                     queue.concurrencyLimit.meanLatencyNanos())));
             scheduleDispatch(queue);
         }
     }
 
-    /** A submission of a txn that is in has ended. */
+    /**
+     * A submission of an admitted txn has ended.
+     *
+     * @param latency from the submission to its end
+     */
     public void onSubmissionEnded(Duration now, QueuedTxn txn, End outcome, Duration latency) {
         FairQueue queue = queues.get(txn.queueIndex);
         double latencyMs = Spans.ms(latency);
         txn.inFlightSubmissions--;
         txn.workMs += outcome.neverRan() ? 0 : latencyMs;
         if (outcome == End.COMMITTED) {
-            double relativeLatency = latencyMs / Math.max(0.01, usualLatencyMs(txn.txnType, now));
+            double relativeLatency =
+                    latencyMs / Math.max(MIN_LATENCY_MS, usualLatencyMs(txn.txnType, now));
             latencyEstimates[txn.txnType].add(now, latencyMs);
             workEstimates[txn.txnType].add(now, txn.workMs);
             queue.concurrencyLimit.onCommitted(
@@ -337,7 +407,7 @@
         queue.pendingByTxnType[txn.txnType]++;
     }
 
-    /** The txn has its final answer, or its client has left. */
+    /** The txn has its final answer, or its client has disconnected. Later calls do nothing. */
     public void onTxnClosed(Duration now, QueuedTxn txn) {
         FairQueue queue = queues.get(txn.queueIndex);
         timers.cancel(txn);
@@ -361,10 +431,11 @@
         scheduleDispatch(queue);
     }
 
+    /** Replaces the estimated charge of a closed txn by one for its actual work. */
     private void settleCharge(QueuedTxn txn, FairQueue queue) {
         int row = txn.flowRow;
         flows.admittedCounts[row]--;
-        // What it has cost is known now: the account is charged the difference.
+        // The actual work is known now, so the flow is charged the difference to the estimate.
         double finalChargeMs =
                 Math.max(
                         MIN_CHARGE_FACTOR * txn.chargedWorkMs,
@@ -377,14 +448,14 @@
             makeEligible(row, queue);
         }
         if (queue.queuedCount == 0 && queue.inFlight + queue.pendingCount == 0) {
-            // Nobody is here: nobody is ahead of anybody.
+            // The queue is idle: no flow is ahead of another one any longer.
             queue.virtualTime = Math.max(queue.virtualTime, queue.maxFinishTag);
         }
     }
 
     // ---- decisions ----
 
-    /** The next verdict, or null where there is none for now. */
+    /** The next decision, or null if there is none at present. */
     public AdmissionDecision nextDecision(Duration now) {
         long nowNanos = now.toNanos();
         while (true) {
@@ -406,7 +477,9 @@
         }
     }
 
-    /** When to call {@link #nextDecision} again even if nothing comes in, or null. */
+    /**
+     * When to call {@link #nextDecision} again even without an event, or null if no timer is set.
+     */
     public Duration nextWakeUp() {
         long due = timers.nextDue();
         return due < 0 ? null : Duration.ofNanos(due);
@@ -418,8 +491,8 @@
             dequeue(txn);
             decline(txn, now, 0);
         } else if (txn.state == QueuedTxn.State.IN_FLIGHT) {
-            // Guards against a silent member that would fill the lane's places with what it never
-            // answers.
+            // Guards against an unresponsive member whose unanswered submissions would use up the
+            // concurrency limit.
             txn.state = QueuedTxn.State.STUCK;
             queue.inFlight--;
         }
@@ -454,20 +527,20 @@
         if (saturated != queue.saturated && (saturated || queue.queuedCount == 0)) {
             queue.saturated = saturated;
             log.accept(
-                    "door "
+                    "fair queue of "
                             + queue.name
-                            + (saturated ? " is full: " : " is open: ")
-                            + "window "
+                            + (saturated ? " is saturated: " : " is no longer saturated: ")
+                            + "concurrency limit "
                             + Math.round(queue.concurrencyLimit.fullLimit())
-                            + ", out "
+                            + ", in flight "
                             + queue.inFlight
-                            + ", held "
+                            + ", pending "
                             + queue.pendingCount
-                            + ", waiting "
+                            + ", queued "
                             + queue.queuedCount
-                            + ", let in "
+                            + ", admitted "
                             + Math.round(queue.admissionsPerSecond(nowNanos))
-                            + " a second");
+                            + " per second");
         }
     }
 
@@ -501,8 +574,9 @@
     }
 
     /**
-     * All places to wait are taken: one that waits in a long queue makes room for one of a short
-     * queue, the last of it. False where the newcomer's own is as long as any that was drawn.
+     * The maximum number of txns is queued: declines the last txn of a flow with a long queue,
+     * relative to its weight, in favour of a flow with a shorter one. Returns false if no sampled
+     * flow has a longer queue than the arriving txn's flow.
      */
     private boolean displaceFromLongerFlow(int row, Duration now) {
         int longestRow = row;
@@ -530,8 +604,7 @@
     }
 
     /**
-     * One in which somebody stands, by chance: the first from a lane and type that were drawn; null
-     * where there is none.
+     * The first non-empty heap from a random queue and txn type on, or null if all heaps are empty.
      */
     private TagHeap randomNonEmptyHeap() {
         int heapsPerQueue = txnTypes.length;
@@ -547,16 +620,20 @@
         return null;
     }
 
-    // ---- when to come back ----
+    // ---- retry times ----
 
     /**
-     * For a txn that the module declines: when its client should come back, or null where none may
-     * be told.
+     * For a txn that the decision module declines: the time after which its client should retry, or
+     * null if clients are not told a time.
      */
     public Duration retryAfter(Duration now, QueuedTxn txn) {
         return txn.state == QueuedTxn.State.CLOSED ? null : reserveRetry(txn, now, 0);
     }
 
+    /**
+     * Predicts when the flow can be served again and reserves this time for the client's retry,
+     * unless no prediction is possible. Returns null if clients are not told a time.
+     */
     private Duration reserveRetry(QueuedTxn txn, Duration now, long queueBudgetNanos) {
         if (!sendsRetryAfter || maxRetryAfter.isZero()) {
             return null;
@@ -565,22 +642,25 @@
         long nowNanos = now.toNanos();
         int claims = flows.queuedCounts[txn.flowRow] + flows.reservationCounts[txn.flowRow];
         double nanosPerTxn =
-                1e9 / Math.max(1e-3, admissionsPerSecond(txn.flowRow, queue, nowNanos));
+                NANOS_PER_SECOND
+                        / Math.max(
+                                MIN_ADMISSIONS_PER_SECOND,
+                                admissionsPerSecond(txn.flowRow, queue, nowNanos));
         double waitNanos =
                 Math.max(
                                 MIN_RETRY_AFTER.toNanos(),
                                 Math.max(
                                         nanosPerTxn, claims * nanosPerTxn - queueBudgetNanos / 2.0))
-                        * (1 + 0.1 * random.nextDouble());
+                        * (1 + RETRY_JITTER * random.nextDouble());
         if (queue.isStalled(nowNanos)
                 || waitNanos > maxRetryAfter.toNanos()
                 || reservationCount >= MAX_RESERVATIONS) {
-            return withJitter(maxRetryAfter, 0.9);
+            return withJitter(maxRetryAfter, MIN_UNPREDICTED_WAIT_SHARE);
         }
         RetryReservation reservation =
                 new RetryReservation(txn.flowRow, nowNanos + (long) waitNanos);
-        // In the order of their times: that is the order in which they are made, but for the
-        // spread.
+        // The list is in order of the reserved times: except for the jitter, that is the order in
+        // which reservations are made.
         if (firstReservations[txn.flowRow] == null) {
             firstReservations[txn.flowRow] = reservation;
             reservation.next = reservation;
@@ -594,7 +674,9 @@
         }
         reservationCount++;
         flows.reservationCounts[txn.flowRow]++;
-        timers.set(reservation, nowNanos + (long) (1.25 * waitNanos) + RESERVATION_GRACE_NANOS);
+        timers.set(
+                reservation,
+                nowNanos + (long) (RESERVATION_WAIT_FACTOR * waitNanos) + RESERVATION_GRACE_NANOS);
         txn.client.reservation = reservation;
         return Duration.ofNanos((long) waitNanos);
     }
@@ -620,7 +702,10 @@
         reservation.released = true;
     }
 
-    /** Whether it was told to come now; its booking has served, or is forfeit. */
+    /**
+     * Releases the reservation that the arriving txn belongs to. Returns whether there is one and
+     * its time has come; a client that retries too early loses its reservation.
+     */
     private boolean consumeReservation(
             long nowNanos, int row, ClientContext client, boolean isRetry) {
         RetryReservation ownReservation = client.reservation;
@@ -632,8 +717,8 @@
             return ownReservation.flowRow == row
                     && nowNanos >= ownReservation.retryAtNanos - EARLY_RETRY_TOLERANCE_NANOS;
         }
-        // Marked as a retry, or where nobody marks them over a new connection: the first due was
-        // meant for one like it.
+        // A retry over another connection: marked as one or, where clients don't mark retries, the
+        // first txn of a connection. It takes over the flow's earliest reservation.
         RetryReservation nextReservation =
                 ownReservation == null && (clientsMarkRetries ? isRetry : isFirstTxn)
                         ? firstReservations[row]
@@ -646,8 +731,9 @@
         return true;
     }
 
-    // ---- who, where, how fast ----
+    // ---- flows, queues and rates ----
 
+    /** The row of the flow of the tenant in the queue, or -1 if the flow table is full. */
     private int findOrCreateFlow(
             long nowNanos, FairQueue queue, ClientContext client, String tenantName) {
         if (!client.addressHashed) {
@@ -730,8 +816,8 @@
     }
 
     /**
-     * How many txns a second the account is let in: as measured, or its fair share where that is
-     * more.
+     * Rate at which the flow's txns are admitted: the measured rate or its fair share of the
+     * queue's rate, whichever is higher.
      */
     private double admissionsPerSecond(int row, FairQueue queue, long nowNanos) {
         double weight = flows.weights[row];
@@ -749,7 +835,8 @@
     }
 
     /**
-     * How long it may wait at the door: by the module's own measure it can still be in time then.
+     * The longest time that a txn may be queued so that, by the decision module's own estimate, it
+     * can still be committed in time.
      */
     private Duration maxQueueTime(TxnType txnType, Duration now, Duration timeLeft) {
         Duration usualLatency = Spans.millis(usualLatencyMs(txnType.index(), now));
@@ -769,35 +856,38 @@
         return latencyEstimates[txnType].usual(now);
     }
 
-    // ---- for the log, the bench and the tests ----
+    // ---- statistics ----
 
-    /** What was done since the last time, and how it stands; null where nothing was. */
+    /**
+     * A log line with the decisions since the last call and the present state, or null if there
+     * were no decisions.
+     */
     public String takeStatsLine() {
         if (admittedCount + declinedCount == 0) {
             return null;
         }
         StringBuilder line =
-                new StringBuilder("door let in ")
+                new StringBuilder("fair queues admitted ")
                         .append(admittedCount)
                         .append(", declined ")
                         .append(declinedCount)
-                        .append(", waiting ")
+                        .append(", queued ")
                         .append(queuedCount)
-                        .append(", booked ")
+                        .append(", reservations ")
                         .append(reservationCount)
-                        .append(", accounts ")
+                        .append(", flows ")
                         .append(flows.usedCount())
-                        .append(", gave way ")
+                        .append(", evicted flows ")
                         .append(flows.evictedCount());
         for (FairQueue queue : queues) {
             if (queue.saturated) {
                 line.append("; ")
                         .append(queue.name)
-                        .append(" window ")
+                        .append(" concurrency limit ")
                         .append(Math.round(queue.concurrencyLimit.fullLimit()))
-                        .append(" out ")
+                        .append(" in flight ")
                         .append(queue.inFlight)
-                        .append(" waiting ")
+                        .append(" queued ")
                         .append(queue.queuedCount);
             }
         }
@@ -806,6 +896,7 @@
         return line.toString();
     }
 
+    /** Number of queued txns in all queues. */
     public int queuedCount() {
         return queuedCount;
     }
@@ -814,7 +905,7 @@
         return flows.usedCount();
     }
 
-    /** The width of the group's window. */
+    /** The full concurrency limit of the group's queue. */
     double concurrencyLimit(int group, boolean toPrimary) {
         return queueFor(group, toPrimary).concurrencyLimit.fullLimit();
     }
@@ -823,8 +914,9 @@
         return queueFor(group, toPrimary).inFlight;
     }
 
-    /** Bytes of its own state, txns that wait aside. */
+    /** Memory used by the state in bytes, except for queued txns. */
     public int memoryBytes() {
+        // The last term are the references in firstReservations.
         int total = flows.memoryBytes() + tenantNameSlots.memoryBytes() + 4 * FlowTable.CAPACITY;
         for (FairQueue queue : queues) {
             total += queue.memoryBytes();
--- a/src/main/java/wingroad/door/FlowTable.java
+++ b/src/main/java/wingroad/door/FlowTable.java
@@ -3,60 +3,81 @@
 import java.util.Arrays;
 
 /**
- * One account for each tenant and lane that matters now: rows of plain arrays behind an index with
- * open addresses. Exact is kept who has something waiting, in, or booked, or is ahead of the share;
- * all others are as if they had never come.
+ * The flows, one for each active tenant and fair queue: rows of parallel arrays, found through a
+ * hash index with open addressing and linear probing. A flow with queued or admitted txns or
+ * reservations keeps its row, and so does one ahead of the virtual time as long as there is room;
+ * any other flow may be evicted, which changes nothing for it.
  */
 final class FlowTable {
     static final int CAPACITY = 4096;
     private static final int INDEX_SIZE = 2 * CAPACITY;
 
     /**
-     * How many rows are looked at for one that may be let go, before the least ahead of them gives
-     * way.
+     * How many rows are scanned for flows to evict that are not ahead of the virtual time, before
+     * the idle one with the smallest lead is evicted.
      */
     private static final int EVICTION_SCAN_ROWS = 24;
 
     final long[] keys = new long[CAPACITY];
+
+    /**
+     * The start tag of the flow's next txn: the finish tag of its last admitted one, or the virtual
+     * time if that was larger when the flow became eligible.
+     */
     final double[] startTags = new double[CAPACITY];
+
     final float[] weights = new float[CAPACITY];
 
-    /** The largest part of the lane's window that it may fill. */
+    /** Fraction of the queue's concurrency limit that the flow may use. */
     final float[] maxConcurrencyShares = new float[CAPACITY];
 
     final short[] queueIndexes = new short[CAPACITY];
     final int[] queuedCounts = new int[CAPACITY];
+
+    /** Admitted txns that are not closed. */
     final int[] admittedCounts = new int[CAPACITY];
+
+    /** Outstanding {@link RetryReservation}s. */
     final int[] reservationCounts = new int[CAPACITY];
 
-    /** Decaying count of what was let in, and when it was brought up to date. */
+    /** Decaying count of admitted txns as of {@link #admissionCountAtNanos}. */
     final double[] admissionCounts = new double[CAPACITY];
 
     final long[] admissionCountAtNanos = new long[CAPACITY];
+
+    /** The first and the last queued txn, or null. */
     final QueuedTxn[] heads = new QueuedTxn[CAPACITY];
+
     final QueuedTxn[] tails = new QueuedTxn[CAPACITY];
 
-    /** Its place in its lane's heap, or -1. */
+    /** The flow's position in a heap of its queue, or -1. */
     final int[] heapPositions = new int[CAPACITY];
 
     /**
-     * Set aside from the heap though something waits: by its cap, or by what its first one is held
-     * for.
+     * Whether the flow is in no heap although it has queued txns, because it has reached its
+     * concurrency cap.
      */
     final boolean[] capBlocked = new boolean[CAPACITY];
 
-    /** Row and 1, or 0 for an empty place. */
+    /** For each slot the row plus 1, or 0 if the slot is empty. */
     private final int[] index = new int[INDEX_SIZE];
 
+    /** Stack of the unused rows. */
     private final int[] freeRows = new int[CAPACITY];
+
     private int freeCount = CAPACITY;
+
+    /** The row at which the next scan for flows to evict begins. */
     private int clockHand;
+
     private int evictedCount;
 
-    /** Tells how far the lanes are, and takes the debts of those that give way. */
+    /** Gives the virtual times of the queues and keeps the tags of evicted flows. */
     interface EvictionHandler {
+        /** The present virtual time of a queue. */
         double virtualTime(int queueIndex);
 
+        /** A flow ahead of the virtual time was evicted. */
         void onEvicted(int queueIndex, long key, double startTag);
     }
 
@@ -67,10 +88,12 @@
         }
     }
 
+    /** Number of rows in use. */
     int usedCount() {
         return CAPACITY - freeCount;
     }
 
+    /** Number of flows evicted so far while they were ahead of the virtual time. */
     int evictedCount() {
         return evictedCount;
     }
@@ -85,7 +108,7 @@
         return -1;
     }
 
-    /** A row for a key that has none; -1 where all rows are in use by txns or bookings. */
+    /** Assigns a row to a key that has none; -1 if txns or reservations use all rows. */
     int insert(long key, int queueIndex, EvictionHandler evictionHandler) {
         if (freeCount == 0 && !evict(evictionHandler)) {
             return -1;
@@ -104,13 +127,14 @@
         return row;
     }
 
+    /** Whether the flow has neither queued nor admitted txns nor reservations. */
     boolean isIdle(int row) {
         return queuedCounts[row] == 0 && admittedCounts[row] == 0 && reservationCounts[row] == 0;
     }
 
     /**
-     * Lets go of all that the hand meets and that is no longer ahead, or of the idle one that is
-     * the least ahead.
+     * Removes the scanned idle flows that are not ahead of the virtual time, or else evicts the
+     * scanned idle flow with the smallest lead. Returns whether a row is free.
      */
     private boolean evict(EvictionHandler evictionHandler) {
         int victim = -1;
@@ -144,7 +168,7 @@
         while (index[slot] != row + 1) {
             slot = slot + 1 & INDEX_SIZE - 1;
         }
-        // What stands behind it moves up, as far as it may: a chain has no gaps.
+        // Moves later entries of the probe sequence into the gap, which would end a search early.
         int gap = slot;
         for (int next = gap + 1 & INDEX_SIZE - 1;
                 index[next] != 0;
@@ -163,7 +187,9 @@
         return (int) (key ^ key >>> 32) & INDEX_SIZE - 1;
     }
 
+    /** Memory used by the arrays. */
     int memoryBytes() {
+        // Element sizes of the arrays in the order of their declaration, then index and freeRows.
         return CAPACITY * (8 + 8 + 4 + 4 + 2 + 4 + 4 + 4 + 8 + 8 + 4 + 4 + 4 + 1)
                 + 4 * INDEX_SIZE
                 + 4 * CAPACITY;
--- a/src/main/java/wingroad/door/QueuedTxn.java
+++ b/src/main/java/wingroad/door/QueuedTxn.java
@@ -5,16 +5,25 @@
 import java.time.Duration;
 
 /**
- * One txn at the door: from its arrival to its final answer. Its timer tells when it has waited or
- * been out too long.
+ * A txn in admission control, from its arrival to its final answer. Its timer expires when it has
+ * been queued or in flight for too long.
  */
 public final class QueuedTxn extends Wheel.Timer {
-    /** Where it is. */
+    /** Stages of a txn. */
     enum State {
+        /** Waits for admission. */
         QUEUED,
+
+        /** Admitted; the decision module holds it and no submission is in flight. */
         PENDING,
+
+        /** A submission is in flight. */
         IN_FLIGHT,
+
+        /** In flight for so long that it no longer counts against the concurrency limit. */
         STUCK,
+
+        /** Declined, answered, or its client has disconnected. */
         CLOSED
     }
 
@@ -25,20 +34,22 @@
     final Duration arrivedAt;
     final ClientContext client;
 
-    /**
-     * What it was charged when it was let in, and the work that it has been so far, in
-     * milliseconds.
-     */
+    /** The estimated work that the flow was charged when the txn was admitted. */
     double chargedWorkMs;
 
+    /** The time that ended submissions of the txn have taken at members. */
     double workMs;
+
     int inFlightSubmissions;
 
-    /** The window's round in which its last submission began. */
+    /** The round of the concurrency limit in which the txn last came to be in flight. */
     long limitRound;
 
     State state = State.QUEUED;
+
+    /** Neighbours in the queue of the flow, or null. */
     QueuedTxn next;
+
     QueuedTxn previous;
 
     QueuedTxn(
@@ -56,7 +67,7 @@
         this.client = client;
     }
 
-    /** How long it waited at the door, up to now. */
+    /** Time from arrival to now. */
     public Duration queueTime(Duration now) {
         return now.minus(arrivedAt);
     }
--- a/src/main/java/wingroad/door/RetryReservation.java
+++ b/src/main/java/wingroad/door/RetryReservation.java
@@ -2,15 +2,18 @@
 
 import wingroad.state.Wheel;
 
-/** A time at which somebody was told to come back; while it stands it is a claim of its account. */
+/**
+ * A time at which the client of a declined txn was told to retry. Until it is released it counts as
+ * a claim of its flow on the queue. The timer expires if the client does not retry.
+ */
 final class RetryReservation extends Wheel.Timer {
     final int flowRow;
     final long retryAtNanos;
 
-    /** It stands no more. */
+    /** Whether the client has retried or the timer has expired. */
     boolean released;
 
-    /** In the ring of its account's bookings. */
+    /** Neighbours in the circular list of the flow's reservations. */
     RetryReservation previous;
 
     RetryReservation next;
--- a/src/main/java/wingroad/door/TagHeap.java
+++ b/src/main/java/wingroad/door/TagHeap.java
@@ -3,18 +3,21 @@
 import java.util.Arrays;
 
 /**
- * Rows by their tags, the smallest first: a heap of four children, indexed, so that one in the
- * middle can be moved.
+ * Flows ordered by start tag, the smallest first: a 4-ary heap of rows of the {@link FlowTable},
+ * indexed so that any row can be moved or removed.
  */
 final class TagHeap {
     private static final int ARITY = 4;
+    private static final int INITIAL_CAPACITY = 16;
 
     private final double[] startTags;
 
-    /** Where each row stands in its heap, or -1; shared by all heaps, a row is in one at most. */
+    /**
+     * By row: its position in its heap, or -1. Shared by all heaps, since a row is in at most one.
+     */
     private final int[] positions;
 
-    private int[] rows = new int[16];
+    private int[] rows = new int[INITIAL_CAPACITY];
     private int size;
 
     TagHeap(double[] startTags, int[] positions) {
@@ -26,11 +29,12 @@
         return size;
     }
 
-    /** The row with the smallest tag; of equal ones the one that comes first by its number. */
+    /** The row with the smallest tag; of rows with equal tags the one with the smallest number. */
     int first() {
         return rows[0];
     }
 
+    /** The row at a position of the heap, in no particular order. */
     int rowAt(int position) {
         return rows[position];
     }
@@ -56,7 +60,7 @@
         }
     }
 
-    /** The row's tag is another one now. */
+    /** Restores the order after the row's tag has changed. */
     void onTagChanged(int row) {
         siftUp(positions[row]);
         siftDown(positions[row]);
@@ -105,6 +109,7 @@
         positions[row] = position;
     }
 
+    /** Memory used by the heap, without the shared arrays. */
     int memoryBytes() {
         return 4 * rows.length;
     }
--- a/src/main/java/wingroad/door/TagSketch.java
+++ b/src/main/java/wingroad/door/TagSketch.java
@@ -1,15 +1,17 @@
 package wingroad.door;
 
 /**
- * The finish tags of accounts that had to give way: a count-min of maxima. What it answers is never
- * below the tag that was put in for a key; it is above only for a key that shares its cell with a
- * larger tag in both rows. It needs no ageing: a tag behind the virtual time says nothing.
+ * The finish tags of evicted flows: a count-min sketch with maxima in place of counts. The tag that
+ * it returns for a key is never below the one recorded; it is above it only if in both rows the key
+ * shares its cell with a larger tag. Cells need no expiry, since a tag behind the virtual time has
+ * no effect.
  */
 final class TagSketch {
     private static final int CELLS_PER_ROW = 256;
 
     private final double[] cells = new double[2 * CELLS_PER_ROW];
 
+    /** Records a tag for the key. */
     void put(long key, double tag) {
         int first = firstCell(key);
         int second = secondCell(key);
@@ -17,7 +19,10 @@
         cells[second] = Math.max(cells[second], tag);
     }
 
-    /** At least the largest tag that was put in for the key; 0 where none was. */
+    /**
+     * An upper bound of the tags recorded for the key. If there are none, 0 unless both of its
+     * cells are shared.
+     */
     double tag(long key) {
         return Math.min(cells[firstCell(key)], cells[secondCell(key)]);
     }
@@ -30,6 +35,7 @@
         return CELLS_PER_ROW + ((int) (key >>> 32) & CELLS_PER_ROW - 1);
     }
 
+    /** Memory used by the cells. */
     int memoryBytes() {
         return 8 * cells.length;
     }
--- a/src/main/java/wingroad/door/TenantNameSlots.java
+++ b/src/main/java/wingroad/door/TenantNameSlots.java
@@ -3,22 +3,24 @@
 import java.util.Arrays;
 
 /**
- * Which of the names that come from one address are told apart: the first few. A name keeps its
- * slot for a while after its last use. Guards against a heavy one that washes itself clean by a
- * change of name: whoever has no slot is counted under the address. Addresses that share a row
- * share its slots, which costs them no more than that.
+ * Limits how many tenant names from one address are distinguished at a time. The first names get a
+ * slot each and keep it for some time after their last use; txns under any other name count as the
+ * address. Guards against a tenant that evades its share by changing its name. Addresses whose
+ * hashes select the same row share its slots, with no other effect than fewer slots for each.
  */
 final class TenantNameSlots {
     static final int MAX_SLOTS_PER_ADDRESS = 16;
     private static final int ROWS = 512;
     private static final int NEVER_USED = Integer.MIN_VALUE;
 
-    /** A slot is free again so long after its last use, in ticks of 100 ms. */
+    /** A slot is free again this time after its last use, in ticks of {@link #TICK_NANOS}. */
     private static final int SLOT_EXPIRY_TICKS = 100;
 
     private static final long TICK_NANOS = 100_000_000;
 
+    /** Upper 32 bits of the hashes of the names that hold the slots. */
     private final int[] nameHashes = new int[ROWS * MAX_SLOTS_PER_ADDRESS];
+
     private final int[] lastUsedTicks = new int[ROWS * MAX_SLOTS_PER_ADDRESS];
     private int slotsPerAddress;
 
@@ -27,12 +29,15 @@
         Arrays.fill(lastUsedTicks, NEVER_USED);
     }
 
-    /** From now on so many names an address; those beyond keep their slots while they are used. */
+    /**
+     * Sets the number of names for each address. Names in slots beyond it keep them while they are
+     * in use.
+     */
     void setSlotsPerAddress(int newSlotsPerAddress) {
         slotsPerAddress = newSlotsPerAddress;
     }
 
-    /** Whether the name has a slot of its own at the address. */
+    /** Whether the name has, or now gets, a slot of the address. */
     boolean claimSlot(long nowNanos, long nameHash, long addressHash) {
         int tick = (int) (nowNanos / TICK_NANOS);
         int shortNameHash = (int) (nameHash >>> 32);
@@ -57,6 +62,7 @@
         return true;
     }
 
+    /** Memory used by the arrays. */
     int memoryBytes() {
         return 8 * nameHashes.length;
     }
