--- a/src/bench/java/wingroad/door/DoorBench.java
+++ b/src/bench/java/wingroad/door/DoorBench.java
@@ -21,26 +21,26 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * What one txn costs at the door, from its arrival to its end, with some always waiting; and the
- * same with plain collections.
+ * Time for one txn in admission control, from its arrival to its end, with some txns always queued;
+ * and the same with plain collections.
  */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.NANOSECONDS)
 public class DoorBench {
-    private static final Duration LEFT = Duration.ofSeconds(2);
-    private static final long STEP = 4_000_000;
-    private static final int WAITING = 40;
+    private static final Duration TIME_LEFT = Duration.ofSeconds(2);
+    private static final long ARRIVAL_INTERVAL_NANOS = 4_000_000;
+    private static final int QUEUED_TXNS = 40;
 
     @Param({"10", "10000", "1000000"})
     public int tenants;
 
     private String[] names;
-    private final ArrayDeque<QueuedTxn> in = new ArrayDeque<>();
-    private FairQueues door;
+    private final ArrayDeque<QueuedTxn> admitted = new ArrayDeque<>();
+    private FairQueues fairQueues;
     private Plain plain;
-    private long now;
-    private int next;
+    private long nowNanos;
+    private int nextTenant;
 
     @Setup
     public void setup() {
@@ -48,45 +48,47 @@
         for (int i = 0; i < tenants; i++) {
             names[i] = "10.0." + i;
         }
-        door = newDoor();
+        fairQueues = newFairQueues();
         plain = new Plain();
-        for (int i = 0; i < WAITING; i++) {
+        for (int i = 0; i < QUEUED_TXNS; i++) {
             arrive();
-            plain.arrive(names[next]);
+            plain.arrive(names[nextTenant]);
         }
     }
 
-    private static FairQueues newDoor() {
-        Map<String, Object> terms = new HashMap<>();
-        terms.put("txn-types", 1.0);
-        terms.put("txn-type.0.sla-time", Duration.ofMillis(750));
-        terms.put("txn-type.0.expiry", LEFT);
-        terms.put("may-advise-come-back", true);
-        terms.put("longest-come-back", Duration.ofMillis(500));
-        return new FairQueues(terms, FairQueueSettings.DEFAULTS, 3, line -> {});
+    private static FairQueues newFairQueues() {
+        Map<String, Object> routingSettings = new HashMap<>();
+        routingSettings.put("txn-types", 1.0);
+        routingSettings.put("txn-type.0.sla-time", Duration.ofMillis(750));
+        routingSettings.put("txn-type.0.expiry", TIME_LEFT);
+        routingSettings.put("may-advise-come-back", true);
+        routingSettings.put("longest-come-back", Duration.ofMillis(500));
+        return new FairQueues(routingSettings, FairQueueSettings.DEFAULTS, 3, line -> {});
     }
 
     private void arrive() {
-        now += STEP;
-        next = next + 1 == tenants ? 0 : next + 1;
-        door.onTxnArrived(
-                Duration.ofNanos(now),
+        nowNanos += ARRIVAL_INTERVAL_NANOS;
+        nextTenant = nextTenant + 1 == tenants ? 0 : nextTenant + 1;
+        fairQueues.onTxnArrived(
+                Duration.ofNanos(nowNanos),
                 "t",
                 0,
                 1,
-                LEFT,
-                new ClientContext(names[next], Map.of()),
+                TIME_LEFT,
+                new ClientContext(names[nextTenant], Map.of()),
                 null,
                 false);
-        pull();
+        takeDecisions();
     }
 
-    private void pull() {
-        Duration at = Duration.ofNanos(now);
-        for (AdmissionDecision v = door.nextDecision(at); v != null; v = door.nextDecision(at)) {
-            if (v.admitted()) {
-                in.add(v.queuedTxn());
-                door.onSubmitted(at, v.queuedTxn());
+    private void takeDecisions() {
+        Duration now = Duration.ofNanos(nowNanos);
+        for (AdmissionDecision decision = fairQueues.nextDecision(now);
+                decision != null;
+                decision = fairQueues.nextDecision(now)) {
+            if (decision.admitted()) {
+                admitted.add(decision.queuedTxn());
+                fairQueues.onSubmitted(now, decision.queuedTxn());
             }
         }
     }
@@ -94,152 +96,159 @@
     @Benchmark
     public void door() {
         arrive();
-        QueuedTxn v = in.poll();
-        if (v != null) {
-            Duration at = Duration.ofNanos(now);
-            door.onSubmissionEnded(at, v, End.COMMITTED, Duration.ofMillis(50));
-            door.onTxnClosed(at, v);
-            pull();
+        QueuedTxn txn = admitted.poll();
+        if (txn != null) {
+            Duration now = Duration.ofNanos(nowNanos);
+            fairQueues.onSubmissionEnded(now, txn, End.COMMITTED, Duration.ofMillis(50));
+            fairQueues.onTxnClosed(now, txn);
+            takeDecisions();
         }
     }
 
     @Benchmark
     public String plain() {
-        now += STEP;
-        next = next + 1 == tenants ? 0 : next + 1;
-        plain.arrive(names[next]);
+        nowNanos += ARRIVAL_INTERVAL_NANOS;
+        nextTenant = nextTenant + 1 == tenants ? 0 : nextTenant + 1;
+        plain.arrive(names[nextTenant]);
         return plain.leave();
     }
 
     /**
-     * What one would write first: a map with a queue for each tenant that ever came, and a heap of
-     * those that wait.
+     * The simplest implementation: a map with a queue for each tenant ever seen, and a heap of the
+     * backlogged queues.
      */
     private static final class Plain {
         private static final class Queue {
-            final ArrayDeque<String> waiting = new ArrayDeque<>(2);
+            final ArrayDeque<String> txns = new ArrayDeque<>(2);
             double tag;
         }
 
         private final Map<String, Queue> queues = new HashMap<>();
-        private final PriorityQueue<Queue> order =
+        private final PriorityQueue<Queue> backlogged =
                 new PriorityQueue<>((a, b) -> Double.compare(a.tag, b.tag));
         private double virtualTime;
 
         void arrive(String name) {
-            Queue q = queues.computeIfAbsent(name, n -> new Queue());
-            q.waiting.add(name);
-            if (q.waiting.size() == 1) {
-                q.tag = Math.max(q.tag, virtualTime);
-                order.add(q);
+            Queue queue = queues.computeIfAbsent(name, key -> new Queue());
+            queue.txns.add(name);
+            if (queue.txns.size() == 1) {
+                queue.tag = Math.max(queue.tag, virtualTime);
+                backlogged.add(queue);
             }
         }
 
         String leave() {
-            Queue q = order.poll();
-            virtualTime = q.tag;
-            q.tag += 50;
-            String name = q.waiting.poll();
-            if (!q.waiting.isEmpty()) {
-                order.add(q);
+            Queue queue = backlogged.poll();
+            virtualTime = queue.tag;
+            queue.tag += 50;
+            String name = queue.txns.poll();
+            if (!queue.txns.isEmpty()) {
+                backlogged.add(queue);
             }
             return name;
         }
     }
 
-    private static long used() {
-        Runtime r = Runtime.getRuntime();
+    private static long usedHeapBytes() {
+        Runtime runtime = Runtime.getRuntime();
         for (int i = 0; i < 3; i++) {
             System.gc();
         }
-        return r.totalMemory() - r.freeMemory();
+        return runtime.totalMemory() - runtime.freeMemory();
     }
 
     /**
-     * Heap that a door holds after so many tenants came with one txn each, and ten thousand more at
-     * once.
+     * Heap memory in bytes of one {@link FairQueues} after one txn of each of so many tenants, and
+     * of ten thousand more at the same time.
      */
-    public static double stateBytes(int tenants, int doors) {
-        long before = used();
-        FairQueues[] all = new FairQueues[doors];
-        for (int d = 0; d < doors; d++) {
-            all[d] = newDoor();
-            crowd(all[d], tenants);
+    public static double stateBytes(int tenants, int instances) {
+        long bytesBefore = usedHeapBytes();
+        FairQueues[] all = new FairQueues[instances];
+        for (int instance = 0; instance < instances; instance++) {
+            all[instance] = newFairQueues();
+            submitFromManyTenants(all[instance], tenants);
         }
-        double held = used() - before;
-        int waiting = 0;
-        for (FairQueues door : all) {
-            waiting += door.queuedCount();
+        double heldBytes = usedHeapBytes() - bytesBefore;
+        int queuedCount = 0;
+        for (FairQueues fairQueues : all) {
+            queuedCount += fairQueues.queuedCount();
         }
-        if (waiting == 0) {
-            throw new IllegalStateException("nothing waits: the queues were to be full");
+        if (queuedCount == 0) {
+            throw new IllegalStateException("no txns are queued, but the queues should be full");
         }
-        return held / doors;
+        return heldBytes / instances;
     }
 
-    private static void crowd(FairQueues door, int tenants) {
+    private static void submitFromManyTenants(FairQueues fairQueues, int tenants) {
         for (int i = 0; i < tenants + 10_000; i++) {
-            Duration at = Duration.ofNanos(Math.min(i, tenants) * 20_000L);
-            door.onTxnArrived(
-                    at, "t", 0, 1, LEFT, new ClientContext("10.1." + i, Map.of()), null, false);
-            for (AdmissionDecision v = door.nextDecision(at);
-                    v != null;
-                    v = door.nextDecision(at)) {
-                if (v.admitted()) {
-                    door.onSubmitted(at, v.queuedTxn());
+            Duration now = Duration.ofNanos(Math.min(i, tenants) * 20_000L);
+            fairQueues.onTxnArrived(
+                    now,
+                    "t",
+                    0,
+                    1,
+                    TIME_LEFT,
+                    new ClientContext("10.1." + i, Map.of()),
+                    null,
+                    false);
+            for (AdmissionDecision decision = fairQueues.nextDecision(now);
+                    decision != null;
+                    decision = fairQueues.nextDecision(now)) {
+                if (decision.admitted()) {
+                    fairQueues.onSubmitted(now, decision.queuedTxn());
                     if (i < tenants) {
-                        door.onSubmissionEnded(
-                                at, v.queuedTxn(), End.COMMITTED, Duration.ofMillis(50));
-                        door.onTxnClosed(at, v.queuedTxn());
+                        fairQueues.onSubmissionEnded(
+                                now, decision.queuedTxn(), End.COMMITTED, Duration.ofMillis(50));
+                        fairQueues.onTxnClosed(now, decision.queuedTxn());
                     }
                 }
             }
         }
     }
 
-    /** The same for the plain collections. */
+    /** Heap memory in bytes of the plain collections after one txn of each of so many tenants. */
     public static double plainBytes(int tenants) {
-        long before = used();
+        long bytesBefore = usedHeapBytes();
         Plain plain = new Plain();
         for (int i = 0; i < tenants; i++) {
             plain.arrive("10.1." + i);
             plain.leave();
         }
-        double held = used() - before;
-        return plain.queues.isEmpty() ? 0 : held;
+        double heldBytes = usedHeapBytes() - bytesBefore;
+        return plain.queues.isEmpty() ? 0 : heldBytes;
     }
 
-    /** Nanoseconds to set and to take out a timer among a thousand, on the wheel or on a heap. */
-    public static double timers(boolean wheel) {
-        int among = 1000;
+    /** Nanoseconds to cancel and set one of a thousand timers, on the wheel or on a binary heap. */
+    public static double timers(boolean useWheel) {
+        int timerCount = 1000;
         int rounds = 400;
         Random random = new Random(1);
-        Wheel w = new Wheel();
-        Wheel.Timer[] timers = new Wheel.Timer[among];
+        Wheel timerWheel = new Wheel();
+        Wheel.Timer[] timers = new Wheel.Timer[timerCount];
         PriorityQueue<Long> heap = new PriorityQueue<>();
-        Long[] dues = new Long[among];
-        long best = Long.MAX_VALUE;
-        for (int i = 0; i < among; i++) {
+        Long[] dues = new Long[timerCount];
+        long bestNanos = Long.MAX_VALUE;
+        for (int i = 0; i < timerCount; i++) {
             timers[i] = new Wheel.Timer();
             dues[i] = random.nextInt(1000) * 1_000_000L + i;
-            w.set(timers[i], dues[i]);
+            timerWheel.set(timers[i], dues[i]);
             heap.add(dues[i]);
         }
-        for (int r = 0; r < rounds; r++) {
-            long from = System.nanoTime();
-            for (int i = 0; i < among; i++) {
-                long due = dues[i] + 7_000_000L * (r % 100);
-                if (wheel) {
-                    w.cancel(timers[i]);
-                    w.set(timers[i], due);
+        for (int round = 0; round < rounds; round++) {
+            long startNanos = System.nanoTime();
+            for (int i = 0; i < timerCount; i++) {
+                long newDue = dues[i] + 7_000_000L * (round % 100);
+                if (useWheel) {
+                    timerWheel.cancel(timers[i]);
+                    timerWheel.set(timers[i], newDue);
                 } else {
                     heap.remove(dues[i]);
-                    dues[i] = due;
+                    dues[i] = newDue;
                     heap.add(dues[i]);
                 }
             }
-            best = Math.min(best, System.nanoTime() - from);
+            bestNanos = Math.min(bestNanos, System.nanoTime() - startNanos);
         }
-        return best / (double) among;
+        return bestNanos / (double) timerCount;
     }
 }
