--- a/src/bench/java/wingroad/door/DoorBench.java
+++ b/src/bench/java/wingroad/door/DoorBench.java
@@ -9,8 +9,8 @@
 import org.openjdk.jmh.annotations.Setup;
 import org.openjdk.jmh.annotations.State;
 
-import wingroad.state.Submission.End;
-import wingroad.state.Wheel;
+import wingroad.state.Submission.Outcome;
+import wingroad.state.TimingWheel;
 
 import java.time.Duration;
 import java.util.ArrayDeque;
@@ -99,7 +99,7 @@
         QueuedTxn txn = admitted.poll();
         if (txn != null) {
             Duration now = Duration.ofNanos(nowNanos);
-            fairQueues.onSubmissionEnded(now, txn, End.COMMITTED, Duration.ofMillis(50));
+            fairQueues.onSubmissionEnded(now, txn, Outcome.COMMITTED, Duration.ofMillis(50));
             fairQueues.onTxnClosed(now, txn);
             takeDecisions();
         }
@@ -198,7 +198,10 @@
                     fairQueues.onSubmitted(now, decision.queuedTxn());
                     if (i < tenants) {
                         fairQueues.onSubmissionEnded(
-                                now, decision.queuedTxn(), End.COMMITTED, Duration.ofMillis(50));
+                                now,
+                                decision.queuedTxn(),
+                                Outcome.COMMITTED,
+                                Duration.ofMillis(50));
                         fairQueues.onTxnClosed(now, decision.queuedTxn());
                     }
                 }
@@ -223,15 +226,15 @@
         int timerCount = 1000;
         int rounds = 400;
         Random random = new Random(1);
-        Wheel timerWheel = new Wheel();
-        Wheel.Timer[] timers = new Wheel.Timer[timerCount];
+        TimingWheel timerWheel = new TimingWheel();
+        TimingWheel.Timer[] timers = new TimingWheel.Timer[timerCount];
         PriorityQueue<Long> heap = new PriorityQueue<>();
         Long[] dues = new Long[timerCount];
         long bestNanos = Long.MAX_VALUE;
         for (int i = 0; i < timerCount; i++) {
-            timers[i] = new Wheel.Timer();
+            timers[i] = new TimingWheel.Timer();
             dues[i] = random.nextInt(1000) * 1_000_000L + i;
-            timerWheel.set(timers[i], dues[i]);
+            timerWheel.schedule(timers[i], dues[i]);
             heap.add(dues[i]);
         }
         for (int round = 0; round < rounds; round++) {
@@ -240,7 +243,7 @@
                 long newDue = dues[i] + 7_000_000L * (round % 100);
                 if (useWheel) {
                     timerWheel.cancel(timers[i]);
-                    timerWheel.set(timers[i], newDue);
+                    timerWheel.schedule(timers[i], newDue);
                 } else {
                     heap.remove(dues[i]);
                     dues[i] = newDue;
--- a/src/main/java/wingroad/door/FairQueues.java
+++ b/src/main/java/wingroad/door/FairQueues.java
@@ -3,11 +3,11 @@
 import com.dynatrace.hash4j.hashing.Hasher64;
 import com.dynatrace.hash4j.hashing.Hashing;
 
-import wingroad.state.Spans;
-import wingroad.state.Submission.End;
-import wingroad.state.Took;
+import wingroad.state.Durations;
+import wingroad.state.ResponseTimes;
+import wingroad.state.Submission.Outcome;
+import wingroad.state.TimingWheel;
 import wingroad.state.TxnType;
-import wingroad.state.Wheel;
 
 import java.time.Duration;
 import java.util.ArrayDeque;
@@ -107,13 +107,13 @@
      * The work of each txn type in milliseconds, over a short time: what a txn is charged when it
      * is admitted.
      */
-    private final Took[] workEstimates;
+    private final ResponseTimes[] workEstimates;
 
     /**
      * The latency of each txn type in milliseconds, over a long time: the concurrency limits'
      * latencies are relative to it.
      */
-    private final Took[] latencyEstimates;
+    private final ResponseTimes[] latencyEstimates;
 
     private final boolean sendsRetryAfter;
     private final boolean clientsMarkRetries;
@@ -133,7 +133,7 @@
     /** Keys combine the group with whether txns need its primary. */
     private final Map<Long, FairQueue> queuesByGroup = new HashMap<>();
 
-    private final Wheel timers = new Wheel();
+    private final TimingWheel timers = new TimingWheel();
 
     /** Queues in which txns may have become admissible. */
     private final ArrayDeque<FairQueue> dispatchQueue = new ArrayDeque<>();
@@ -170,14 +170,16 @@
                 routingSettings.get("longest-come-back") instanceof Duration longest
                         ? longest
                         : Duration.ZERO;
-        this.txnTypes = TxnType.all(routingSettings);
-        this.workEstimates = new Took[txnTypes.length];
-        this.latencyEstimates = new Took[txnTypes.length];
+        this.txnTypes = TxnType.fromSettings(routingSettings);
+        this.workEstimates = new ResponseTimes[txnTypes.length];
+        this.latencyEstimates = new ResponseTimes[txnTypes.length];
         for (int i = 0; i < txnTypes.length; i++) {
-            double initialEstimateMs = Math.max(1, Spans.ms(txnTypes[i].slaTime()) / 4);
-            workEstimates[i] = new Took(Duration.ofSeconds(WORK_MEMORY_SECONDS), initialEstimateMs);
+            double initialEstimateMs = Math.max(1, Durations.toMillis(txnTypes[i].slaTime()) / 4);
+            workEstimates[i] =
+                    new ResponseTimes(Duration.ofSeconds(WORK_MEMORY_SECONDS), initialEstimateMs);
             latencyEstimates[i] =
-                    new Took(Duration.ofSeconds(LATENCY_MEMORY_SECONDS), initialEstimateMs);
+                    new ResponseTimes(
+                            Duration.ofSeconds(LATENCY_MEMORY_SECONDS), initialEstimateMs);
         }
     }
 
@@ -228,8 +230,8 @@
         for (QueuedTxn head : flows.heads) {
             for (QueuedTxn txn = head; txn != null; txn = txn.next) {
                 Duration latestAdmission =
-                        deadline.minus(Spans.millis(usualLatencyMs(txn.txnType, deadline)));
-                timers.set(txn, Math.min(txn.due(), latestAdmission.toNanos()));
+                        deadline.minus(Durations.ofMillis(usualLatencyMs(txn.txnType, deadline)));
+                timers.schedule(txn, Math.min(txn.dueNanos(), latestAdmission.toNanos()));
             }
         }
     }
@@ -252,7 +254,7 @@
             String tenantName,
             boolean isRetry) {
         long nowNanos = now.toNanos();
-        FairQueue queue = queueFor(group, txnTypes[txnType].toPrimary());
+        FairQueue queue = queueFor(group, txnTypes[txnType].requiresPrimary());
         int row = findOrCreateFlow(nowNanos, queue, client, tenantName);
         boolean reserved = row >= 0 && consumeReservation(nowNanos, row, client, isRetry);
         QueuedTxn txn = new QueuedTxn(txnId, txnType, queue.index, row, now, client);
@@ -282,7 +284,7 @@
             return txn;
         }
         enqueue(txn, row, queue, nowNanos);
-        timers.set(txn, nowNanos + Math.max(0, queueBudgetNanos));
+        timers.schedule(txn, nowNanos + Math.max(0, queueBudgetNanos));
         return txn;
     }
 
@@ -359,7 +361,7 @@
             txn.limitRound = queue.concurrencyLimit.round();
             queue.concurrencyLimit.onSubmissionStarted(queue.inFlight);
             queue.lastProgressNanos = now.toNanos();
-            timers.set(
+            timers.schedule(
                     txn,
                     now.toNanos()
                             + (long)
@@ -376,12 +378,12 @@
      *
      * @param latency from the submission to its end
      */
-    public void onSubmissionEnded(Duration now, QueuedTxn txn, End outcome, Duration latency) {
+    public void onSubmissionEnded(Duration now, QueuedTxn txn, Outcome outcome, Duration latency) {
         FairQueue queue = queues.get(txn.queueIndex);
-        double latencyMs = Spans.ms(latency);
+        double latencyMs = Durations.toMillis(latency);
         txn.inFlightSubmissions--;
         txn.workMs += outcome.neverRan() ? 0 : latencyMs;
-        if (outcome == End.COMMITTED) {
+        if (outcome == Outcome.COMMITTED) {
             double relativeLatency =
                     latencyMs / Math.max(MIN_LATENCY_MS, usualLatencyMs(txn.txnType, now));
             latencyEstimates[txn.txnType].add(now, latencyMs);
@@ -462,7 +464,7 @@
             if (!decisions.isEmpty()) {
                 return decisions.poll();
             }
-            Wheel.Timer timer = timers.poll(nowNanos);
+            TimingWheel.Timer timer = timers.poll(nowNanos);
             if (timer instanceof QueuedTxn txn) {
                 onTimeout(txn, now);
             } else if (timer instanceof RetryReservation reservation) {
@@ -481,7 +483,7 @@
      * When to call {@link #nextDecision} again even without an event, or null if no timer is set.
      */
     public Duration nextWakeUp() {
-        long due = timers.nextDue();
+        long due = timers.nextPollNanos();
         return due < 0 ? null : Duration.ofNanos(due);
     }
 
@@ -547,7 +549,7 @@
     private void admit(QueuedTxn txn, int row, FairQueue queue, long nowNanos, Duration now) {
         double startTag = flows.startTags[row];
         queue.virtualTime = Math.max(queue.virtualTime, startTag);
-        txn.chargedWorkMs = workEstimates[txn.txnType].usual(now);
+        txn.chargedWorkMs = workEstimates[txn.txnType].meanMs(now);
         flows.admissionCounts[row] =
                 FairQueue.decayedCount(
                                 flows.admissionCounts[row],
@@ -674,7 +676,7 @@
         }
         reservationCount++;
         flows.reservationCounts[txn.flowRow]++;
-        timers.set(
+        timers.schedule(
                 reservation,
                 nowNanos + (long) (RESERVATION_WAIT_FACTOR * waitNanos) + RESERVATION_GRACE_NANOS);
         txn.client.reservation = reservation;
@@ -682,7 +684,7 @@
     }
 
     private Duration withJitter(Duration longest, double minShare) {
-        return Spans.times(longest, minShare + (1 - minShare) * random.nextDouble());
+        return Durations.scale(longest, minShare + (1 - minShare) * random.nextDouble());
     }
 
     private void releaseReservation(RetryReservation reservation) {
@@ -839,21 +841,21 @@
      * can still be committed in time.
      */
     private Duration maxQueueTime(TxnType txnType, Duration now, Duration timeLeft) {
-        Duration usualLatency = Spans.millis(usualLatencyMs(txnType.index(), now));
+        Duration usualLatency = Durations.ofMillis(usualLatencyMs(txnType.index(), now));
         Duration longest =
-                (txnType.lateShare() > 0 ? timeLeft : Spans.min(txnType.slaTime(), timeLeft))
+                (txnType.lateShare() > 0 ? timeLeft : Durations.min(txnType.slaTime(), timeLeft))
                         .minus(usualLatency);
         if (txnType.lateShare() == 0) {
-            longest = Spans.min(longest, txnType.slaTime().minus(usualLatency).dividedBy(2));
+            longest = Durations.min(longest, txnType.slaTime().minus(usualLatency).dividedBy(2));
         }
-        longest = Spans.times(longest, QUEUE_TIME_SHARE);
+        longest = Durations.scale(longest, QUEUE_TIME_SHARE);
         return drainDeadline == null
                 ? longest
-                : Spans.min(longest, drainDeadline.minus(now).minus(usualLatency));
+                : Durations.min(longest, drainDeadline.minus(now).minus(usualLatency));
     }
 
     private double usualLatencyMs(int txnType, Duration now) {
-        return latencyEstimates[txnType].usual(now);
+        return latencyEstimates[txnType].meanMs(now);
     }
 
     // ---- statistics ----
--- a/src/main/java/wingroad/door/QueuedTxn.java
+++ b/src/main/java/wingroad/door/QueuedTxn.java
@@ -1,6 +1,6 @@
 package wingroad.door;
 
-import wingroad.state.Wheel;
+import wingroad.state.TimingWheel;
 
 import java.time.Duration;
 
@@ -8,7 +8,7 @@
  * A txn in admission control, from its arrival to its final answer. Its timer expires when it has
  * been queued or in flight for too long.
  */
-public final class QueuedTxn extends Wheel.Timer {
+public final class QueuedTxn extends TimingWheel.Timer {
     /** Stages of a txn. */
     enum State {
         /** Waits for admission. */
--- a/src/main/java/wingroad/door/RetryReservation.java
+++ b/src/main/java/wingroad/door/RetryReservation.java
@@ -1,12 +1,12 @@
 package wingroad.door;
 
-import wingroad.state.Wheel;
+import wingroad.state.TimingWheel;
 
 /**
  * A time at which the client of a declined txn was told to retry. Until it is released it counts as
  * a claim of its flow on the queue. The timer expires if the client does not retry.
  */
-final class RetryReservation extends Wheel.Timer {
+final class RetryReservation extends TimingWheel.Timer {
     final int flowRow;
     final long retryAtNanos;
 
--- a/src/main/java/wingroad/driver/ListRelay.java
+++ b/src/main/java/wingroad/driver/ListRelay.java
@@ -1,18 +1,19 @@
 package wingroad.driver;
 
-import java.time.Duration;
-import java.util.ArrayList;
-import java.util.List;
-import java.util.Map;
-import java.util.function.Consumer;
 import wingroad.duty.RelayHealth;
-import wingroad.fleet.Fleet;
-import wingroad.fleet.FleetRules;
+import wingroad.fleet.FleetConfig;
+import wingroad.fleet.FleetNode;
 import wingroad.protocol.Json;
 import wingroad.protocol.MemberList;
 import wingroad.protocol.MemberList.Entry;
 import wingroad.transport.EventLoop;
 
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.function.Consumer;
+
 /**
  * Discovery asked by one driver for all: hands on what the owner finds, takes what is handed on,
  * and follows discovery itself whenever {@link RelayHealth} does not go by the owner. On the loop's
@@ -26,7 +27,7 @@
     private final Consumer<String> log;
     private final Duration look;
     private final RelayHealth relayHealth;
-    private Fleet fleet;
+    private FleetNode fleet;
     private long version;
     private boolean goesBy;
 
@@ -34,7 +35,7 @@
             EventLoop loop,
             Clock clock,
             Discovery discovery,
-            FleetRules rules,
+            FleetConfig rules,
             long known,
             Consumer<MemberList> learn,
             Consumer<String> log) {
@@ -43,25 +44,25 @@
         this.discovery = discovery;
         this.learn = learn;
         this.log = log;
-        look = rules.lease().beat().dividedBy(2);
+        look = rules.lease().heartbeatInterval().dividedBy(2);
         // Three of the owner's words may be lost; as long may it be behind what is known here.
         relayHealth =
                 new RelayHealth(
-                        rules.lease().beat().multipliedBy(3),
-                        rules.lease().beat().multipliedBy(3),
-                        rules.listCheck());
+                        rules.lease().heartbeatInterval().multipliedBy(3),
+                        rules.lease().heartbeatInterval().multipliedBy(3),
+                        rules.listCheckInterval());
         version = known;
-        relayHealth.found(known, clock.now());
+        relayHealth.onDirectFetch(known, clock.now());
     }
 
-    void begin(Fleet with) {
+    void begin(FleetNode with) {
         fleet = with;
         look();
     }
 
     /** A list that this driver has found by itself. */
     void found(MemberList list) {
-        relayHealth.found(list.version(), clock.now());
+        relayHealth.onDirectFetch(list.version(), clock.now());
         if (list.version() > version) {
             hand(version, list);
             version = list.version();
@@ -86,7 +87,7 @@
                                 e.primary()));
             }
             fleet.publish(
-                    FleetRules.LIST,
+                    FleetConfig.LIST_DUTY,
                     Map.of(
                             "since",
                             since,
@@ -101,7 +102,7 @@
 
     private void look() {
         Duration now = clock.now();
-        boolean by = relayHealth.goesByOwner(now);
+        boolean by = relayHealth.trustsOwner(now);
         if (by != goesBy) {
             goesBy = by;
             log.accept(
@@ -111,8 +112,8 @@
         }
         if (by) {
             discovery.followNoMore();
-            if (relayHealth.checkDue(now)) {
-                relayHealth.checks(now);
+            if (relayHealth.isCheckDue(now)) {
+                relayHealth.onCheckStarted(now);
                 discovery.fetch();
             }
         } else {
@@ -121,7 +122,8 @@
         if (fleet != null) {
             // That nothing is new is news as well: only so is a silent owner told from a quiet day.
             fleet.publish(
-                    FleetRules.LIST, Map.of("since", version, "rev", version, "whole", false));
+                    FleetConfig.LIST_DUTY,
+                    Map.of("since", version, "rev", version, "whole", false));
         }
         loop.after(look, this::look);
     }
@@ -159,19 +161,19 @@
                                 (Boolean) l.get(9)));
             }
         }
-        switch (relayHealth.told(
+        switch (relayHealth.onOwnerUpdate(
                 epoch,
                 Json.number(m, "since").longValue(),
                 rev,
                 whole,
                 m.containsKey("news"),
                 clock.now())) {
-            case TAKE -> {
+            case APPLY -> {
                 version = rev;
                 discovery.holds(rev);
                 learn.accept(new MemberList(rev, whole, entries));
             }
-            case ASK -> discovery.fetch();
+            case FETCH -> discovery.fetch();
             default -> {
                 // nothing new
             }
--- a/src/test/java/wingroad/door/AdmissionSimulation.java
+++ b/src/test/java/wingroad/door/AdmissionSimulation.java
@@ -1,6 +1,6 @@
 package wingroad.door;
 
-import wingroad.state.Submission.End;
+import wingroad.state.Submission.Outcome;
 
 import java.time.Duration;
 import java.util.ArrayList;
@@ -313,7 +313,7 @@
         fairQueues.onSubmissionEnded(
                 duration(nowMs),
                 connection.queuedTxn,
-                End.COMMITTED,
+                Outcome.COMMITTED,
                 duration(nowMs - submittedAtMs.remove(txnId)));
         fairQueues.onTxnClosed(duration(nowMs), connection.queuedTxn);
         schedule(nowMs, () -> connection.onAnswer(true, null));
--- a/src/test/java/wingroad/door/FairQueuesTest.java
+++ b/src/test/java/wingroad/door/FairQueuesTest.java
@@ -11,7 +11,7 @@
 
 import wingroad.door.AdmissionSimulation.SimulatedTenant;
 import wingroad.door.FairQueueSettings.TenantSettings;
-import wingroad.state.Submission.End;
+import wingroad.state.Submission.Outcome;
 
 import java.time.Duration;
 import java.util.ArrayList;
@@ -395,7 +395,7 @@
             if (!admitted.isEmpty() && nowMs % 50 == 0) {
                 for (QueuedTxn txn : admitted) {
                     simulation.fairQueues.onSubmissionEnded(
-                            duration(nowMs), txn, End.COMMITTED, duration(50));
+                            duration(nowMs), txn, Outcome.COMMITTED, duration(50));
                     simulation.fairQueues.onTxnClosed(duration(nowMs), txn);
                 }
                 admitted.clear();
@@ -427,7 +427,7 @@
         stuck.forEach(
                 txn -> {
                     simulation.fairQueues.onSubmissionEnded(
-                            duration(3000), txn, End.TIMED_OUT, duration(2900));
+                            duration(3000), txn, Outcome.TIMED_OUT, duration(2900));
                     simulation.fairQueues.onTxnClosed(duration(3000), txn);
                     simulation.fairQueues.onTxnClosed(duration(3000), txn);
                 });
--- a/src/test/java/wingroad/fleet/SimFleet.java
+++ b/src/test/java/wingroad/fleet/SimFleet.java
@@ -2,6 +2,11 @@
 
 import io.microraft.model.message.VoteRequest;
 import io.microraft.model.message.VoteResponse;
+
+import wingroad.duty.EpochFence;
+import wingroad.duty.Lease;
+import wingroad.duty.SessionLease;
+
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.nio.file.Path;
@@ -19,9 +24,6 @@
 import java.util.TreeMap;
 import java.util.function.BiConsumer;
 import java.util.function.Function;
-import wingroad.duty.Fence;
-import wingroad.duty.Lease;
-import wingroad.duty.SessionLease;
 
 /**
  * A fleet in virtual time: the program's own code on played clocks, links and disks, with faults
@@ -60,7 +62,7 @@
     /** Work on machines, or null. */
     SimWork work;
 
-    private final List<FleetRules.Chore> chores = new ArrayList<>();
+    private final List<FleetConfig.Chore> chores = new ArrayList<>();
     private final PriorityQueue<Event> events = new PriorityQueue<>();
     private final List<Pipe> pipes = new ArrayList<>();
 
@@ -86,7 +88,7 @@
             voters.put(name(i), name(i));
         }
         for (int i = 0; i < duties; i++) {
-            chores.add(new FleetRules.Chore("c" + i, every, 7, "SELECT f({epoch})"));
+            chores.add(new FleetConfig.Chore("c" + i, every, 7, "SELECT f({epoch})"));
         }
         for (int i = 0; i < drivers; i++) {
             Proc p = new Proc(name(i));
@@ -123,7 +125,7 @@
     }
 
     /** The process whose state folder this was goes on. */
-    final class Proc implements Host {
+    final class Proc implements ExecutionContext {
         final String name;
         MemoryRowStore rows = new MemoryRowStore();
         MemoryRowStore backup;
@@ -138,8 +140,8 @@
         private final long offset = random.nextInt(1_000_000_000);
         private final ArrayDeque<Runnable> waiting = new ArrayDeque<>();
         ConsensusNode consensusNode;
-        CouncilSession councilSession;
-        Chores work;
+        DriverSession councilSession;
+        ChoreScheduler work;
 
         Proc(String name) {
             this.name = name;
@@ -151,8 +153,8 @@
             waiting.clear();
             life++;
             Map<String, String> reach = new LinkedHashMap<>(voters);
-            FleetRules rules =
-                    new FleetRules(
+            FleetConfig rules =
+                    new FleetConfig(
                             "f",
                             name,
                             voters.get(name),
@@ -162,7 +164,7 @@
                             chores,
                             null,
                             SimFleet.this.work == null ? null : SimFleet.this.work.rules);
-            Net net = (address, owner) -> open(this, address, owner);
+            MessageTransport net = (address, owner) -> open(this, address, owner);
             consensusNode = null;
             if (voters.containsKey(name)) {
                 try {
@@ -181,14 +183,14 @@
                     throw new UncheckedIOException(e);
                 }
                 consensusNode.start();
-                after(Duration.ofSeconds(2), this::watch);
+                schedule(Duration.ofSeconds(2), this::watch);
             }
             Function<String, SessionLease> sessionLeases =
                     wrong == Wrong.LEASE_FROM_ANSWER
                             ? s -> new FromAnswer(rules.lease(), s)
                             : s -> new SessionLease(rules.lease(), s);
             councilSession =
-                    new CouncilSession(
+                    new DriverSession(
                             this,
                             net,
                             rules,
@@ -196,9 +198,9 @@
                             () -> Long.toHexString(random.nextLong()),
                             sessionLeases,
                             (epoch, what) -> {});
-            work = new Chores(this, rules, councilSession, this::effect);
+            work = new ChoreScheduler(this, rules, councilSession, this::effect);
             if (SimFleet.this.work != null) {
-                councilSession.work(SimFleet.this.work.agent(this));
+                councilSession.setPlanListener(SimFleet.this.work.agent(this));
             }
             councilSession.start(work);
         }
@@ -216,12 +218,12 @@
             if (consensusNode.phase() == ConsensusNode.Phase.BROKEN && !rows.full) {
                 readAgain();
             }
-            after(Duration.ofSeconds(2), this::watch);
+            schedule(Duration.ofSeconds(2), this::watch);
         }
 
         void readAgain() {
             try {
-                consensusNode.resume();
+                consensusNode.reloadState();
             } catch (IOException e) {
                 throw new UncheckedIOException(e);
             }
@@ -243,13 +245,18 @@
 
         /** As a voter that does not write its vote down. */
         private void forgetVote() {
-            byte[] row = rows.all(RowStore.Table.META).get(3L);
+            byte[] row = rows.readAll(RowStore.Table.META).get(3L);
             if (row != null) {
-                Map<String, Object> t = Cbor.map(java.util.Arrays.copyOfRange(row, 4, row.length));
+                Map<String, Object> t =
+                        Cbor.decode(java.util.Arrays.copyOfRange(row, 4, row.length));
                 byte[] body =
-                        Cbor.write(
+                        Cbor.encode(
                                 MessageCodec.message(
-                                        "t", "term", MessageCodec.number(t, "term"), "voted", ""));
+                                        "t",
+                                        "term",
+                                        MessageCodec.longOrZero(t, "term"),
+                                        "voted",
+                                        ""));
                 java.util.zip.CRC32C sum = new java.util.zip.CRC32C();
                 sum.update(body, 0, body.length);
                 try {
@@ -307,17 +314,17 @@
         }
 
         @Override
-        public long wall() {
+        public long wallClockMs() {
             return 1_700_000_000_000L + now / 1_000_000;
         }
 
         @Override
-        public void run(Runnable task) {
+        public void execute(Runnable task) {
             task(now, task);
         }
 
         @Override
-        public void after(Duration wait, Runnable task) {
+        public void schedule(Duration wait, Runnable task) {
             task(now + (long) (wait.toNanos() / rate), task);
         }
 
@@ -328,9 +335,13 @@
 
         /** The clock is read, and then anything may happen before the effect is out. */
         private void effect(
-                FleetRules.Chore chore, long epoch, long turn, Duration until, Runner.Ended ended) {
+                FleetConfig.Chore chore,
+                long epoch,
+                long turn,
+                Duration until,
+                ChoreRunner.Completion ended) {
             if (now().compareTo(until) >= 0) {
-                ended.ended("not begun: no lease");
+                ended.completed("not begun: no lease");
                 return;
             }
             if (random.nextInt(40) == 0) {
@@ -349,9 +360,11 @@
                                     String outcome =
                                             receiver.effect(chore.duty(), epoch, turn, name);
                                     if (mine == life && !held.contains("member>" + name)) {
-                                        task(now + 500_000, () -> ended.ended(outcome));
+                                        task(now + 500_000, () -> ended.completed(outcome));
                                     } else if (mine == life) {
-                                        task(now + 2_000_000_000L, () -> ended.ended("unknown"));
+                                        task(
+                                                now + 2_000_000_000L,
+                                                () -> ended.completed("unknown"));
                                     }
                                 });
                     };
@@ -382,21 +395,21 @@
         }
 
         @Override
-        protected Duration from(Duration askedAt, Duration heardAt) {
+        protected Duration leaseStart(Duration askedAt, Duration heardAt) {
             return heardAt;
         }
     }
 
     /** What effects come to: a fence, and a ledger of what was accepted. */
     final class Receiver {
-        private final Fence fence = new Fence();
+        private final EpochFence fence = new EpochFence();
         private final Map<String, Long> highest = new HashMap<>();
         private final Map<String, String> turns = new HashMap<>();
         private final Map<Long, String> epochs = new HashMap<>();
         int accepted;
 
         String effect(String duty, long epoch, long turn, String who) {
-            fence.raise(duty, 0);
+            fence.advance(duty, 0);
             if (wrong != Wrong.NO_FENCE && !fence.admits(duty, epoch)) {
                 lateRefused++;
                 return "refused: epoch " + epoch + " is over";
@@ -436,7 +449,8 @@
 
     // ---- links ----
 
-    private Net.Wire open(Proc from, String address, Net.Owner owner) {
+    private MessageTransport.Channel open(
+            Proc from, String address, MessageTransport.ChannelHandler owner) {
         Pipe p = new Pipe(from, address, owner);
         pipes.add(p);
         return p.near;
@@ -450,7 +464,7 @@
         End far;
         boolean open = true;
 
-        Pipe(Proc from, String to, Net.Owner owner) {
+        Pipe(Proc from, String to, MessageTransport.ChannelHandler owner) {
             this.from = from;
             this.to = to;
             near = new End(from, owner, this);
@@ -461,15 +475,15 @@
                             from.task(now + 300_000, () -> near.ends("refused"));
                             return;
                         }
-                        far = new End(p, p.consensusNode.guest(), this);
-                        p.task(now, () -> far.owner.up(far));
+                        far = new End(p, p.consensusNode.newInboundHandler(), this);
+                        p.task(now, () -> far.owner.connected(far));
                         far.send0(
                                 () ->
                                         from.task(
                                                 now,
                                                 () -> {
                                                     if (open) {
-                                                        owner.up(near);
+                                                        owner.connected(near);
                                                     }
                                                 }));
                     });
@@ -491,16 +505,16 @@
         }
     }
 
-    private final class End implements Net.Wire {
+    private final class End implements MessageTransport.Channel {
         final Proc proc;
-        final Net.Owner owner;
+        final MessageTransport.ChannelHandler owner;
         final Pipe pipe;
         final ArrayDeque<Runnable> queue = new ArrayDeque<>();
         private final int life;
         long free;
         boolean closed;
 
-        End(Proc proc, Net.Owner owner, Pipe pipe) {
+        End(Proc proc, MessageTransport.ChannelHandler owner, Pipe pipe) {
             this.proc = proc;
             this.life = proc.life;
             this.owner = owner;
@@ -536,7 +550,7 @@
 
         @Override
         public void send(Map<String, Object> message) {
-            byte[] text = Cbor.write(message);
+            byte[] text = Cbor.encode(message);
             messages++;
             bytes += text.length + 4;
             if (!closed && pipe.open) {
@@ -549,7 +563,7 @@
                                         now,
                                         () -> {
                                             if (!to.closed && to.proc.life == to.life) {
-                                                to.owner.message(to, Cbor.map(text));
+                                                to.owner.received(to, Cbor.decode(text));
                                             }
                                         });
                             }
@@ -563,7 +577,7 @@
                 closed = true;
                 pipe.open = false;
                 pipes.remove(pipe);
-                owner.ended(this, how);
+                owner.closed(this, how);
             }
         }
 
@@ -583,7 +597,7 @@
 
     /** No endpoint may vote for two in one term. */
     private void watch(Map<String, Object> message, String to) {
-        if (MessageCodec.text(message, "k").equals("raft")) {
+        if (MessageCodec.stringOrEmpty(message, "k").equals("raft")) {
             Object m = MessageCodec.message(cast(message.get("m")));
             if (m instanceof VoteRequest r) {
                 vote(
@@ -617,7 +631,7 @@
         play(8000);
         Proc leader =
                 procs.values().stream()
-                        .filter(p -> p.consensusNode != null && p.consensusNode.leads())
+                        .filter(p -> p.consensusNode != null && p.consensusNode.isLeader())
                         .findFirst()
                         .orElseThrow();
         leader.kill();
@@ -673,12 +687,12 @@
 
     /** At any time at most one process may act under a duty, by its own clock. */
     void checkLeases() {
-        for (FleetRules.Chore c : chores) {
+        for (FleetConfig.Chore c : chores) {
             String one = null;
             for (Proc p : procs.values()) {
                 if (p.alive && p.councilSession != null) {
                     SessionLease t = p.councilSession.sessionLease();
-                    SessionLease.Held h = t.known(c.duty());
+                    SessionLease.DutyState h = t.current(c.duty());
                     if (h != null && t.mayAct(c.duty(), h.epoch(), p.now())) {
                         if (one != null) {
                             breaks(
@@ -706,13 +720,13 @@
             if (p.alive
                     && p.consensusNode != null
                     && (best == null
-                            || p.consensusNode.register().revision()
-                                    > best.register().revision())) {
+                            || p.consensusNode.stateMachine().revision()
+                                    > best.stateMachine().revision())) {
                 best = p.consensusNode;
             }
         }
         if (best != null) {
-            best.register().duties().forEach(d -> owners.put(d.name(), d.owner()));
+            best.stateMachine().duties().forEach(d -> owners.put(d.name(), d.owner()));
         }
         return owners;
     }
@@ -841,7 +855,7 @@
                                 p ->
                                         p.alive
                                                 && p.consensusNode != null
-                                                && p.consensusNode.leads()
+                                                && p.consensusNode.isLeader()
                                                 && ((List<?>)
                                                                         p.consensusNode
                                                                                 .status()
