--- a/src/main/java/wingroad/door/FairQueue.java
+++ b/src/main/java/wingroad/door/FairQueue.java
@@ -12,6 +12,7 @@
      */
     static final int MAX_PENDING_PER_TXN_TYPE = 2;
 
+    /** Half-life of the decaying counts that admission rates are measured with. */
     private static final double RATE_HALF_LIFE_NANOS = 400e6;
 
     /** A queue without progress for this multiple of the mean latency is stalled. */
@@ -42,6 +43,7 @@
     /** The largest start tag of an admitted txn. */
     double virtualTime;
 
+    /** The largest finish tag of an admitted txn, at its estimated work. */
     double maxFinishTag;
 
     /** Finish tags of evicted flows, or null if there were none. */
@@ -109,7 +111,7 @@
         return false;
     }
 
-    /** Whether the concurrency limit allows to admit another txn. */
+    /** Whether the concurrency limit allows another txn to be admitted. */
     boolean hasCapacity() {
         return inFlight + pendingCount < concurrencyLimit.currentLimit();
     }
@@ -170,6 +172,7 @@
         return decayedCount * LN2 / RATE_HALF_LIFE_NANOS * NANOS_PER_SECOND;
     }
 
+    /** Memory used by the queue, without flows and queued txns. */
     int memoryBytes() {
         int total = FIXED_MEMORY_BYTES + (evictedTags == null ? 0 : evictedTags.memoryBytes());
         for (TagHeap heap : flowHeaps) {
--- a/src/main/java/wingroad/door/FairQueues.java
+++ b/src/main/java/wingroad/door/FairQueues.java
@@ -65,13 +65,15 @@
     private static final long EARLY_RETRY_TOLERANCE_NANOS = 5_000_000;
 
     /**
-     * A reservation is released at this multiple of the wait until the retry, plus {@link
+     * An unused reservation is released at this multiple of the wait until the retry, plus {@link
      * #RESERVATION_GRACE_NANOS}.
      */
     private static final double RESERVATION_WAIT_FACTOR = 1.25;
 
+    /** Added to the time at which an unused reservation is released. */
     private static final long RESERVATION_GRACE_NANOS = 30_000_000;
 
+    /** Outstanding reservations over all flows; without one, a retry time is not predicted. */
     private static final int MAX_RESERVATIONS = 1024;
 
     /** Relative random addition to the predicted wait, so that clients don't retry all at once. */
