--- /dev/null
+++ b/src/main/java/wingroad/driver/ClientFrontend.java
@@ -0,0 +1,415 @@
+package wingroad.driver;
+
+import static wingroad.state.Durations.min;
+
+import wingroad.door.ClientContext;
+import wingroad.door.FairQueueSettings;
+import wingroad.protocol.ClientInput;
+import wingroad.protocol.Statement;
+import wingroad.transport.EventLoop;
+import wingroad.transport.Listener;
+
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.function.IntPredicate;
+
+/**
+ * Accepts client connections, bounds their number, and hands their txns to the dispatcher with the
+ * txn type and group that they name.
+ */
+final class ClientFrontend {
+    /** The startup parameters that may name a client's tenant. */
+    private static final Set<String> TENANT_PARAMETERS =
+            Set.of("user", "database", "application_name");
+
+    /** Longer names of tenants are cut to this length. */
+    private static final int MAX_NAME_CHARS = 128;
+
+    private static final Duration TIMEOUT_CHECK_INTERVAL = Duration.ofMillis(100);
+
+    /**
+     * Clients may hold a third of the descriptors; idle connections above a quarter are closed, so
+     * that no client is left without a connection.
+     */
+    private static final int CLIENT_CHANNELS_DIVISOR = 4;
+
+    /** An eighth of the descriptors is reserved for members. */
+    private static final int MEMBER_RESERVE_DIVISOR = 8;
+
+    /** What a connection's input may buffer beyond the longest message. */
+    private static final int BUFFER_MARGIN_BYTES = 1024;
+
+    /**
+     * When descriptors run out, a connection that has sent no startup message for this long is
+     * closed first.
+     */
+    private static final Duration SILENT_CLIENT_GRACE = Duration.ofMillis(50);
+
+    private final EventLoop loop;
+    private final TxnDispatcher dispatcher;
+    private final Counters counters;
+    private final List<String> typeNames;
+    private final boolean[] isUpdateType;
+    private final boolean[] readsOwnWrites;
+    private final boolean tracksSessions;
+    private final Duration longestExpiry;
+    private final IntPredicate isKnownGroup;
+
+    /** Ordered by the time of their last answer, the least recent first. */
+    private final LinkedHashSet<ClientConnection> connections = new LinkedHashSet<>();
+
+    /** The ids of statements with the time at which each may be used again; rejects duplicates. */
+    private final Map<String, Duration> idsInUse = new HashMap<>();
+
+    /** Says where tenants' names are found, or null if tenants are not told apart. */
+    private FairQueueSettings fairQueueSettings;
+
+    private Listener listener;
+    private int lastConnectionNumber;
+    private boolean closing;
+
+    /** {@link #finishAll} was called: a connection accepted later is finished at once. */
+    private boolean allFinished;
+
+    /** Idle connections are not closed, see {@link #keepIdleConnections}. */
+    private boolean keepIdleOpen;
+
+    ClientFrontend(
+            EventLoop loop,
+            TxnDispatcher dispatcher,
+            Counters counters,
+            List<String> typeNames,
+            Map<String, Object> terms,
+            IntPredicate isKnownGroup) {
+        this.loop = loop;
+        this.dispatcher = dispatcher;
+        this.counters = counters;
+        this.typeNames = typeNames;
+        this.isKnownGroup = isKnownGroup;
+        this.isUpdateType = new boolean[typeNames.size()];
+        this.readsOwnWrites = new boolean[typeNames.size()];
+        boolean anyReadsOwnWrites = false;
+        Duration longestFound = Duration.ZERO;
+        for (int i = 0; i < typeNames.size(); i++) {
+            Object reads = terms.get("txn-type." + i + ".reads");
+            isUpdateType[i] = "update".equals(reads);
+            readsOwnWrites[i] = "own-writes".equals(reads);
+            anyReadsOwnWrites |= readsOwnWrites[i];
+            Duration expiry = (Duration) terms.get("txn-type." + i + ".expiry");
+            longestFound = expiry.compareTo(longestFound) > 0 ? expiry : longestFound;
+        }
+        this.tracksSessions = anyReadsOwnWrites;
+        this.longestExpiry = longestFound;
+    }
+
+    /** Binds the address and accepts clients at once. */
+    void listen(InetSocketAddress address) throws IOException {
+        bind(address);
+        startAccepting();
+    }
+
+    /** Binds the address; clients wait in the backlog until {@link #startAccepting}. */
+    void bind(InetSocketAddress address) throws IOException {
+        listener =
+                new Listener(
+                        loop,
+                        address,
+                        ClientInput.MOST + BUFFER_MARGIN_BYTES,
+                        this::mayAccept,
+                        accepted -> {
+                            ClientConnection connection =
+                                    new ClientConnection(
+                                            this, dispatcher.now(), ++lastConnectionNumber);
+                            connections.add(connection);
+                            connection.begin(accepted.apply(connection));
+                            if (allFinished) {
+                                // Accepted while all other connections were being finished.
+                                connection.finish();
+                            }
+                        });
+    }
+
+    void startAccepting() {
+        listener.again();
+        checkTimeouts();
+    }
+
+    /** Passes the caller along with each txn from now on, identified as these settings say. */
+    void identifyCallers(FairQueueSettings settings) {
+        fairQueueSettings = settings;
+    }
+
+    /**
+     * The caller of a connection, with those startup parameters that may name a tenant; null if
+     * tenants are not told apart.
+     */
+    ClientContext caller(String address, byte[] startup) {
+        if (fairQueueSettings == null) {
+            return null;
+        }
+        Map<String, String> parameters = ClientInput.parameters(startup);
+        parameters.keySet().retainAll(TENANT_PARAMETERS);
+        parameters.replaceAll(
+                (name, value) -> value.substring(0, Math.min(value.length(), MAX_NAME_CHARS)));
+        return new ClientContext(address, parameters);
+    }
+
+    /** The tenant's name for this txn, or null if the client's address stands for it. */
+    private String tenantName(Statement statement, ClientContext caller) {
+        for (FairQueueSettings.TenantNameSource source : fairQueueSettings.tenantNameSources()) {
+            String name =
+                    switch (source.type()) {
+                        case COMMENT -> statement.named(source.parameterName());
+                        case STARTUP -> caller.startupParameter(source.parameterName());
+                        case ADDRESS -> null;
+                    };
+            if (name != null) {
+                return name.substring(0, Math.min(name.length(), MAX_NAME_CHARS));
+            }
+        }
+        return null;
+    }
+
+    private void checkTimeouts() {
+        Duration now = dispatcher.now();
+        for (ClientConnection connection : new ArrayList<>(connections)) {
+            connection.checkTimeouts(now);
+        }
+        idsInUse.values().removeIf(expiresAt -> expiresAt.compareTo(now) <= 0);
+        loop.after(TIMEOUT_CHECK_INTERVAL, this::checkTimeouts);
+    }
+
+    void after(Duration delay, Runnable task) {
+        loop.after(delay, task);
+    }
+
+    Duration now() {
+        return dispatcher.now();
+    }
+
+    InetSocketAddress localAddress() throws IOException {
+        return listener.at();
+    }
+
+    /**
+     * Whether another client may be accepted. If only the members' reserve of descriptors is left,
+     * the longest idle client connection is closed, then an idle member connection. If there is
+     * neither, clients are accepted from half of that reserve, but only to be declined.
+     */
+    private boolean mayAccept() {
+        return !isOutOfChannels() || loop.channelsLeft() > 0;
+    }
+
+    /** Whether only the members' reserve of descriptors is left and no connection is idle. */
+    private boolean isOutOfChannels() {
+        while (loop.channelsLeft() <= loop.mostChannels() / MEMBER_RESERVE_DIVISOR) {
+            if (!closeIdleConnection() && !dispatcher.closeSpareMemberConnection()) {
+                return true;
+            }
+        }
+        return false;
+    }
+
+    /**
+     * Closes a dispensable connection, or else the longest idle one; returns false if there is
+     * none. A connection that was started but has not queried yet is kept, since its first query
+     * may be on the way.
+     */
+    boolean closeIdleConnection() {
+        Duration now = dispatcher.now();
+        ClientConnection longestIdle = null;
+        for (ClientConnection connection : connections) {
+            if (connection.isDispensable(now, SILENT_CLIENT_GRACE)) {
+                counters.count("unused client connection closed to free a descriptor");
+                connection.close();
+                return true;
+            }
+            longestIdle =
+                    (longestIdle == null || longestIdle.inCommand())
+                                    && connection.hasQueried()
+                                    && !connection.busy()
+                                    && !(longestIdle != null && connection.inCommand())
+                            ? connection
+                            : longestIdle;
+        }
+        if (longestIdle != null) {
+            counters.count("idle client connection closed to free a descriptor");
+            longestIdle.close();
+        }
+        return longestIdle != null;
+    }
+
+    /**
+     * Why a statement does not fit this deployment, as the text for the client; null if it does.
+     */
+    String rejectionReason(Statement statement) {
+        int typeIndex = typeNames.indexOf(statement.type());
+        return typeIndex < 0
+                ? "unknown c"
+                : !isKnownGroup.test(statement.group())
+                        ? "unknown cluster"
+                        : statement.writes() && !isUpdateType[typeIndex]
+                                ? "a write as a type that reads"
+                                : idsInUse.containsKey(statement.id()) ? "an id in use" : null;
+    }
+
+    /**
+     * Hands a statement to the dispatcher. Returns the txn's name, or null if it must be declined
+     * at once because descriptors are exhausted.
+     */
+    String submit(Statement statement, ClientConnection connection) {
+        if (isOutOfChannels()) {
+            return null;
+        }
+        int typeIndex = typeNames.indexOf(statement.type());
+        idsInUse.put(
+                statement.id(),
+                dispatcher.now().plus(min(Duration.ofMillis(statement.left()), longestExpiry)));
+        long sessionId =
+                tracksSessions && (isUpdateType[typeIndex] || readsOwnWrites[typeIndex])
+                        ? statement.session()
+                        : TxnDispatcher.NO_SESSION;
+        ClientContext caller = connection.caller();
+        return caller == null || fairQueueSettings == null
+                ? dispatcher.txnArrived(statement, typeIndex, sessionId, connection)
+                : dispatcher.txnArrived(
+                        statement,
+                        typeIndex,
+                        sessionId,
+                        connection,
+                        caller,
+                        tenantName(statement, caller));
+    }
+
+    /** Drops the txn of a client that has disconnected. */
+    void abandon(String txn, String statementId) {
+        counters.count("client disconnected before its answer");
+        if (dispatcher.abandon(txn)) {
+            // No member has seen it, so the client may send it again at once under the same id.
+            idsInUse.remove(statementId);
+        }
+    }
+
+    /** The connection has taken its answer and waits for its next command. */
+    void becameIdle(ClientConnection connection) {
+        connections.remove(connection);
+        connections.add(connection);
+        limitIdleConnections();
+        listener.again();
+    }
+
+    /**
+     * Closes the longest idle connection if clients hold more than their share of the descriptors,
+     * see {@link #CLIENT_CHANNELS_DIVISOR}. Guards against clients that query once and stay
+     * connected, which would leave no descriptors to others.
+     */
+    private void limitIdleConnections() {
+        int queriedCount = 0;
+        ClientConnection longestIdle = null;
+        for (ClientConnection connection :
+                connections.size() > loop.mostChannels() / CLIENT_CHANNELS_DIVISOR
+                        ? connections
+                        : List.<ClientConnection>of()) {
+            queriedCount += connection.hasQueried() && !connection.finishing() ? 1 : 0;
+            longestIdle =
+                    longestIdle == null
+                                    && connection.hasQueried()
+                                    && !connection.finishing()
+                                    && !connection.busy()
+                                    && !connection.inCommand()
+                            ? connection
+                            : longestIdle;
+        }
+        if (longestIdle != null && queriedCount > loop.mostChannels() / CLIENT_CHANNELS_DIVISOR) {
+            counters.count("idle client connection closed over the limit");
+            longestIdle.finish();
+        }
+    }
+
+    void connectionClosed(ClientConnection connection) {
+        connections.remove(connection);
+        if (listener != null) {
+            listener.again();
+        }
+    }
+
+    /** Counts bytes against the driver's memory limit; a negative count releases them. */
+    void reserveBytes(int byteCount) {
+        loop.hold(byteCount);
+    }
+
+    void count(String name) {
+        counters.count(name);
+    }
+
+    boolean closing() {
+        return closing;
+    }
+
+    Duration longestExpiry() {
+        return longestExpiry;
+    }
+
+    /**
+     * Stops closing idle connections by timeout. While the program is stopping, their clients may
+     * find no other driver.
+     */
+    void keepIdleConnections() {
+        keepIdleOpen = true;
+    }
+
+    boolean mayStayIdle() {
+        return keepIdleOpen && !closing;
+    }
+
+    /** Finishes each connection once it is between txns; new ones are still accepted. */
+    void beginClosing() {
+        closing = true;
+        for (ClientConnection connection : new ArrayList<>(connections)) {
+            if (connection.hasQueried() && !connection.busy() && !connection.inCommand()) {
+                connection.finish();
+            }
+        }
+    }
+
+    /** Accepts no more clients. */
+    void stopListening() {
+        listener.close();
+    }
+
+    /**
+     * Shuts down the output of all open connections; each is closed once its client has ended its
+     * side as well. Guards against an exit with unread input, for which the system would reset the
+     * connection and lose the last answer.
+     */
+    void finishAll() {
+        closing = true;
+        allFinished = true;
+        for (ClientConnection connection : new ArrayList<>(connections)) {
+            if (!connection.finishing()) {
+                connection.finish();
+            }
+        }
+    }
+
+    /** Whether no connection has anything to be answered, written or read. */
+    boolean isIdle() {
+        for (ClientConnection connection : connections) {
+            if (connection.busy() || connection.inCommand()) {
+                return false;
+            }
+        }
+        return true;
+    }
+
+    int connectionCount() {
+        return connections.size();
+    }
+}
--- a/src/main/java/wingroad/driver/MemberConnection.java
+++ b/src/main/java/wingroad/driver/MemberConnection.java
@@ -1,6 +1,6 @@
 package wingroad.driver;
 
-import wingroad.driver.Exchange.MemberRequest;
+import wingroad.driver.TxnDispatcher.MemberRequest;
 import wingroad.protocol.MemberInput;
 import wingroad.protocol.MemberOutput;
 import wingroad.state.Submission.Outcome;
@@ -12,61 +12,78 @@
 import java.nio.ByteBuffer;
 import java.time.Duration;
 
-/** One connection to a member. It carries one request at a time; whatever is in doubt closes it. */
+/**
+ * One connection to a member. It carries one request at a time, and is closed whenever the state of
+ * its stream is in doubt.
+ */
 final class MemberConnection implements Connection.Owner {
-    private enum Stage {
+    private enum State {
         CONNECTING,
-        STARTING,
-        RESTING,
+        /** The startup message is sent and not answered yet. */
+        STARTING_UP,
+        /**
+         * Idle for less than {@link MemberPools}' reuse delay; it may have a request that waits.
+         */
+        REUSE_DELAYED,
         IDLE,
-        SENT,
+        AWAITING_RESPONSE,
         CLOSED
     }
 
-    private final Members side;
-    private final Members.MemberPool pool;
-    private final InetSocketAddress to;
+    /** What the input may buffer beyond its longest message. */
+    private static final int BUFFER_MARGIN_BYTES = 1024;
+
+    private final MemberPools pools;
+    private final MemberPools.MemberPool pool;
+    private final InetSocketAddress address;
     private final EventLoop loop;
     private final MemberInput input = new MemberInput();
     private Connection connection;
-    private Stage stage = Stage.CONNECTING;
+    private State state = State.CONNECTING;
     private MemberRequest request;
 
-    /** Since when it carries its request, or stands idle. */
-    private Duration since;
+    /** Since when it has had its request, or since when it has been idle. */
+    private Duration requestOrIdleSince;
 
-    /** Whether the request's last byte is known to be written. */
+    /** Whether all bytes of the request are known to be written. */
     private boolean written;
 
-    /** Its request is not wanted any more; that is told in a moment. */
-    private boolean calledOff;
+    /** The request is cancelled; its end will be reported in a later task. */
+    private boolean cancelled;
 
-    private EventLoop.Timer startTimer;
+    private EventLoop.Timer connectTimer;
     private EventLoop.Timer requestTimer;
     private EventLoop.Timer idleTimer;
 
     private MemberConnection(
-            Members side, Members.MemberPool pool, InetSocketAddress to, EventLoop loop) {
-        this.side = side;
+            MemberPools pools,
+            MemberPools.MemberPool pool,
+            InetSocketAddress address,
+            EventLoop loop) {
+        this.pools = pools;
         this.pool = pool;
-        this.to = to;
+        this.address = address;
         this.loop = loop;
     }
 
-    /** Opens one for a request, which waits until the member has let it in. */
+    /** Opens a connection for a request, which is sent once the member has accepted the startup. */
     static MemberConnection open(
-            Members side,
-            Members.MemberPool pool,
-            InetSocketAddress to,
+            MemberPools pools,
+            MemberPools.MemberPool pool,
+            InetSocketAddress address,
             EventLoop loop,
-            Duration wait,
-            MemberRequest first)
+            Duration connectTimeout,
+            MemberRequest firstRequest)
             throws IOException {
-        MemberConnection m = new MemberConnection(side, pool, to, loop);
-        m.connection = Connection.open(loop, to, m, MemberInput.MOST + 1024);
-        m.startTimer = loop.after(wait, () -> m.giveUp("not up in time", Outcome.UNREACHABLE));
-        m.takeOn(first);
-        return m;
+        MemberConnection opened = new MemberConnection(pools, pool, address, loop);
+        opened.connection =
+                Connection.open(loop, address, opened, MemberInput.MOST + BUFFER_MARGIN_BYTES);
+        opened.connectTimer =
+                loop.after(
+                        connectTimeout,
+                        () -> opened.abandonRequest("connect timed out", Outcome.UNREACHABLE));
+        opened.assign(firstRequest);
+        return opened;
     }
 
     MemberRequest request() {
@@ -74,74 +91,74 @@
     }
 
     Duration idleSince() {
-        return since;
+        return requestOrIdleSince;
     }
 
-    private void takeOn(MemberRequest e) {
-        request = e;
-        calledOff = false;
-        since = side.now();
+    private void assign(MemberRequest newRequest) {
+        request = newRequest;
+        cancelled = false;
+        requestOrIdleSince = pools.now();
         requestTimer =
                 loop.after(
-                        e.until().minus(since),
-                        () -> giveUp("no answer in time", progress().timedOut()));
+                        newRequest.deadline().minus(requestOrIdleSince),
+                        () -> abandonRequest("response timed out", progress().endIfTimedOut()));
     }
 
-    /** Carries a request over a connection that stands idle, or once it has rested. */
-    void dispatch(MemberRequest e) {
+    /** Sends a request on an idle connection, at once or after the reuse delay. */
+    void dispatch(MemberRequest newRequest) {
         idleTimer.cancel();
-        takeOn(e);
-        if (stage == Stage.IDLE) {
-            sendOut();
+        assign(newRequest);
+        if (state == State.IDLE) {
+            sendRequest();
         }
     }
 
-    boolean rested() {
-        return stage == Stage.IDLE;
+    boolean isReusable() {
+        return state == State.IDLE;
     }
 
     /**
-     * Nothing came behind its last answer: what comes from now on belongs to what is sent from now
-     * on.
+     * Makes the connection reusable. No surplus data followed the last response, so whatever
+     * arrives from now on belongs to the next request.
      */
-    void hasRested() {
-        if (stage == Stage.RESTING) {
-            stage = Stage.IDLE;
+    void reuseDelayElapsed() {
+        if (state == State.REUSE_DELAYED) {
+            state = State.IDLE;
             if (request != null) {
-                sendIfStillToGo();
+                sendIfStillWanted();
             }
         }
     }
 
-    private void sendOut() {
-        stage = Stage.SENT;
+    private void sendRequest() {
+        state = State.AWAITING_RESPONSE;
         written = false;
-        long left = Math.max(1, request.until().minus(side.now()).toMillis());
+        long timeLeftMs = Math.max(1, request.deadline().minus(pools.now()).toMillis());
         connection.send(
-                request.probe()
+                request.isProbe()
                         ? MemberOutput.gauges()
-                        : MemberOutput.query(request.statement().withLeft(left)));
+                        : MemberOutput.query(request.statement().withLeft(timeLeftMs)));
     }
 
     @Override
     public void up() {
-        stage = Stage.STARTING;
+        state = State.STARTING_UP;
         connection.send(MemberOutput.startup());
     }
 
     @Override
     public void written() {
-        written = stage == Stage.SENT;
+        written = state == State.AWAITING_RESPONSE;
     }
 
     @Override
     public void bytes(ByteBuffer in) {
-        while (stage != Stage.CLOSED) {
-            if (stage == Stage.IDLE || stage == Stage.RESTING) {
+        while (state != State.CLOSED) {
+            if (state == State.IDLE || state == State.REUSE_DELAYED) {
                 if (in.hasRemaining()) {
-                    drop(
-                            "speaks unasked "
-                                    + (stage == Stage.IDLE ? "at rest" : "behind an answer"));
+                    failProtocol(
+                            "unexpected data "
+                                    + (state == State.IDLE ? "while idle" : "after a response"));
                 }
                 return;
             }
@@ -149,82 +166,82 @@
                 case WAITING -> {
                     return;
                 }
-                case WHOLE -> answered();
+                case WHOLE -> responseReceived();
                 default -> {
-                    drop(input.why());
+                    failProtocol(input.why());
                     return;
                 }
             }
         }
     }
 
-    private void answered() {
-        boolean over = input.fatal();
-        if (stage == Stage.STARTING && input.error() == null) {
-            startTimer.cancel();
+    private void responseReceived() {
+        boolean fatal = input.fatal();
+        if (state == State.STARTING_UP && input.error() == null) {
+            connectTimer.cancel();
             input.clear();
-            sendIfStillToGo();
+            sendIfStillWanted();
             return;
         }
-        if (stage == Stage.STARTING) {
-            drop("lets nobody in");
+        if (state == State.STARTING_UP) {
+            failProtocol("startup rejected");
             return;
         }
-        MemberRequest e = request;
-        Duration took = side.now().minus(since);
+        MemberRequest answeredRequest = request;
+        Duration elapsed = pools.now().minus(requestOrIdleSince);
         requestTimer.cancel();
         request = null;
-        Answer answer = answer(e);
+        MemberResponse response = parseResponse(answeredRequest);
         input.clear();
-        // Whoever answers has read its query, even where the word that it was written is still on
-        // its way here:
-        // on one core the answer may well come first.
-        if (over) {
-            shut();
+        // A member that responds has read the query, even if the write's completion is not handled
+        // yet: on one core the response may well be handled first.
+        if (fatal) {
+            closeConnection();
         } else {
-            idle();
+            becomeIdle();
         }
-        side.answered(e, answer, took);
+        pools.requestAnswered(answeredRequest, response, elapsed);
     }
 
-    /** A connection may have taken its time to open, or to rest. */
-    private void sendIfStillToGo() {
-        if (!calledOff && pool.isAt(to) && side.mayStillGo(request)) {
-            sendOut();
+    /** Sends the request, unless it became obsolete while it waited for this connection. */
+    private void sendIfStillWanted() {
+        if (!cancelled && pool.isCurrentAddress(address) && pools.mayDispatch(request)) {
+            sendRequest();
         } else {
-            MemberRequest late = request;
+            MemberRequest unwanted = request;
             requestTimer.cancel();
             request = null;
-            idle();
-            side.failed(late, Outcome.MOOT, Duration.ZERO, "no longer to be sent");
+            becomeIdle();
+            pools.requestFailed(
+                    unwanted, Outcome.MOOT, Duration.ZERO, "obsolete before it was sent");
         }
     }
 
-    /** What was answered; whatever it says, the request has its end. */
-    private Answer answer(MemberRequest e) {
+    /** Parses the response. The request ends even if that fails. */
+    private MemberResponse parseResponse(MemberRequest answeredRequest) {
         try {
-            return new Answer(input, side.clock(), e.probe());
-        } catch (RuntimeException bug) {
-            side.fault(bug);
-            return Answer.SPOILT;
+            return new MemberResponse(input, pools.clock(), answeredRequest.isProbe());
+        } catch (RuntimeException error) {
+            pools.reportError(error);
+            return MemberResponse.UNREADABLE;
         }
     }
 
-    /** It may be used again, unless its member has moved or gone while it was at work. */
-    private void idle() {
-        stage = Stage.RESTING;
-        if (!pool.isAt(to)) {
+    /** Returns the connection to its pool, or closes it if the member has moved or is gone. */
+    private void becomeIdle() {
+        state = State.REUSE_DELAYED;
+        if (!pool.isCurrentAddress(address)) {
             close();
             return;
         }
-        since = side.now();
-        idleTimer = loop.after(side.idleTime(), this::close);
-        pool.idle(this);
-        side.rests(this);
+        requestOrIdleSince = pools.now();
+        idleTimer = loop.after(pools.idleTimeout(), this::close);
+        pool.addIdle(this);
+        pools.delayReuse(this);
     }
 
     private AttemptProgress progress() {
-        if (stage != Stage.SENT) {
+        if (state != State.AWAITING_RESPONSE) {
             return AttemptProgress.NOT_CONNECTED;
         }
         return input.begun()
@@ -234,101 +251,116 @@
 
     @Override
     public void full() {
-        drop("no memory for its answer");
+        failProtocol("no memory for the response");
     }
 
     @Override
-    public void ended(int unwritten, boolean orderly, String how) {
+    public void ended(int unwritten, boolean orderly, String reason) {
         AttemptProgress progress = progress();
         if (progress == AttemptProgress.PARTLY_WRITTEN && unwritten == 0) {
             progress = AttemptProgress.WRITTEN;
         }
-        lose(progress, how);
+        connectionLost(progress, reason);
     }
 
-    /** The stream makes no sense any more: what was asked on it ends as what is proven. */
-    private void drop(String how) {
-        // Whoever answers has read: a write that seems to be out may be through.
-        lose(
+    /** Closes the connection because its stream can't be interpreted any more. */
+    private void failProtocol(String reason) {
+        // A member that sends data has read the request, so the statement may have run even if the
+        // write seems to be incomplete.
+        connectionLost(
                 progress() == AttemptProgress.NOT_CONNECTED
                         ? AttemptProgress.NOT_CONNECTED
                         : AttemptProgress.ANSWERING,
-                how);
+                reason);
     }
 
-    private void lose(AttemptProgress progress, String how) {
-        Stage was = stage;
-        MemberRequest e = request;
-        shut();
-        if (was == Stage.CLOSED) {
+    private void connectionLost(AttemptProgress progress, String reason) {
+        State stateBefore = state;
+        MemberRequest lostRequest = request;
+        closeConnection();
+        if (stateBefore == State.CLOSED) {
             return;
         }
-        if (was == Stage.RESTING && e != null) {
-            // Nothing of it was sent, and the member is there: no fault of the txn's path.
-            side.failed(e, Outcome.MOOT, Duration.ZERO, how);
-        } else if (was == Stage.SENT && input.why() != null) {
-            // It speaks, but nonsense: that is an error of its, which may have run, and no broken
-            // connection.
-            side.failed(e, Outcome.ERROR, side.now().minus(since), how);
-        } else if (was == Stage.SENT && (input.served() || input.error() != null)) {
-            // The answer itself was whole; only the word that the member is ready is missing.
-            side.answered(e, answer(e), side.now().minus(since));
-        } else if (e != null) {
-            boolean turnedAway = was == Stage.STARTING && Answer.TURNED_AWAY.equals(input.error());
-            side.failed(
-                    e,
-                    turnedAway ? Outcome.FULL : movedAway(was) ? Outcome.MOOT : progress.lost(),
-                    side.now().minus(since),
-                    how);
+        if (stateBefore == State.REUSE_DELAYED && lostRequest != null) {
+            // Nothing of the request was sent, and the member was reachable: this is no failure of
+            // the submission.
+            pools.requestFailed(lostRequest, Outcome.MOOT, Duration.ZERO, reason);
+        } else if (stateBefore == State.AWAITING_RESPONSE && input.why() != null) {
+            // The member violated the protocol: an error of the member, whose statement may have
+            // run, and not a lost connection.
+            pools.requestFailed(
+                    lostRequest, Outcome.ERROR, pools.now().minus(requestOrIdleSince), reason);
+        } else if (stateBefore == State.AWAITING_RESPONSE
+                && (input.served() || input.error() != null)) {
+            // The response is complete; only ReadyForQuery is missing.
+            pools.requestAnswered(
+                    lostRequest, parseResponse(lostRequest), pools.now().minus(requestOrIdleSince));
+        } else if (lostRequest != null) {
+            boolean rejectedAsFull =
+                    stateBefore == State.STARTING_UP
+                            && MemberResponse.SQLSTATE_TOO_MANY_CONNECTIONS.equals(input.error());
+            pools.requestFailed(
+                    lostRequest,
+                    rejectedAsFull
+                            ? Outcome.FULL
+                            : memberMoved(stateBefore) ? Outcome.MOOT : progress.endIfLost(),
+                    pools.now().minus(requestOrIdleSince),
+                    reason);
         }
     }
 
-    private void giveUp(String how, Outcome end) {
-        if (stage != Stage.CLOSED) {
-            MemberRequest e = request;
-            Stage was = stage;
-            shut();
-            if (e != null) {
-                side.failed(e, movedAway(was) ? Outcome.MOOT : end, side.now().minus(since), how);
+    private void abandonRequest(String reason, Outcome end) {
+        if (state != State.CLOSED) {
+            MemberRequest abandoned = request;
+            State stateBefore = state;
+            closeConnection();
+            if (abandoned != null) {
+                pools.requestFailed(
+                        abandoned,
+                        memberMoved(stateBefore) ? Outcome.MOOT : end,
+                        pools.now().minus(requestOrIdleSince),
+                        reason);
             }
         }
     }
 
-    /** It never came up, where its member is no longer: no fault of the member's. */
-    private boolean movedAway(Stage was) {
-        return (was == Stage.CONNECTING || was == Stage.STARTING) && !pool.isAt(to);
+    /** Whether the connect failed at an outdated address, which is no failure of the member. */
+    private boolean memberMoved(State stateBefore) {
+        return (stateBefore == State.CONNECTING || stateBefore == State.STARTING_UP)
+                && !pool.isCurrentAddress(address);
     }
 
     /**
-     * Guards against sending what is given up, should the connection come up before the end is
-     * told.
+     * Marks the request as cancelled. Guards against sending it if the connection is established
+     * before {@link #cancel} is called.
      */
-    void toBeCalledOff() {
-        calledOff = true;
+    void markCancelled() {
+        cancelled = true;
     }
 
-    /** Stops waiting for its request. */
-    void callOff() {
-        giveUp("called off", progress().calledOff());
+    /** Stops waiting for the response to the request. */
+    void cancel() {
+        abandonRequest("cancelled", progress().endIfCancelled());
     }
 
-    /** Closes one that stands idle. */
+    /** Closes the connection; the member is told first if it is idle. */
     void close() {
-        if (stage == Stage.IDLE || stage == Stage.RESTING) {
+        if (state == State.IDLE || state == State.REUSE_DELAYED) {
             connection.send(MemberOutput.terminate());
         }
-        shut();
+        closeConnection();
     }
 
-    private void shut() {
-        stage = Stage.CLOSED;
+    private void closeConnection() {
+        state = State.CLOSED;
         request = null;
-        for (EventLoop.Timer t : new EventLoop.Timer[] {startTimer, requestTimer, idleTimer}) {
-            if (t != null) {
-                t.cancel();
+        for (EventLoop.Timer timer :
+                new EventLoop.Timer[] {connectTimer, requestTimer, idleTimer}) {
+            if (timer != null) {
+                timer.cancel();
             }
         }
         connection.close();
-        pool.closed(this);
+        pool.remove(this);
     }
 }
--- a/src/main/java/wingroad/state/DecayingSum.java
+++ b/src/main/java/wingroad/state/DecayingSum.java
@@ -2,11 +2,16 @@
 
 import java.time.Duration;
 
-/** A sum whose parts lose half their weight each half-life; brought up to date when it is read. */
+/**
+ * A sum with exponential decay: what was added loses half its weight in each half-life. The decay
+ * is applied when the sum is read. Times must not decrease.
+ */
 public final class DecayingSum {
+    private static final double LN_2 = 0.6931471805599453;
+
     private final double halfLifeNanos;
     private double sum;
-    private long at;
+    private long updatedAtNanos;
 
     public DecayingSum(Duration halfLife) {
         this.halfLifeNanos = halfLife.toNanos();
@@ -16,13 +21,14 @@
         sum = valueAt(now) + amount;
     }
 
+    /** The decayed sum at the time {@code now}. */
     public double valueAt(Duration now) {
-        long nanos = now.toNanos();
-        if (nanos > at) {
+        long nowNanos = now.toNanos();
+        if (nowNanos > updatedAtNanos) {
             if (sum != 0) {
-                sum *= Math.exp(-0.6931471805599453 * (nanos - at) / halfLifeNanos);
+                sum *= Math.exp(-LN_2 * (nowNanos - updatedAtNanos) / halfLifeNanos);
             }
-            at = nanos;
+            updatedAtNanos = nowNanos;
         }
         return sum;
     }
