--- a/src/main/java/wingroad/routing/TxnRouter.java
+++ b/src/main/java/wingroad/routing/TxnRouter.java
@@ -75,6 +75,15 @@
     /** Credit that a member gains by an answer within the SLA time, as a multiple of its work. */
     private static final double CREDIT_PER_TIMELY_ANSWER = 1.25;
 
+    /** A member with a low limit gets credit for one submission in this many time scales. */
+    private static final long CREDIT_INTERVAL_TIME_SCALES = 8;
+
+    /** Upper limit of that credit for all drivers together, in ms of work per ms. */
+    private static final double MAX_FLEET_CREDIT_RATE = 0.5;
+
+    /** Time for which a reported queue length is used at least, in time scales. */
+    private static final double MIN_QUEUE_REPORT_VALIDITY_TIME_SCALES = 4;
+
     /**
      * Part of the setting {@code fall-multiple} that a member in its warm-up is given credit for.
      */
@@ -145,7 +154,7 @@
     private static final Duration SESSION_WRITE_RETENTION = Duration.ofSeconds(60);
 
     /**
-     * Something to look at once it is due.
+     * A check that is scheduled for a certain time.
      *
      * @param sequence orders events that are due at the same time
      * @param target a {@link Txn}, a {@link Group}, or the time of a member list request
@@ -922,7 +931,7 @@
         }
     }
 
-    /** Whether less time is left to the SLA deadline than an uncrowded member takes. */
+    /** Whether less time is left to the SLA deadline than a member takes that is not overloaded. */
     private boolean isTooLateForSla(Txn txn, Duration now) {
         return toMillis(txn.slaDeadline.minus(now)) < baselineResponseMs(txn.type);
     }
@@ -1540,7 +1549,12 @@
         return member.queueReportedAt != null
                 && member.queueLength * baselineResponseMs(txnTypes[0]) > toMillis(timeScale) / 2
                 && now.minus(member.queueReportedAt)
-                                .compareTo(scale(timeScale, Math.max(4, minimumFleetLoad())))
+                                .compareTo(
+                                        scale(
+                                                timeScale,
+                                                Math.max(
+                                                        MIN_QUEUE_REPORT_VALIDITY_TIME_SCALES,
+                                                        minimumFleetLoad())))
                         < 0;
     }
 
@@ -1564,8 +1578,8 @@
         double capacityShare = capacityShare(member, now);
         double creditPerMs =
                 Math.min(
-                        baselineMs / toMillis(timeScale.multipliedBy(8)),
-                        0.5 / numberSetting("drivers"));
+                        baselineMs / toMillis(timeScale.multipliedBy(CREDIT_INTERVAL_TIME_SCALES)),
+                        MAX_FLEET_CREDIT_RATE / numberSetting("drivers"));
         double maxCreditMs = 2 * baselineMs;
         if (capacityShare < 1) {
             HostClassLoad load = loadByHostClass.get(member.hostClass);
@@ -1650,12 +1664,17 @@
         member.positionReportedAt = now;
     }
 
-    /** Schedules a request for the member list, replacing the one scheduled before. */
+    /**
+     * Schedules a subscription to the member list, replacing the one scheduled before. Where lists
+     * must be requested, the subscription is renewed after failures and when no list has arrived
+     * for long.
+     */
     private void scheduleMemberListRequest(Duration dueAt) {
         nextMemberListRequestAt = dueAt;
         scheduleEvent(dueAt, dueAt);
     }
 
+    /** Queues the group for a pass of {@link #processGroup}. */
     private void markDirty(Group group) {
         if (!group.dirty) {
             group.dirty = true;
--- a/src/main/java/wingroad/simhost/DriverInstance.java
+++ b/src/main/java/wingroad/simhost/DriverInstance.java
@@ -104,8 +104,7 @@
                 case "status-back" -> {
                     long memberId = Json.number(event, "member").longValue();
                     handleReport(now, memberId, event);
-                    // A member that rejects a probe because of too many is running: many drivers
-                    // may
+                    // A member that rejects a probe as one too many is running: many drivers may
                     // probe it at once.
                     boolean running =
                             "ok".equals(event.get("state-code"))
--- a/src/main/java/wingroad/state/HostClassLoad.java
+++ b/src/main/java/wingroad/state/HostClassLoad.java
@@ -16,8 +16,8 @@
     /** When the members were counted, or null. */
     public Duration countedAt;
 
-    public HostClassLoad(Duration span) {
-        this.halfLife = span;
-        this.submittedWorkMs = new DecayingSum(span);
+    public HostClassLoad(Duration halfLife) {
+        this.halfLife = halfLife;
+        this.submittedWorkMs = new DecayingSum(halfLife);
     }
 }
--- a/src/main/java/wingroad/state/ResponseTimes.java
+++ b/src/main/java/wingroad/state/ResponseTimes.java
@@ -10,7 +10,7 @@
     /** Number of recent response times. */
     public final DecayingSum sampleCount;
 
-    /** Response time of a member that is not crowded, in milliseconds. */
+    /** Response time of a member that is not overloaded, in milliseconds. */
     public double baselineMs;
 
     public ResponseTimes(Duration halfLife, double initialBaselineMs) {
