--- a/src/main/java/wingroad/duty/Command.java
+++ b/src/main/java/wingroad/duty/Command.java
@@ -78,86 +78,109 @@
         WORK_STOPPED
     }
 
-    private static final Command NOTHING =
+    private static final Command NO_OP =
             new Command(Kind.TERM, "", "", 0, 0, "", List.of(), Map.of(), "", 0);
 
     public static Command noOp() {
-        return NOTHING;
+        return NO_OP;
     }
 
-    public static Command openSession(String session, String identity, List<String> duties) {
+    public static Command openSession(String sessionId, String identity, List<String> duties) {
         return new Command(
-                Kind.OPEN, session, "", 0, 0, identity, List.copyOf(duties), Map.of(), "", 0);
+                Kind.OPEN, sessionId, "", 0, 0, identity, List.copyOf(duties), Map.of(), "", 0);
     }
 
-    public static Command heartbeat(Map<String, Long> beats) {
-        return new Command(Kind.BEAT, "", "", 0, 0, "", List.of(), new TreeMap<>(beats), "", 0);
+    public static Command heartbeat(Map<String, Long> heartbeats) {
+        return new Command(
+                Kind.BEAT, "", "", 0, 0, "", List.of(), new TreeMap<>(heartbeats), "", 0);
     }
 
-    public static Command expireSession(String session, long beat) {
-        return new Command(Kind.EXPIRE, session, "", 0, beat, "", List.of(), Map.of(), "", 0);
+    public static Command expireSession(String sessionId, long heartbeat) {
+        return new Command(
+                Kind.EXPIRE, sessionId, "", 0, heartbeat, "", List.of(), Map.of(), "", 0);
     }
 
-    public static Command leaveSession(String session) {
-        return new Command(Kind.LEAVE, session, "", 0, 0, "", List.of(), Map.of(), "", 0);
+    public static Command leaveSession(String sessionId) {
+        return new Command(Kind.LEAVE, sessionId, "", 0, 0, "", List.of(), Map.of(), "", 0);
     }
 
-    public static Command releaseDuty(String session, String duty, long epoch) {
-        return new Command(Kind.GIVE_UP, session, duty, epoch, 0, "", List.of(), Map.of(), "", 0);
+    public static Command releaseDuty(String sessionId, String duty, long epoch) {
+        return new Command(Kind.GIVE_UP, sessionId, duty, epoch, 0, "", List.of(), Map.of(), "", 0);
     }
 
-    public static Command handOver(String duty, String to, String ask) {
-        return new Command(Kind.HAND_OVER, "", duty, 0, 0, to, List.of(), Map.of(), ask, 0);
+    public static Command handOver(String duty, String driverName, String requestId) {
+        return new Command(
+                Kind.HAND_OVER, "", duty, 0, 0, driverName, List.of(), Map.of(), requestId, 0);
     }
 
-    public static Command startRun(String session, String duty, long epoch, long turn) {
-        return new Command(Kind.TURN, session, duty, epoch, turn, "", List.of(), Map.of(), "", 0);
+    public static Command startRun(String sessionId, String duty, long epoch, long run) {
+        return new Command(Kind.TURN, sessionId, duty, epoch, run, "", List.of(), Map.of(), "", 0);
     }
 
     public static Command reportRunOutcome(
-            String session, String duty, long epoch, long turn, String outcome) {
+            String sessionId, String duty, long epoch, long run, String outcome) {
         return new Command(
-                Kind.TOLD, session, duty, epoch, turn, outcome, List.of(), Map.of(), "", 0);
+                Kind.TOLD, sessionId, duty, epoch, run, outcome, List.of(), Map.of(), "", 0);
     }
 
-    public static Command changeVoter(String name, String address, String ask) {
-        return new Command(Kind.VOTER, "", address, 0, 0, name, List.of(), Map.of(), ask, 0);
+    public static Command changeVoter(String name, String address, String requestId) {
+        return new Command(Kind.VOTER, "", address, 0, 0, name, List.of(), Map.of(), requestId, 0);
     }
 
-    public static Command setMachines(String session, long epoch, List<String> lines) {
+    public static Command setMachines(String sessionId, long epoch, List<String> lines) {
         return new Command(
-                Kind.WORK_MACHINES, session, "", epoch, 0, "", List.copyOf(lines), Map.of(), "", 0);
+                Kind.WORK_MACHINES,
+                sessionId,
+                "",
+                epoch,
+                0,
+                "",
+                List.copyOf(lines),
+                Map.of(),
+                "",
+                0);
     }
 
     public static Command requestMaintenance(
-            String machine, String why, long forMs, long before, List<String> after, String ask) {
+            String machine,
+            String reason,
+            long durationMs,
+            long deadlineMs,
+            List<String> afterMachines,
+            String requestId) {
         return new Command(
                 Kind.WORK_ASK,
                 "",
                 machine,
-                before,
-                forMs,
-                why,
-                List.copyOf(after),
+                deadlineMs,
+                durationMs,
+                reason,
+                List.copyOf(afterMachines),
                 Map.of(),
-                ask,
+                requestId,
                 0);
     }
 
-    public static Command operatorCommand(String word, String machine, String ask) {
-        return new Command(Kind.WORK_WORD, "", machine, 0, 0, word, List.of(), Map.of(), ask, 0);
+    public static Command operatorCommand(String word, String machine, String requestId) {
+        return new Command(
+                Kind.WORK_WORD, "", machine, 0, 0, word, List.of(), Map.of(), requestId, 0);
     }
 
     public static Command maintenanceStep(
-            String session, long epoch, String machine, String to, long stageAt, String why) {
+            String sessionId,
+            long epoch,
+            String machine,
+            String target,
+            long stageRevision,
+            String reason) {
         return new Command(
                 Kind.WORK_STEP,
-                session,
+                sessionId,
                 machine,
                 epoch,
-                stageAt,
-                to,
-                List.of(why),
+                stageRevision,
+                target,
+                List.of(reason),
                 Map.of(),
                 "",
                 0);
@@ -168,12 +191,21 @@
                 Kind.WORK_REPORTS, "", "", 0, 0, "", List.copyOf(lines), Map.of(), "", 0);
     }
 
-    public static Command driverStopped(String identity, long number, long level) {
+    public static Command driverStopped(String identity, long lossNumber, long stoppedLevel) {
         return new Command(
-                Kind.WORK_STOPPED, "", "", level, number, identity, List.of(), Map.of(), "", 0);
+                Kind.WORK_STOPPED,
+                "",
+                "",
+                stoppedLevel,
+                lossNumber,
+                identity,
+                List.of(),
+                Map.of(),
+                "",
+                0);
     }
 
-    public Command withProposedAt(long unixMs) {
+    public Command withProposedAt(long proposedAtMs) {
         return new Command(
                 kind,
                 sessionId,
@@ -184,6 +216,6 @@
                 items,
                 heartbeats,
                 requestId,
-                unixMs);
+                proposedAtMs);
     }
 }
--- a/src/main/java/wingroad/duty/DutyStateMachine.java
+++ b/src/main/java/wingroad/duty/DutyStateMachine.java
@@ -22,22 +22,22 @@
  * <p>Rounds, the number of settled beats, are its only time: coarse, and alike everywhere.
  */
 public class DutyStateMachine {
-    private static final int MOST_SESSIONS = 1024;
-    private static final int MOST_DUTIES = 1024;
-    private static final int HISTORY = 32;
-    private static final int MOST_VOTERS = 64;
-    private static final int MOST_ANSWERS = 256;
+    private static final int MAX_SESSIONS = 1024;
+    private static final int MAX_DUTIES = 1024;
+    private static final int MAX_HISTORY_LINES = 32;
+    private static final int MAX_VOTER_CHANGES = 64;
+    private static final int MAX_RECENT_RESULTS = 256;
 
     /**
      * A driver that let its leases run out k times waits two to the k rounds, at most two to this.
      */
-    private static final int LONGEST_WAIT = 10;
+    private static final int MAX_BACKOFF_EXPONENT = 10;
 
-    private static final int LOOK_AGAIN = 16;
-    private static final String LEFT = "left";
+    private static final int REASSIGN_INTERVAL_ROUNDS = 16;
+    private static final String REASON_LEFT = "left";
 
     /** So many rounds without another loss and it is as if there had been none. */
-    private static final long FORGIVEN = 4096;
+    private static final long LOSS_RETENTION_ROUNDS = 4096;
 
     /** One driver's standing with the council. */
     public static final class Session {
@@ -138,10 +138,10 @@
     }
 
     /** A driver's lost leases. */
-    private static final class Losses {
+    private static final class LeaseLosses {
         int count;
-        long until;
-        long last;
+        long backoffUntilRound;
+        long lastLossRound;
     }
 
     private final TreeMap<String, Session> sessions = new TreeMap<>();
@@ -152,13 +152,13 @@
      */
     private final TreeMap<String, String> voterChanges = new TreeMap<>();
 
-    private final TreeMap<String, Losses> losses = new TreeMap<>();
+    private final TreeMap<String, LeaseLosses> leaseLosses = new TreeMap<>();
 
     /** The results of the newest asks that have a name, oldest first. */
-    private final ArrayDeque<String[]> answers = new ArrayDeque<>();
+    private final ArrayDeque<String[]> recentResults = new ArrayDeque<>();
 
     private final MaintenancePlan plan;
-    private long epochs;
+    private long lastEpoch;
     private long heartbeatRounds;
     private long revision;
     private long staleCommandCount;
@@ -166,20 +166,20 @@
     /**
      * @param first the council's first epoch is the next one
      */
-    public DutyStateMachine(long first) {
-        this(first, new MaintenancePlan());
+    public DutyStateMachine(long initialEpoch) {
+        this(initialEpoch, new MaintenancePlan());
     }
 
     /** The same with a plan of its own, for tests. */
-    protected DutyStateMachine(long first, MaintenancePlan plan) {
-        epochs = first;
+    protected DutyStateMachine(long initialEpoch, MaintenancePlan plan) {
+        lastEpoch = initialEpoch;
         this.plan = plan;
     }
 
     /** The driver that a session is of. */
-    public static String driverNameOf(String session) {
-        int slash = session.indexOf('/');
-        return slash < 0 ? session : session.substring(0, slash);
+    public static String driverNameOf(String sessionId) {
+        int slash = sessionId.indexOf('/');
+        return slash < 0 ? sessionId : sessionId.substring(0, slash);
     }
 
     public Collection<Session> sessions() {
@@ -229,394 +229,424 @@
      * Applies one settled entry; empty where it took effect or had done so before, else why it did
      * not.
      */
-    public String apply(Command op) {
-        if (!op.requestId().isEmpty()) {
-            for (String[] a : answers) {
-                if (a[0].equals(op.requestId())) {
+    public String apply(Command command) {
+        if (!command.requestId().isEmpty()) {
+            for (String[] a : recentResults) {
+                if (a[0].equals(command.requestId())) {
                     return a[1];
                 }
             }
         }
         revision++;
         String result =
-                switch (op.kind()) {
+                switch (command.kind()) {
                     case TERM -> "";
-                    case OPEN -> open(op);
-                    case BEAT -> beat(op);
-                    case EXPIRE -> expire(op);
-                    case LEAVE -> end(op.sessionId(), LEFT, op.proposedAtMs());
-                    case GIVE_UP -> giveUp(op);
-                    case HAND_OVER -> handOver(op);
-                    case TURN -> turn(op);
-                    case TOLD -> told(op);
-                    case VOTER -> voter(op);
-                    case WORK_MACHINES -> ordered(op, () -> plan.applyInventory(op.items()));
+                    case OPEN -> openSession(command);
+                    case BEAT -> applyHeartbeats(command);
+                    case EXPIRE -> expireSession(command);
+                    case LEAVE ->
+                            endSession(command.sessionId(), REASON_LEFT, command.proposedAtMs());
+                    case GIVE_UP -> releaseDuty(command);
+                    case HAND_OVER -> requestHandOver(command);
+                    case TURN -> startRun(command);
+                    case TOLD -> recordRunOutcome(command);
+                    case VOTER -> changeVoter(command);
+                    case WORK_MACHINES ->
+                            applyControllerCommand(
+                                    command, () -> plan.applyInventory(command.items()));
                     case WORK_ASK ->
                             plan.addRequest(
-                                    op.subject(),
-                                    op.requestId(),
-                                    op.argument(),
-                                    op.number(),
-                                    op.epoch(),
-                                    op.items(),
-                                    op.proposedAtMs());
+                                    command.subject(),
+                                    command.requestId(),
+                                    command.argument(),
+                                    command.number(),
+                                    command.epoch(),
+                                    command.items(),
+                                    command.proposedAtMs());
                     case WORK_WORD ->
                             plan.applyOperatorCommand(
-                                    op.argument(), op.subject(), op.proposedAtMs());
+                                    command.argument(), command.subject(), command.proposedAtMs());
                     case WORK_STEP ->
-                            ordered(
-                                    op,
+                            applyControllerCommand(
+                                    command,
                                     () ->
                                             plan.applyStep(
-                                                    op.subject(),
-                                                    op.argument(),
-                                                    op.number(),
-                                                    op.items().get(0),
-                                                    idle(op.subject()),
-                                                    op.proposedAtMs()));
-                    case WORK_REPORTS -> plan.applyReports(op.items());
-                    case WORK_STOPPED -> plan.driverStopped(op.argument(), op.number(), op.epoch());
+                                                    command.subject(),
+                                                    command.argument(),
+                                                    command.number(),
+                                                    command.items().get(0),
+                                                    ownsNoDuty(command.subject()),
+                                                    command.proposedAtMs()));
+                    case WORK_REPORTS -> plan.applyReports(command.items());
+                    case WORK_STOPPED ->
+                            plan.driverStopped(
+                                    command.argument(), command.number(), command.epoch());
                 };
-        if (!op.requestId().isEmpty()) {
-            answers.add(new String[] {op.requestId(), result});
-            if (answers.size() > MOST_ANSWERS) {
-                answers.poll();
+        if (!command.requestId().isEmpty()) {
+            recentResults.add(new String[] {command.requestId(), result});
+            if (recentResults.size() > MAX_RECENT_RESULTS) {
+                recentResults.poll();
             }
         }
         // Beats are most of all ops, and change who has what only where somebody's wait has ended.
-        if (op.kind() != Command.Kind.BEAT && op.kind() != Command.Kind.WORK_REPORTS
-                || heartbeatRounds % LOOK_AGAIN == 0) {
-            give(op.proposedAtMs());
+        if (command.kind() != Command.Kind.BEAT && command.kind() != Command.Kind.WORK_REPORTS
+                || heartbeatRounds % REASSIGN_INTERVAL_ROUNDS == 0) {
+            assignDuties(command.proposedAtMs());
         }
         return result;
     }
 
     /** An order of the conductor's: only under the epoch that is in force. */
-    private String ordered(Command op, Supplier<String> what) {
-        if (!isFromCurrentController(op)) {
+    private String applyControllerCommand(Command command, Supplier<String> action) {
+        if (!isFromCurrentController(command)) {
             staleCommandCount++;
-            return "not the conductor under epoch " + op.epoch();
+            return "not the conductor under epoch " + command.epoch();
         }
-        return what.get();
+        return action.get();
     }
 
     /** Whether an order comes from whoever conducts, under its epoch. */
-    protected boolean isFromCurrentController(Command op) {
-        Duty d = duties.get(MaintenanceSettings.CONTROLLER_DUTY);
-        return d != null && d.epoch == op.epoch() && d.owner.equals(op.sessionId());
+    protected boolean isFromCurrentController(Command command) {
+        Duty duty = duties.get(MaintenanceSettings.CONTROLLER_DUTY);
+        return duty != null
+                && duty.epoch == command.epoch()
+                && duty.owner.equals(command.sessionId());
     }
 
     /** Whether no driver on the machine owns a duty. */
-    private boolean idle(String machine) {
+    private boolean ownsNoDuty(String machine) {
         return !plan.machines().containsKey(machine)
                 || duties.values().stream()
                         .noneMatch(
-                                d ->
-                                        !d.owner.isEmpty()
+                                duty ->
+                                        !duty.owner.isEmpty()
                                                 && plan.machines()
                                                         .get(machine)
                                                         .drivers()
-                                                        .contains(driverNameOf(d.owner)));
+                                                        .contains(driverNameOf(duty.owner)));
     }
 
-    private String open(Command op) {
-        if (sessions.containsKey(op.sessionId())) {
+    private String openSession(Command command) {
+        if (sessions.containsKey(command.sessionId())) {
             return "";
         }
-        String name = driverNameOf(op.sessionId());
-        for (Session s : List.copyOf(sessions.values())) {
-            if (s.driverName().equals(name)) {
-                if (!s.identity.equals(op.argument())) {
+        String name = driverNameOf(command.sessionId());
+        for (Session session : List.copyOf(sessions.values())) {
+            if (session.driverName().equals(name)) {
+                if (!session.identity.equals(command.argument())) {
                     return "another driver is known by the name '" + name + "'";
                 }
                 // The same state folder, whose lock only one process can have: the former one is
                 // dead.
-                end(s.id, "restarted", op.proposedAtMs());
+                endSession(session.id, "restarted", command.proposedAtMs());
             }
         }
-        if (sessions.size() >= MOST_SESSIONS) {
-            return "there are " + MOST_SESSIONS + " sessions already";
+        if (sessions.size() >= MAX_SESSIONS) {
+            return "there are " + MAX_SESSIONS + " sessions already";
         }
         sessions.put(
-                op.sessionId(),
-                new Session(op.sessionId(), op.argument(), op.items(), 0, op.proposedAtMs()));
-        plan.sessionOpened(op.sessionId(), op.argument(), name);
-        for (String d : op.items()) {
-            if (duties.size() < MOST_DUTIES) {
-                duties.computeIfAbsent(d, Duty::new);
+                command.sessionId(),
+                new Session(
+                        command.sessionId(),
+                        command.argument(),
+                        command.items(),
+                        0,
+                        command.proposedAtMs()));
+        plan.sessionOpened(command.sessionId(), command.argument(), name);
+        for (String duty : command.items()) {
+            if (duties.size() < MAX_DUTIES) {
+                duties.computeIfAbsent(duty, Duty::new);
             }
         }
         return "";
     }
 
-    private String beat(Command op) {
+    private String applyHeartbeats(Command command) {
         heartbeatRounds++;
-        op.heartbeats()
+        command.heartbeats()
                 .forEach(
-                        (id, n) -> {
-                            Session s = sessions.get(id);
-                            if (s != null) {
-                                s.lastHeartbeat = Math.max(s.lastHeartbeat, n);
+                        (id, heartbeat) -> {
+                            Session session = sessions.get(id);
+                            if (session != null) {
+                                session.lastHeartbeat = Math.max(session.lastHeartbeat, heartbeat);
                             }
                         });
-        losses.values().removeIf(l -> heartbeatRounds - l.last > FORGIVEN);
+        leaseLosses
+                .values()
+                .removeIf(losses -> heartbeatRounds - losses.lastLossRound > LOSS_RETENTION_ROUNDS);
         return "";
     }
 
-    private String expire(Command op) {
-        Session s = sessions.get(op.sessionId());
-        if (s == null) {
+    private String expireSession(Command command) {
+        Session session = sessions.get(command.sessionId());
+        if (session == null) {
             return "";
         }
-        if (s.lastHeartbeat != op.number()) {
+        if (session.lastHeartbeat != command.number()) {
             return "it was renewed since";
         }
-        if (duties.values().stream().anyMatch(d -> d.owner.equals(s.id))) {
-            Losses l = losses.computeIfAbsent(s.driverName(), n -> new Losses());
-            l.count = Math.min(l.count + 1, LONGEST_WAIT);
-            l.until = heartbeatRounds + (1L << l.count);
-            l.last = heartbeatRounds;
+        if (duties.values().stream().anyMatch(duty -> duty.owner.equals(session.id))) {
+            LeaseLosses losses =
+                    leaseLosses.computeIfAbsent(session.driverName(), n -> new LeaseLosses());
+            losses.count = Math.min(losses.count + 1, MAX_BACKOFF_EXPONENT);
+            losses.backoffUntilRound = heartbeatRounds + (1L << losses.count);
+            losses.lastLossRound = heartbeatRounds;
         }
-        return end(s.id, "lease ran out", op.proposedAtMs());
+        return endSession(session.id, "lease ran out", command.proposedAtMs());
     }
 
-    private String end(String id, String how, long wall) {
+    private String endSession(String id, String reason, long proposedAtMs) {
         if (sessions.remove(id) != null) {
-            plan.sessionEnded(id, how.equals(LEFT));
-            for (Duty d : duties.values()) {
-                if (d.owner.equals(id)) {
-                    free(d, how, wall);
+            plan.sessionEnded(id, reason.equals(REASON_LEFT));
+            for (Duty duty : duties.values()) {
+                if (duty.owner.equals(id)) {
+                    clearOwner(duty, reason, proposedAtMs);
                 }
             }
         }
         return "";
     }
 
-    private void free(Duty d, String how, long wall) {
-        note(
-                d,
-                wall,
-                driverNameOf(d.owner)
+    private void clearOwner(Duty duty, String reason, long proposedAtMs) {
+        addHistory(
+                duty,
+                proposedAtMs,
+                driverNameOf(duty.owner)
                         + " has it no more, epoch "
-                        + d.epoch
+                        + duty.epoch
                         + ": "
-                        + how
-                        + (d.run > 0 && d.outcome.isEmpty()
-                                ? "; turn " + d.run + " has run or not"
+                        + reason
+                        + (duty.run > 0 && duty.outcome.isEmpty()
+                                ? "; turn " + duty.run + " has run or not"
                                 : ""));
-        if (d.outcome.isEmpty() && d.run > 0) {
-            d.outcome = "unknown";
+        if (duty.outcome.isEmpty() && duty.run > 0) {
+            duty.outcome = "unknown";
         }
-        d.previousOwner = d.owner;
-        d.owner = "";
-        d.revision = revision;
+        duty.previousOwner = duty.owner;
+        duty.owner = "";
+        duty.revision = revision;
     }
 
-    private static void note(Duty d, long wall, String what) {
-        d.history.add(wall + " " + what);
-        if (d.history.size() > HISTORY) {
-            d.history.poll();
+    private static void addHistory(Duty duty, long proposedAtMs, String text) {
+        duty.history.add(proposedAtMs + " " + text);
+        if (duty.history.size() > MAX_HISTORY_LINES) {
+            duty.history.poll();
         }
     }
 
-    private String giveUp(Command op) {
-        Duty d = held(op);
-        if (d == null) {
-            return "not held under epoch " + op.epoch();
+    private String releaseDuty(Command command) {
+        Duty duty = heldDuty(command);
+        if (duty == null) {
+            return "not held under epoch " + command.epoch();
         }
-        free(d, "given up", op.proposedAtMs());
+        clearOwner(duty, "given up", command.proposedAtMs());
         return "";
     }
 
-    private String voter(Command op) {
-        if (voterChanges.size() >= MOST_VOTERS && !voterChanges.containsKey(op.argument())) {
-            return "more than " + MOST_VOTERS + " changes of voters";
+    private String changeVoter(Command command) {
+        if (voterChanges.size() >= MAX_VOTER_CHANGES
+                && !voterChanges.containsKey(command.argument())) {
+            return "more than " + MAX_VOTER_CHANGES + " changes of voters";
         }
-        voterChanges.put(op.argument(), op.subject());
+        voterChanges.put(command.argument(), command.subject());
         return "";
     }
 
-    private Duty held(Command op) {
-        Duty d = duties.get(op.subject());
-        return d != null
-                        && d.epoch == op.epoch()
-                        && d.owner.equals(op.sessionId())
-                        && !op.sessionId().isEmpty()
-                ? d
+    private Duty heldDuty(Command command) {
+        Duty duty = duties.get(command.subject());
+        return duty != null
+                        && duty.epoch == command.epoch()
+                        && duty.owner.equals(command.sessionId())
+                        && !command.sessionId().isEmpty()
+                ? duty
                 : null;
     }
 
-    private String handOver(Command op) {
-        Duty d = duties.get(op.subject());
-        if (d == null) {
-            return "there is no duty '" + op.subject() + "'";
+    private String requestHandOver(Command command) {
+        Duty duty = duties.get(command.subject());
+        if (duty == null) {
+            return "there is no duty '" + command.subject() + "'";
         }
-        boolean any = op.argument().isEmpty();
-        boolean there =
+        boolean anyDriver = command.argument().isEmpty();
+        boolean hasCandidate =
                 sessions.values().stream()
                         .anyMatch(
-                                s ->
-                                        s.duties.contains(d.name)
-                                                && (any
-                                                        ? !s.id.equals(d.owner)
-                                                        : s.driverName().equals(op.argument())));
-        if (!there) {
-            return any
+                                session ->
+                                        session.duties.contains(duty.name)
+                                                && (anyDriver
+                                                        ? !session.id.equals(duty.owner)
+                                                        : session.driverName()
+                                                                .equals(command.argument())));
+        if (!hasCandidate) {
+            return anyDriver
                     ? "nobody else would do it"
-                    : "'" + op.argument() + "' is not there or would not do it";
+                    : "'" + command.argument() + "' is not there or would not do it";
         }
-        if (!any && driverNameOf(d.owner).equals(op.argument())) {
+        if (!anyDriver && driverNameOf(duty.owner).equals(command.argument())) {
             return "";
         }
-        d.handOverTarget = any ? "*" : op.argument();
-        d.revision = revision;
+        duty.handOverTarget = anyDriver ? "*" : command.argument();
+        duty.revision = revision;
         return "";
     }
 
-    private String turn(Command op) {
-        Duty d = held(op);
-        if (d == null) {
-            return "not held under epoch " + op.epoch();
+    private String startRun(Command command) {
+        Duty duty = heldDuty(command);
+        if (duty == null) {
+            return "not held under epoch " + command.epoch();
         }
-        if (op.number() != d.run + 1) {
-            return op.number() == d.run ? "" : "turn " + (d.run + 1) + " is next";
+        if (command.number() != duty.run + 1) {
+            return command.number() == duty.run ? "" : "turn " + (duty.run + 1) + " is next";
         }
-        d.run = op.number();
-        d.outcome = "";
-        d.revision = revision;
+        duty.run = command.number();
+        duty.outcome = "";
+        duty.revision = revision;
         return "";
     }
 
-    private String told(Command op) {
-        Duty d = held(op);
-        if (d == null || d.run != op.number()) {
+    private String recordRunOutcome(Command command) {
+        Duty duty = heldDuty(command);
+        if (duty == null || duty.run != command.number()) {
             return "not the turn that runs";
         }
-        if (d.outcome.isEmpty()) {
-            d.outcome = op.argument();
-            d.revision = revision;
-            note(
-                    d,
-                    op.proposedAtMs(),
-                    "turn " + d.run + " of epoch " + d.epoch + ": " + op.argument());
+        if (duty.outcome.isEmpty()) {
+            duty.outcome = command.argument();
+            duty.revision = revision;
+            addHistory(
+                    duty,
+                    command.proposedAtMs(),
+                    "turn " + duty.run + " of epoch " + duty.epoch + ": " + command.argument());
         }
         return "";
     }
 
     /** Duties without an owner get one; who has more than its share is asked for the surplus. */
-    private void give(long wall) {
-        Map<String, Integer> load = new TreeMap<>();
-        SortedSet<String> wanted = new TreeSet<>();
-        for (Session s : sessions.values()) {
-            wanted.addAll(s.duties);
-            if (!s.duties.isEmpty()) {
-                load.put(s.id, 0);
+    private void assignDuties(long proposedAtMs) {
+        Map<String, Integer> dutyCountBySession = new TreeMap<>();
+        SortedSet<String> acceptedDuties = new TreeSet<>();
+        for (Session session : sessions.values()) {
+            acceptedDuties.addAll(session.duties);
+            if (!session.duties.isEmpty()) {
+                dutyCountBySession.put(session.id, 0);
             }
         }
-        for (Duty d : duties.values()) {
-            load.computeIfPresent(d.owner, (s, n) -> n + 1);
-        }
-        int cap =
-                RendezvousHashing.cap(
-                        (int) duties.keySet().stream().filter(wanted::contains).count(),
-                        load.size());
-        for (Duty d : duties.values()) {
-            if (d.owner.isEmpty()) {
-                Session next = next(d, load, cap);
-                if (next != null) {
-                    d.owner = next.id;
-                    d.epoch = ++epochs;
-                    d.ownedSinceMs = wall;
-                    d.handOverTarget = "";
-                    d.revision = revision;
-                    note(d, wall, next.driverName() + " has it, epoch " + d.epoch);
-                    load.merge(next.id, 1, Integer::sum);
+        for (Duty duty : duties.values()) {
+            dutyCountBySession.computeIfPresent(duty.owner, (session, n) -> n + 1);
+        }
+        int maxPerSession =
+                RendezvousHashing.maxDutiesPerDriver(
+                        (int) duties.keySet().stream().filter(acceptedDuties::contains).count(),
+                        dutyCountBySession.size());
+        for (Duty duty : duties.values()) {
+            if (duty.owner.isEmpty()) {
+                Session newOwner = chooseOwner(duty, dutyCountBySession, maxPerSession);
+                if (newOwner != null) {
+                    duty.owner = newOwner.id;
+                    duty.epoch = ++lastEpoch;
+                    duty.ownedSinceMs = proposedAtMs;
+                    duty.handOverTarget = "";
+                    duty.revision = revision;
+                    addHistory(
+                            duty,
+                            proposedAtMs,
+                            newOwner.driverName() + " has it, epoch " + duty.epoch);
+                    dutyCountBySession.merge(newOwner.id, 1, Integer::sum);
                 }
             }
         }
-        load.forEach((s, n) -> spread(s, n - cap));
-        leaveMachines();
+        dutyCountBySession.forEach((session, n) -> releaseSurplus(session, n - maxPerSession));
+        releaseOnDrainingMachines();
     }
 
     /**
      * Whoever is on a machine that drains is asked for all that it has, where somebody else would
      * do it.
      */
-    private void leaveMachines() {
-        for (Duty d : duties.values()) {
-            if (!d.owner.isEmpty()
-                    && d.handOverTarget.isEmpty()
-                    && plan.isOnDrainingMachine(driverNameOf(d.owner))
+    private void releaseOnDrainingMachines() {
+        for (Duty duty : duties.values()) {
+            if (!duty.owner.isEmpty()
+                    && duty.handOverTarget.isEmpty()
+                    && plan.isOnDrainingMachine(driverNameOf(duty.owner))
                     && sessions.values().stream()
                             .anyMatch(
-                                    s ->
-                                            !s.id.equals(d.owner)
-                                                    && s.duties.contains(d.name)
-                                                    && !plan.isOnDrainingMachine(s.driverName()))) {
-                d.handOverTarget = "*";
-                d.revision = revision;
+                                    session ->
+                                            !session.id.equals(duty.owner)
+                                                    && session.duties.contains(duty.name)
+                                                    && !plan.isOnDrainingMachine(
+                                                            session.driverName()))) {
+                duty.handOverTarget = "*";
+                duty.revision = revision;
             }
         }
     }
 
-    private Session next(Duty d, Map<String, Integer> load, int cap) {
-        List<Session> may = new ArrayList<>();
-        for (Session s : sessions.values()) {
-            if (s.duties.contains(d.name)) {
-                if (s.driverName().equals(d.handOverTarget)) {
-                    return s;
+    private Session chooseOwner(
+            Duty duty, Map<String, Integer> dutyCountBySession, int maxPerSession) {
+        List<Session> candidates = new ArrayList<>();
+        for (Session session : sessions.values()) {
+            if (session.duties.contains(duty.name)) {
+                if (session.driverName().equals(duty.handOverTarget)) {
+                    return session;
                 }
-                may.add(s);
+                candidates.add(session);
             }
         }
         // Each of these only where it leaves somebody: better a driver that loses it again than
         // nobody.
-        keep(may, s -> !plan.isOnDrainingMachine(s.driverName()));
-        keep(may, s -> !d.handOverTarget.equals("*") || !s.id.equals(d.previousOwner));
-        keep(may, s -> !waits(s.driverName()));
-        keep(may, s -> load.get(s.id) < cap);
-        if (may.isEmpty()) {
+        retainIfAny(candidates, session -> !plan.isOnDrainingMachine(session.driverName()));
+        retainIfAny(
+                candidates,
+                session ->
+                        !duty.handOverTarget.equals("*") || !session.id.equals(duty.previousOwner));
+        retainIfAny(candidates, session -> !isBackedOff(session.driverName()));
+        retainIfAny(candidates, session -> dutyCountBySession.get(session.id) < maxPerSession);
+        if (candidates.isEmpty()) {
             return null;
         }
         TreeMap<String, Session> byName = new TreeMap<>();
-        may.forEach(s -> byName.put(s.driverName(), s));
-        return byName.get(RendezvousHashing.most(d.name, byName.keySet()));
+        candidates.forEach(session -> byName.put(session.driverName(), session));
+        return byName.get(RendezvousHashing.select(duty.name, byName.keySet()));
     }
 
-    private static void keep(List<Session> of, Predicate<Session> which) {
-        if (of.stream().anyMatch(which)) {
-            of.removeIf(which.negate());
+    private static void retainIfAny(List<Session> candidates, Predicate<Session> condition) {
+        if (candidates.stream().anyMatch(condition)) {
+            candidates.removeIf(condition.negate());
         }
     }
 
-    private boolean waits(String driver) {
-        Losses l = losses.get(driver);
-        return l != null && l.until > heartbeatRounds;
+    private boolean isBackedOff(String driver) {
+        LeaseLosses losses = leaseLosses.get(driver);
+        return losses != null && losses.backoffUntilRound > heartbeatRounds;
     }
 
-    private void spread(String session, int surplus) {
-        List<Duty> own =
+    private void releaseSurplus(String sessionId, int surplus) {
+        List<Duty> ownedDuties =
                 new ArrayList<>(
-                        duties.values().stream().filter(d -> d.owner.equals(session)).toList());
-        int asked = (int) own.stream().filter(d -> !d.handOverTarget.isEmpty()).count();
-        String driver = driverNameOf(session);
-        own.removeIf(
-                d ->
-                        !d.handOverTarget.isEmpty()
+                        duties.values().stream()
+                                .filter(duty -> duty.owner.equals(sessionId))
+                                .toList());
+        int pendingReleases =
+                (int) ownedDuties.stream().filter(duty -> !duty.handOverTarget.isEmpty()).count();
+        String driver = driverNameOf(sessionId);
+        ownedDuties.removeIf(
+                duty ->
+                        !duty.handOverTarget.isEmpty()
                                 || sessions.values().stream()
                                         .noneMatch(
-                                                s ->
-                                                        !s.id.equals(session)
-                                                                && s.duties.contains(d.name)
-                                                                && !waits(s.driverName())));
-        own.sort(
+                                                session ->
+                                                        !session.id.equals(sessionId)
+                                                                && session.duties.contains(
+                                                                        duty.name)
+                                                                && !isBackedOff(
+                                                                        session.driverName())));
+        ownedDuties.sort(
                 (a, b) ->
                         Long.compare(
                                 RendezvousHashing.weight(a.name, driver),
                                 RendezvousHashing.weight(b.name, driver)));
-        for (int i = 0; i < Math.min(surplus - asked, own.size()); i++) {
-            own.get(i).handOverTarget = "*";
-            own.get(i).revision = revision;
+        for (int i = 0; i < Math.min(surplus - pendingReleases, ownedDuties.size()); i++) {
+            ownedDuties.get(i).handOverTarget = "*";
+            ownedDuties.get(i).revision = revision;
         }
     }
 
@@ -624,109 +654,121 @@
 
     /** All of it, for a snapshot. */
     public Map<String, Object> snapshot() {
-        Map<String, Object> all = new TreeMap<>();
-        all.put("epochs", epochs);
-        all.put("rounds", heartbeatRounds);
-        all.put("revision", revision);
-        all.put(
+        Map<String, Object> state = new TreeMap<>();
+        state.put("epochs", lastEpoch);
+        state.put("rounds", heartbeatRounds);
+        state.put("revision", revision);
+        state.put(
                 "sessions",
                 sessions.values().stream()
                         .map(
-                                s ->
+                                session ->
                                         List.of(
-                                                s.id,
-                                                s.identity,
-                                                List.copyOf(s.duties),
-                                                s.lastHeartbeat,
-                                                s.openedAtMs))
+                                                session.id,
+                                                session.identity,
+                                                List.copyOf(session.duties),
+                                                session.lastHeartbeat,
+                                                session.openedAtMs))
                         .toList());
-        all.put(
+        state.put(
                 "duties",
                 duties.values().stream()
                         .map(
-                                d ->
+                                duty ->
                                         List.of(
-                                                d.name,
-                                                d.owner,
-                                                d.epoch,
-                                                d.ownedSinceMs,
-                                                d.run,
-                                                d.outcome,
-                                                d.handOverTarget,
-                                                d.previousOwner,
-                                                d.revision,
-                                                List.copyOf(d.history)))
+                                                duty.name,
+                                                duty.owner,
+                                                duty.epoch,
+                                                duty.ownedSinceMs,
+                                                duty.run,
+                                                duty.outcome,
+                                                duty.handOverTarget,
+                                                duty.previousOwner,
+                                                duty.revision,
+                                                List.copyOf(duty.history)))
                         .toList());
         List<Object> lost = new ArrayList<>();
-        losses.forEach((n, l) -> lost.add(List.of(n, (long) l.count, l.until, l.last)));
-        all.put("losses", lost);
-        all.put("voters", new TreeMap<>(voterChanges));
-        all.put("late-orders", staleCommandCount);
-        all.put("work", plan.snapshot());
-        all.put("answers", answers.stream().map(a -> List.of(a[0], a[1])).toList());
-        return all;
+        leaseLosses.forEach(
+                (n, losses) ->
+                        lost.add(
+                                List.of(
+                                        n,
+                                        (long) losses.count,
+                                        losses.backoffUntilRound,
+                                        losses.lastLossRound)));
+        state.put("losses", lost);
+        state.put("voters", new TreeMap<>(voterChanges));
+        state.put("late-orders", staleCommandCount);
+        state.put("work", plan.snapshot());
+        state.put("answers", recentResults.stream().map(a -> List.of(a[0], a[1])).toList());
+        return state;
     }
 
     /** Takes over a snapshot in place of all that is there. */
-    public void restore(Map<?, ?> all) {
-        epochs = number(all.get("epochs"));
-        heartbeatRounds = number(all.get("rounds"));
-        revision = number(all.get("revision"));
+    public void restore(Map<?, ?> state) {
+        lastEpoch = number(state.get("epochs"));
+        heartbeatRounds = number(state.get("rounds"));
+        revision = number(state.get("revision"));
         sessions.clear();
         duties.clear();
-        losses.clear();
-        answers.clear();
-        for (List<?> s : lists(all.get("sessions"))) {
+        leaseLosses.clear();
+        recentResults.clear();
+        for (List<?> values : lists(state.get("sessions"))) {
             List<String> mine = new ArrayList<>();
-            ((List<?>) s.get(2)).forEach(d -> mine.add((String) d));
+            ((List<?>) values.get(2)).forEach(duty -> mine.add((String) duty));
             sessions.put(
-                    (String) s.get(0),
+                    (String) values.get(0),
                     new Session(
-                            (String) s.get(0),
-                            (String) s.get(1),
+                            (String) values.get(0),
+                            (String) values.get(1),
                             mine,
-                            number(s.get(3)),
-                            number(s.get(4))));
-        }
-        for (List<?> l : lists(all.get("duties"))) {
-            Duty d = new Duty((String) l.get(0));
-            d.owner = (String) l.get(1);
-            d.epoch = number(l.get(2));
-            d.ownedSinceMs = number(l.get(3));
-            d.run = number(l.get(4));
-            d.outcome = (String) l.get(5);
-            d.handOverTarget = (String) l.get(6);
-            d.previousOwner = (String) l.get(7);
-            d.revision = number(l.get(8));
-            ((List<?>) l.get(9)).forEach(h -> d.history.add((String) h));
-            duties.put(d.name, d);
-        }
-        for (List<?> l : lists(all.get("losses"))) {
-            Losses lost = new Losses();
-            lost.count = (int) number(l.get(1));
-            lost.until = number(l.get(2));
-            lost.last = number(l.get(3));
-            losses.put((String) l.get(0), lost);
+                            number(values.get(3)),
+                            number(values.get(4))));
+        }
+        for (List<?> values : lists(state.get("duties"))) {
+            Duty duty = new Duty((String) values.get(0));
+            duty.owner = (String) values.get(1);
+            duty.epoch = number(values.get(2));
+            duty.ownedSinceMs = number(values.get(3));
+            duty.run = number(values.get(4));
+            duty.outcome = (String) values.get(5);
+            duty.handOverTarget = (String) values.get(6);
+            duty.previousOwner = (String) values.get(7);
+            duty.revision = number(values.get(8));
+            ((List<?>) values.get(9)).forEach(h -> duty.history.add((String) h));
+            duties.put(duty.name, duty);
+        }
+        for (List<?> values : lists(state.get("losses"))) {
+            LeaseLosses lost = new LeaseLosses();
+            lost.count = (int) number(values.get(1));
+            lost.backoffUntilRound = number(values.get(2));
+            lost.lastLossRound = number(values.get(3));
+            leaseLosses.put((String) values.get(0), lost);
         }
         voterChanges.clear();
-        ((Map<?, ?>) all.get("voters")).forEach((n, a) -> voterChanges.put((String) n, (String) a));
-        staleCommandCount = all.get("late-orders") instanceof Number n ? n.longValue() : 0;
-        plan.restore(all.get("work"));
-        if (all.get("work") == null) {
-            sessions.values().forEach(s -> plan.sessionOpened(s.id, s.identity, s.driverName()));
+        ((Map<?, ?>) state.get("voters"))
+                .forEach((n, a) -> voterChanges.put((String) n, (String) a));
+        staleCommandCount = state.get("late-orders") instanceof Number n ? n.longValue() : 0;
+        plan.restore(state.get("work"));
+        if (state.get("work") == null) {
+            sessions.values()
+                    .forEach(
+                            values ->
+                                    plan.sessionOpened(
+                                            values.id, values.identity, values.driverName()));
         }
-        for (List<?> a : lists(all.get("answers"))) {
-            answers.add(new String[] {(String) a.get(0), (String) a.get(1)});
+        for (List<?> a : lists(state.get("answers"))) {
+            recentResults.add(new String[] {(String) a.get(0), (String) a.get(1)});
         }
     }
 
-    private static long number(Object n) {
-        return ((Number) n).longValue();
+    private static long number(Object value) {
+        return ((Number) value).longValue();
     }
 
-    private static List<List<?>> lists(Object of) {
-        List<List<?>> all = new ArrayList<>();
-        ((List<?>) of).forEach(l -> all.add((List<?>) l));
-        return all;
+    private static List<List<?>> lists(Object value) {
+        List<List<?>> result = new ArrayList<>();
+        ((List<?>) value).forEach(item -> result.add((List<?>) item));
+        return result;
     }
 }
--- a/src/main/java/wingroad/duty/EpochFence.java
+++ b/src/main/java/wingroad/duty/EpochFence.java
@@ -21,8 +21,8 @@
 
     /** Whether an effect may take place; its epoch is seen from then on. */
     public boolean admits(String duty, long epoch) {
-        Long seen = highestEpoch.get(duty);
-        if (seen == null || epoch < seen) {
+        Long highest = highestEpoch.get(duty);
+        if (highest == null || epoch < highest) {
             refusedCount++;
             return false;
         }
--- a/src/main/java/wingroad/duty/RelayHealth.java
+++ b/src/main/java/wingroad/duty/RelayHealth.java
@@ -9,28 +9,28 @@
  * only costs more.
  */
 public final class RelayHealth {
-    private final Duration silentAfter;
-    private final Duration staleAfter;
-    private final Duration checkEvery;
-    private long epoch;
-    private long heard = -1;
-    private Duration heardAt;
-    private long held;
+    private final Duration ownerTimeout;
+    private final Duration staleTimeout;
+    private final Duration checkInterval;
+    private long ownerEpoch;
+    private long announcedRevision = -1;
+    private Duration lastHeardAt;
+    private long localRevision;
 
     /** Since when something newer is held than the owner tells, or null. */
     private Duration aheadSince;
 
-    private Duration checkedAt = Duration.ZERO;
+    private Duration lastCheckAt = Duration.ZERO;
 
     /**
-     * @param silentAfter an owner that is not heard for so long is not gone by any more
-     * @param staleAfter so long may it tell of something older than what is held
-     * @param checkEvery how often discovery is asked all the same
+     * @param ownerTimeout an owner that is not heard for so long is not gone by any more
+     * @param staleTimeout so long may it tell of something older than what is held
+     * @param checkInterval how often discovery is asked all the same
      */
-    public RelayHealth(Duration silentAfter, Duration staleAfter, Duration checkEvery) {
-        this.silentAfter = silentAfter;
-        this.staleAfter = staleAfter;
-        this.checkEvery = checkEvery;
+    public RelayHealth(Duration ownerTimeout, Duration staleTimeout, Duration checkInterval) {
+        this.ownerTimeout = ownerTimeout;
+        this.staleTimeout = staleTimeout;
+        this.checkInterval = checkInterval;
     }
 
     /** What is to be done with what the owner has handed on. */
@@ -48,31 +48,31 @@
      * another one.
      */
     public Action onOwnerUpdate(
-            long underEpoch,
-            long since,
+            long epoch,
+            long baseRevision,
             long revision,
-            boolean whole,
-            boolean withNews,
+            boolean complete,
+            boolean hasChanges,
             Duration now) {
-        if (underEpoch < epoch) {
+        if (epoch < ownerEpoch) {
             return Action.IGNORE;
         }
-        if (underEpoch > epoch) {
-            epoch = underEpoch;
-            heard = -1;
+        if (epoch > ownerEpoch) {
+            ownerEpoch = epoch;
+            announcedRevision = -1;
         }
-        heardAt = now;
-        heard = Math.max(heard, revision);
-        if (heard >= held) {
+        lastHeardAt = now;
+        announcedRevision = Math.max(announcedRevision, revision);
+        if (announcedRevision >= localRevision) {
             aheadSince = null;
         } else if (aheadSince == null) {
             aheadSince = now;
         }
-        if (revision <= held) {
+        if (revision <= localRevision) {
             return Action.IGNORE;
         }
-        if (withNews && (whole || since <= held)) {
-            held = revision;
+        if (hasChanges && (complete || baseRevision <= localRevision)) {
+            localRevision = revision;
             return Action.APPLY;
         }
         return Action.FETCH;
@@ -80,27 +80,27 @@
 
     /** The driver has found this revision by itself. */
     public void onDirectFetch(long revision, Duration now) {
-        checkedAt = now;
-        held = Math.max(held, revision);
-        if (held > heard && aheadSince == null) {
+        lastCheckAt = now;
+        localRevision = Math.max(localRevision, revision);
+        if (localRevision > announcedRevision && aheadSince == null) {
             aheadSince = now;
         }
     }
 
     /** Whether the owner is gone by. */
     public boolean trustsOwner(Duration now) {
-        return heardAt != null
-                && now.minus(heardAt).compareTo(silentAfter) < 0
-                && (aheadSince == null || now.minus(aheadSince).compareTo(staleAfter) < 0);
+        return lastHeardAt != null
+                && now.minus(lastHeardAt).compareTo(ownerTimeout) < 0
+                && (aheadSince == null || now.minus(aheadSince).compareTo(staleTimeout) < 0);
     }
 
     /** Whether the slow call is due. */
     public boolean isCheckDue(Duration now) {
-        return now.minus(checkedAt).compareTo(checkEvery) >= 0;
+        return now.minus(lastCheckAt).compareTo(checkInterval) >= 0;
     }
 
     /** The slow call goes out. */
     public void onCheckStarted(Duration now) {
-        checkedAt = now;
+        lastCheckAt = now;
     }
 }
--- a/src/main/java/wingroad/duty/RendezvousHashing.java
+++ b/src/main/java/wingroad/duty/RendezvousHashing.java
@@ -21,16 +21,16 @@
     }
 
     /** The one most meant for the duty, or null where there is none. */
-    static String most(String duty, Collection<String> drivers) {
+    static String select(String duty, Collection<String> drivers) {
         return drivers.stream()
                 .max(
-                        Comparator.<String>comparingLong(d -> weight(duty, d))
+                        Comparator.<String>comparingLong(driver -> weight(duty, driver))
                                 .thenComparing(Comparator.naturalOrder()))
                 .orElse(null);
     }
 
     /** How many duties one driver may have at most. */
-    static int cap(int duties, int drivers) {
-        return drivers == 0 ? 0 : (duties + drivers - 1) / drivers + 1;
+    static int maxDutiesPerDriver(int dutyCount, int driverCount) {
+        return driverCount == 0 ? 0 : (dutyCount + driverCount - 1) / driverCount + 1;
     }
 }
--- a/src/main/java/wingroad/duty/RunSchedule.java
+++ b/src/main/java/wingroad/duty/RunSchedule.java
@@ -8,35 +8,35 @@
  * from the one before. A turn that is missed is told and not made up for.
  */
 public final class RunSchedule {
-    private final Duration every;
-    private long turn = -1;
-    private Duration heardAt;
+    private final Duration interval;
+    private long lastRun = -1;
+    private Duration lastRunAt;
 
-    public RunSchedule(Duration every) {
-        this.every = every;
+    public RunSchedule(Duration interval) {
+        this.interval = interval;
     }
 
     /** The newest turn that is settled; returns how many turns were missed before it. */
-    public long onRunCommitted(long newest, Duration now) {
+    public long onRunCommitted(long run, Duration now) {
         long missed = 0;
-        if (newest != turn) {
-            if (turn >= 0 && heardAt != null) {
-                missed = Math.max(0, now.minus(heardAt).toNanos() / every.toNanos() - 1);
+        if (run != lastRun) {
+            if (lastRun >= 0 && lastRunAt != null) {
+                missed = Math.max(0, now.minus(lastRunAt).toNanos() / interval.toNanos() - 1);
             }
-            turn = newest;
-            heardAt = now;
+            lastRun = run;
+            lastRunAt = now;
         }
         return missed;
     }
 
     /** The number of the turn that is due, or 0. */
     public long dueRun(Duration now) {
-        return heardAt != null && now.minus(heardAt).compareTo(every) >= 0 ? turn + 1 : 0;
+        return lastRunAt != null && now.minus(lastRunAt).compareTo(interval) >= 0 ? lastRun + 1 : 0;
     }
 
     /** How long until the next one is due; zero where it is. */
     public Duration timeUntilDue(Duration now) {
-        Duration left = heardAt == null ? every : every.minus(now.minus(heardAt));
-        return left.isNegative() ? Duration.ZERO : left;
+        Duration remaining = lastRunAt == null ? interval : interval.minus(now.minus(lastRunAt));
+        return remaining.isNegative() ? Duration.ZERO : remaining;
     }
 }
--- a/src/main/java/wingroad/duty/SessionExpiryMonitor.java
+++ b/src/main/java/wingroad/duty/SessionExpiryMonitor.java
@@ -12,42 +12,43 @@
  * void. So a voter that restarts, or gets a snapshot, may count anew: later is safe.
  */
 public final class SessionExpiryMonitor {
-    private record Seen(long beat, Duration at) {}
+    private record HeartbeatObservation(long heartbeat, Duration observedAt) {}
 
     private final Lease lease;
-    private final Map<String, Seen> seen = new HashMap<>();
+    private final Map<String, HeartbeatObservation> observations = new HashMap<>();
 
     public SessionExpiryMonitor(Lease lease) {
         this.lease = lease;
     }
 
     /** Compares with what is settled now. */
-    public void observe(DutyStateMachine register, Duration now) {
-        seen.keySet().removeIf(s -> register.session(s) == null);
-        for (DutyStateMachine.Session s : register.sessions()) {
-            Seen was = seen.get(s.id());
-            if (was == null || was.beat != s.lastHeartbeat()) {
-                seen.put(s.id(), new Seen(s.lastHeartbeat(), now));
+    public void observe(DutyStateMachine stateMachine, Duration now) {
+        observations.keySet().removeIf(session -> stateMachine.session(session) == null);
+        for (DutyStateMachine.Session session : stateMachine.sessions()) {
+            HeartbeatObservation previous = observations.get(session.id());
+            if (previous == null || previous.heartbeat != session.lastHeartbeat()) {
+                observations.put(
+                        session.id(), new HeartbeatObservation(session.lastHeartbeat(), now));
             }
         }
     }
 
     /** The sessions whose leases have run out for certain. */
     public List<Command> expireCommands(Duration now) {
-        List<Command> ends = new ArrayList<>();
-        seen.forEach(
-                (s, at) -> {
-                    if (now.minus(at.at).compareTo(lease.voterTimeout()) > 0) {
-                        ends.add(Command.expireSession(s, at.beat));
+        List<Command> commands = new ArrayList<>();
+        observations.forEach(
+                (sessionId, observation) -> {
+                    if (now.minus(observation.observedAt).compareTo(lease.voterTimeout()) > 0) {
+                        commands.add(Command.expireSession(sessionId, observation.heartbeat));
                     }
                 });
-        ends.sort((a, b) -> a.sessionId().compareTo(b.sessionId()));
-        return ends;
+        commands.sort((left, right) -> left.sessionId().compareTo(right.sessionId()));
+        return commands;
     }
 
     /** How long ago this session was renewed as this voter knows it, or null. */
-    public Duration timeSinceHeartbeat(String session, Duration now) {
-        Seen s = seen.get(session);
-        return s == null ? null : now.minus(s.at);
+    public Duration timeSinceHeartbeat(String sessionId, Duration now) {
+        HeartbeatObservation observation = observations.get(sessionId);
+        return observation == null ? null : now.minus(observation.observedAt);
     }
 }
--- a/src/main/java/wingroad/duty/SessionLease.java
+++ b/src/main/java/wingroad/duty/SessionLease.java
@@ -15,7 +15,7 @@
  */
 public class SessionLease {
     /** Beats that were sent and not yet settled; more than these are not waited for. */
-    private static final int MOST_OUT = 64;
+    private static final int MAX_PENDING_HEARTBEATS = 64;
 
     /** A duty as it is settled. */
     public record DutyState(
@@ -26,20 +26,20 @@
             String outcome,
             String handOverTarget) {}
 
-    private record Beat(long number, Duration askedAt) {}
+    private record PendingHeartbeat(long number, Duration sentAt) {}
 
     private final Lease lease;
     private final String sessionId;
-    private final ArrayDeque<Beat> out = new ArrayDeque<>();
+    private final ArrayDeque<PendingHeartbeat> pendingHeartbeats = new ArrayDeque<>();
     private final Map<String, DutyState> current = new TreeMap<>();
-    private long beats;
+    private long lastHeartbeat;
     private Duration expiresAt = Duration.ZERO;
     private boolean open;
-    private boolean over;
+    private boolean ended;
 
-    public SessionLease(Lease lease, String session) {
+    public SessionLease(Lease lease, String sessionId) {
         this.lease = lease;
-        this.sessionId = session;
+        this.sessionId = sessionId;
     }
 
     public String sessionId() {
@@ -48,27 +48,27 @@
 
     /** The number of the next beat, which goes out now or later. */
     public long nextHeartbeat(Duration now) {
-        out.add(new Beat(++beats, now));
-        if (out.size() > MOST_OUT) {
-            out.poll();
+        pendingHeartbeats.add(new PendingHeartbeat(++lastHeartbeat, now));
+        if (pendingHeartbeats.size() > MAX_PENDING_HEARTBEATS) {
+            pendingHeartbeats.poll();
         }
-        return beats;
+        return lastHeartbeat;
     }
 
     /** The council has settled this beat: the lease runs from when it was asked for. */
-    public void heartbeatCommitted(long beat, Duration now) {
-        while (!out.isEmpty() && out.peek().number <= beat) {
-            Beat b = out.poll();
-            if (b.number == beat) {
-                Duration runs = leaseStart(b.askedAt, now).plus(lease.duration());
-                expiresAt = runs.compareTo(expiresAt) > 0 ? runs : expiresAt;
+    public void heartbeatCommitted(long number, Duration now) {
+        while (!pendingHeartbeats.isEmpty() && pendingHeartbeats.peek().number <= number) {
+            PendingHeartbeat heartbeat = pendingHeartbeats.poll();
+            if (heartbeat.number == number) {
+                Duration expiry = leaseStart(heartbeat.sentAt, now).plus(lease.duration());
+                expiresAt = expiry.compareTo(expiresAt) > 0 ? expiry : expiresAt;
             }
         }
     }
 
     /** Where a lease begins that was asked for and heard of at these times. */
-    protected Duration leaseStart(Duration askedAt, Duration heardAt) {
-        return askedAt;
+    protected Duration leaseStart(Duration sentAt, Duration confirmedAt) {
+        return sentAt;
     }
 
     /** Whether the council knows this session. */
@@ -80,20 +80,20 @@
      * The council has ended the session, or it has been left: nothing is done under it any more.
      */
     public void markEnded() {
-        over = true;
+        ended = true;
     }
 
     public boolean isOpen() {
-        return open && !over;
+        return open && !ended;
     }
 
     public boolean isEnded() {
-        return over;
+        return ended;
     }
 
     /** A duty as the council has settled it. */
-    public void updateDuty(DutyState duty) {
-        current.put(duty.duty, duty);
+    public void updateDuty(DutyState state) {
+        current.put(state.duty, state);
     }
 
     public Collection<DutyState> current() {
@@ -108,30 +108,30 @@
      * The duties that are this driver's to do, those that it is asked to give up not among them.
      */
     public List<DutyState> ownedDuties(Duration now) {
-        List<DutyState> mine = new ArrayList<>();
-        for (DutyState h : current.values()) {
-            if (mayAct(h.duty, h.epoch, now)) {
-                mine.add(h);
+        List<DutyState> owned = new ArrayList<>();
+        for (DutyState state : current.values()) {
+            if (mayAct(state.duty, state.epoch, now)) {
+                owned.add(state);
             }
         }
-        return mine;
+        return owned;
     }
 
     /** The duties that are to be given up. */
     public List<DutyState> releaseRequests() {
         return current.values().stream()
-                .filter(h -> h.owner.equals(sessionId) && !h.handOverTarget.isEmpty())
+                .filter(state -> state.owner.equals(sessionId) && !state.handOverTarget.isEmpty())
                 .toList();
     }
 
     /** Whether an effect under this epoch may be started at this time. */
     public boolean mayAct(String duty, long epoch, Duration now) {
-        DutyState h = current.get(duty);
-        return h != null
+        DutyState state = current.get(duty);
+        return state != null
                 && isOpen()
-                && h.owner.equals(sessionId)
-                && h.epoch == epoch
-                && h.handOverTarget.isEmpty()
+                && state.owner.equals(sessionId)
+                && state.epoch == epoch
+                && state.handOverTarget.isEmpty()
                 && now.compareTo(expiresAt) < 0;
     }
 
--- a/src/main/java/wingroad/work/DriverReport.java
+++ b/src/main/java/wingroad/work/DriverReport.java
@@ -25,7 +25,7 @@
         long servedCount,
         long harmedCount,
         Map<Integer, Long> busyMsByGroup) {
-    static final DriverReport NONE = new DriverReport(0, Set.of(), Map.of(), 0, 0, Map.of());
+    static final DriverReport EMPTY = new DriverReport(0, Set.of(), Map.of(), 0, 0, Map.of());
 
     /** Whether the other one says more than new figures. */
     public boolean differsBeyondFigures(DriverReport other) {
@@ -35,24 +35,24 @@
     }
 
     /** As a line behind its session. */
-    public String toLine(String session) {
-        List<String> b = new ArrayList<>();
-        primaries.forEach((g, uid) -> b.add(g + "=" + uid));
-        List<String> u = new ArrayList<>();
-        busyMsByGroup.forEach((g, ms) -> u.add(g + "=" + ms));
-        return session
+    public String toLine(String sessionId) {
+        List<String> primaryPairs = new ArrayList<>();
+        primaries.forEach((group, uid) -> primaryPairs.add(group + "=" + uid));
+        List<String> busyPairs = new ArrayList<>();
+        busyMsByGroup.forEach((group, busyMs) -> busyPairs.add(group + "=" + busyMs));
+        return sessionId
                 + " "
                 + planRevision
                 + " "
                 + String.join(",", drainedMachines)
                 + " "
-                + String.join(",", b)
+                + String.join(",", primaryPairs)
                 + " "
                 + servedCount
                 + " "
                 + harmedCount
                 + " "
-                + String.join(",", u);
+                + String.join(",", busyPairs);
     }
 
     static String sessionOf(String line) {
@@ -60,29 +60,29 @@
     }
 
     /** Reads such a line; throws {@link IllegalArgumentException} where it is none. */
-    static DriverReport of(String line) {
-        String[] w = line.split(" ", -1);
-        if (w.length != 7) {
+    static DriverReport parse(String line) {
+        String[] fields = line.split(" ", -1);
+        if (fields.length != 7) {
             throw new IllegalArgumentException("no report: " + line);
         }
-        Map<Integer, String> b = new TreeMap<>();
-        for (String p : Machine.split(w[3])) {
-            b.put(
-                    Integer.parseInt(p.substring(0, p.indexOf('='))),
-                    p.substring(p.indexOf('=') + 1));
+        Map<Integer, String> primaries = new TreeMap<>();
+        for (String pair : Machine.splitList(fields[3])) {
+            primaries.put(
+                    Integer.parseInt(pair.substring(0, pair.indexOf('='))),
+                    pair.substring(pair.indexOf('=') + 1));
         }
-        Map<Integer, Long> u = new TreeMap<>();
-        for (String p : Machine.split(w[6])) {
-            u.put(
-                    Integer.parseInt(p.substring(0, p.indexOf('='))),
-                    Long.parseLong(p.substring(p.indexOf('=') + 1)));
+        Map<Integer, Long> busyMsByGroup = new TreeMap<>();
+        for (String pair : Machine.splitList(fields[6])) {
+            busyMsByGroup.put(
+                    Integer.parseInt(pair.substring(0, pair.indexOf('='))),
+                    Long.parseLong(pair.substring(pair.indexOf('=') + 1)));
         }
         return new DriverReport(
-                Long.parseLong(w[1]),
-                new TreeSet<>(Machine.split(w[2])),
-                b,
-                Long.parseLong(w[4]),
-                Long.parseLong(w[5]),
-                u);
+                Long.parseLong(fields[1]),
+                new TreeSet<>(Machine.splitList(fields[2])),
+                primaries,
+                Long.parseLong(fields[4]),
+                Long.parseLong(fields[5]),
+                busyMsByGroup);
     }
 }
--- a/src/main/java/wingroad/work/GroupCapacity.java
+++ b/src/main/java/wingroad/work/GroupCapacity.java
@@ -12,67 +12,67 @@
  */
 final class GroupCapacity {
     /** So near to what was too much it is not tried. */
-    private static final double SHY = 0.95;
+    private static final double SAFETY_RATIO = 0.95;
 
     /** What was too much grows by this part with each watched span. */
-    private static final double LET_OFF = 0.002;
+    private static final double RECOVERY_PER_WATCH_PERIOD = 0.002;
 
     /** Grown to so many times what it was, it is forgotten. */
-    private static final double FORGOTTEN = 2;
+    private static final double DISCARD_GROWTH_FACTOR = 2;
 
     private static final class Ceiling {
-        double first;
-        double most;
-        Duration at;
+        double initialLimit;
+        double limit;
+        Duration observedAt;
     }
 
-    private final Duration span;
+    private final Duration watchPeriod;
     private final Map<Integer, Ceiling> ceilings = new TreeMap<>();
 
     /**
-     * @param span the watched span
+     * @param watchPeriod the watched span
      */
-    GroupCapacity(Duration span) {
-        this.span = span;
+    GroupCapacity(Duration watchPeriod) {
+        this.watchPeriod = watchPeriod;
     }
 
     /** Each of the group's members that were left had so many txns at work when harm was seen. */
-    void harmed(int group, double each, Duration now) {
-        if (each <= 0) {
+    void recordHarm(int group, double txnsPerMember, Duration now) {
+        if (txnsPerMember <= 0) {
             return;
         }
-        Ceiling c = ceilings.get(group);
-        if (c == null || each < most(group, now)) {
-            c = new Ceiling();
-            c.first = each;
-            c.most = each;
-            c.at = now;
-            ceilings.put(group, c);
+        Ceiling ceiling = ceilings.get(group);
+        if (ceiling == null || txnsPerMember < currentLimit(group, now)) {
+            ceiling = new Ceiling();
+            ceiling.initialLimit = txnsPerMember;
+            ceiling.limit = txnsPerMember;
+            ceiling.observedAt = now;
+            ceilings.put(group, ceiling);
         }
     }
 
     /** What is too much for each member now; infinite where nothing is known. */
-    private double most(int group, Duration now) {
-        Ceiling c = ceilings.get(group);
-        if (c == null) {
+    private double currentLimit(int group, Duration now) {
+        Ceiling ceiling = ceilings.get(group);
+        if (ceiling == null) {
             return Double.POSITIVE_INFINITY;
         }
-        double spans = (double) now.minus(c.at).toNanos() / span.toNanos();
-        double grown = c.most * Math.pow(1 + LET_OFF, spans);
-        if (grown > c.first * FORGOTTEN) {
+        double periods = (double) now.minus(ceiling.observedAt).toNanos() / watchPeriod.toNanos();
+        double limit = ceiling.limit * Math.pow(1 + RECOVERY_PER_WATCH_PERIOD, periods);
+        if (limit > ceiling.initialLimit * DISCARD_GROWTH_FACTOR) {
             ceilings.remove(group);
             return Double.POSITIVE_INFINITY;
         }
-        return grown;
+        return limit;
     }
 
     /** Whether so many at each are as much as was too much. */
-    boolean tooMuch(int group, double each, Duration now) {
-        return each >= most(group, now) * SHY;
+    boolean exceedsLimit(int group, double txnsPerMember, Duration now) {
+        return txnsPerMember >= currentLimit(group, now) * SAFETY_RATIO;
     }
 
     /** The groups of which something is known, for people. */
-    int known() {
+    int knownGroupCount() {
         return ceilings.size();
     }
 }
--- a/src/main/java/wingroad/work/HarmMonitor.java
+++ b/src/main/java/wingroad/work/HarmMonitor.java
@@ -10,64 +10,68 @@
  */
 final class HarmMonitor {
     /** So few txns in a window say nothing. */
-    private static final long FEW = 20;
+    private static final long MIN_WINDOW_TXNS = 20;
 
-    private record Sample(Duration at, long served, long harmed) {}
+    private record Sample(Duration takenAt, long servedCount, long harmedCount) {}
 
-    private final Duration watch;
-    private final double most;
+    private final Duration watchPeriod;
+    private final double maxIncrease;
     private final ArrayDeque<Sample> samples = new ArrayDeque<>();
-    private double before = -1;
-    private Duration harmAt;
+    private double baseline = -1;
+    private Duration lastHarmAt;
 
-    HarmMonitor(Duration watch, double most) {
-        this.watch = watch;
-        this.most = most;
+    HarmMonitor(Duration watchPeriod, double maxIncrease) {
+        this.watchPeriod = watchPeriod;
+        this.maxIncrease = maxIncrease;
     }
 
     /** The fleet's figures since some start; {@code atWork} while a machine is on its way. */
-    void figures(long served, long harmed, boolean atWork, Duration now) {
+    void addSample(long servedCount, long harmedCount, boolean maintenanceRunning, Duration now) {
         if (!samples.isEmpty()
-                && (served < samples.peekLast().served || harmed < samples.peekLast().harmed)) {
+                && (servedCount < samples.peekLast().servedCount
+                        || harmedCount < samples.peekLast().harmedCount)) {
             // A driver has gone with its figures: they begin anew.
             samples.clear();
         }
-        samples.add(new Sample(now, served, harmed));
-        while (samples.size() > 2 && now.minus(samples.peekFirst().at).compareTo(watch) > 0) {
+        samples.add(new Sample(now, servedCount, harmedCount));
+        while (samples.size() > 2
+                && now.minus(samples.peekFirst().takenAt).compareTo(watchPeriod) > 0) {
             samples.poll();
         }
-        double part = part();
-        if (!atWork && part >= 0) {
-            before = before < 0 ? part : before * 0.9 + part * 0.1;
+        double share = harmedShare();
+        if (!maintenanceRunning && share >= 0) {
+            baseline = baseline < 0 ? share : baseline * 0.9 + share * 0.1;
         }
-        if (part >= 0 && part > Math.max(0, before) + most) {
-            harmAt = now;
+        if (share >= 0 && share > Math.max(0, baseline) + maxIncrease) {
+            lastHarmAt = now;
         }
     }
 
     /** The part that was harmed in the window, or -1 where too few came to say. */
-    double part() {
+    double harmedShare() {
         if (samples.size() < 2) {
             return -1;
         }
-        long served = samples.peekLast().served - samples.peekFirst().served;
-        long harmed = samples.peekLast().harmed - samples.peekFirst().harmed;
-        return served + harmed < FEW ? -1 : (double) harmed / (served + harmed);
+        long servedDelta = samples.peekLast().servedCount - samples.peekFirst().servedCount;
+        long harmedDelta = samples.peekLast().harmedCount - samples.peekFirst().harmedCount;
+        return servedDelta + harmedDelta < MIN_WINDOW_TXNS
+                ? -1
+                : (double) harmedDelta / (servedDelta + harmedDelta);
     }
 
-    double before() {
-        return Math.max(0, before);
+    double baseline() {
+        return Math.max(0, baseline);
     }
 
     /** Harm is seen now. */
-    boolean harms(Duration now) {
-        return harmAt != null && now.equals(harmAt);
+    boolean isHarmSeen(Duration now) {
+        return lastHarmAt != null && now.equals(lastHarmAt);
     }
 
     /** Nothing was seen for the whole of the time that has to be watched. */
-    boolean calm(Duration now) {
+    boolean isCalm(Duration now) {
         return !samples.isEmpty()
-                && now.minus(samples.peekFirst().at).compareTo(watch.dividedBy(2)) >= 0
-                && (harmAt == null || now.minus(harmAt).compareTo(watch) >= 0);
+                && now.minus(samples.peekFirst().takenAt).compareTo(watchPeriod.dividedBy(2)) >= 0
+                && (lastHarmAt == null || now.minus(lastHarmAt).compareTo(watchPeriod) >= 0);
     }
 }
--- a/src/main/java/wingroad/work/LostDriverMonitor.java
+++ b/src/main/java/wingroad/work/LostDriverMonitor.java
@@ -13,7 +13,7 @@
  */
 public final class LostDriverMonitor {
     /** So long may the end of a process take that has said that it ends, beside its last txns. */
-    private static final Duration ENDING = Duration.ofSeconds(10);
+    private static final Duration EXIT_GRACE = Duration.ofSeconds(10);
 
     /**
      * What is certain of a lost driver: at level 1 nothing at what it knew to be announced, at 2
@@ -21,55 +21,64 @@
      */
     public record StoppedDriver(String identity, long lossNumber, long level) {}
 
-    private record Seen(long number, Duration at) {}
+    private record Observation(long lossNumber, Duration observedAt) {}
 
-    private final MaintenanceSettings rules;
-    private final double slow;
-    private final Map<String, Seen> seen = new HashMap<>();
+    private final MaintenanceSettings settings;
+    private final double driftFactor;
+    private final Map<String, Observation> observations = new HashMap<>();
 
     /**
      * @param drift how far two clocks may run apart, as a part of one
      */
-    public LostDriverMonitor(MaintenanceSettings rules, double drift) {
-        this.rules = rules;
-        this.slow = (1 + drift) / (1 - drift);
+    public LostDriverMonitor(MaintenanceSettings settings, double maxClockDrift) {
+        this.settings = settings;
+        this.driftFactor = (1 + maxClockDrift) / (1 - maxClockDrift);
     }
 
     /** Compares with what is settled now. */
     public void observe(MaintenancePlan plan, Duration now) {
-        seen.keySet()
-                .removeIf(i -> plan.lostDrivers().stream().noneMatch(a -> a.identity.equals(i)));
-        for (MaintenancePlan.LostDriver a : plan.lostDrivers()) {
-            Seen was = seen.get(a.identity);
-            if (was == null || was.number != a.lossNumber) {
-                seen.put(a.identity, new Seen(a.lossNumber, now));
+        observations
+                .keySet()
+                .removeIf(
+                        identity ->
+                                plan.lostDrivers().stream()
+                                        .noneMatch(
+                                                lostDriver ->
+                                                        lostDriver.identity.equals(identity)));
+        for (MaintenancePlan.LostDriver lostDriver : plan.lostDrivers()) {
+            Observation previous = observations.get(lostDriver.identity);
+            if (previous == null || previous.lossNumber != lostDriver.lossNumber) {
+                observations.put(lostDriver.identity, new Observation(lostDriver.lossNumber, now));
             }
         }
     }
 
     /** What is certain by now and not settled yet. */
     public List<StoppedDriver> newlyStopped(MaintenancePlan plan, Duration now) {
-        List<StoppedDriver> all = new ArrayList<>();
-        for (MaintenancePlan.LostDriver a : plan.lostDrivers()) {
-            Seen s = seen.get(a.identity);
-            if (s == null || s.number != a.lossNumber) {
+        List<StoppedDriver> stopped = new ArrayList<>();
+        for (MaintenancePlan.LostDriver lostDriver : plan.lostDrivers()) {
+            Observation observation = observations.get(lostDriver.identity);
+            if (observation == null || observation.lossNumber != lostDriver.lossNumber) {
                 continue;
             }
-            Duration ago = now.minus(s.at);
+            Duration elapsed = now.minus(observation.observedAt);
             boolean strict = plan.lostViewPolicy() == MaintenanceSettings.LostViewPolicy.STRICT;
-            if (a.exiting && past(ago, rules.settleTime().plus(ENDING))
-                    || strict && past(ago, rules.strictHorizon().plus(rules.settleTime()))) {
-                all.add(new StoppedDriver(a.identity, a.lossNumber, 2));
-            } else if (a.stoppedLevel < 1
+            if (lostDriver.exiting && hasElapsed(elapsed, settings.settleTime().plus(EXIT_GRACE))
+                    || strict
+                            && hasElapsed(
+                                    elapsed,
+                                    settings.strictHorizon().plus(settings.settleTime()))) {
+                stopped.add(new StoppedDriver(lostDriver.identity, lostDriver.lossNumber, 2));
+            } else if (lostDriver.stoppedLevel < 1
                     && plan.lostViewPolicy() != MaintenanceSettings.LostViewPolicy.SERVE
-                    && past(ago, rules.settleTime())) {
-                all.add(new StoppedDriver(a.identity, a.lossNumber, 1));
+                    && hasElapsed(elapsed, settings.settleTime())) {
+                stopped.add(new StoppedDriver(lostDriver.identity, lostDriver.lossNumber, 1));
             }
         }
-        return all;
+        return stopped;
     }
 
-    private boolean past(Duration ago, Duration span) {
-        return ago.toNanos() > span.toNanos() * slow;
+    private boolean hasElapsed(Duration elapsed, Duration timeout) {
+        return elapsed.toNanos() > timeout.toNanos() * driftFactor;
     }
 }
--- a/src/main/java/wingroad/work/Machine.java
+++ b/src/main/java/wingroad/work/Machine.java
@@ -12,7 +12,7 @@
      * new ids.
      */
     public record MemberPattern(String uid, int group) {
-        boolean is(String other) {
+        boolean matches(String other) {
             return uid.endsWith("*")
                     ? other.startsWith(uid.substring(0, uid.length() - 1))
                     : uid.equals(other);
@@ -20,46 +20,55 @@
     }
 
     public boolean holds(String uid) {
-        return members.stream().anyMatch(p -> p.is(uid));
+        return members.stream().anyMatch(member -> member.matches(uid));
     }
 
     public Set<Integer> groups() {
-        Set<Integer> all = new TreeSet<>();
-        members.forEach(p -> all.add(p.group));
-        return all;
+        Set<Integer> groups = new TreeSet<>();
+        members.forEach(member -> groups.add(member.group));
+        return groups;
     }
 
     boolean sharesGroup(Machine other) {
         return members.stream()
-                .anyMatch(p -> other.members.stream().anyMatch(o -> o.group == p.group));
+                .anyMatch(
+                        member ->
+                                other.members.stream()
+                                        .anyMatch(
+                                                otherMember -> otherMember.group == member.group));
     }
 
     /** As one line, for the log: names hold neither blanks nor signs that part them. */
-    String line() {
+    String toLine() {
         return name
                 + " "
                 + zone
                 + " "
-                + String.join(",", members.stream().map(p -> p.uid + "#" + p.group).toList())
+                + String.join(
+                        ",",
+                        members.stream().map(member -> member.uid + "#" + member.group).toList())
                 + " "
                 + String.join(",", drivers);
     }
 
     /** Reads such a line; throws {@link IllegalArgumentException} where it is none. */
-    static Machine of(String line) {
-        String[] w = line.split(" ", -1);
-        if (w.length != 4) {
+    static Machine parse(String line) {
+        String[] fields = line.split(" ", -1);
+        if (fields.length != 4) {
             throw new IllegalArgumentException("no machine: " + line);
         }
-        List<MemberPattern> parts = new ArrayList<>();
-        for (String p : split(w[2])) {
-            int at = p.lastIndexOf('#');
-            parts.add(new MemberPattern(p.substring(0, at), Integer.parseInt(p.substring(at + 1))));
+        List<MemberPattern> members = new ArrayList<>();
+        for (String member : splitList(fields[2])) {
+            int separator = member.lastIndexOf('#');
+            members.add(
+                    new MemberPattern(
+                            member.substring(0, separator),
+                            Integer.parseInt(member.substring(separator + 1))));
         }
-        return new Machine(w[0], w[1], List.copyOf(parts), split(w[3]));
+        return new Machine(fields[0], fields[1], List.copyOf(members), splitList(fields[3]));
     }
 
-    static List<String> split(String commas) {
+    static List<String> splitList(String commas) {
         return commas.isEmpty() ? List.of() : List.of(commas.split(","));
     }
 }
--- a/src/main/java/wingroad/work/MaintenanceController.java
+++ b/src/main/java/wingroad/work/MaintenanceController.java
@@ -20,141 +20,146 @@
  */
 public final class MaintenanceController {
     /** A member may have this part of its room in use once another one of its group is away. */
-    private static final double MOST_USE = 0.8;
+    private static final double MAX_CAPACITY_USE = 0.8;
 
     /**
      * A machine that was put back for harm is looked at again after so many times the watched span.
      */
-    private static final int REST = 3;
+    private static final int COOLDOWN_WATCH_PERIODS = 3;
 
     /** So many times the bound may one that carries on be behind, while a machine drains. */
-    private static final int FAR = 2;
+    private static final int DRAINING_LAG_FACTOR = 2;
 
     /** Drivers that have not confirmed for so many watched spans are told about. */
-    private static final int PATIENCE = 6;
+    private static final int CONFIRMATION_ALERT_WATCH_PERIODS = 6;
 
     /**
      * So many times what may go at a time, and some, are looked at in one look: their members have
      * to be asked.
      */
-    private static final int LOOKS = 2;
+    private static final int CANDIDATES_PER_SLOT = 2;
 
-    private static final int AND_SOME = 8;
+    private static final int EXTRA_CANDIDATES = 8;
 
     /** A step to be settled; {@code to} is a stage's name, "IN" or "note". */
     public record Step(String machine, String target, long stageRevision, String reason) {}
 
-    private final MaintenanceSettings rules;
-    private final HarmMonitor harm;
-    private final GroupCapacity capacity;
+    private final MaintenanceSettings settings;
+    private final HarmMonitor harmMonitor;
+    private final GroupCapacity groupCapacity;
     private final Collection<String> voters;
     private final Map<String, Duration> returningSince = new TreeMap<>();
-    private final Map<String, Duration> unfitSince = new HashMap<>();
-    private final Map<String, Duration> restUntil = new HashMap<>();
+    private final Map<String, Duration> unhealthySince = new HashMap<>();
+    private final Map<String, Duration> cooldownUntil = new HashMap<>();
     private final Map<String, String> takeAlerts = new HashMap<>();
-    private final Map<Integer, Long> busyBefore = new TreeMap<>();
-    private final Map<Integer, Double> use = new TreeMap<>();
+    private final Map<Integer, Long> previousBusyMs = new TreeMap<>();
+    private final Map<Integer, Double> concurrentTxns = new TreeMap<>();
     private final Map<String, Duration> plannedSince = new HashMap<>();
 
     /**
      * Machines of which it has been told that they wait for confirmations, and that they are too
      * late.
      */
-    private final Set<String> told = new HashSet<>();
+    private final Set<String> confirmationAlerted = new HashSet<>();
 
-    private final Set<String> late = new HashSet<>();
-    private Duration busyAt;
+    private final Set<String> deadlineAlerted = new HashSet<>();
+    private Duration busySampledAt;
 
     /** Machines that are out, and when the last one was seen to have become so. */
-    private Set<String> outs = Set.of();
+    private Set<String> outMachines = Set.of();
 
     /** Those that are to drain by the look that is under way. */
-    private final Set<String> chosen = new HashSet<>();
+    private final Set<String> chosenToDrain = new HashSet<>();
 
     /** Those whose members had to be known in the last look. */
-    private final Set<String> looked = new HashSet<>();
+    private final Set<String> consideredMachines = new HashSet<>();
 
-    private Duration outAt;
+    private Duration lastOutAt;
 
     /**
      * @param voters who decides in the council: never more of them away than a majority can spare
      */
-    public MaintenanceController(MaintenanceSettings rules, Collection<String> voters) {
-        this.rules = rules;
+    public MaintenanceController(MaintenanceSettings settings, Collection<String> voters) {
+        this.settings = settings;
         this.voters = voters;
-        harm = new HarmMonitor(rules.watchPeriod(), rules.maxHarmIncrease());
-        capacity = new GroupCapacity(rules.watchPeriod());
+        harmMonitor = new HarmMonitor(settings.watchPeriod(), settings.maxHarmIncrease());
+        groupCapacity = new GroupCapacity(settings.watchPeriod());
     }
 
     /** Lines that somebody should be woken up for, each once: machine to text. */
     public Map<String, String> takeAlerts() {
-        Map<String, String> all = new TreeMap<>(takeAlerts);
+        Map<String, String> alerts = new TreeMap<>(takeAlerts);
         takeAlerts.clear();
-        return all;
+        return alerts;
     }
 
     /** The groups whose members have to be seen for the next look. */
     public Set<Integer> groupsToObserve(PlanCopy plan) {
-        Set<Integer> all = new TreeSet<>();
-        looked.stream()
-                .map(m -> plan.machines().get(m))
-                .filter(m -> m != null)
-                .forEach(m -> all.addAll(m.groups()));
-        return all;
+        Set<Integer> groups = new TreeSet<>();
+        consideredMachines.stream()
+                .map(machine -> plan.machines().get(machine))
+                .filter(machine -> machine != null)
+                .forEach(machine -> groups.addAll(machine.groups()));
+        return groups;
     }
 
     /** The steps that are next; asked again and again until they are seen settled. */
     public List<Step> nextSteps(
-            PlanCopy plan, MemberObservations observations, long wall, Duration now) {
+            PlanCopy plan, MemberObservations observations, long nowMs, Duration now) {
         List<Step> steps = new ArrayList<>();
-        List<MaintenancePlan.Entry> all = new ArrayList<>(plan.entries());
-        chosen.clear();
-        looked.clear();
-        all.stream().filter(e -> e.stage.announced()).forEach(e -> looked.add(e.machine));
-        boolean atWork =
-                all.stream()
+        List<MaintenancePlan.Entry> entries = new ArrayList<>(plan.entries());
+        chosenToDrain.clear();
+        consideredMachines.clear();
+        entries.stream()
+                .filter(entry -> entry.stage.announced())
+                .forEach(entry -> consideredMachines.add(entry.machine));
+        boolean maintenanceRunning =
+                entries.stream()
                         .anyMatch(
-                                e ->
-                                        e.stage == MaintenanceStage.DRAINING
-                                                || e.stage == MaintenanceStage.OUT
-                                                || e.stage == MaintenanceStage.RETURNING);
-        harm.figures(plan.served(), plan.harmed(), atWork, now);
-        uses(plan, now);
-        Set<String> out = new HashSet<>();
-        all.stream().filter(e -> e.stage == MaintenanceStage.OUT).forEach(e -> out.add(e.machine));
-        if (!outs.containsAll(out)) {
-            outAt = now;
+                                entry ->
+                                        entry.stage == MaintenanceStage.DRAINING
+                                                || entry.stage == MaintenanceStage.OUT
+                                                || entry.stage == MaintenanceStage.RETURNING);
+        harmMonitor.addSample(plan.servedCount(), plan.harmedCount(), maintenanceRunning, now);
+        updateConcurrency(plan, now);
+        Set<String> nowOut = new HashSet<>();
+        entries.stream()
+                .filter(entry -> entry.stage == MaintenanceStage.OUT)
+                .forEach(entry -> nowOut.add(entry.machine));
+        if (!outMachines.containsAll(nowOut)) {
+            lastOutAt = now;
         }
-        outs = out;
+        outMachines = nowOut;
         returningSince
                 .keySet()
                 .removeIf(
-                        m ->
-                                plan.entry(m) == null
-                                        || plan.entry(m).stage != MaintenanceStage.RETURNING);
+                        machine ->
+                                plan.entry(machine) == null
+                                        || plan.entry(machine).stage != MaintenanceStage.RETURNING);
         plannedSince
                 .keySet()
                 .removeIf(
-                        m ->
-                                plan.entry(m) == null
-                                        || plan.entry(m).stage != MaintenanceStage.PLANNED);
-        told.retainAll(plannedSince.keySet());
-        late.removeIf(m -> plan.entry(m) == null);
-        restUntil.values().removeIf(t -> now.compareTo(t) >= 0);
-        for (MaintenancePlan.Entry e : all) {
-            Machine m = plan.machines().get(e.machine);
-            if (m != null) {
-                switch (e.stage) {
-                    case PLANNED -> planned(e, m, plan, observations, wall, now, steps);
-                    case DRAINING -> draining(e, m, observations, now, steps);
-                    case OUT -> out(e, m, observations, wall, now, steps);
-                    case RETURNING -> returning(e, m, observations, now, steps);
-                    default -> soon(e, wall, steps);
+                        machine ->
+                                plan.entry(machine) == null
+                                        || plan.entry(machine).stage != MaintenanceStage.PLANNED);
+        confirmationAlerted.retainAll(plannedSince.keySet());
+        deadlineAlerted.removeIf(machine -> plan.entry(machine) == null);
+        cooldownUntil.values().removeIf(until -> now.compareTo(until) >= 0);
+        for (MaintenancePlan.Entry entry : entries) {
+            Machine machine = plan.machines().get(entry.machine);
+            if (machine != null) {
+                switch (entry.stage) {
+                    case PLANNED ->
+                            stepPlanned(entry, machine, plan, observations, nowMs, now, steps);
+                    case DRAINING -> stepDraining(entry, machine, observations, now, steps);
+                    case OUT -> stepOut(entry, machine, observations, nowMs, now, steps);
+                    case RETURNING -> stepReturning(entry, machine, observations, now, steps);
+                    default -> checkDeadline(entry, nowMs, steps);
                 }
             }
         }
         if (!plan.held()) {
-            begin(all, plan, observations, now, steps);
+            announceNext(entries, plan, observations, now, steps);
         }
         return steps;
     }
@@ -163,56 +168,71 @@
      * One that has to be out before a time that it can't keep any more is told about, once; it goes
      * on waiting.
      */
-    private void soon(MaintenancePlan.Entry e, long wall, List<Step> steps) {
-        long least = rules.drainGrace().plus(rules.watchPeriod()).toMillis();
-        if (e.deadlineMs > 0 && wall + least > e.deadlineMs && late.add(e.machine)) {
+    private void checkDeadline(MaintenancePlan.Entry entry, long nowMs, List<Step> steps) {
+        long minDrainMs = settings.drainGrace().plus(settings.watchPeriod()).toMillis();
+        if (entry.deadlineMs > 0
+                && nowMs + minDrainMs > entry.deadlineMs
+                && deadlineAlerted.add(entry.machine)) {
             takeAlerts.put(
-                    e.machine,
+                    entry.machine,
                     "PAGE: wanted out before "
-                            + java.time.Instant.ofEpochMilli(e.deadlineMs)
+                            + java.time.Instant.ofEpochMilli(entry.deadlineMs)
                             + " and still "
-                            + e.stage.name().toLowerCase(Locale.ROOT)
-                            + (e.note.isEmpty() ? "" : ": " + e.note));
-            steps.add(new Step(e.machine, "note", e.stageRevision, "PAGE: too late for its time"));
+                            + entry.stage.name().toLowerCase(Locale.ROOT)
+                            + (entry.note.isEmpty() ? "" : ": " + entry.note));
+            steps.add(
+                    new Step(
+                            entry.machine,
+                            "note",
+                            entry.stageRevision,
+                            "PAGE: too late for its time"));
         }
     }
 
     /** How many txns are at members of each group at a time, from the fleet's sums. */
-    private void uses(PlanCopy plan, Duration now) {
-        if (busyAt != null && now.minus(busyAt).compareTo(rules.watchPeriod().dividedBy(4)) < 0) {
+    private void updateConcurrency(PlanCopy plan, Duration now) {
+        if (busySampledAt != null
+                && now.minus(busySampledAt).compareTo(settings.watchPeriod().dividedBy(4)) < 0) {
             return;
         }
-        if (busyAt != null) {
-            double span = Math.max(1, now.minus(busyAt).toMillis());
-            plan.busy()
+        if (busySampledAt != null) {
+            double elapsedMs = Math.max(1, now.minus(busySampledAt).toMillis());
+            plan.busyMsByGroup()
                     .forEach(
-                            (g, ms) -> {
-                                if (busyBefore.containsKey(g) && ms >= busyBefore.get(g)) {
-                                    use.put(g, (ms - busyBefore.get(g)) / span);
+                            (group, busyMs) -> {
+                                if (previousBusyMs.containsKey(group)
+                                        && busyMs >= previousBusyMs.get(group)) {
+                                    concurrentTxns.put(
+                                            group,
+                                            (busyMs - previousBusyMs.get(group)) / elapsedMs);
                                 }
                             });
         }
-        busyAt = now;
-        busyBefore.clear();
-        busyBefore.putAll(plan.busy());
-        use.keySet().retainAll(plan.busy().keySet());
+        busySampledAt = now;
+        previousBusyMs.clear();
+        previousBusyMs.putAll(plan.busyMsByGroup());
+        concurrentTxns.keySet().retainAll(plan.busyMsByGroup().keySet());
     }
 
-    private void planned(
-            MaintenancePlan.Entry e,
-            Machine m,
+    private void stepPlanned(
+            MaintenancePlan.Entry entry,
+            Machine machine,
             PlanCopy plan,
             MemberObservations observations,
-            long wall,
+            long nowMs,
             Duration now,
             List<Step> steps) {
-        Duration since = plannedSince.computeIfAbsent(e.machine, k -> now);
-        soon(e, wall, steps);
-        if (!e.confirmedByAll) {
-            if (now.minus(since).compareTo(rules.watchPeriod().multipliedBy(PATIENCE)) > 0
-                    && told.add(e.machine)) {
+        Duration since = plannedSince.computeIfAbsent(entry.machine, k -> now);
+        checkDeadline(entry, nowMs, steps);
+        if (!entry.confirmedByAll) {
+            if (now.minus(since)
+                                    .compareTo(
+                                            settings.watchPeriod()
+                                                    .multipliedBy(CONFIRMATION_ALERT_WATCH_PERIODS))
+                            > 0
+                    && confirmationAlerted.add(entry.machine)) {
                 takeAlerts.put(
-                        e.machine,
+                        entry.machine,
                         "PAGE: drivers have not confirmed it for "
                                 + now.minus(since).toSeconds()
                                 + " s; 'work plan' has"
@@ -220,173 +240,197 @@
             }
             return;
         }
-        String not = whyNotDrain(e, m, plan, observations, now);
-        if (not.isEmpty()) {
-            chosen.add(e.machine);
+        String blocker = drainBlocker(entry, machine, plan, observations, now);
+        if (blocker.isEmpty()) {
+            chosenToDrain.add(entry.machine);
             steps.add(
                     new Step(
-                            e.machine,
+                            entry.machine,
                             MaintenanceStage.DRAINING.name(),
-                            e.stageRevision,
+                            entry.stageRevision,
                             "everybody knows of it"));
         } else {
-            note(e, not, steps);
+            setNote(entry, blocker, steps);
         }
     }
 
     /** Why a machine can't be spared now, or empty. */
-    private String whyNotDrain(
-            MaintenancePlan.Entry e,
-            Machine m,
+    private String drainBlocker(
+            MaintenancePlan.Entry entry,
+            Machine machine,
             PlanCopy plan,
             MemberObservations observations,
             Duration now) {
-        if (!harm.calm(now)
-                || outAt != null && now.minus(outAt).compareTo(rules.watchPeriod()) < 0) {
+        if (!harmMonitor.isCalm(now)
+                || lastOutAt != null
+                        && now.minus(lastOutAt).compareTo(settings.watchPeriod()) < 0) {
             return "watches for harm: "
-                    + part(harm.part())
+                    + formatShare(harmMonitor.harmedShare())
                     + " of the txns, before "
-                    + part(harm.before());
+                    + formatShare(harmMonitor.baseline());
         }
-        String others = othersUnfit(m, observations, now);
-        if (!others.isEmpty()) {
-            return others;
+        String unhealthy = unhealthyPeer(machine, observations, now);
+        if (!unhealthy.isEmpty()) {
+            return unhealthy;
         }
-        for (int g : m.groups()) {
-            String primary = observations.primary(g, now);
+        for (int group : machine.groups()) {
+            String primary = observations.primary(group, now);
             if (primary == null) {
-                return "no primary of group " + g + " is seen";
+                return "no primary of group " + group + " is seen";
             }
-            if (m.holds(primary)) {
+            if (machine.holds(primary)) {
                 return "the primary of group "
-                        + g
+                        + group
                         + " is here: to be moved to "
-                        + couldLead(m, g, observations, now);
+                        + primaryCandidates(machine, group, observations, now);
             }
-            List<String> left = left(m, g, observations, now);
-            double most = rules.memberCapacityTxns() * left.size() * MOST_USE;
-            double used = use.getOrDefault(g, 0.0);
-            if (rules.memberCapacityTxns() > 0 && used > most) {
+            List<String> healthyMembers = healthyElsewhere(machine, group, observations, now);
+            double maxTxns =
+                    settings.memberCapacityTxns() * healthyMembers.size() * MAX_CAPACITY_USE;
+            double txnsAtWork = concurrentTxns.getOrDefault(group, 0.0);
+            if (settings.memberCapacityTxns() > 0 && txnsAtWork > maxTxns) {
                 return String.format(
                         Locale.ROOT,
                         "group %d has %.1f txns at work, room for %.1f without it",
-                        g,
-                        used,
-                        most);
+                        group,
+                        txnsAtWork,
+                        maxTxns);
             }
-            if (capacity.tooMuch(g, used / Math.max(1, left.size()), now)) {
+            if (groupCapacity.exceedsLimit(
+                    group, txnsAtWork / Math.max(1, healthyMembers.size()), now)) {
                 return String.format(
                         Locale.ROOT,
                         "group %d has %.1f txns at work: as much as did harm without it",
-                        g,
-                        used);
+                        group,
+                        txnsAtWork);
             }
         }
-        if (!e.noPrimaryReported) {
+        if (!entry.noPrimaryReported) {
             return "some driver still takes a member here for a primary";
         }
         // Those that are chosen in the same look count as well; two that only wait for each other's
         // turn do not.
-        Set<String> away = new HashSet<>(m.drivers());
+        Set<String> away = new HashSet<>(machine.drivers());
         plan.entries().stream()
                 .filter(
-                        o ->
-                                o.stage == MaintenanceStage.DRAINING
-                                        || o.stage == MaintenanceStage.OUT
-                                        || chosen.contains(o.machine))
-                .map(o -> plan.machines().get(o.machine))
-                .filter(o -> o != null)
-                .forEach(o -> away.addAll(o.drivers()));
-        long gone =
-                voters.stream().filter(v -> !plan.live().contains(v) || away.contains(v)).count();
-        if (m.drivers().stream().anyMatch(voters::contains) && gone > (voters.size() - 1) / 2) {
-            return "a voter is on it, and " + (gone - 1) + " of " + voters.size() + " are away";
+                        other ->
+                                other.stage == MaintenanceStage.DRAINING
+                                        || other.stage == MaintenanceStage.OUT
+                                        || chosenToDrain.contains(other.machine))
+                .map(other -> plan.machines().get(other.machine))
+                .filter(other -> other != null)
+                .forEach(other -> away.addAll(other.drivers()));
+        long votersAway =
+                voters.stream()
+                        .filter(
+                                voter ->
+                                        !plan.liveDrivers().contains(voter) || away.contains(voter))
+                        .count();
+        if (machine.drivers().stream().anyMatch(voters::contains)
+                && votersAway > (voters.size() - 1) / 2) {
+            return "a voter is on it, and "
+                    + (votersAway - 1)
+                    + " of "
+                    + voters.size()
+                    + " are away";
         }
         return "";
     }
 
-    private static String part(double p) {
-        return p < 0 ? "too few to say" : String.format(Locale.ROOT, "%.1f%%", p * 100);
+    private static String formatShare(double share) {
+        return share < 0 ? "too few to say" : String.format(Locale.ROOT, "%.1f%%", share * 100);
     }
 
     /** The fit members of a group that are on other machines. */
-    private List<String> left(Machine m, int group, MemberObservations observations, Duration now) {
+    private List<String> healthyElsewhere(
+            Machine machine, int group, MemberObservations observations, Duration now) {
         return observations.membersOf(group).stream()
-                .filter(u -> !m.holds(u) && observations.isHealthy(u, now))
+                .filter(uid -> !machine.holds(uid) && observations.isHealthy(uid, now))
                 .toList();
     }
 
-    private String couldLead(Machine m, int group, MemberObservations observations, Duration now) {
-        List<String> fit =
-                left(m, group, observations, now).stream()
+    private String primaryCandidates(
+            Machine machine, int group, MemberObservations observations, Duration now) {
+        List<String> candidates =
+                healthyElsewhere(machine, group, observations, now).stream()
                         .filter(
-                                u ->
-                                        observations.replicationLag(u, now) != null
+                                uid ->
+                                        observations.replicationLag(uid, now) != null
                                                 && observations
-                                                                .replicationLag(u, now)
+                                                                .replicationLag(uid, now)
                                                                 .compareTo(
-                                                                        rules.maxReplicationLag())
+                                                                        settings
+                                                                                .maxReplicationLag())
                                                         <= 0)
                         .toList();
-        return fit.isEmpty() ? "none that is fit and close on the log" : String.join(" or ", fit);
+        return candidates.isEmpty()
+                ? "none that is fit and close on the log"
+                : String.join(" or ", candidates);
     }
 
     /** What of its groups' others is not fit, or empty: one that fails by itself counts as away. */
-    private String othersUnfit(Machine m, MemberObservations observations, Duration now) {
-        for (int g : m.groups()) {
-            for (String u : observations.membersOf(g)) {
-                if (!m.holds(u) && !observations.isHealthy(u, now)) {
-                    return "group " + g + ": " + u + " is not fit";
+    private String unhealthyPeer(Machine machine, MemberObservations observations, Duration now) {
+        for (int group : machine.groups()) {
+            for (String uid : observations.membersOf(group)) {
+                if (!machine.holds(uid) && !observations.isHealthy(uid, now)) {
+                    return "group " + group + ": " + uid + " is not fit";
                 }
             }
-            if (left(m, g, observations, now).isEmpty()) {
-                return "group " + g + " has no other member that is seen";
+            if (healthyElsewhere(machine, group, observations, now).isEmpty()) {
+                return "group " + group + " has no other member that is seen";
             }
         }
         return "";
     }
 
-    private void draining(
-            MaintenancePlan.Entry e,
-            Machine m,
+    private void stepDraining(
+            MaintenancePlan.Entry entry,
+            Machine machine,
             MemberObservations observations,
             Duration now,
             List<Step> steps) {
-        String others = lasting(e.machine, othersUnfit(m, observations, now), now);
-        String late = behind(m, observations, now);
-        others = others.isEmpty() ? lasting(e.machine + " log", late, now) : others;
-        if (!others.isEmpty() || harm.harms(now)) {
-            if (others.isEmpty()) {
-                m.groups()
+        String problem =
+                ifPersistent(entry.machine, unhealthyPeer(machine, observations, now), now);
+        String lagging = laggingPeer(machine, observations, now);
+        problem = problem.isEmpty() ? ifPersistent(entry.machine + " log", lagging, now) : problem;
+        if (!problem.isEmpty() || harmMonitor.isHarmSeen(now)) {
+            if (problem.isEmpty()) {
+                machine.groups()
                         .forEach(
-                                g ->
-                                        capacity.harmed(
-                                                g,
-                                                use.getOrDefault(g, 0.0)
+                                group ->
+                                        groupCapacity.recordHarm(
+                                                group,
+                                                concurrentTxns.getOrDefault(group, 0.0)
                                                         / Math.max(
                                                                 1,
-                                                                left(m, g, observations, now)
+                                                                healthyElsewhere(
+                                                                                machine,
+                                                                                group,
+                                                                                observations,
+                                                                                now)
                                                                         .size()),
                                                 now));
             }
-            restUntil.put(e.machine, now.plus(rules.watchPeriod().multipliedBy(REST)));
+            cooldownUntil.put(
+                    entry.machine,
+                    now.plus(settings.watchPeriod().multipliedBy(COOLDOWN_WATCH_PERIODS)));
             steps.add(
                     new Step(
-                            e.machine,
+                            entry.machine,
                             MaintenanceStage.ASKED.name(),
-                            e.stageRevision,
+                            entry.stageRevision,
                             "put back: "
-                                    + (others.isEmpty()
-                                            ? part(harm.part())
+                                    + (problem.isEmpty()
+                                            ? formatShare(harmMonitor.harmedShare())
                                                     + " of the txns harmed, before "
-                                                    + part(harm.before())
-                                            : others)));
-        } else if (e.drained) {
+                                                    + formatShare(harmMonitor.baseline())
+                                            : problem)));
+        } else if (entry.drained) {
             steps.add(
                     new Step(
-                            e.machine,
+                            entry.machine,
                             MaintenanceStage.OUT.name(),
-                            e.stageRevision,
+                            entry.stageRevision,
                             "nothing of anybody's is there"));
         }
     }
@@ -395,19 +439,22 @@
      * Which of the others has fallen behind the log since its machine's share came to them, or
      * empty.
      */
-    private String behind(Machine m, MemberObservations observations, Duration now) {
-        for (int g : m.groups()) {
-            for (String u : left(m, g, observations, now)) {
-                Duration behind = observations.replicationLag(u, now);
-                if (!u.equals(observations.primary(g, now))
-                        && behind != null
-                        && behind.compareTo(rules.maxReplicationLag().multipliedBy(FAR)) > 0) {
+    private String laggingPeer(Machine machine, MemberObservations observations, Duration now) {
+        for (int group : machine.groups()) {
+            for (String uid : healthyElsewhere(machine, group, observations, now)) {
+                Duration lag = observations.replicationLag(uid, now);
+                if (!uid.equals(observations.primary(group, now))
+                        && lag != null
+                        && lag.compareTo(
+                                        settings.maxReplicationLag()
+                                                .multipliedBy(DRAINING_LAG_FACTOR))
+                                > 0) {
                     return "group "
-                            + g
+                            + group
                             + ": "
-                            + u
+                            + uid
                             + " is "
-                            + behind.toMillis()
+                            + lag.toMillis()
                             + " ms behind on the log";
                 }
             }
@@ -416,167 +463,178 @@
     }
 
     /** Only what is seen for a while: a single probe may go astray. */
-    private String lasting(String machine, String what, Duration now) {
-        if (what.isEmpty()) {
-            unfitSince.remove(machine);
+    private String ifPersistent(String machine, String text, Duration now) {
+        if (text.isEmpty()) {
+            unhealthySince.remove(machine);
             return "";
         }
-        Duration since = unfitSince.computeIfAbsent(machine, k -> now);
-        return now.minus(since).compareTo(rules.watchPeriod().dividedBy(2)) >= 0 ? what : "";
+        Duration since = unhealthySince.computeIfAbsent(machine, k -> now);
+        return now.minus(since).compareTo(settings.watchPeriod().dividedBy(2)) >= 0 ? text : "";
     }
 
-    private void out(
-            MaintenancePlan.Entry e,
-            Machine m,
+    private void stepOut(
+            MaintenancePlan.Entry entry,
+            Machine machine,
             MemberObservations observations,
-            long wall,
+            long nowMs,
             Duration now,
             List<Step> steps) {
-        String others = lasting(e.machine, othersUnfit(m, observations, now), now);
-        if (!others.isEmpty()) {
-            note(e, "PAGE: wanted back: " + others, steps);
-        } else if (e.durationMs > 0 && wall - e.outSinceMs > e.durationMs) {
-            note(e, "PAGE: out for longer than " + e.durationMs / 1000 + " s", steps);
+        String problem =
+                ifPersistent(entry.machine, unhealthyPeer(machine, observations, now), now);
+        if (!problem.isEmpty()) {
+            setNote(entry, "PAGE: wanted back: " + problem, steps);
+        } else if (entry.durationMs > 0 && nowMs - entry.outSinceMs > entry.durationMs) {
+            setNote(entry, "PAGE: out for longer than " + entry.durationMs / 1000 + " s", steps);
         } else {
-            note(e, "work on it", steps);
+            setNote(entry, "work on it", steps);
         }
     }
 
-    private void returning(
-            MaintenancePlan.Entry e,
-            Machine m,
+    private void stepReturning(
+            MaintenancePlan.Entry entry,
+            Machine machine,
             MemberObservations observations,
             Duration now,
             List<Step> steps) {
-        Duration since = returningSince.computeIfAbsent(e.machine, k -> now);
-        for (int g : m.groups()) {
-            List<String> here = observations.membersOf(g).stream().filter(m::holds).toList();
-            if (here.isEmpty()) {
-                note(e, "no member of group " + g + " on it is listed", steps);
+        Duration since = returningSince.computeIfAbsent(entry.machine, k -> now);
+        for (int group : machine.groups()) {
+            List<String> membersHere =
+                    observations.membersOf(group).stream().filter(machine::holds).toList();
+            if (membersHere.isEmpty()) {
+                setNote(entry, "no member of group " + group + " on it is listed", steps);
                 return;
             }
-            for (String u : here) {
-                if (!observations.isHealthy(u, now)) {
-                    note(e, u + " has not answered", steps);
+            for (String uid : membersHere) {
+                if (!observations.isHealthy(uid, now)) {
+                    setNote(entry, uid + " has not answered", steps);
                     return;
                 }
-                Duration behind = observations.replicationLag(u, now);
-                if (!u.equals(observations.primary(g, now))
-                        && (behind == null || behind.compareTo(rules.maxReplicationLag()) > 0)) {
-                    note(
-                            e,
-                            u
+                Duration lag = observations.replicationLag(uid, now);
+                if (!uid.equals(observations.primary(group, now))
+                        && (lag == null || lag.compareTo(settings.maxReplicationLag()) > 0)) {
+                    setNote(
+                            entry,
+                            uid
                                     + " is "
-                                    + (behind == null
+                                    + (lag == null
                                             ? "not known to be close"
-                                            : behind.toMillis() + " ms behind")
+                                            : lag.toMillis() + " ms behind")
                                     + " on the log",
                             steps);
                     return;
                 }
             }
         }
-        if (now.minus(since).compareTo(rules.coldTime()) < 0) {
-            note(e, "cold", steps);
+        if (now.minus(since).compareTo(settings.coldTime()) < 0) {
+            setNote(entry, "cold", steps);
             return;
         }
-        steps.add(new Step(e.machine, "IN", e.stageRevision, "close on the log and warm"));
+        steps.add(new Step(entry.machine, "IN", entry.stageRevision, "close on the log and warm"));
     }
 
-    private void note(MaintenancePlan.Entry e, String what, List<Step> steps) {
+    private void setNote(MaintenancePlan.Entry entry, String text, List<Step> steps) {
         // Measured figures change with each look: what stands in the log is changed only where the
         // rest is another.
-        if (!words(e.note).equals(words(what))) {
-            steps.add(new Step(e.machine, "note", e.stageRevision, what));
-            if (what.startsWith("PAGE")) {
-                takeAlerts.put(e.machine, what);
+        if (!withoutFigures(entry.note).equals(withoutFigures(text))) {
+            steps.add(new Step(entry.machine, "note", entry.stageRevision, text));
+            if (text.startsWith("PAGE")) {
+                takeAlerts.put(entry.machine, text);
             }
         }
     }
 
-    private static String words(String of) {
-        return of.replaceAll("[0-9]+\\.[0-9]+|[0-9]+ ms", "0");
+    private static String withoutFigures(String text) {
+        return text.replaceAll("[0-9]+\\.[0-9]+|[0-9]+ ms", "0");
     }
 
     /** Announces what may go next: as much together as the limits let. */
-    private void begin(
-            List<MaintenancePlan.Entry> all,
+    private void announceNext(
+            List<MaintenancePlan.Entry> entries,
             PlanCopy plan,
             MemberObservations observations,
             Duration now,
             List<Step> steps) {
         List<MaintenancePlan.Entry> away =
-                new ArrayList<>(all.stream().filter(e -> e.stage.announced()).toList());
+                new ArrayList<>(entries.stream().filter(entry -> entry.stage.announced()).toList());
         List<MaintenancePlan.Entry> waiting =
                 new ArrayList<>(
-                        all.stream()
+                        entries.stream()
                                 .filter(
-                                        e ->
-                                                e.stage == MaintenanceStage.ASKED
-                                                        && !e.held
-                                                        && !restUntil.containsKey(e.machine)
-                                                        && plan.machines().containsKey(e.machine))
+                                        entry ->
+                                                entry.stage == MaintenanceStage.ASKED
+                                                        && !entry.held
+                                                        && !cooldownUntil.containsKey(entry.machine)
+                                                        && plan.machines()
+                                                                .containsKey(entry.machine))
                                 .toList());
         // Whoever has a time to keep first, then replicas before primaries, then whoever has waited
         // longest.
         waiting.sort(
                 Comparator.<MaintenancePlan.Entry>comparingLong(
-                                e -> e.deadlineMs > 0 ? e.deadlineMs : Long.MAX_VALUE)
+                                entry -> entry.deadlineMs > 0 ? entry.deadlineMs : Long.MAX_VALUE)
                         .thenComparingLong(
-                                e -> primaries(plan.machines().get(e.machine), observations, now))
-                        .thenComparingLong(e -> e.requestNumber));
-        Set<String> stillThere = new HashSet<>();
-        all.forEach(e -> stillThere.add(e.machine));
-        int most = limit(plan) * LOOKS + AND_SOME + looked.size();
-        for (MaintenancePlan.Entry e : waiting) {
-            Machine m = plan.machines().get(e.machine);
-            if (away.size() >= limit(plan) || looked.size() >= most) {
+                                entry ->
+                                        primaryCount(
+                                                plan.machines().get(entry.machine),
+                                                observations,
+                                                now))
+                        .thenComparingLong(entry -> entry.requestNumber));
+        Set<String> unfinished = new HashSet<>();
+        entries.forEach(entry -> unfinished.add(entry.machine));
+        int maxConsidered =
+                maxConcurrent(plan) * CANDIDATES_PER_SLOT
+                        + EXTRA_CANDIDATES
+                        + consideredMachines.size();
+        for (MaintenancePlan.Entry entry : waiting) {
+            Machine machine = plan.machines().get(entry.machine);
+            if (away.size() >= maxConcurrent(plan) || consideredMachines.size() >= maxConsidered) {
                 break;
             }
-            boolean fits =
+            boolean compatible =
                     away.stream()
-                                    .map(o -> plan.machines().get(o.machine))
+                                    .map(other -> plan.machines().get(other.machine))
                                     .allMatch(
-                                            o ->
-                                                    o != null
-                                                            && o.zone().equals(m.zone())
-                                                            && !o.sharesGroup(m))
-                            && e.afterMachines.stream().noneMatch(stillThere::contains);
-            if (!fits) {
+                                            other ->
+                                                    other != null
+                                                            && other.zone().equals(machine.zone())
+                                                            && !other.sharesGroup(machine))
+                            && entry.afterMachines.stream().noneMatch(unfinished::contains);
+            if (!compatible) {
                 continue;
             }
-            looked.add(e.machine);
-            String others = othersUnfit(m, observations, now);
-            if (others.isEmpty()) {
-                away.add(e);
+            consideredMachines.add(entry.machine);
+            String unhealthy = unhealthyPeer(machine, observations, now);
+            if (unhealthy.isEmpty()) {
+                away.add(entry);
                 steps.add(
                         new Step(
-                                e.machine,
+                                entry.machine,
                                 MaintenanceStage.PLANNED.name(),
-                                e.stageRevision,
+                                entry.stageRevision,
                                 "its turn"));
             } else {
-                if (!lasting(e.machine, others, now).isEmpty()) {
+                if (!ifPersistent(entry.machine, unhealthy, now).isEmpty()) {
                     // Those behind it have their turn meanwhile.
-                    restUntil.put(e.machine, now.plus(rules.watchPeriod()));
+                    cooldownUntil.put(entry.machine, now.plus(settings.watchPeriod()));
                 }
-                note(e, others, steps);
+                setNote(entry, unhealthy, steps);
             }
         }
     }
 
-    private int limit(PlanCopy plan) {
+    private int maxConcurrent(PlanCopy plan) {
         return plan.inventoryLines().isEmpty()
                 ? 1
                 : Integer.parseInt(plan.inventoryLines().get(0).split(" ")[0]);
     }
 
-    private static long primaries(Machine m, MemberObservations observations, Duration now) {
-        return m.groups().stream()
+    private static long primaryCount(
+            Machine machine, MemberObservations observations, Duration now) {
+        return machine.groups().stream()
                 .filter(
-                        g ->
-                                observations.primary(g, now) != null
-                                        && m.holds(observations.primary(g, now)))
+                        group ->
+                                observations.primary(group, now) != null
+                                        && machine.holds(observations.primary(group, now)))
                 .count();
     }
 }
--- a/src/main/java/wingroad/work/MaintenancePlan.java
+++ b/src/main/java/wingroad/work/MaintenancePlan.java
@@ -17,12 +17,12 @@
  * proposes it.
  */
 public class MaintenancePlan {
-    private static final int MOST_ASKS = 4096;
-    private static final int MOST_ASTRAY = 1024;
-    private static final String MANY = "many";
-    private static final int HISTORY = 4096;
-    private static final int MOST_GONE = 1024;
-    private static final int LONGEST_TEXT = 200;
+    private static final int MAX_REQUESTS = 4096;
+    private static final int MAX_LOST_DRIVERS = 1024;
+    private static final String OVERFLOW_IDENTITY = "many";
+    private static final int MAX_HISTORY_LINES = 4096;
+    private static final int MAX_REMOVALS = 1024;
+    private static final int MAX_TEXT_CHARS = 200;
 
     /** What a word or step is called that concerns all. */
     public static final String ALL_MACHINES = "*";
@@ -66,21 +66,21 @@
 
         Entry(
                 String machine,
-                String ask,
-                String why,
-                long forMs,
-                long before,
-                List<String> after,
-                long askedAt,
-                long number) {
+                String requestId,
+                String reason,
+                long durationMs,
+                long deadlineMs,
+                List<String> afterMachines,
+                long requestedAtMs,
+                long requestNumber) {
             this.machine = machine;
-            this.requestId = ask;
-            this.reason = why;
-            this.durationMs = forMs;
-            this.deadlineMs = before;
-            this.afterMachines = List.copyOf(after);
-            this.requestedAtMs = askedAt;
-            this.requestNumber = number;
+            this.requestId = requestId;
+            this.reason = reason;
+            this.durationMs = durationMs;
+            this.deadlineMs = deadlineMs;
+            this.afterMachines = List.copyOf(afterMachines);
+            this.requestedAtMs = requestedAtMs;
+            this.requestNumber = requestNumber;
         }
 
         public String machine() {
@@ -96,20 +96,20 @@
         }
 
         /** For people. */
-        public Map<String, Object> statusFields(String waits) {
-            Map<String, Object> m = new TreeMap<>();
-            m.put("machine", machine);
-            m.put("stage", stage.name().toLowerCase(java.util.Locale.ROOT));
-            m.put("why", reason);
-            m.put("for-ms", durationMs);
-            m.put("before", deadlineMs);
-            m.put("after", afterMachines);
-            m.put("asked", requestedAtMs);
-            m.put("since", changedAtMs);
-            m.put("out-since", outSinceMs);
-            m.put("held", held);
-            m.put("waits", waits);
-            return m;
+        public Map<String, Object> statusFields(String waitReason) {
+            Map<String, Object> fields = new TreeMap<>();
+            fields.put("machine", machine);
+            fields.put("stage", stage.name().toLowerCase(java.util.Locale.ROOT));
+            fields.put("why", reason);
+            fields.put("for-ms", durationMs);
+            fields.put("before", deadlineMs);
+            fields.put("after", afterMachines);
+            fields.put("asked", requestedAtMs);
+            fields.put("since", changedAtMs);
+            fields.put("out-since", outSinceMs);
+            fields.put("held", held);
+            fields.put("waits", waitReason);
+            return fields;
         }
 
         /** As plain values, for drivers and snapshots. */
@@ -137,31 +137,32 @@
         }
 
         /** Reads what {@link #values} has written. */
-        public static Entry fromValues(List<?> v) {
-            List<String> after = new ArrayList<>();
-            ((List<?>) v.get(5)).forEach(a -> after.add((String) a));
-            Entry e =
+        public static Entry fromValues(List<?> values) {
+            List<String> afterMachines = new ArrayList<>();
+            ((List<?>) values.get(5))
+                    .forEach(predecessor -> afterMachines.add((String) predecessor));
+            Entry entry =
                     new Entry(
-                            (String) v.get(0),
-                            (String) v.get(1),
-                            (String) v.get(2),
-                            number(v.get(3)),
-                            number(v.get(4)),
-                            after,
-                            number(v.get(6)),
-                            number(v.get(7)));
-            e.stage = MaintenanceStage.valueOf((String) v.get(8));
-            e.announcedRevision = number(v.get(9));
-            e.stageRevision = number(v.get(10));
-            e.changedAtMs = number(v.get(11));
-            e.outSinceMs = number(v.get(12));
-            e.held = (Boolean) v.get(13);
-            e.confirmedByAll = (Boolean) v.get(14);
-            e.drained = (Boolean) v.get(15);
-            e.noPrimaryReported = (Boolean) v.get(16);
-            e.note = (String) v.get(17);
-            e.lastChange = number(v.get(18));
-            return e;
+                            (String) values.get(0),
+                            (String) values.get(1),
+                            (String) values.get(2),
+                            number(values.get(3)),
+                            number(values.get(4)),
+                            afterMachines,
+                            number(values.get(6)),
+                            number(values.get(7)));
+            entry.stage = MaintenanceStage.valueOf((String) values.get(8));
+            entry.announcedRevision = number(values.get(9));
+            entry.stageRevision = number(values.get(10));
+            entry.changedAtMs = number(values.get(11));
+            entry.outSinceMs = number(values.get(12));
+            entry.held = (Boolean) values.get(13);
+            entry.confirmedByAll = (Boolean) values.get(14);
+            entry.drained = (Boolean) values.get(15);
+            entry.noPrimaryReported = (Boolean) values.get(16);
+            entry.note = (String) values.get(17);
+            entry.lastChange = number(values.get(18));
+            return entry;
         }
     }
 
@@ -181,12 +182,13 @@
         /** 0: lately lost; 1: what it knew to be announced has nothing of it any more. */
         int stoppedLevel;
 
-        LostDriver(String identity, String name, long knows, long number, boolean ends) {
+        LostDriver(
+                String identity, String name, long planRevision, long lossNumber, boolean exiting) {
             this.identity = identity;
             this.name = name;
-            this.planRevision = knows;
-            this.lossNumber = number;
-            this.exiting = ends;
+            this.planRevision = planRevision;
+            this.lossNumber = lossNumber;
+            this.exiting = exiting;
         }
 
         public boolean exiting() {
@@ -215,12 +217,12 @@
         }
     }
 
-    private static final class Live {
+    private static final class ConnectedDriver {
         final String identity;
         final String name;
-        DriverReport report = DriverReport.NONE;
+        DriverReport report = DriverReport.EMPTY;
 
-        Live(String identity, String name) {
+        ConnectedDriver(String identity, String name) {
             this.identity = identity;
             this.name = name;
         }
@@ -232,25 +234,25 @@
     /**
      * The same by their last changes: what is new is asked for by each driver, after each change.
      */
-    private final TreeMap<Long, Entry> byChange = new TreeMap<>();
+    private final TreeMap<Long, Entry> entriesByChange = new TreeMap<>();
 
-    private final TreeMap<String, Live> live = new TreeMap<>();
+    private final TreeMap<String, ConnectedDriver> connectedDrivers = new TreeMap<>();
     private final TreeMap<String, LostDriver> lostDrivers = new TreeMap<>();
 
     /** Machines that were taken off the plan, with the change's number, oldest first. */
-    private final ArrayDeque<Object[]> gone = new ArrayDeque<>();
+    private final ArrayDeque<Object[]> removals = new ArrayDeque<>();
 
     private final ArrayDeque<String> history = new ArrayDeque<>();
-    private List<String> lines = List.of();
-    private long linesChanged;
-    private int atOnce = 1;
+    private List<String> inventoryLines = List.of();
+    private long inventoryChange;
+    private int maxConcurrent = 1;
     private MaintenanceSettings.LostViewPolicy lostViewPolicy =
             MaintenanceSettings.LostViewPolicy.STEADY;
     private boolean held;
     private long revision;
     private long changeNumber;
-    private long asks;
-    private long losses;
+    private long requestCount;
+    private long lossCount;
 
     public Collection<Entry> entries() {
         return entries.values();
@@ -298,59 +300,61 @@
      */
     public void sessionOpened(String session, String identity, String name) {
         lostDrivers.remove(identity);
-        live.put(session, new Live(identity, name));
-        derive();
+        connectedDrivers.put(session, new ConnectedDriver(identity, name));
+        updateConfirmations();
     }
 
     /**
      * A session has ended, by itself where {@code ends}: its process may run on, and is waited for.
      */
-    public void sessionEnded(String session, boolean ends) {
-        Live l = live.remove(session);
-        if (l != null) {
+    public void sessionEnded(String session, boolean exiting) {
+        ConnectedDriver driver = connectedDrivers.remove(session);
+        if (driver != null) {
             // More than there can be drivers: one stands for the rest, and nothing goes out until
             // somebody has looked.
-            boolean room = lostDrivers.size() < MOST_ASTRAY || lostDrivers.containsKey(l.identity);
-            String identity = room ? l.identity : MANY;
+            boolean hasRoom =
+                    lostDrivers.size() < MAX_LOST_DRIVERS
+                            || lostDrivers.containsKey(driver.identity);
+            String identity = hasRoom ? driver.identity : OVERFLOW_IDENTITY;
             lostDrivers.put(
                     identity,
                     new LostDriver(
                             identity,
-                            room ? l.name : MANY,
-                            room ? l.report.planRevision() : 0,
-                            ++losses,
-                            room && ends));
+                            hasRoom ? driver.name : OVERFLOW_IDENTITY,
+                            hasRoom ? driver.report.planRevision() : 0,
+                            ++lossCount,
+                            hasRoom && exiting));
         }
-        derive();
+        updateConfirmations();
     }
 
     /**
      * By the voters' clocks: level 1, nothing of it is left at what it knew to be announced; level
      * 2, nothing at all.
      */
-    public String driverStopped(String identity, long number, long level) {
-        LostDriver a = lostDrivers.get(identity);
-        if (a == null || a.lossNumber != number) {
+    public String driverStopped(String identity, long lossNumber, long stoppedLevel) {
+        LostDriver lostDriver = lostDrivers.get(identity);
+        if (lostDriver == null || lostDriver.lossNumber != lossNumber) {
             return "not lost, or lost anew";
         }
-        if (level >= 2) {
+        if (stoppedLevel >= 2) {
             lostDrivers.remove(identity);
         } else {
-            a.stoppedLevel = 1;
+            lostDriver.stoppedLevel = 1;
         }
-        derive();
+        updateConfirmations();
         return "";
     }
 
     /** Drivers' reports, a line each; those without a session count for nothing. */
-    public String applyReports(List<String> all) {
-        for (String line : all) {
-            Live l = live.get(DriverReport.sessionOf(line));
-            if (l != null) {
-                l.report = DriverReport.of(line);
+    public String applyReports(List<String> lines) {
+        for (String line : lines) {
+            ConnectedDriver driver = connectedDrivers.get(DriverReport.sessionOf(line));
+            if (driver != null) {
+                driver.report = DriverReport.parse(line);
             }
         }
-        derive();
+        updateConfirmations();
         return "";
     }
 
@@ -360,147 +364,172 @@
      * The machines that there are, and the limits, by the conductor's file; what is away stays as
      * it was.
      */
-    public String applyInventory(List<String> all) {
-        if (all.equals(lines)) {
+    public String applyInventory(List<String> lines) {
+        if (lines.equals(inventoryLines)) {
             return "";
         }
-        String[] limits = all.get(0).split(" ");
-        TreeMap<String, Machine> next = new TreeMap<>();
-        all.stream().skip(1).map(Machine::of).forEach(m -> next.put(m.name(), m));
-        for (Entry e : entries.values()) {
-            if (e.stage.announced() && !machines.get(e.machine).equals(next.get(e.machine))) {
-                return e.machine
+        String[] limits = lines.get(0).split(" ");
+        TreeMap<String, Machine> newMachines = new TreeMap<>();
+        lines.stream()
+                .skip(1)
+                .map(Machine::parse)
+                .forEach(machine -> newMachines.put(machine.name(), machine));
+        for (Entry entry : entries.values()) {
+            if (entry.stage.announced()
+                    && !machines.get(entry.machine).equals(newMachines.get(entry.machine))) {
+                return entry.machine
                         + " is on its way, and the file has changed it: not before it is in";
             }
         }
         entries.values()
                 .removeIf(
-                        e -> {
-                            boolean over = !next.containsKey(e.machine);
-                            if (over) {
-                                remove(e);
+                        entry -> {
+                            boolean removed = !newMachines.containsKey(entry.machine);
+                            if (removed) {
+                                recordRemoval(entry);
                             }
-                            return over;
+                            return removed;
                         });
-        atOnce = Integer.parseInt(limits[0]);
+        maxConcurrent = Integer.parseInt(limits[0]);
         lostViewPolicy = MaintenanceSettings.LostViewPolicy.valueOf(limits[1]);
         machines.clear();
-        machines.putAll(next);
-        lines = List.copyOf(all);
+        machines.putAll(newMachines);
+        inventoryLines = List.copyOf(lines);
         revision++;
-        linesChanged = ++changeNumber;
-        derive();
+        inventoryChange = ++changeNumber;
+        updateConfirmations();
         return "";
     }
 
     /** Somebody wants a machine; empty, or why it can never be had. */
     public String addRequest(
             String machine,
-            String ask,
-            String why,
-            long forMs,
-            long before,
-            List<String> after,
-            long wall) {
-        Machine m = machines.get(machine);
-        if (m == null) {
+            String requestId,
+            String reason,
+            long durationMs,
+            long deadlineMs,
+            List<String> afterMachines,
+            long proposedAtMs) {
+        Machine requestedMachine = machines.get(machine);
+        if (requestedMachine == null) {
             return machines.isEmpty()
                     ? "no machines are settled yet: is there a conductor?"
                     : "there is no machine '" + machine + "'";
         }
-        Entry old = entries.get(machine);
-        if (old != null) {
-            return old.requestId.equals(ask)
+        Entry existing = entries.get(machine);
+        if (existing != null) {
+            return existing.requestId.equals(requestId)
                     ? ""
                     : "'"
                             + machine
                             + "' is "
-                            + old.stage.name().toLowerCase(java.util.Locale.ROOT)
+                            + existing.stage.name().toLowerCase(java.util.Locale.ROOT)
                             + " already: "
-                            + old.reason;
+                            + existing.reason;
         }
-        if (entries.size() >= MOST_ASKS) {
-            return "more than " + MOST_ASKS + " machines are asked for";
+        if (entries.size() >= MAX_REQUESTS) {
+            return "more than " + MAX_REQUESTS + " machines are asked for";
         }
-        if (before > 0 && before <= wall) {
+        if (deadlineMs > 0 && deadlineMs <= proposedAtMs) {
             return "the time before which it is wanted has passed";
         }
-        for (int g : m.groups()) {
-            if (m.members().stream().filter(p -> p.group() == g).count() > 1) {
+        for (int group : requestedMachine.groups()) {
+            if (requestedMachine.members().stream()
+                            .filter(member -> member.group() == group)
+                            .count()
+                    > 1) {
                 return "it holds more than one member of group "
-                        + g
+                        + group
                         + ": no two of a group are away together";
             }
             if (machines.values().stream()
-                    .noneMatch(o -> !o.name().equals(machine) && o.groups().contains(g))) {
-                return "it holds the only member of group " + g;
+                    .noneMatch(
+                            other ->
+                                    !other.name().equals(machine)
+                                            && other.groups().contains(group))) {
+                return "it holds the only member of group " + group;
             }
         }
-        for (String a : after) {
-            if (!machines.containsKey(a)) {
-                return "there is no machine '" + a + "' to come after";
+        for (String predecessor : afterMachines) {
+            if (!machines.containsKey(predecessor)) {
+                return "there is no machine '" + predecessor + "' to come after";
             }
-            if (a.equals(machine) || comesAfter(a, machine, new HashSet<>())) {
-                return "'" + a + "' comes after '" + machine + "' itself";
+            if (predecessor.equals(machine) || comesAfter(predecessor, machine, new HashSet<>())) {
+                return "'" + predecessor + "' comes after '" + machine + "' itself";
             }
         }
-        Entry e = new Entry(machine, ask, text(why), forMs, before, after, wall, ++asks);
-        entries.put(machine, e);
-        moved(e, wall, "asked: " + e.reason);
-        derive();
+        Entry entry =
+                new Entry(
+                        machine,
+                        requestId,
+                        truncate(reason),
+                        durationMs,
+                        deadlineMs,
+                        afterMachines,
+                        proposedAtMs,
+                        ++requestCount);
+        entries.put(machine, entry);
+        recordMove(entry, proposedAtMs, "asked: " + entry.reason);
+        updateConfirmations();
         return "";
     }
 
-    private boolean comesAfter(String first, String second, Set<String> seen) {
-        Entry e = entries.get(first);
-        return e != null
-                && seen.add(first)
-                && e.afterMachines.stream()
-                        .anyMatch(a -> a.equals(second) || comesAfter(a, second, seen));
+    private boolean comesAfter(String first, String second, Set<String> visited) {
+        Entry entry = entries.get(first);
+        return entry != null
+                && visited.add(first)
+                && entry.afterMachines.stream()
+                        .anyMatch(
+                                predecessor ->
+                                        predecessor.equals(second)
+                                                || comesAfter(predecessor, second, visited));
     }
 
     /** An operator's word on a machine, or on all. */
-    public String applyOperatorCommand(String word, String machine, long wall) {
-        if (word.equals("gone")) {
+    public String applyOperatorCommand(String command, String machine, long proposedAtMs) {
+        if (command.equals("gone")) {
             return lostDrivers
                             .values()
                             .removeIf(
-                                    a -> a.name.equals(machine) || a.displayName().equals(machine))
-                    ? derived()
+                                    lostDriver ->
+                                            lostDriver.name.equals(machine)
+                                                    || lostDriver.displayName().equals(machine))
+                    ? updateAndAccept()
                     : "no driver '" + machine + "' is waited for without a session";
         }
         if (machine.equals(ALL_MACHINES)) {
-            return all(word, wall);
+            return applyToAll(command, proposedAtMs);
         }
-        Entry e = entries.get(machine);
-        if (e == null) {
+        Entry entry = entries.get(machine);
+        if (entry == null) {
             return machines.containsKey(machine)
-                    ? word.equals("done") || word.equals("back")
+                    ? command.equals("done") || command.equals("back")
                             ? ""
                             : "'" + machine + "' is not asked for"
                     : "there is no machine '" + machine + "'";
         }
-        boolean out = e.stage == MaintenanceStage.OUT || e.stage == MaintenanceStage.RETURNING;
-        switch (word) {
+        boolean out =
+                entry.stage == MaintenanceStage.OUT || entry.stage == MaintenanceStage.RETURNING;
+        switch (command) {
             case "hold" -> {
-                e.held = true;
-                putBack(e, wall, "held");
-                moved(e, wall, "held");
+                entry.held = true;
+                putBack(entry, proposedAtMs, "held");
+                recordMove(entry, proposedAtMs, "held");
             }
             case "go" -> {
-                e.held = false;
-                moved(e, wall, "goes on");
+                entry.held = false;
+                recordMove(entry, proposedAtMs, "goes on");
             }
             case "done", "back" -> {
-                if (e.stage == MaintenanceStage.OUT) {
-                    turn(
-                            e,
+                if (entry.stage == MaintenanceStage.OUT) {
+                    moveTo(
+                            entry,
                             MaintenanceStage.RETURNING,
-                            wall,
-                            word.equals("done") ? "work is done" : "called back");
-                } else if (e.stage == MaintenanceStage.DRAINING && word.equals("back")
-                        || !out && word.equals("back")) {
-                    withdraw(e, wall, "called back");
+                            proposedAtMs,
+                            command.equals("done") ? "work is done" : "called back");
+                } else if (entry.stage == MaintenanceStage.DRAINING && command.equals("back")
+                        || !out && command.equals("back")) {
+                    withdraw(entry, proposedAtMs, "called back");
                 } else if (!out) {
                     return "'" + machine + "' is not out yet";
                 }
@@ -509,48 +538,48 @@
                 if (out) {
                     return "'" + machine + "' is out: 'done' or 'back' brings it back";
                 }
-                withdraw(e, wall, "cancelled");
+                withdraw(entry, proposedAtMs, "cancelled");
             }
             default -> {
-                return "no word '" + word + "'";
+                return "no word '" + command + "'";
             }
         }
-        return derived();
+        return updateAndAccept();
     }
 
-    private String all(String word, long wall) {
-        if (!word.equals("hold") && !word.equals("go")) {
-            return "'" + word + "' needs a machine";
+    private String applyToAll(String command, long proposedAtMs) {
+        if (!command.equals("hold") && !command.equals("go")) {
+            return "'" + command + "' needs a machine";
         }
-        held = word.equals("hold");
+        held = command.equals("hold");
         revision++;
         changeNumber++;
-        note(wall, ALL_MACHINES, held ? "all held" : "all go on");
+        addHistory(proposedAtMs, ALL_MACHINES, held ? "all held" : "all go on");
         if (held) {
-            entries.values().forEach(e -> putBack(e, wall, "all held"));
+            entries.values().forEach(entry -> putBack(entry, proposedAtMs, "all held"));
         }
-        return derived();
+        return updateAndAccept();
     }
 
-    private void putBack(Entry e, long wall, String why) {
-        if (e.stage == MaintenanceStage.PLANNED || e.stage == MaintenanceStage.DRAINING) {
-            turn(e, MaintenanceStage.ASKED, wall, why);
+    private void putBack(Entry entry, long proposedAtMs, String reason) {
+        if (entry.stage == MaintenanceStage.PLANNED || entry.stage == MaintenanceStage.DRAINING) {
+            moveTo(entry, MaintenanceStage.ASKED, proposedAtMs, reason);
         }
     }
 
-    private void withdraw(Entry e, long wall, String why) {
-        note(wall, e.machine, why);
-        entries.remove(e.machine);
-        remove(e);
+    private void withdraw(Entry entry, long proposedAtMs, String reason) {
+        addHistory(proposedAtMs, entry.machine, reason);
+        entries.remove(entry.machine);
+        recordRemoval(entry);
     }
 
-    private void remove(Entry e) {
-        byChange.remove(e.lastChange);
+    private void recordRemoval(Entry entry) {
+        entriesByChange.remove(entry.lastChange);
         revision++;
         changeNumber++;
-        gone.add(new Object[] {e.machine, changeNumber});
-        if (gone.size() > MOST_GONE) {
-            gone.poll();
+        removals.add(new Object[] {entry.machine, changeNumber});
+        if (removals.size() > MAX_REMOVALS) {
+            removals.poll();
         }
     }
 
@@ -562,145 +591,163 @@
      * why it is not taken.
      */
     public String applyStep(
-            String machine, String to, long stageAt, String why, boolean idle, long wall) {
-        Entry e = entries.get(machine);
-        if (e == null || e.stageRevision != stageAt) {
+            String machine,
+            String target,
+            long stageRevision,
+            String reason,
+            boolean ownsNoDuty,
+            long proposedAtMs) {
+        Entry entry = entries.get(machine);
+        if (entry == null || entry.stageRevision != stageRevision) {
             return "'" + machine + "' has moved on";
         }
-        if (to.equals("note")) {
-            if (!e.note.equals(text(why))) {
-                e.note = text(why);
-                changed(e);
+        if (target.equals("note")) {
+            if (!entry.note.equals(truncate(reason))) {
+                entry.note = truncate(reason);
+                markChanged(entry);
             }
             return "";
         }
-        String not =
-                switch (to) {
+        String refusal =
+                switch (target) {
                     case "ASKED" ->
-                            e.stage == MaintenanceStage.PLANNED
-                                            || e.stage == MaintenanceStage.DRAINING
+                            entry.stage == MaintenanceStage.PLANNED
+                                            || entry.stage == MaintenanceStage.DRAINING
                                     ? ""
                                     : "it can't be put back";
                     case "PLANNED" ->
-                            e.stage != MaintenanceStage.ASKED
+                            entry.stage != MaintenanceStage.ASKED
                                     ? "it is not waiting"
-                                    : whyNotPlanned(e);
+                                    : planningBlocker(entry);
                     case "DRAINING" ->
-                            e.stage != MaintenanceStage.PLANNED
+                            entry.stage != MaintenanceStage.PLANNED
                                     ? "it is not planned"
-                                    : e.held || held
+                                    : entry.held || held
                                             ? "held"
-                                            : !e.confirmedByAll
+                                            : !entry.confirmedByAll
                                                     ? "not everybody knows of it"
-                                                    : !e.noPrimaryReported
+                                                    : !entry.noPrimaryReported
                                                             ? "somebody believes its member to be"
-                                                                  + " primary"
+                                                                    + " primary"
                                                             : "";
                     case "OUT" ->
-                            e.stage != MaintenanceStage.DRAINING
+                            entry.stage != MaintenanceStage.DRAINING
                                     ? "it does not drain"
-                                    : !e.drained
+                                    : !entry.drained
                                             ? "not everybody has left it"
-                                            : idle ? "" : "a driver on it has a duty";
-                    case "IN" -> e.stage == MaintenanceStage.RETURNING ? "" : "it does not return";
-                    default -> "no stage '" + to + "'";
+                                            : ownsNoDuty ? "" : "a driver on it has a duty";
+                    case "IN" ->
+                            entry.stage == MaintenanceStage.RETURNING ? "" : "it does not return";
+                    default -> "no stage '" + target + "'";
                 };
-        if (!not.isEmpty()) {
-            return not;
+        if (!refusal.isEmpty()) {
+            return refusal;
         }
-        if (to.equals("IN")) {
-            withdraw(e, wall, "in: " + text(why));
+        if (target.equals("IN")) {
+            withdraw(entry, proposedAtMs, "in: " + truncate(reason));
         } else {
-            turn(e, MaintenanceStage.valueOf(to), wall, text(why));
+            moveTo(entry, MaintenanceStage.valueOf(target), proposedAtMs, truncate(reason));
         }
-        return derived();
+        return updateAndAccept();
     }
 
-    private String whyNotPlanned(Entry e) {
-        Machine m = machines.get(e.machine);
-        int away = 0;
-        for (Entry o : entries.values()) {
-            if (o.stage.announced()) {
-                away++;
-                Machine other = machines.get(o.machine);
-                if (!other.zone().equals(m.zone())) {
-                    return "zone " + other.zone() + " is worked on";
+    private String planningBlocker(Entry entry) {
+        Machine machine = machines.get(entry.machine);
+        int awayCount = 0;
+        for (Entry otherEntry : entries.values()) {
+            if (otherEntry.stage.announced()) {
+                awayCount++;
+                Machine otherMachine = machines.get(otherEntry.machine);
+                if (!otherMachine.zone().equals(machine.zone())) {
+                    return "zone " + otherMachine.zone() + " is worked on";
                 }
-                if (other.sharesGroup(m)) {
-                    return "it shares a group with " + o.machine;
+                if (otherMachine.sharesGroup(machine)) {
+                    return "it shares a group with " + otherEntry.machine;
                 }
             }
-            if (e.afterMachines.contains(o.machine)) {
-                return "it comes after " + o.machine;
+            if (entry.afterMachines.contains(otherEntry.machine)) {
+                return "it comes after " + otherEntry.machine;
             }
         }
-        return e.held || held
+        return entry.held || held
                 ? "held"
-                : away >= atOnce ? "there are " + away + " on their way, at most " + atOnce : "";
-    }
-
-    private void turn(Entry e, MaintenanceStage to, long wall, String why) {
-        e.stage = to;
-        e.note = "";
-        moved(e, wall, to.name().toLowerCase(java.util.Locale.ROOT) + ": " + why);
-        e.stageRevision = revision;
-        e.announcedRevision = to == MaintenanceStage.PLANNED ? revision : e.announcedRevision;
-        e.outSinceMs = to == MaintenanceStage.OUT ? wall : e.outSinceMs;
-        e.confirmedByAll = false;
-        e.drained = false;
-    }
-
-    private void moved(Entry e, long wall, String what) {
+                : awayCount >= maxConcurrent
+                        ? "there are " + awayCount + " on their way, at most " + maxConcurrent
+                        : "";
+    }
+
+    private void moveTo(Entry entry, MaintenanceStage target, long proposedAtMs, String reason) {
+        entry.stage = target;
+        entry.note = "";
+        recordMove(
+                entry,
+                proposedAtMs,
+                target.name().toLowerCase(java.util.Locale.ROOT) + ": " + reason);
+        entry.stageRevision = revision;
+        entry.announcedRevision =
+                target == MaintenanceStage.PLANNED ? revision : entry.announcedRevision;
+        entry.outSinceMs = target == MaintenanceStage.OUT ? proposedAtMs : entry.outSinceMs;
+        entry.confirmedByAll = false;
+        entry.drained = false;
+    }
+
+    private void recordMove(Entry entry, long proposedAtMs, String text) {
         revision++;
-        changed(e);
-        e.changedAtMs = wall;
-        if (e.stageRevision == 0) {
-            e.stageRevision = revision;
+        markChanged(entry);
+        entry.changedAtMs = proposedAtMs;
+        if (entry.stageRevision == 0) {
+            entry.stageRevision = revision;
         }
-        note(wall, e.machine, what);
+        addHistory(proposedAtMs, entry.machine, text);
     }
 
-    private void changed(Entry e) {
-        byChange.remove(e.lastChange);
-        e.lastChange = ++changeNumber;
-        byChange.put(e.lastChange, e);
+    private void markChanged(Entry entry) {
+        entriesByChange.remove(entry.lastChange);
+        entry.lastChange = ++changeNumber;
+        entriesByChange.put(entry.lastChange, entry);
     }
 
-    private void note(long wall, String machine, String what) {
-        history.add(wall + " " + machine + " " + what);
-        if (history.size() > HISTORY) {
+    private void addHistory(long proposedAtMs, String machine, String text) {
+        history.add(proposedAtMs + " " + machine + " " + text);
+        if (history.size() > MAX_HISTORY_LINES) {
             history.poll();
         }
     }
 
-    private static String text(String any) {
-        return any.length() > LONGEST_TEXT ? any.substring(0, LONGEST_TEXT) : any;
+    private static String truncate(String text) {
+        return text.length() > MAX_TEXT_CHARS ? text.substring(0, MAX_TEXT_CHARS) : text;
     }
 
     // ---- what follows ----
 
-    private String derived() {
-        derive();
+    private String updateAndAccept() {
+        updateConfirmations();
         return "";
     }
 
-    private void derive() {
-        for (Entry e : entries.values()) {
-            boolean known = e.stage.announced() && mayProceedWithout(unconfirmedDrivers(e));
-            boolean clear =
-                    e.stage == MaintenanceStage.DRAINING && mayProceedWithout(undrainedDrivers(e));
+    private void updateConfirmations() {
+        for (Entry entry : entries.values()) {
+            boolean confirmedByAll =
+                    entry.stage.announced() && mayProceedWithout(unconfirmedDrivers(entry));
+            boolean drained =
+                    entry.stage == MaintenanceStage.DRAINING
+                            && mayProceedWithout(undrainedDrivers(entry));
             // Of what only waits nothing is asked: there may be a thousand of them.
-            boolean unbelieved =
-                    e.stage.announced()
-                            && live.values().stream()
-                                    .noneMatch(l -> believes(l.report, machines.get(e.machine)));
-            if (known != e.confirmedByAll
-                    || clear != e.drained
-                    || unbelieved != e.noPrimaryReported) {
-                e.confirmedByAll = known;
-                e.drained = clear;
-                e.noPrimaryReported = unbelieved;
-                changed(e);
+            boolean noPrimaryReported =
+                    entry.stage.announced()
+                            && connectedDrivers.values().stream()
+                                    .noneMatch(
+                                            driver ->
+                                                    reportsPrimaryOn(
+                                                            driver.report,
+                                                            machines.get(entry.machine)));
+            if (confirmedByAll != entry.confirmedByAll
+                    || drained != entry.drained
+                    || noPrimaryReported != entry.noPrimaryReported) {
+                entry.confirmedByAll = confirmedByAll;
+                entry.drained = drained;
+                entry.noPrimaryReported = noPrimaryReported;
+                markChanged(entry);
             }
         }
     }
@@ -710,60 +757,67 @@
         return missing.isEmpty();
     }
 
-    private static boolean believes(DriverReport r, Machine m) {
-        return m != null
-                && m.members().stream()
+    private static boolean reportsPrimaryOn(DriverReport report, Machine machine) {
+        return machine != null
+                && machine.members().stream()
                         .anyMatch(
-                                p ->
-                                        r.primaries().containsKey(p.group())
-                                                && p.is(r.primaries().get(p.group())));
+                                member ->
+                                        report.primaries().containsKey(member.group())
+                                                && member.matches(
+                                                        report.primaries().get(member.group())));
     }
 
     /** Those who have not confirmed that the machine is announced. */
-    public Set<String> unconfirmedDrivers(Entry e) {
-        Set<String> not = new TreeSet<>();
-        live.values().stream()
-                .filter(l -> l.report.planRevision() < e.announcedRevision)
-                .forEach(l -> not.add(l.name));
+    public Set<String> unconfirmedDrivers(Entry entry) {
+        Set<String> unconfirmed = new TreeSet<>();
+        connectedDrivers.values().stream()
+                .filter(driver -> driver.report.planRevision() < entry.announcedRevision)
+                .forEach(driver -> unconfirmed.add(driver.name));
         lostDrivers.values().stream()
-                .filter(a -> a.planRevision < e.announcedRevision)
-                .forEach(a -> not.add(a.name + " (without a session)"));
-        return not;
+                .filter(lostDriver -> lostDriver.planRevision < entry.announcedRevision)
+                .forEach(lostDriver -> unconfirmed.add(lostDriver.name + " (without a session)"));
+        return unconfirmed;
     }
 
     /** How many drivers have a session. */
     protected int sessionCount() {
-        return live.size();
+        return connectedDrivers.size();
     }
 
     /** Those who may have something at a machine that drains. */
-    public Set<String> undrainedDrivers(Entry e) {
-        Set<String> there = new TreeSet<>();
-        live.values().stream()
+    public Set<String> undrainedDrivers(Entry entry) {
+        Set<String> undrained = new TreeSet<>();
+        connectedDrivers.values().stream()
                 .filter(
-                        l ->
-                                l.report.planRevision() < e.stageRevision
-                                        || !l.report.drainedMachines().contains(e.machine))
-                .forEach(l -> there.add(l.name));
+                        driver ->
+                                driver.report.planRevision() < entry.stageRevision
+                                        || !driver.report.drainedMachines().contains(entry.machine))
+                .forEach(driver -> undrained.add(driver.name));
         lostDrivers.values().stream()
-                .filter(a -> a.stoppedLevel < 1 || a.planRevision < e.announcedRevision)
-                .forEach(a -> there.add(a.name + " (without a session)"));
-        return there;
+                .filter(
+                        lostDriver ->
+                                lostDriver.stoppedLevel < 1
+                                        || lostDriver.planRevision < entry.announcedRevision)
+                .forEach(lostDriver -> undrained.add(lostDriver.name + " (without a session)"));
+        return undrained;
     }
 
     /** What a machine waits for, for people. */
-    public String waitReason(Entry e) {
-        if (e.held || held) {
+    public String waitReason(Entry entry) {
+        if (entry.held || held) {
             return "held";
         }
-        return switch (e.stage) {
+        return switch (entry.stage) {
             case ASKED -> {
-                String not = whyNotPlanned(e);
-                yield not.isEmpty() ? e.note : not;
+                String blocker = planningBlocker(entry);
+                yield blocker.isEmpty() ? entry.note : blocker;
             }
-            case PLANNED -> e.confirmedByAll ? e.note : "to know of it: " + unconfirmedDrivers(e);
-            case DRAINING -> e.drained ? e.note : "to leave it: " + undrainedDrivers(e);
-            default -> e.note;
+            case PLANNED ->
+                    entry.confirmedByAll
+                            ? entry.note
+                            : "to know of it: " + unconfirmedDrivers(entry);
+            case DRAINING -> entry.drained ? entry.note : "to leave it: " + undrainedDrivers(entry);
+            default -> entry.note;
         };
     }
 
@@ -771,11 +825,11 @@
     public boolean isOnDrainingMachine(String driver) {
         return entries.values().stream()
                 .anyMatch(
-                        e ->
-                                e.stage != MaintenanceStage.ASKED
-                                        && e.stage != MaintenanceStage.PLANNED
-                                        && e.stage != MaintenanceStage.RETURNING
-                                        && machines.get(e.machine).drivers().contains(driver));
+                        entry ->
+                                entry.stage != MaintenanceStage.ASKED
+                                        && entry.stage != MaintenanceStage.PLANNED
+                                        && entry.stage != MaintenanceStage.RETURNING
+                                        && machines.get(entry.machine).drivers().contains(driver));
     }
 
     /**
@@ -783,153 +837,173 @@
      * members.
      */
     public List<Object> totals() {
-        long served = 0;
-        long harmed = 0;
-        TreeMap<String, Long> busy = new TreeMap<>();
-        for (Live l : live.values()) {
-            served += l.report.servedCount();
-            harmed += l.report.harmedCount();
-            l.report
+        long servedCount = 0;
+        long harmedCount = 0;
+        TreeMap<String, Long> busyMsByGroup = new TreeMap<>();
+        for (ConnectedDriver driver : connectedDrivers.values()) {
+            servedCount += driver.report.servedCount();
+            harmedCount += driver.report.harmedCount();
+            driver.report
                     .busyMsByGroup()
-                    .forEach((g, ms) -> busy.merge(Integer.toString(g), ms, Long::sum));
+                    .forEach(
+                            (group, busyMs) ->
+                                    busyMsByGroup.merge(
+                                            Integer.toString(group), busyMs, Long::sum));
         }
-        return List.of(served, harmed, busy);
+        return List.of(servedCount, harmedCount, busyMsByGroup);
     }
 
     /**
      * What has changed for drivers since a change's number; all of it where that lies too far back.
      */
-    public Map<String, Object> changesSince(long since) {
-        Map<String, Object> m = new TreeMap<>();
-        boolean whole =
-                since <= 0
-                        || !gone.isEmpty()
-                                && gone.size() >= MOST_GONE
-                                && (long) gone.peek()[1] > since;
-        m.put("whole", whole);
-        m.put("rev", revision);
-        m.put("held", held);
-        m.put(
+    public Map<String, Object> changesSince(long sinceChange) {
+        Map<String, Object> changes = new TreeMap<>();
+        boolean complete =
+                sinceChange <= 0
+                        || !removals.isEmpty()
+                                && removals.size() >= MAX_REMOVALS
+                                && (long) removals.peek()[1] > sinceChange;
+        changes.put("whole", complete);
+        changes.put("rev", revision);
+        changes.put("held", held);
+        changes.put(
                 "entries",
-                (whole ? entries : byChange.tailMap(since, false))
+                (complete ? entries : entriesByChange.tailMap(sinceChange, false))
                         .values().stream().map(Entry::toValues).toList());
-        m.put(
+        changes.put(
                 "gone",
-                whole
+                complete
                         ? List.of()
-                        : gone.stream()
+                        : removals.stream()
                                 .filter(
-                                        g ->
-                                                (long) g[1] > since
-                                                        && !entries.containsKey((String) g[0]))
-                                .map(g -> g[0])
+                                        removal ->
+                                                (long) removal[1] > sinceChange
+                                                        && !entries.containsKey(
+                                                                (String) removal[0]))
+                                .map(removal -> removal[0])
                                 .toList());
-        if (whole || linesChanged > since) {
-            m.put("lines", lines);
+        if (complete || inventoryChange > sinceChange) {
+            changes.put("lines", inventoryLines);
         }
-        return m;
+        return changes;
     }
 
     // ---- as a whole ----
 
     /** All of it, for a snapshot. */
     public Map<String, Object> snapshot() {
-        Map<String, Object> all = new TreeMap<>();
-        all.put("lines", lines);
-        all.put("figures", List.of(revision, changeNumber, asks, losses, linesChanged, held));
-        all.put("entries", entries.values().stream().map(Entry::toValues).toList());
-        List<Object> l = new ArrayList<>();
-        live.forEach((s, v) -> l.add(List.of(s, v.identity, v.name, v.report.toLine(s))));
-        all.put("live", l);
-        all.put(
+        Map<String, Object> state = new TreeMap<>();
+        state.put("lines", inventoryLines);
+        state.put(
+                "figures",
+                List.of(revision, changeNumber, requestCount, lossCount, inventoryChange, held));
+        state.put("entries", entries.values().stream().map(Entry::toValues).toList());
+        List<Object> connected = new ArrayList<>();
+        connectedDrivers.forEach(
+                (sessionId, driver) ->
+                        connected.add(
+                                List.of(
+                                        sessionId,
+                                        driver.identity,
+                                        driver.name,
+                                        driver.report.toLine(sessionId))));
+        state.put("live", connected);
+        state.put(
                 "astray",
                 lostDrivers.values().stream()
                         .map(
-                                a ->
+                                lostDriver ->
                                         List.of(
-                                                a.identity,
-                                                a.name,
-                                                a.planRevision,
-                                                a.lossNumber,
-                                                (long) a.stoppedLevel,
-                                                a.exiting))
+                                                lostDriver.identity,
+                                                lostDriver.name,
+                                                lostDriver.planRevision,
+                                                lostDriver.lossNumber,
+                                                (long) lostDriver.stoppedLevel,
+                                                lostDriver.exiting))
                         .toList());
-        all.put("gone", gone.stream().map(g -> List.of(g[0], g[1])).toList());
-        all.put("history", List.copyOf(history));
-        return all;
+        state.put(
+                "gone", removals.stream().map(removal -> List.of(removal[0], removal[1])).toList());
+        state.put("history", List.copyOf(history));
+        return state;
     }
 
     /**
      * Takes over a snapshot in place of all that is there; one from before there was a plan is
      * empty.
      */
-    public void restore(Object of) {
+    public void restore(Object snapshot) {
         machines.clear();
         entries.clear();
-        byChange.clear();
-        live.clear();
+        entriesByChange.clear();
+        connectedDrivers.clear();
         lostDrivers.clear();
-        gone.clear();
+        removals.clear();
         history.clear();
-        lines = List.of();
-        if (!(of instanceof Map<?, ?> all)) {
+        inventoryLines = List.of();
+        if (!(snapshot instanceof Map<?, ?> state)) {
             return;
         }
-        List<String> l = new ArrayList<>();
-        ((List<?>) all.get("lines")).forEach(o -> l.add((String) o));
-        lines = List.copyOf(l);
-        lines.stream().skip(1).map(Machine::of).forEach(m -> machines.put(m.name(), m));
-        if (!lines.isEmpty()) {
-            atOnce = Integer.parseInt(lines.get(0).split(" ")[0]);
-            lostViewPolicy = MaintenanceSettings.LostViewPolicy.valueOf(lines.get(0).split(" ")[1]);
-        }
-        List<?> f = (List<?>) all.get("figures");
-        revision = number(f.get(0));
-        changeNumber = number(f.get(1));
-        asks = number(f.get(2));
-        losses = number(f.get(3));
-        linesChanged = number(f.get(4));
-        held = (Boolean) f.get(5);
-        ((List<?>) all.get("entries"))
+        List<String> lines = new ArrayList<>();
+        ((List<?>) state.get("lines")).forEach(item -> lines.add((String) item));
+        inventoryLines = List.copyOf(lines);
+        inventoryLines.stream()
+                .skip(1)
+                .map(Machine::parse)
+                .forEach(machine -> machines.put(machine.name(), machine));
+        if (!inventoryLines.isEmpty()) {
+            maxConcurrent = Integer.parseInt(inventoryLines.get(0).split(" ")[0]);
+            lostViewPolicy =
+                    MaintenanceSettings.LostViewPolicy.valueOf(inventoryLines.get(0).split(" ")[1]);
+        }
+        List<?> figures = (List<?>) state.get("figures");
+        revision = number(figures.get(0));
+        changeNumber = number(figures.get(1));
+        requestCount = number(figures.get(2));
+        lossCount = number(figures.get(3));
+        inventoryChange = number(figures.get(4));
+        held = (Boolean) figures.get(5);
+        ((List<?>) state.get("entries"))
                 .forEach(
-                        v -> {
-                            Entry e = Entry.fromValues((List<?>) v);
-                            entries.put(e.machine, e);
-                            byChange.put(e.lastChange, e);
+                        values -> {
+                            Entry entry = Entry.fromValues((List<?>) values);
+                            entries.put(entry.machine, entry);
+                            entriesByChange.put(entry.lastChange, entry);
                         });
-        ((List<?>) all.get("live"))
+        ((List<?>) state.get("live"))
                 .forEach(
-                        o -> {
-                            List<?> v = (List<?>) o;
-                            Live one = new Live((String) v.get(1), (String) v.get(2));
-                            one.report = DriverReport.of((String) v.get(3));
-                            live.put((String) v.get(0), one);
+                        item -> {
+                            List<?> values = (List<?>) item;
+                            ConnectedDriver driver =
+                                    new ConnectedDriver(
+                                            (String) values.get(1), (String) values.get(2));
+                            driver.report = DriverReport.parse((String) values.get(3));
+                            connectedDrivers.put((String) values.get(0), driver);
                         });
-        ((List<?>) all.get("astray"))
+        ((List<?>) state.get("astray"))
                 .forEach(
-                        o -> {
-                            List<?> v = (List<?>) o;
-                            LostDriver a =
+                        item -> {
+                            List<?> values = (List<?>) item;
+                            LostDriver lostDriver =
                                     new LostDriver(
-                                            (String) v.get(0),
-                                            (String) v.get(1),
-                                            number(v.get(2)),
-                                            number(v.get(3)),
-                                            (Boolean) v.get(5));
-                            a.stoppedLevel = (int) number(v.get(4));
-                            lostDrivers.put(a.identity, a);
+                                            (String) values.get(0),
+                                            (String) values.get(1),
+                                            number(values.get(2)),
+                                            number(values.get(3)),
+                                            (Boolean) values.get(5));
+                            lostDriver.stoppedLevel = (int) number(values.get(4));
+                            lostDrivers.put(lostDriver.identity, lostDriver);
                         });
-        ((List<?>) all.get("gone"))
+        ((List<?>) state.get("gone"))
                 .forEach(
-                        o ->
-                                gone.add(
+                        item ->
+                                removals.add(
                                         new Object[] {
-                                            ((List<?>) o).get(0), number(((List<?>) o).get(1))
+                                            ((List<?>) item).get(0), number(((List<?>) item).get(1))
                                         }));
-        ((List<?>) all.get("history")).forEach(h -> history.add((String) h));
+        ((List<?>) state.get("history")).forEach(line -> history.add((String) line));
     }
 
-    private static long number(Object n) {
-        return ((Number) n).longValue();
+    private static long number(Object value) {
+        return ((Number) value).longValue();
     }
 }
--- a/src/main/java/wingroad/work/MaintenanceSettings.java
+++ b/src/main/java/wingroad/work/MaintenanceSettings.java
@@ -68,11 +68,11 @@
 
     /** What all drivers must have alike, as lines: limits first, then the machines. */
     public List<String> toLines() {
-        List<String> all = new java.util.ArrayList<>();
-        all.add(maxConcurrent + " " + lostViewPolicy);
+        List<String> lines = new java.util.ArrayList<>();
+        lines.add(maxConcurrent + " " + lostViewPolicy);
         machines.values().stream()
                 .sorted(java.util.Comparator.comparing(Machine::name))
-                .forEach(m -> all.add(m.line()));
-        return all;
+                .forEach(machine -> lines.add(machine.toLine()));
+        return lines;
     }
 }
