--- a/src/main/java/wingroad/work/MemberAvailability.java
+++ b/src/main/java/wingroad/work/MemberAvailability.java
@@ -20,85 +20,86 @@
         COLD
     }
 
-    private final MaintenanceSettings rules;
-    private final Duration began;
-    private final Duration patience;
-    private final Holders own;
+    private final MaintenanceSettings settings;
+    private final Duration startedAt;
+    private final Duration startupTimeout;
+    private final MachineIndex configuredMachines;
     private PlanCopy planCopy;
-    private Duration until = Duration.ZERO;
-    private boolean over = true;
+    private Duration leaseUntil = Duration.ZERO;
+    private boolean leaseEnded = true;
 
     /**
      * The plan has been known under a lease. Before that, what a voter tells may be old: one that
      * has just started tells what its own state says, and nobody waits for what this driver makes
      * of it.
      */
-    private boolean learned;
+    private boolean planKnown;
 
     /** Machines that return, and since when this driver has known. */
-    private final Map<String, Duration> returning = new TreeMap<>();
+    private final Map<String, Duration> returningMachines = new TreeMap<>();
 
     /**
-     * @param began when the driver started
-     * @param patience with {@link MaintenanceSettings.LostViewPolicy#SERVE}: how long after a start
-     *     the plan is waited for
+     * @param startedAt when the driver started
+     * @param startupTimeout with {@link MaintenanceSettings.LostViewPolicy#SERVE}: how long after a
+     *     start the plan is waited for
      */
-    public MemberAvailability(MaintenanceSettings rules, Duration began, Duration patience) {
-        this.rules = rules;
-        this.own = new Holders(rules.machines().values());
-        this.began = began;
-        this.patience = patience;
+    public MemberAvailability(
+            MaintenanceSettings settings, Duration startedAt, Duration startupTimeout) {
+        this.settings = settings;
+        this.configuredMachines = new MachineIndex(settings.machines().values());
+        this.startedAt = startedAt;
+        this.startupTimeout = startupTimeout;
     }
 
     /** The plan as it is settled. */
     public void updatePlan(PlanCopy plan, Duration now) {
         planCopy = plan;
-        returning
+        returningMachines
                 .keySet()
                 .removeIf(
-                        m ->
-                                plan.entry(m) == null
-                                        || plan.entry(m).stage != MaintenanceStage.RETURNING);
+                        machine ->
+                                plan.entry(machine) == null
+                                        || plan.entry(machine).stage != MaintenanceStage.RETURNING);
         plan.entries().stream()
-                .filter(e -> e.stage == MaintenanceStage.RETURNING)
-                .forEach(e -> returning.putIfAbsent(e.machine, now));
+                .filter(entry -> entry.stage == MaintenanceStage.RETURNING)
+                .forEach(entry -> returningMachines.putIfAbsent(entry.machine, now));
     }
 
     /**
      * What was told last holds so long. Only a lease makes a view that has ended hold again, not
      * what is told.
      */
-    public void extendLease(Duration ends) {
-        until = ends;
-        over = false;
-        learned |= planCopy != null;
+    public void extendLease(Duration expiresAt) {
+        leaseUntil = expiresAt;
+        leaseEnded = false;
+        planKnown |= planCopy != null;
     }
 
     /** Nothing is renewed any more: the session is left or has been ended. */
     public void endLease() {
-        over = true;
+        leaseEnded = true;
     }
 
     public boolean isKnown() {
-        return learned;
+        return planKnown;
     }
 
     /** Whether the plan is known and has not gone on unseen. */
     public boolean isCurrent(Duration now) {
-        return learned && !over && now.compareTo(until) < 0;
+        return planKnown && !leaseEnded && now.compareTo(leaseUntil) < 0;
     }
 
     /** When this driver's lists have to be looked at again though nothing is heard, or null. */
     public Duration nextChangeAt(Duration now) {
-        if (!learned) {
-            return rules.lostViewPolicy() == MaintenanceSettings.LostViewPolicy.SERVE
-                    ? began.plus(patience)
+        if (!planKnown) {
+            return settings.lostViewPolicy() == MaintenanceSettings.LostViewPolicy.SERVE
+                    ? startedAt.plus(startupTimeout)
                     : null;
         }
         return isCurrent(now)
-                ? until
-                : rules.lostViewPolicy() == MaintenanceSettings.LostViewPolicy.STRICT
-                        ? until.plus(rules.strictHorizon())
+                ? leaseUntil
+                : settings.lostViewPolicy() == MaintenanceSettings.LostViewPolicy.STRICT
+                        ? leaseUntil.plus(settings.strictHorizon())
                         : null;
     }
 
@@ -107,48 +108,48 @@
      *
      * @param others whether its group has another member that is listed as fit and may be sent to
      */
-    public State state(String uid, BooleanSupplier others, Duration now) {
-        if (!learned) {
-            boolean planned = own.of(uid) != null;
+    public State state(String uid, BooleanSupplier hasOtherMember, Duration now) {
+        if (!planKnown) {
+            boolean configured = configuredMachines.find(uid) != null;
             boolean waits =
-                    rules.lostViewPolicy() != MaintenanceSettings.LostViewPolicy.SERVE
-                            || now.compareTo(began.plus(patience)) < 0;
-            return planned && waits ? State.GONE : State.AS_LISTED;
+                    settings.lostViewPolicy() != MaintenanceSettings.LostViewPolicy.SERVE
+                            || now.compareTo(startedAt.plus(startupTimeout)) < 0;
+            return configured && waits ? State.GONE : State.AS_LISTED;
         }
-        Machine m = planCopy.machineOf(uid);
-        MaintenancePlan.Entry e = m == null ? null : planCopy.entry(m.name());
-        if (m == null) {
+        Machine machine = planCopy.machineOf(uid);
+        MaintenancePlan.Entry entry = machine == null ? null : planCopy.entry(machine.name());
+        if (machine == null) {
             return State.AS_LISTED;
         }
         if (isCurrent(now)) {
-            return e == null
+            return entry == null
                     ? State.AS_LISTED
-                    : switch (e.stage) {
+                    : switch (entry.stage) {
                         case ASKED, PLANNED -> State.AS_LISTED;
                         case DRAINING -> State.DRAINING;
                         case OUT -> State.GONE;
                         case RETURNING -> State.COLD;
                     };
         }
-        if (e != null && e.stage.announced()) {
+        if (entry != null && entry.stage.announced()) {
             boolean serves =
-                    rules.lostViewPolicy() == MaintenanceSettings.LostViewPolicy.SERVE
-                            && e.stage != MaintenanceStage.OUT
-                            && !others.getAsBoolean();
+                    settings.lostViewPolicy() == MaintenanceSettings.LostViewPolicy.SERVE
+                            && entry.stage != MaintenanceStage.OUT
+                            && !hasOtherMember.getAsBoolean();
             return !serves
                     ? State.GONE
-                    : e.stage == MaintenanceStage.RETURNING ? State.COLD : State.AS_LISTED;
+                    : entry.stage == MaintenanceStage.RETURNING ? State.COLD : State.AS_LISTED;
         }
-        boolean past =
-                rules.lostViewPolicy() == MaintenanceSettings.LostViewPolicy.STRICT
-                        && now.compareTo(until.plus(rules.strictHorizon())) >= 0;
-        return past ? State.GONE : State.AS_LISTED;
+        boolean horizonPassed =
+                settings.lostViewPolicy() == MaintenanceSettings.LostViewPolicy.STRICT
+                        && now.compareTo(leaseUntil.plus(settings.strictHorizon())) >= 0;
+        return horizonPassed ? State.GONE : State.AS_LISTED;
     }
 
     /** Since when a machine that returns has been known to; for a member that counts as cold. */
     public Duration returningSince(String uid) {
-        Machine m = planCopy == null ? null : planCopy.machineOf(uid);
-        return m == null ? null : returning.get(m.name());
+        Machine machine = planCopy == null ? null : planCopy.machineOf(uid);
+        return machine == null ? null : returningMachines.get(machine.name());
     }
 
     /** The machines at which this driver must have nothing. */
@@ -157,15 +158,15 @@
                 ? java.util.List.of()
                 : planCopy.entries().stream()
                         .filter(
-                                e ->
-                                        e.stage == MaintenanceStage.DRAINING
-                                                || e.stage == MaintenanceStage.OUT)
+                                entry ->
+                                        entry.stage == MaintenanceStage.DRAINING
+                                                || entry.stage == MaintenanceStage.OUT)
                         .toList();
     }
 
     /** The plan's revision that counts here, or 0. */
     public long revision() {
-        return !learned ? 0 : Math.max(0, planCopy.revision());
+        return !planKnown ? 0 : Math.max(0, planCopy.revision());
     }
 
     public PlanCopy planCopy() {
--- a/src/main/java/wingroad/work/MemberObservations.java
+++ b/src/main/java/wingroad/work/MemberObservations.java
@@ -18,14 +18,14 @@
         final String uid;
         final int group;
         boolean listed;
-        boolean fitListed;
+        boolean listedHealthy;
         Boolean primary;
         Duration roleAt;
-        Duration behind;
-        Duration behindAt;
+        Duration replicationLag;
+        Duration lagAt;
         Duration answeredAt;
         Duration failedAt;
-        int failures;
+        int consecutiveFailures;
 
         Observation(String uid, int group) {
             this.uid = uid;
@@ -33,90 +33,97 @@
         }
     }
 
-    private final Map<String, Observation> all = new TreeMap<>();
+    private final Map<String, Observation> byUid = new TreeMap<>();
     private final Map<Integer, Map<String, Observation>> byGroup = new HashMap<>();
-    private final Duration fresh;
+    private final Duration maxAge;
 
     /**
-     * @param fresh how long what was seen counts
+     * @param maxAge how long what was seen counts
      */
-    public MemberObservations(Duration fresh) {
-        this.fresh = fresh;
+    public MemberObservations(Duration maxAge) {
+        this.maxAge = maxAge;
     }
 
     /** Discovery lists a member, as fit or not; one that is gone is forgotten. */
-    public void updateListing(String uid, int group, boolean gone, boolean fit) {
+    public void updateListing(String uid, int group, boolean gone, boolean healthy) {
         if (gone) {
-            Observation s = all.remove(uid);
-            if (s != null
-                    && byGroup.get(s.group).remove(uid) != null
-                    && byGroup.get(s.group).isEmpty()) {
-                byGroup.remove(s.group);
+            Observation observation = byUid.remove(uid);
+            if (observation != null
+                    && byGroup.get(observation.group).remove(uid) != null
+                    && byGroup.get(observation.group).isEmpty()) {
+                byGroup.remove(observation.group);
             }
             return;
         }
-        Observation s = all.computeIfAbsent(uid, u -> new Observation(u, group));
-        byGroup.computeIfAbsent(s.group, g -> new TreeMap<>()).put(uid, s);
-        s.listed = true;
-        s.fitListed = fit;
+        Observation observation = byUid.computeIfAbsent(uid, u -> new Observation(u, group));
+        byGroup.computeIfAbsent(observation.group, g -> new TreeMap<>()).put(uid, observation);
+        observation.listed = true;
+        observation.listedHealthy = healthy;
     }
 
     /**
      * It has said of itself; {@code primary} and {@code replicationLag} are null where it did not.
      */
-    public void recordReport(String uid, Boolean primary, Duration behind, Duration now) {
-        Observation s = all.get(uid);
-        if (s == null) {
+    public void recordReport(String uid, Boolean primary, Duration replicationLag, Duration now) {
+        Observation observation = byUid.get(uid);
+        if (observation == null) {
             return;
         }
-        s.answeredAt = now;
-        s.failures = 0;
+        observation.answeredAt = now;
+        observation.consecutiveFailures = 0;
         if (primary != null) {
-            s.primary = primary;
-            s.roleAt = now;
+            observation.primary = primary;
+            observation.roleAt = now;
         }
-        if (behind != null) {
-            s.behind = behind.isNegative() ? Duration.ZERO : behind;
-            s.behindAt = now;
+        if (replicationLag != null) {
+            observation.replicationLag =
+                    replicationLag.isNegative() ? Duration.ZERO : replicationLag;
+            observation.lagAt = now;
         }
     }
 
     /** It gave no answer. */
     public void recordFailure(String uid, Duration now) {
-        Observation s = all.get(uid);
-        if (s != null) {
-            s.failures++;
-            s.failedAt = now;
+        Observation observation = byUid.get(uid);
+        if (observation != null) {
+            observation.consecutiveFailures++;
+            observation.failedAt = now;
         }
     }
 
     private boolean isFresh(Duration at, Duration now) {
-        return at != null && now.minus(at).compareTo(fresh) < 0;
+        return at != null && now.minus(at).compareTo(maxAge) < 0;
     }
 
     /** Whom this driver takes for the group's primary, or null. */
     public String primary(int group, Duration now) {
-        Observation best = null;
-        for (Observation s : byGroup.getOrDefault(group, Map.of()).values()) {
-            if (Boolean.TRUE.equals(s.primary)
-                    && isFresh(s.roleAt, now)
-                    && (best == null || s.roleAt.compareTo(best.roleAt) > 0)) {
-                best = s;
+        Observation newest = null;
+        for (Observation observation : byGroup.getOrDefault(group, Map.of()).values()) {
+            if (Boolean.TRUE.equals(observation.primary)
+                    && isFresh(observation.roleAt, now)
+                    && (newest == null || observation.roleAt.compareTo(newest.roleAt) > 0)) {
+                newest = observation;
             }
         }
-        return best == null ? null : best.uid;
+        return newest == null ? null : newest.uid;
     }
 
     /** Whether it has answered lately, and not failed several times since. */
     public boolean isHealthy(String uid, Duration now) {
-        Observation s = all.get(uid);
-        return s != null && s.listed && s.fitListed && isFresh(s.answeredAt, now) && s.failures < 3;
+        Observation observation = byUid.get(uid);
+        return observation != null
+                && observation.listed
+                && observation.listedHealthy
+                && isFresh(observation.answeredAt, now)
+                && observation.consecutiveFailures < 3;
     }
 
     /** How far behind the log it was when it said so last; null where that is not known. */
     public Duration replicationLag(String uid, Duration now) {
-        Observation s = all.get(uid);
-        return s == null || !isFresh(s.behindAt, now) ? null : s.behind;
+        Observation observation = byUid.get(uid);
+        return observation == null || !isFresh(observation.lagAt, now)
+                ? null
+                : observation.replicationLag;
     }
 
     public Collection<String> membersOf(int group) {
@@ -124,6 +131,6 @@
     }
 
     public Collection<String> uids() {
-        return all.keySet();
+        return byUid.keySet();
     }
 }
--- a/src/main/java/wingroad/work/PlanCopy.java
+++ b/src/main/java/wingroad/work/PlanCopy.java
@@ -12,58 +12,62 @@
 public final class PlanCopy {
     private final TreeMap<String, Machine> machines = new TreeMap<>();
     private final TreeMap<String, MaintenancePlan.Entry> entries = new TreeMap<>();
-    private Holders holders = new Holders(List.of());
+    private MachineIndex machineIndex = new MachineIndex(List.of());
     private List<String> inventoryLines = List.of();
     private long revision = -1;
     private boolean held;
-    private long served;
-    private long harmed;
-    private final TreeMap<Integer, Long> busy = new TreeMap<>();
-    private Set<String> live = Set.of();
+    private long servedCount;
+    private long harmedCount;
+    private final TreeMap<Integer, Long> busyMsByGroup = new TreeMap<>();
+    private Set<String> liveDrivers = Set.of();
 
     /** Takes news over; returns whether something of it is new. */
-    public boolean applyChanges(Map<?, ?> m) {
-        if (Boolean.TRUE.equals(m.get("whole"))) {
+    public boolean applyChanges(Map<?, ?> changes) {
+        if (Boolean.TRUE.equals(changes.get("whole"))) {
             entries.clear();
         }
-        ((List<?>) m.get("gone")).forEach(g -> entries.remove((String) g));
-        ((List<?>) m.get("entries"))
+        ((List<?>) changes.get("gone")).forEach(machine -> entries.remove((String) machine));
+        ((List<?>) changes.get("entries"))
                 .forEach(
-                        v -> {
-                            MaintenancePlan.Entry e = MaintenancePlan.Entry.fromValues((List<?>) v);
-                            entries.put(e.machine, e);
+                        values -> {
+                            MaintenancePlan.Entry entry =
+                                    MaintenancePlan.Entry.fromValues((List<?>) values);
+                            entries.put(entry.machine, entry);
                         });
-        if (m.get("lines") instanceof List<?> l) {
-            List<String> next = new ArrayList<>();
-            l.forEach(o -> next.add((String) o));
-            inventoryLines = next;
+        if (changes.get("lines") instanceof List<?> lines) {
+            List<String> newLines = new ArrayList<>();
+            lines.forEach(line -> newLines.add((String) line));
+            inventoryLines = newLines;
             machines.clear();
             inventoryLines.stream()
                     .skip(1)
-                    .map(Machine::of)
-                    .forEach(x -> machines.put(x.name(), x));
-            holders = new Holders(machines.values());
+                    .map(Machine::parse)
+                    .forEach(machine -> machines.put(machine.name(), machine));
+            machineIndex = new MachineIndex(machines.values());
         }
-        boolean grown = number(m.get("rev")) != revision;
-        revision = number(m.get("rev"));
-        held = Boolean.TRUE.equals(m.get("held"));
-        return grown;
+        boolean changed = number(changes.get("rev")) != revision;
+        revision = number(changes.get("rev"));
+        held = Boolean.TRUE.equals(changes.get("held"));
+        return changed;
     }
 
     /** What only the conductor is told: the fleet's figures and who has a session. */
-    public void updateFleetFigures(List<?> sums, Collection<?> names) {
-        served = number(sums.get(0));
-        harmed = number(sums.get(1));
-        busy.clear();
-        ((Map<?, ?>) sums.get(2))
-                .forEach((g, ms) -> busy.put(Integer.parseInt((String) g), number(ms)));
-        Set<String> all = new TreeSet<>();
-        names.forEach(n -> all.add((String) n));
-        live = all;
+    public void updateFleetFigures(List<?> totals, Collection<?> driverNames) {
+        servedCount = number(totals.get(0));
+        harmedCount = number(totals.get(1));
+        busyMsByGroup.clear();
+        ((Map<?, ?>) totals.get(2))
+                .forEach(
+                        (group, busyMs) ->
+                                busyMsByGroup.put(
+                                        Integer.parseInt((String) group), number(busyMs)));
+        Set<String> live = new TreeSet<>();
+        driverNames.forEach(name -> live.add((String) name));
+        liveDrivers = live;
     }
 
-    private static long number(Object n) {
-        return ((Number) n).longValue();
+    private static long number(Object value) {
+        return ((Number) value).longValue();
     }
 
     /** Whether anything has been learned. */
@@ -97,22 +101,22 @@
 
     /** The machine that holds this member, or null. */
     public Machine machineOf(String uid) {
-        return holders.of(uid);
+        return machineIndex.find(uid);
     }
 
-    long served() {
-        return served;
+    long servedCount() {
+        return servedCount;
     }
 
-    long harmed() {
-        return harmed;
+    long harmedCount() {
+        return harmedCount;
     }
 
-    Map<Integer, Long> busy() {
-        return busy;
+    Map<Integer, Long> busyMsByGroup() {
+        return busyMsByGroup;
     }
 
-    Set<String> live() {
-        return live;
+    Set<String> liveDrivers() {
+        return liveDrivers;
     }
 }
--- a/src/test/java/wingroad/work/ConductorTest.java
+++ b/src/test/java/wingroad/work/ConductorTest.java
@@ -35,7 +35,7 @@
         Map<String, Machine> machines = new TreeMap<>();
         for (String line :
                 List.of("A a p1#1 ", "B b p2#1 d2", "C c p3#1 d3", "D b q2#2 ", "E c q3#2 d1")) {
-            Machine m = Machine.of(line);
+            Machine m = Machine.parse(line);
             machines.put(m.name(), m);
         }
         return new MaintenanceSettings(
@@ -286,14 +286,14 @@
     @Test
     void whatWasTooMuchIsLetOffByAndBy() {
         GroupCapacity room = new GroupCapacity(Duration.ofSeconds(10));
-        room.harmed(1, 8, Duration.ZERO);
-        assertThat(room.tooMuch(1, 7.9, Duration.ofSeconds(10))).isTrue();
-        assertThat(room.tooMuch(1, 7, Duration.ofSeconds(10))).isFalse();
-        assertThat(room.tooMuch(2, 100, Duration.ZERO)).isFalse();
-        assertThat(room.tooMuch(1, 9, Duration.ofSeconds(300))).isTrue();
-        assertThat(room.tooMuch(1, 9, Duration.ofSeconds(3000))).isFalse();
-        assertThat(room.tooMuch(1, 1000, Duration.ofSeconds(4000))).isFalse();
-        assertThat(room.known()).isZero();
+        room.recordHarm(1, 8, Duration.ZERO);
+        assertThat(room.exceedsLimit(1, 7.9, Duration.ofSeconds(10))).isTrue();
+        assertThat(room.exceedsLimit(1, 7, Duration.ofSeconds(10))).isFalse();
+        assertThat(room.exceedsLimit(2, 100, Duration.ZERO)).isFalse();
+        assertThat(room.exceedsLimit(1, 9, Duration.ofSeconds(300))).isTrue();
+        assertThat(room.exceedsLimit(1, 9, Duration.ofSeconds(3000))).isFalse();
+        assertThat(room.exceedsLimit(1, 1000, Duration.ofSeconds(4000))).isFalse();
+        assertThat(room.knownGroupCount()).isZero();
     }
 
     @Test
--- a/src/test/java/wingroad/work/PlanTest.java
+++ b/src/test/java/wingroad/work/PlanTest.java
@@ -293,13 +293,13 @@
         "db-2x, C"
     })
     void aMemberIsHeldByWhoNamesItOrTheLongestOfItsBeginnings(String uid, String machine) {
-        Holders h =
-                new Holders(
+        MachineIndex h =
+                new MachineIndex(
                         List.of(
-                                Machine.of("A a db-1#1 "),
-                                Machine.of("B b db-17*#1 "),
-                                Machine.of("C c db-*#2 "),
-                                Machine.of("D c db-25*#2 ")));
-        assertThat(h.of(uid) == null ? "" : h.of(uid).name()).isEqualTo(machine);
+                                Machine.parse("A a db-1#1 "),
+                                Machine.parse("B b db-17*#1 "),
+                                Machine.parse("C c db-*#2 "),
+                                Machine.parse("D c db-25*#2 ")));
+        assertThat(h.find(uid) == null ? "" : h.find(uid).name()).isEqualTo(machine);
     }
 }
--- a/src/test/java/wingroad/work/ViewTest.java
+++ b/src/test/java/wingroad/work/ViewTest.java
@@ -16,7 +16,7 @@
 
     private static MaintenanceSettings rules(MaintenanceSettings.LostViewPolicy lost) {
         return new MaintenanceSettings(
-                Map.of("A", Machine.of("A a m1#7 "), "B", Machine.of("B b m2#7 ")),
+                Map.of("A", Machine.parse("A a m1#7 "), "B", Machine.parse("B b m2#7 ")),
                 1,
                 lost,
                 Duration.ofSeconds(60),
