--- a/src/main/java/wingroad/duty/Command.java
+++ b/src/main/java/wingroad/duty/Command.java
@@ -5,10 +5,21 @@
 import java.util.TreeMap;
 
 /**
- * One entry of the agreed log; which fields count follows from its kind, the others are empty. All
- * kinds may be applied twice without harm. {@code sessionId} is the session that asks, {@code
- * requestId} a name by which whoever asks knows the result, {@code proposedAtMs} the proposer's
- * wall clock in Unix milliseconds, for people alone.
+ * One entry of the replicated log. Which components are used depends on the kind; the others are
+ * empty. Commands of every kind are idempotent: applying one twice has no further effect.
+ *
+ * @param sessionId the session that proposes the command
+ * @param subject name of the duty or machine concerned, or a voter's address
+ * @param epoch the epoch under which the sender owns the duty; a deadline in Unix milliseconds for
+ *     {@link Kind#WORK_ASK}; a stopped level for {@link Kind#WORK_STOPPED}
+ * @param number a heartbeat, run, revision or loss number, or milliseconds, depending on the kind
+ * @param argument an identity, driver name, outcome, reason, operator's command or stage, depending
+ *     on the kind
+ * @param items duties, machines, reasons or lines, depending on the kind
+ * @param heartbeats newest heartbeat number by session
+ * @param requestId id by which the sender recognizes the result; the result of a repeated request
+ *     is returned again. Empty if nobody waits for it
+ * @param proposedAtMs wall clock of the proposer in Unix milliseconds
  */
 public record Command(
         Kind kind,
@@ -21,59 +32,60 @@
         Map<String, Long> heartbeats,
         String requestId,
         long proposedAtMs) {
-    /** What is asked to be settled. */
+    /** The kinds of commands. They are written by name to messages and to the log. */
     public enum Kind {
-        /** A leader's first entry; settles nothing. */
+        /** No-op with which a new leader commits the entries of earlier terms. */
         TERM,
         /**
-         * A session begins: {@code argument} its driver's identity, {@code items} those that it
-         * would do.
+         * Opens a session: {@code argument} is the driver's identity, {@code items} the duties that
+         * it accepts.
          */
         OPEN,
-        /** Sessions are renewed: for each the number of its beat. */
+        /** Renews sessions: {@code heartbeats} holds the newest heartbeat number of each. */
         BEAT,
-        /** A session's lease has run out since its beat {@code number}. */
+        /** Expires a session unless it was renewed after heartbeat {@code number}. */
         EXPIRE,
-        /** A session ends by itself. */
+        /** Closes a session at its driver's own request. */
         LEAVE,
-        /** An owner lets go of a duty that it holds under {@code epoch}. */
+        /** The owner releases a duty that it holds under {@code epoch}. */
         GIVE_UP,
         /**
-         * A duty is to go to the driver named {@code argument}, or where that is empty to any
-         * other.
+         * Requests that a duty move to the driver named {@code argument}, or to any other if that
+         * is empty.
          */
         HAND_OVER,
-        /** An owner begins turn {@code number} of a duty. */
+        /** The owner starts run {@code number} of a duty. */
         TURN,
-        /** How turn {@code number} ended, in {@code argument}. */
+        /** Reports the outcome of run {@code number} in {@code argument}. */
         TOLD,
         /**
-         * The driver {@code argument} is to vote, at the address in {@code subject}; with none it
-         * is to vote no more.
+         * Makes the driver {@code argument} a voter at the address {@code subject}; an empty
+         * address removes it from the voters.
          */
         VOTER,
         /**
-         * Work: the machines that there are and the limits, in {@code items}, by the conductor
-         * under {@code epoch}.
+         * Maintenance: the controller under {@code epoch} sets limits and machines, as the lines in
+         * {@code items}.
          */
         WORK_MACHINES,
         /**
-         * Work: the machine {@code subject} is wanted for {@code number} ms, before {@code epoch},
-         * after {@code items}; why in {@code argument}.
+         * Maintenance: requests the machine {@code subject} for {@code number} ms, before the Unix
+         * time {@code epoch} in ms, after the machines in {@code items}; the reason is in {@code
+         * argument}.
          */
         WORK_ASK,
-        /** Work: an operator's word {@code argument} on the machine {@code subject}. */
+        /** Maintenance: an operator's command {@code argument} for the machine {@code subject}. */
         WORK_WORD,
         /**
-         * Work: the conductor's step to {@code argument} for a machine that it knew at {@code
-         * number}; why in {@code items}.
+         * Maintenance: the controller's step to {@code argument} for a machine whose stage was set
+         * at revision {@code number}; the reason is in {@code items}.
          */
         WORK_STEP,
-        /** Work: what drivers say of themselves, a line each in {@code items}. */
+        /** Maintenance: reports of drivers, one line each in {@code items}. */
         WORK_REPORTS,
         /**
-         * Work: the driver of the identity {@code argument}, lost as {@code number}, has stopped by
-         * itself, to the level {@code epoch}.
+         * Maintenance: the driver with the identity {@code argument}, lost as number {@code
+         * number}, is known to have stopped, to the level {@code epoch}.
          */
         WORK_STOPPED
     }
@@ -205,6 +217,7 @@
                 0);
     }
 
+    /** Returns this command with the proposer's wall clock in Unix milliseconds. */
     public Command withProposedAt(long proposedAtMs) {
         return new Command(
                 kind,
--- a/src/main/java/wingroad/duty/DutyStateMachine.java
+++ b/src/main/java/wingroad/duty/DutyStateMachine.java
@@ -15,11 +15,13 @@
 import java.util.function.Supplier;
 
 /**
- * What the council has settled: sessions, duties, their owners and epochs. Fed with the agreed
- * log's entries in order, it comes to the same state in every voter: it reads no clock, draws
- * nothing and iterates in order of names.
+ * The replicated state machine of the council: sessions, duties with their owners and epochs,
+ * changes of voters and the maintenance plan. All voters apply the same log entries in order and
+ * reach the same state, byte for byte: it reads no clock, uses no randomness and iterates in order
+ * of names.
  *
- * <p>Rounds, the number of settled beats, are its only time: coarse, and alike everywhere.
+ * <p>Its only measure of time is the number of committed heartbeat rounds, which is coarse but the
+ * same in every voter.
  */
 public class DutyStateMachine {
     private static final int MAX_SESSIONS = 1024;
@@ -29,17 +31,26 @@
     private static final int MAX_RECENT_RESULTS = 256;
 
     /**
-     * A driver that let its leases run out k times waits two to the k rounds, at most two to this.
+     * Exponential backoff: a driver whose lease has expired k times while it owned duties waits 2^k
+     * rounds before it is given duties again, with k at most this.
      */
     private static final int MAX_BACKOFF_EXPONENT = 10;
 
+    /**
+     * Duties are reassigned on every so many heartbeat rounds, so that drivers whose backoff has
+     * ended are considered.
+     */
     private static final int REASSIGN_INTERVAL_ROUNDS = 16;
+
     private static final String REASON_LEFT = "left";
 
-    /** So many rounds without another loss and it is as if there had been none. */
+    /** Value of {@link Duty#handOverTarget} that stands for any driver but the owner. */
+    private static final String ANY_OTHER_DRIVER = "*";
+
+    /** A driver's lost leases are forgotten after so many rounds without another one. */
     private static final long LOSS_RETENTION_ROUNDS = 4096;
 
-    /** One driver's standing with the council. */
+    /** The session of a driver with the council. */
     public static final class Session {
         final String id;
         final String identity;
@@ -47,51 +58,65 @@
         long lastHeartbeat;
         final long openedAtMs;
 
-        Session(String id, String identity, Collection<String> duties, long beat, long since) {
+        Session(
+                String id,
+                String identity,
+                Collection<String> duties,
+                long lastHeartbeat,
+                long openedAtMs) {
             this.id = id;
             this.identity = identity;
             this.duties = new TreeSet<>(duties);
-            this.lastHeartbeat = beat;
-            this.openedAtMs = since;
+            this.lastHeartbeat = lastHeartbeat;
+            this.openedAtMs = openedAtMs;
         }
 
         public String id() {
             return id;
         }
 
-        /** The driver's name: a session is "name/run". */
+        /** Returns the name of the driver; session ids have the form {@code DRIVER/NUMBER}. */
         public String driverName() {
             return driverNameOf(id);
         }
 
+        /** Returns the number of the newest committed heartbeat. */
         public long lastHeartbeat() {
             return lastHeartbeat;
         }
 
-        /** Unix milliseconds by the wall clock of whoever proposed it. */
+        /** Returns the opening time in Unix milliseconds, by the wall clock of the proposer. */
         public long openedAtMs() {
             return openedAtMs;
         }
     }
 
-    /** One duty; {@code owner} is a session, or empty. */
+    /** A singleton task and its owner. {@code owner} is a session id, or empty. */
     public static final class Duty {
         final String name;
         String owner = "";
+
+        /** Fencing token: grows each time any duty gets an owner. */
         long epoch;
+
         long ownedSinceMs;
+
+        /** Number of the newest run that was started, or 0; histories call a run a turn. */
         long run;
 
-        /** How the last turn ended; empty while it has not been told. */
+        /** Outcome of the newest run; empty until it has been reported. */
         String outcome = "";
 
-        /** Its owner is to give it up: to the driver named, or with "*" to any other. */
+        /**
+         * If not empty, the owner is asked to release the duty to the driver named, or to any other
+         * one if {@link #ANY_OTHER_DRIVER}.
+         */
         String handOverTarget = "";
 
-        /** The session that had it last. */
+        /** The session that owned the duty last. */
         String previousOwner = "";
 
-        /** Changed by the op of this number. */
+        /** Revision of the state machine at which the duty changed last. */
         long revision;
 
         final ArrayDeque<String> history = new ArrayDeque<>();
@@ -137,7 +162,7 @@
         }
     }
 
-    /** A driver's lost leases. */
+    /** The expired leases of a driver, for its backoff. */
     private static final class LeaseLosses {
         int count;
         long backoffUntilRound;
@@ -147,14 +172,12 @@
     private final TreeMap<String, Session> sessions = new TreeMap<>();
     private final TreeMap<String, Duty> duties = new TreeMap<>();
 
-    /**
-     * What was changed of the voters that the files name: an address, or empty for one taken out.
-     */
+    /** Voters changed since the founding: addresses by name, empty for those removed. */
     private final TreeMap<String, String> voterChanges = new TreeMap<>();
 
     private final TreeMap<String, LeaseLosses> leaseLosses = new TreeMap<>();
 
-    /** The results of the newest asks that have a name, oldest first. */
+    /** Request ids and results of the newest commands that have a request id, oldest first. */
     private final ArrayDeque<String[]> recentResults = new ArrayDeque<>();
 
     private final MaintenancePlan plan;
@@ -164,19 +187,21 @@
     private long staleCommandCount;
 
     /**
-     * @param first the council's first epoch is the next one
+     * Creates the initial state.
+     *
+     * @param initialEpoch the first epoch assigned is the one after it
      */
     public DutyStateMachine(long initialEpoch) {
         this(initialEpoch, new MaintenancePlan());
     }
 
-    /** The same with a plan of its own, for tests. */
+    /** Creates the initial state with a plan of the caller's, for tests. */
     protected DutyStateMachine(long initialEpoch, MaintenancePlan plan) {
         lastEpoch = initialEpoch;
         this.plan = plan;
     }
 
-    /** The driver that a session is of. */
+    /** Returns the name of the driver that a session belongs to. */
     public static String driverNameOf(String sessionId) {
         int slash = sessionId.indexOf('/');
         return slash < 0 ? sessionId : sessionId.substring(0, slash);
@@ -187,23 +212,27 @@
     }
 
     /**
-     * The changes of the voters since the founding: names with their addresses, empty for those
-     * taken out.
+     * Returns the changes of the voters since the founding: addresses by name, empty for those
+     * removed.
      */
     public Map<String, String> voterChanges() {
         return voterChanges;
     }
 
-    /** What is settled of the work on machines. */
+    /** Returns the committed maintenance plan. */
     public MaintenancePlan plan() {
         return plan;
     }
 
-    /** How many of a conductor's orders came under an epoch that was over. */
+    /**
+     * Returns how many of a maintenance controller's commands were refused because they came under
+     * a stale epoch.
+     */
     public long staleCommandCount() {
         return staleCommandCount;
     }
 
+    /** Returns the session, or null. */
     public Session session(String id) {
         return sessions.get(id);
     }
@@ -212,28 +241,30 @@
         return duties.values();
     }
 
+    /** Returns the duty, or null. */
     public Duty duty(String name) {
         return duties.get(name);
     }
 
-    /** Counts the ops that were applied. */
+    /** Returns the number of applied commands. */
     public long revision() {
         return revision;
     }
 
+    /** Returns the number of committed heartbeat rounds. */
     public long heartbeatRounds() {
         return heartbeatRounds;
     }
 
     /**
-     * Applies one settled entry; empty where it took effect or had done so before, else why it did
-     * not.
+     * Applies one committed command. Returns an empty string if it took effect or had done so
+     * before, else the reason why it did not. The texts are part of the replicated state.
      */
     public String apply(Command command) {
         if (!command.requestId().isEmpty()) {
-            for (String[] a : recentResults) {
-                if (a[0].equals(command.requestId())) {
-                    return a[1];
+            for (String[] recent : recentResults) {
+                if (recent[0].equals(command.requestId())) {
+                    return recent[1];
                 }
             }
         }
@@ -288,7 +319,8 @@
                 recentResults.poll();
             }
         }
-        // Beats are most of all ops, and change who has what only where somebody's wait has ended.
+        // Heartbeats and reports are by far the most frequent commands; owners can change after a
+        // heartbeat only when a driver's backoff has ended, so they are not recomputed each time.
         if (command.kind() != Command.Kind.BEAT && command.kind() != Command.Kind.WORK_REPORTS
                 || heartbeatRounds % REASSIGN_INTERVAL_ROUNDS == 0) {
             assignDuties(command.proposedAtMs());
@@ -296,7 +328,10 @@
         return result;
     }
 
-    /** An order of the conductor's: only under the epoch that is in force. */
+    /**
+     * Applies a maintenance controller's command, which is refused under any epoch but the current
+     * one.
+     */
     private String applyControllerCommand(Command command, Supplier<String> action) {
         if (!isFromCurrentController(command)) {
             staleCommandCount++;
@@ -305,7 +340,10 @@
         return action.get();
     }
 
-    /** Whether an order comes from whoever conducts, under its epoch. */
+    /**
+     * Returns whether a command comes from the current owner of the controller's duty, under its
+     * epoch.
+     */
     protected boolean isFromCurrentController(Command command) {
         Duty duty = duties.get(MaintenanceSettings.CONTROLLER_DUTY);
         return duty != null
@@ -313,7 +351,7 @@
                 && duty.owner.equals(command.sessionId());
     }
 
-    /** Whether no driver on the machine owns a duty. */
+    /** Returns whether no driver on the machine owns a duty. */
     private boolean ownsNoDuty(String machine) {
         return !plan.machines().containsKey(machine)
                 || duties.values().stream()
@@ -336,8 +374,8 @@
                 if (!session.identity.equals(command.argument())) {
                     return "another driver is known by the name '" + name + "'";
                 }
-                // The same state folder, whose lock only one process can have: the former one is
-                // dead.
+                // The same identity means the same state folder, whose lock only one process can
+                // hold, so the former process has ended.
                 endSession(session.id, "restarted", command.proposedAtMs());
             }
         }
@@ -387,7 +425,7 @@
         }
         if (duties.values().stream().anyMatch(duty -> duty.owner.equals(session.id))) {
             LeaseLosses losses =
-                    leaseLosses.computeIfAbsent(session.driverName(), n -> new LeaseLosses());
+                    leaseLosses.computeIfAbsent(session.driverName(), name -> new LeaseLosses());
             losses.count = Math.min(losses.count + 1, MAX_BACKOFF_EXPONENT);
             losses.backoffUntilRound = heartbeatRounds + (1L << losses.count);
             losses.lastLossRound = heartbeatRounds;
@@ -452,6 +490,10 @@
         return "";
     }
 
+    /**
+     * Returns the command's duty if the command's session owns it under the command's epoch, else
+     * null.
+     */
     private Duty heldDuty(Command command) {
         Duty duty = duties.get(command.subject());
         return duty != null
@@ -485,7 +527,7 @@
         if (!anyDriver && driverNameOf(duty.owner).equals(command.argument())) {
             return "";
         }
-        duty.handOverTarget = anyDriver ? "*" : command.argument();
+        duty.handOverTarget = anyDriver ? ANY_OTHER_DRIVER : command.argument();
         duty.revision = revision;
         return "";
     }
@@ -520,7 +562,10 @@
         return "";
     }
 
-    /** Duties without an owner get one; who has more than its share is asked for the surplus. */
+    /**
+     * Assigns the duties that have no owner, and asks drivers with more than their share to release
+     * the surplus.
+     */
     private void assignDuties(long proposedAtMs) {
         Map<String, Integer> dutyCountBySession = new TreeMap<>();
         SortedSet<String> acceptedDuties = new TreeSet<>();
@@ -531,7 +576,7 @@
             }
         }
         for (Duty duty : duties.values()) {
-            dutyCountBySession.computeIfPresent(duty.owner, (session, n) -> n + 1);
+            dutyCountBySession.computeIfPresent(duty.owner, (sessionId, count) -> count + 1);
         }
         int maxPerSession =
                 RendezvousHashing.maxDutiesPerDriver(
@@ -554,13 +599,13 @@
                 }
             }
         }
-        dutyCountBySession.forEach((session, n) -> releaseSurplus(session, n - maxPerSession));
+        dutyCountBySession.forEach(
+                (sessionId, count) -> releaseSurplus(sessionId, count - maxPerSession));
         releaseOnDrainingMachines();
     }
 
     /**
-     * Whoever is on a machine that drains is asked for all that it has, where somebody else would
-     * do it.
+     * Asks drivers on draining machines to release all their duties that another driver accepts.
      */
     private void releaseOnDrainingMachines() {
         for (Duty duty : duties.values()) {
@@ -574,12 +619,13 @@
                                                     && session.duties.contains(duty.name)
                                                     && !plan.isOnDrainingMachine(
                                                             session.driverName()))) {
-                duty.handOverTarget = "*";
+                duty.handOverTarget = ANY_OTHER_DRIVER;
                 duty.revision = revision;
             }
         }
     }
 
+    /** Returns the session that the duty goes to, or null if no session accepts it. */
     private Session chooseOwner(
             Duty duty, Map<String, Integer> dutyCountBySession, int maxPerSession) {
         List<Session> candidates = new ArrayList<>();
@@ -591,13 +637,14 @@
                 candidates.add(session);
             }
         }
-        // Each of these only where it leaves somebody: better a driver that loses it again than
-        // nobody.
+        // Preferences, each applied only if a candidate is left: an owner that is likely to lose
+        // the duty again is better than none.
         retainIfAny(candidates, session -> !plan.isOnDrainingMachine(session.driverName()));
         retainIfAny(
                 candidates,
                 session ->
-                        !duty.handOverTarget.equals("*") || !session.id.equals(duty.previousOwner));
+                        !duty.handOverTarget.equals(ANY_OTHER_DRIVER)
+                                || !session.id.equals(duty.previousOwner));
         retainIfAny(candidates, session -> !isBackedOff(session.driverName()));
         retainIfAny(candidates, session -> dutyCountBySession.get(session.id) < maxPerSession);
         if (candidates.isEmpty()) {
@@ -608,17 +655,23 @@
         return byName.get(RendezvousHashing.select(duty.name, byName.keySet()));
     }
 
+    /** Keeps only the candidates that meet the condition, unless none does. */
     private static void retainIfAny(List<Session> candidates, Predicate<Session> condition) {
         if (candidates.stream().anyMatch(condition)) {
             candidates.removeIf(condition.negate());
         }
     }
 
+    /** Returns whether the driver is kept from new duties because its leases expired lately. */
     private boolean isBackedOff(String driver) {
         LeaseLosses losses = leaseLosses.get(driver);
         return losses != null && losses.backoffUntilRound > heartbeatRounds;
     }
 
+    /**
+     * Asks a session to release as many duties as it has over its share, the ones with the least
+     * weight first, as far as another driver would accept them.
+     */
     private void releaseSurplus(String sessionId, int surplus) {
         List<Duty> ownedDuties =
                 new ArrayList<>(
@@ -645,14 +698,14 @@
                                 RendezvousHashing.weight(a.name, driver),
                                 RendezvousHashing.weight(b.name, driver)));
         for (int i = 0; i < Math.min(surplus - pendingReleases, ownedDuties.size()); i++) {
-            ownedDuties.get(i).handOverTarget = "*";
+            ownedDuties.get(i).handOverTarget = ANY_OTHER_DRIVER;
             ownedDuties.get(i).revision = revision;
         }
     }
 
-    // ---- as a whole ----
+    // ---- snapshots ----
 
-    /** All of it, for a snapshot. */
+    /** Returns the whole state as plain values, for a snapshot. */
     public Map<String, Object> snapshot() {
         Map<String, Object> state = new TreeMap<>();
         state.put("epochs", lastEpoch);
@@ -689,10 +742,10 @@
                         .toList());
         List<Object> lost = new ArrayList<>();
         leaseLosses.forEach(
-                (n, losses) ->
+                (driver, losses) ->
                         lost.add(
                                 List.of(
-                                        n,
+                                        driver,
                                         (long) losses.count,
                                         losses.backoffUntilRound,
                                         losses.lastLossRound)));
@@ -700,11 +753,13 @@
         state.put("voters", new TreeMap<>(voterChanges));
         state.put("late-orders", staleCommandCount);
         state.put("work", plan.snapshot());
-        state.put("answers", recentResults.stream().map(a -> List.of(a[0], a[1])).toList());
+        state.put(
+                "answers",
+                recentResults.stream().map(request -> List.of(request[0], request[1])).toList());
         return state;
     }
 
-    /** Takes over a snapshot in place of all that is there. */
+    /** Replaces the whole state by a snapshot's. */
     public void restore(Map<?, ?> state) {
         lastEpoch = number(state.get("epochs"));
         heartbeatRounds = number(state.get("rounds"));
@@ -714,14 +769,14 @@
         leaseLosses.clear();
         recentResults.clear();
         for (List<?> values : lists(state.get("sessions"))) {
-            List<String> mine = new ArrayList<>();
-            ((List<?>) values.get(2)).forEach(duty -> mine.add((String) duty));
+            List<String> acceptedDuties = new ArrayList<>();
+            ((List<?>) values.get(2)).forEach(duty -> acceptedDuties.add((String) duty));
             sessions.put(
                     (String) values.get(0),
                     new Session(
                             (String) values.get(0),
                             (String) values.get(1),
-                            mine,
+                            acceptedDuties,
                             number(values.get(3)),
                             number(values.get(4))));
         }
@@ -735,7 +790,7 @@
             duty.handOverTarget = (String) values.get(6);
             duty.previousOwner = (String) values.get(7);
             duty.revision = number(values.get(8));
-            ((List<?>) values.get(9)).forEach(h -> duty.history.add((String) h));
+            ((List<?>) values.get(9)).forEach(line -> duty.history.add((String) line));
             duties.put(duty.name, duty);
         }
         for (List<?> values : lists(state.get("losses"))) {
@@ -747,18 +802,19 @@
         }
         voterChanges.clear();
         ((Map<?, ?>) state.get("voters"))
-                .forEach((n, a) -> voterChanges.put((String) n, (String) a));
-        staleCommandCount = state.get("late-orders") instanceof Number n ? n.longValue() : 0;
+                .forEach((name, address) -> voterChanges.put((String) name, (String) address));
+        staleCommandCount =
+                state.get("late-orders") instanceof Number count ? count.longValue() : 0;
         plan.restore(state.get("work"));
         if (state.get("work") == null) {
             sessions.values()
                     .forEach(
-                            values ->
+                            session ->
                                     plan.sessionOpened(
-                                            values.id, values.identity, values.driverName()));
+                                            session.id, session.identity, session.driverName()));
         }
-        for (List<?> a : lists(state.get("answers"))) {
-            recentResults.add(new String[] {(String) a.get(0), (String) a.get(1)});
+        for (List<?> values : lists(state.get("answers"))) {
+            recentResults.add(new String[] {(String) values.get(0), (String) values.get(1)});
         }
     }
 
--- a/src/main/java/wingroad/duty/EpochFence.java
+++ b/src/main/java/wingroad/duty/EpochFence.java
@@ -4,22 +4,27 @@
 import java.util.Map;
 
 /**
- * What whoever receives effects keeps: for each duty the highest epoch that was seen. An effect of
- * a lower one comes from an owner that woke up late, and is refused. One entry for each duty that
- * is known here; others are refused.
+ * Checks fencing tokens where the effects of a duty arrive: remembers the highest epoch seen for
+ * each duty and refuses effects of a lower one, which come from a former owner that does not know
+ * yet that it lost the duty. Effects of a duty whose epoch has not been announced by {@link
+ * #advance} are refused too.
  */
 public final class EpochFence {
     private final Map<String, Long> highestEpoch = new HashMap<>();
     private long refusedCount;
 
     /**
-     * An epoch is in force for a duty, by the council's word: nothing below it counts from now on.
+     * Announces that the council has committed this epoch for the duty; effects under a lower epoch
+     * are refused from now on.
      */
     public void advance(String duty, long epoch) {
         highestEpoch.merge(duty, epoch, Math::max);
     }
 
-    /** Whether an effect may take place; its epoch is seen from then on. */
+    /**
+     * Returns whether an effect under this epoch may take place, and raises the duty's highest
+     * epoch to it if so.
+     */
     public boolean admits(String duty, long epoch) {
         Long highest = highestEpoch.get(duty);
         if (highest == null || epoch < highest) {
@@ -30,10 +35,12 @@
         return true;
     }
 
+    /** Returns the highest epoch seen for the duty, or 0 if none was seen. */
     public long highestEpoch(String duty) {
         return highestEpoch.getOrDefault(duty, 0L);
     }
 
+    /** Returns how many effects were refused. */
     public long refusedCount() {
         return refusedCount;
     }
--- a/src/main/java/wingroad/duty/Lease.java
+++ b/src/main/java/wingroad/duty/Lease.java
@@ -3,16 +3,18 @@
 import java.time.Duration;
 
 /**
- * How long a session lasts without being renewed, for those that hold it and for those that would
- * end it.
+ * The duration of a session lease, as its holder and the voters measure it.
  *
- * @param duration what an owner counts, on its own clock, from before it asked
- * @param maxClockDrift how far a clock may run fast or slow, as a part of one
+ * @param duration how long the holder may act after sending a heartbeat, on its own clock
+ * @param maxClockDrift the largest rate error of any clock, as a fraction: 0.01 is 1 %
  */
 public record Lease(Duration duration, double maxClockDrift) {
+    private static final int HEARTBEATS_PER_LEASE = 8;
+
     /**
-     * What a voter counts, on its own clock, from when it applied the renewal: never shorter than
-     * held by the owner.
+     * Returns how long a voter waits, on its own clock, after applying a renewal before it proposes
+     * to expire the session. Never shorter than the holder's lease, even if the voter's clock runs
+     * fast and the holder's runs slow.
      */
     public Duration voterTimeout() {
         return Duration.ofNanos(
@@ -20,8 +22,8 @@
                         + 1);
     }
 
-    /** How often a session is renewed. */
+    /** Returns the interval at which the holder sends heartbeats. */
     public Duration heartbeatInterval() {
-        return duration.dividedBy(8);
+        return duration.dividedBy(HEARTBEATS_PER_LEASE);
     }
 }
--- a/src/main/java/wingroad/duty/RelayHealth.java
+++ b/src/main/java/wingroad/duty/RelayHealth.java
@@ -3,10 +3,10 @@
 import java.time.Duration;
 
 /**
- * Whether a driver asks discovery itself or goes by what the owner of that duty hands on. It goes
- * by the owner only while that one is heard often, under an epoch that is not below any seen, and
- * is not contradicted by what it finds in a slow call of its own. Asking itself is always safe; it
- * only costs more.
+ * Decides whether a driver polls discovery itself or relies on the lists that the owner of the list
+ * duty relays. It relies on the owner only while the owner is heard regularly, under an epoch that
+ * is not below any seen, and is not contradicted by the driver's own infrequent checks. Polling is
+ * always safe; it only costs more.
  */
 public final class RelayHealth {
     private final Duration ownerTimeout;
@@ -17,15 +17,17 @@
     private Duration lastHeardAt;
     private long localRevision;
 
-    /** Since when something newer is held than the owner tells, or null. */
+    /** Since when the local revision has been newer than the owner's, or null. */
     private Duration aheadSince;
 
     private Duration lastCheckAt = Duration.ZERO;
 
     /**
-     * @param ownerTimeout an owner that is not heard for so long is not gone by any more
-     * @param staleTimeout so long may it tell of something older than what is held
-     * @param checkInterval how often discovery is asked all the same
+     * Creates the state of a driver that has not heard an owner yet.
+     *
+     * @param ownerTimeout an owner that has not been heard for so long is no longer relied on
+     * @param staleTimeout how long the owner may announce a revision older than the local one
+     * @param checkInterval how often discovery is polled although the owner is relied on
      */
     public RelayHealth(Duration ownerTimeout, Duration staleTimeout, Duration checkInterval) {
         this.ownerTimeout = ownerTimeout;
@@ -33,19 +35,24 @@
         this.checkInterval = checkInterval;
     }
 
-    /** What is to be done with what the owner has handed on. */
+    /** What to do with an update from the owner. */
     public enum Action {
-        /** It is of an older epoch or an older revision: nothing. */
+        /** The update is of an older epoch or not of a newer revision. */
         IGNORE,
-        /** It goes on from what is held. */
+        /** The update continues from the local revision, or is complete. */
         APPLY,
-        /** What lies between is missing: discovery is to be asked. */
+        /** Revisions in between are missing: poll discovery. */
         FETCH
     }
 
     /**
-     * The owner under this epoch tells that the newest is this revision, with what is new since
-     * another one.
+     * Handles an update from the owner.
+     *
+     * @param epoch the owner's epoch
+     * @param baseRevision the revision that the changes start from
+     * @param revision the owner's newest revision
+     * @param complete whether the update holds the whole list rather than changes
+     * @param hasChanges whether the update holds a list or changes at all
      */
     public Action onOwnerUpdate(
             long epoch,
@@ -78,7 +85,7 @@
         return Action.FETCH;
     }
 
-    /** The driver has found this revision by itself. */
+    /** Records a revision that the driver has fetched from discovery itself. */
     public void onDirectFetch(long revision, Duration now) {
         lastCheckAt = now;
         localRevision = Math.max(localRevision, revision);
@@ -87,19 +94,19 @@
         }
     }
 
-    /** Whether the owner is gone by. */
+    /** Returns whether the owner's lists are relied on. */
     public boolean trustsOwner(Duration now) {
         return lastHeardAt != null
                 && now.minus(lastHeardAt).compareTo(ownerTimeout) < 0
                 && (aheadSince == null || now.minus(aheadSince).compareTo(staleTimeout) < 0);
     }
 
-    /** Whether the slow call is due. */
+    /** Returns whether the driver's own check of discovery is due. */
     public boolean isCheckDue(Duration now) {
         return now.minus(lastCheckAt).compareTo(checkInterval) >= 0;
     }
 
-    /** The slow call goes out. */
+    /** Records that the driver's own check has been sent. */
     public void onCheckStarted(Duration now) {
         lastCheckAt = now;
     }
--- a/src/main/java/wingroad/duty/RunSchedule.java
+++ b/src/main/java/wingroad/duty/RunSchedule.java
@@ -3,20 +3,22 @@
 import java.time.Duration;
 
 /**
- * When the next turn of a duty is due. Clocks are not shared, so each driver counts from when it
- * heard that the last turn was settled; whoever owns the duty then is about a message's way apart
- * from the one before. A turn that is missed is told and not made up for.
+ * When the next run of a periodic duty is due. Clocks are not shared, so each driver counts from
+ * when it learned that the last run was committed; after a change of owner the schedule is shifted
+ * by about one message delay. Missed runs are counted and not made up for.
  */
 public final class RunSchedule {
     private final Duration interval;
     private long lastRun = -1;
+
+    /** When this driver learned of the last run, on its own clock; null before the first one. */
     private Duration lastRunAt;
 
     public RunSchedule(Duration interval) {
         this.interval = interval;
     }
 
-    /** The newest turn that is settled; returns how many turns were missed before it. */
+    /** Records the newest committed run; returns how many runs were missed before it. */
     public long onRunCommitted(long run, Duration now) {
         long missed = 0;
         if (run != lastRun) {
@@ -29,12 +31,12 @@
         return missed;
     }
 
-    /** The number of the turn that is due, or 0. */
+    /** Returns the number of the run that is due, or 0 if none is. */
     public long dueRun(Duration now) {
         return lastRunAt != null && now.minus(lastRunAt).compareTo(interval) >= 0 ? lastRun + 1 : 0;
     }
 
-    /** How long until the next one is due; zero where it is. */
+    /** Returns how long it is until the next run is due; zero if it is due. */
     public Duration timeUntilDue(Duration now) {
         Duration remaining = lastRunAt == null ? interval : interval.minus(now.minus(lastRunAt));
         return remaining.isNegative() ? Duration.ZERO : remaining;
--- a/src/main/java/wingroad/duty/SessionExpiryMonitor.java
+++ b/src/main/java/wingroad/duty/SessionExpiryMonitor.java
@@ -7,9 +7,10 @@
 import java.util.Map;
 
 /**
- * A voter's own clock on the sessions: since when it has known of each one's newest beat. It only
- * ever asks for a session to be ended; that is settled by the log, where a later beat makes it
- * void. So a voter that restarts, or gets a snapshot, may count anew: later is safe.
+ * Tracks on a voter's own clock since when it has known the newest heartbeat of each session, and
+ * proposes to expire sessions whose leases have run out. The log decides: a later heartbeat makes
+ * the proposal void. So a voter that restarts or installs a snapshot may start measuring again,
+ * since expiring a session later is always safe.
  */
 public final class SessionExpiryMonitor {
     private record HeartbeatObservation(long heartbeat, Duration observedAt) {}
@@ -21,9 +22,9 @@
         this.lease = lease;
     }
 
-    /** Compares with what is settled now. */
+    /** Compares the observations with the committed sessions. */
     public void observe(DutyStateMachine stateMachine, Duration now) {
-        observations.keySet().removeIf(session -> stateMachine.session(session) == null);
+        observations.keySet().removeIf(sessionId -> stateMachine.session(sessionId) == null);
         for (DutyStateMachine.Session session : stateMachine.sessions()) {
             HeartbeatObservation previous = observations.get(session.id());
             if (previous == null || previous.heartbeat != session.lastHeartbeat()) {
@@ -33,7 +34,7 @@
         }
     }
 
-    /** The sessions whose leases have run out for certain. */
+    /** Returns a command for each session whose lease has certainly run out. */
     public List<Command> expireCommands(Duration now) {
         List<Command> commands = new ArrayList<>();
         observations.forEach(
@@ -46,7 +47,10 @@
         return commands;
     }
 
-    /** How long ago this session was renewed as this voter knows it, or null. */
+    /**
+     * Returns how long ago this voter saw the session renewed, or null if it does not know the
+     * session.
+     */
     public Duration timeSinceHeartbeat(String sessionId, Duration now) {
         HeartbeatObservation observation = observations.get(sessionId);
         return observation == null ? null : now.minus(observation.observedAt);
--- a/src/main/java/wingroad/duty/SessionLease.java
+++ b/src/main/java/wingroad/duty/SessionLease.java
@@ -9,15 +9,26 @@
 import java.util.TreeMap;
 
 /**
- * A driver's own side of its session: how long its lease runs, on its own clock from before each
- * beat was sent, and which duties it holds meanwhile. It may act only while {@link #mayAct} says
- * so, asked with a clock read just before.
+ * A driver's view of its session: until when its lease holds, and which duties it owns. The lease
+ * is measured on the driver's own clock from before each heartbeat was sent. The driver may act
+ * only while {@link #mayAct} returns true for a clock reading taken just before.
  */
 public class SessionLease {
-    /** Beats that were sent and not yet settled; more than these are not waited for. */
+    /**
+     * Upper bound for heartbeats that were sent and not yet committed; the oldest ones beyond it
+     * are dropped and never renew the lease.
+     */
     private static final int MAX_PENDING_HEARTBEATS = 64;
 
-    /** A duty as it is settled. */
+    /**
+     * The committed state of a duty.
+     *
+     * @param owner id of the owning session, or empty
+     * @param epoch the owner's fencing token
+     * @param run number of the newest run, or 0
+     * @param outcome outcome of that run, or empty while it is not known
+     * @param handOverTarget not empty if the owner is asked to release the duty
+     */
     public record DutyState(
             String duty,
             String owner,
@@ -31,7 +42,7 @@
     private final Lease lease;
     private final String sessionId;
     private final ArrayDeque<PendingHeartbeat> pendingHeartbeats = new ArrayDeque<>();
-    private final Map<String, DutyState> current = new TreeMap<>();
+    private final Map<String, DutyState> dutyStates = new TreeMap<>();
     private long lastHeartbeat;
     private Duration expiresAt = Duration.ZERO;
     private boolean open;
@@ -46,7 +57,10 @@
         return sessionId;
     }
 
-    /** The number of the next beat, which goes out now or later. */
+    /**
+     * Returns the number of the next heartbeat. The lease that it obtains is measured from now,
+     * whenever it is sent.
+     */
     public long nextHeartbeat(Duration now) {
         pendingHeartbeats.add(new PendingHeartbeat(++lastHeartbeat, now));
         if (pendingHeartbeats.size() > MAX_PENDING_HEARTBEATS) {
@@ -55,7 +69,7 @@
         return lastHeartbeat;
     }
 
-    /** The council has settled this beat: the lease runs from when it was asked for. */
+    /** Renews the lease from when this heartbeat was sent, since the council has committed it. */
     public void heartbeatCommitted(long number, Duration now) {
         while (!pendingHeartbeats.isEmpty() && pendingHeartbeats.peek().number <= number) {
             PendingHeartbeat heartbeat = pendingHeartbeats.poll();
@@ -66,18 +80,19 @@
         }
     }
 
-    /** Where a lease begins that was asked for and heard of at these times. */
+    /** Returns when a lease starts whose heartbeat was sent and confirmed at these times. */
     protected Duration leaseStart(Duration sentAt, Duration confirmedAt) {
         return sentAt;
     }
 
-    /** Whether the council knows this session. */
+    /** Records that the council has opened the session. */
     public void markOpen() {
         open = true;
     }
 
     /**
-     * The council has ended the session, or it has been left: nothing is done under it any more.
+     * Records that the council has ended the session or the driver has left it: nothing may be done
+     * under it any more.
      */
     public void markEnded() {
         ended = true;
@@ -91,25 +106,28 @@
         return ended;
     }
 
-    /** A duty as the council has settled it. */
+    /** Takes over the committed state of a duty. */
     public void updateDuty(DutyState state) {
-        current.put(state.duty, state);
+        dutyStates.put(state.duty, state);
     }
 
+    /** Returns the newest known state of each duty. */
     public Collection<DutyState> current() {
-        return current.values();
+        return dutyStates.values();
     }
 
+    /** Returns the newest known state of the duty, or null. */
     public DutyState current(String duty) {
-        return current.get(duty);
+        return dutyStates.get(duty);
     }
 
     /**
-     * The duties that are this driver's to do, those that it is asked to give up not among them.
+     * Returns the duties that this driver may act for now, without those that it is asked to
+     * release.
      */
     public List<DutyState> ownedDuties(Duration now) {
         List<DutyState> owned = new ArrayList<>();
-        for (DutyState state : current.values()) {
+        for (DutyState state : dutyStates.values()) {
             if (mayAct(state.duty, state.epoch, now)) {
                 owned.add(state);
             }
@@ -117,16 +135,16 @@
         return owned;
     }
 
-    /** The duties that are to be given up. */
+    /** Returns the own duties that the driver is asked to release. */
     public List<DutyState> releaseRequests() {
-        return current.values().stream()
+        return dutyStates.values().stream()
                 .filter(state -> state.owner.equals(sessionId) && !state.handOverTarget.isEmpty())
                 .toList();
     }
 
-    /** Whether an effect under this epoch may be started at this time. */
+    /** Returns whether an effect of the duty under this epoch may be started now. */
     public boolean mayAct(String duty, long epoch, Duration now) {
-        DutyState state = current.get(duty);
+        DutyState state = dutyStates.get(duty);
         return state != null
                 && isOpen()
                 && state.owner.equals(sessionId)
@@ -135,7 +153,7 @@
                 && now.compareTo(expiresAt) < 0;
     }
 
-    /** Up to when the lease runs, on the driver's own clock. */
+    /** Returns when the lease ends, on the driver's own clock. */
     public Duration expiresAt() {
         return expiresAt;
     }
