--- a/src/main/java/wingroad/work/DriverReport.java
+++ b/src/main/java/wingroad/work/DriverReport.java
@@ -8,15 +8,15 @@
 import java.util.TreeSet;
 
 /**
- * What a driver says of itself under a session.
+ * A driver's report under its session.
  *
- * @param planRevision the plan's revision that its module has been told of
- * @param drainedMachines machines that drain or are out where nothing new of its own goes and
- *     nothing of its own is
- * @param primaries whom it takes for the primary, by group, of groups that the plan touches
+ * @param planRevision the plan's revision that its router has taken over
+ * @param drainedMachines draining or out machines that the driver sends nothing new to and has
+ *     nothing left on
+ * @param primaries member taken for the primary, by group, for the groups that the plan affects
  * @param servedCount txns committed in time since its start
  * @param harmedCount txns declined, rolled back or late since its start
- * @param busyMsByGroup by group: milliseconds that its txns have been at members, all together
+ * @param busyMsByGroup total time of its txns at members in milliseconds, by group
  */
 public record DriverReport(
         long planRevision,
@@ -27,14 +27,14 @@
         Map<Integer, Long> busyMsByGroup) {
     static final DriverReport EMPTY = new DriverReport(0, Set.of(), Map.of(), 0, 0, Map.of());
 
-    /** Whether the other one says more than new figures. */
+    /** Returns whether the other report differs in more than its counters. */
     public boolean differsBeyondFigures(DriverReport other) {
         return planRevision != other.planRevision
                 || !drainedMachines.equals(other.drainedMachines)
                 || !primaries.equals(other.primaries);
     }
 
-    /** As a line behind its session. */
+    /** Returns the report as one line that starts with the session's id. */
     public String toLine(String sessionId) {
         List<String> primaryPairs = new ArrayList<>();
         primaries.forEach((group, uid) -> primaryPairs.add(group + "=" + uid));
@@ -59,7 +59,9 @@
         return line.substring(0, Math.max(0, line.indexOf(' ')));
     }
 
-    /** Reads such a line; throws {@link IllegalArgumentException} where it is none. */
+    /**
+     * Reads a line of {@link #toLine}; throws {@link IllegalArgumentException} if it is malformed.
+     */
     static DriverReport parse(String line) {
         String[] fields = line.split(" ", -1);
         if (fields.length != 7) {
--- a/src/main/java/wingroad/work/GroupCapacity.java
+++ b/src/main/java/wingroad/work/GroupCapacity.java
@@ -5,21 +5,23 @@
 import java.util.TreeMap;
 
 /**
- * What a group's members have been seen to bear: learned from harm, not from a setting. While a
- * machine of the group is away and txns are harmed, each of the others had so many at work; that
- * was too much, and as much is not tried again soon. What was too much is let off by and by:
- * machines get stronger, txns shorter, and the harm may have had another cause.
+ * Learns from observed harm, rather than from a setting, how many txns in progress the members of a
+ * group can sustain. When txns are harmed while a machine of the group is out, the load per
+ * remaining member was too high, and the same load is not risked again soon. The learned limit is
+ * relaxed over time, since machines get faster, txns shorter, and the harm may have had another
+ * cause.
  */
 final class GroupCapacity {
-    /** So near to what was too much it is not tried. */
+    /** Loads from this fraction of the learned limit on are not risked. */
     private static final double SAFETY_RATIO = 0.95;
 
-    /** What was too much grows by this part with each watched span. */
+    /** The learned limit grows by this fraction in each watch period. */
     private static final double RECOVERY_PER_WATCH_PERIOD = 0.002;
 
-    /** Grown to so many times what it was, it is forgotten. */
+    /** The limit is discarded once it has grown by this factor. */
     private static final double DISCARD_GROWTH_FACTOR = 2;
 
+    /** The load per member at which harm was seen, in txns in progress. */
     private static final class Ceiling {
         double initialLimit;
         double limit;
@@ -36,7 +38,10 @@
         this.watchPeriod = watchPeriod;
     }
 
-    /** Each of the group's members that were left had so many txns at work when harm was seen. */
+    /**
+     * Records that txns were harmed while each of the group's remaining members had so many in
+     * progress.
+     */
     void recordHarm(int group, double txnsPerMember, Duration now) {
         if (txnsPerMember <= 0) {
             return;
@@ -51,7 +56,7 @@
         }
     }
 
-    /** What is too much for each member now; infinite where nothing is known. */
+    /** Returns the current limit for each member; infinite if none has been learned. */
     private double currentLimit(int group, Duration now) {
         Ceiling ceiling = ceilings.get(group);
         if (ceiling == null) {
@@ -66,12 +71,12 @@
         return limit;
     }
 
-    /** Whether so many at each are as much as was too much. */
+    /** Returns whether this load per member is at the learned limit or too close to it. */
     boolean exceedsLimit(int group, double txnsPerMember, Duration now) {
         return txnsPerMember >= currentLimit(group, now) * SAFETY_RATIO;
     }
 
-    /** The groups of which something is known, for people. */
+    /** Returns the number of groups with a learned limit. */
     int knownGroupCount() {
         return ceilings.size();
     }
--- a/src/main/java/wingroad/work/LostDriverMonitor.java
+++ b/src/main/java/wingroad/work/LostDriverMonitor.java
@@ -7,35 +7,45 @@
 import java.util.Map;
 
 /**
- * A voter's own clock on drivers without a session: how long ago each was lost, and so what is
- * certain to have stopped there. It only ever proposes; a driver that was lost anew has another
- * number, which makes the proposal void.
+ * Tracks on a voter's own clock how long ago each driver lost its session, and so what has
+ * certainly stopped there. It only proposes; a driver that was lost again has another loss number,
+ * which makes the proposal void.
  */
 public final class LostDriverMonitor {
-    /** So long may the end of a process take that has said that it ends, beside its last txns. */
+    /** How long a process that has announced its exit may take to end, on top of its last txns. */
     private static final Duration EXIT_GRACE = Duration.ofSeconds(10);
 
     /**
-     * What is certain of a lost driver: at level 1 nothing at what it knew to be announced, at 2
-     * nothing at all.
+     * What is certain of a lost driver.
+     *
+     * @param level 1: nothing of it is left on machines that it knew to be announced; 2: nothing at
+     *     all
      */
     public record StoppedDriver(String identity, long lossNumber, long level) {}
 
     private record Observation(long lossNumber, Duration observedAt) {}
 
     private final MaintenanceSettings settings;
+
+    /**
+     * Lengthens timeouts so that a fast clock here and a slow one at the driver cannot shorten
+     * them.
+     */
     private final double driftFactor;
+
     private final Map<String, Observation> observations = new HashMap<>();
 
     /**
-     * @param drift how far two clocks may run apart, as a part of one
+     * Creates a monitor without observations.
+     *
+     * @param maxClockDrift the largest rate error of any clock, as a fraction
      */
     public LostDriverMonitor(MaintenanceSettings settings, double maxClockDrift) {
         this.settings = settings;
         this.driftFactor = (1 + maxClockDrift) / (1 - maxClockDrift);
     }
 
-    /** Compares with what is settled now. */
+    /** Compares the observations with the committed plan. */
     public void observe(MaintenancePlan plan, Duration now) {
         observations
                 .keySet()
@@ -53,7 +63,7 @@
         }
     }
 
-    /** What is certain by now and not settled yet. */
+    /** Returns what is certain by now and not committed yet. */
     public List<StoppedDriver> newlyStopped(MaintenancePlan plan, Duration now) {
         List<StoppedDriver> stopped = new ArrayList<>();
         for (MaintenancePlan.LostDriver lostDriver : plan.lostDrivers()) {
--- a/src/main/java/wingroad/work/Machine.java
+++ b/src/main/java/wingroad/work/Machine.java
@@ -5,11 +5,16 @@
 import java.util.Set;
 import java.util.TreeSet;
 
-/** A machine: the members that it holds, by id and group, and the drivers that run on it. */
+/**
+ * A machine with the members that it holds and the drivers that run on it.
+ *
+ * @param members ids or prefixes of the members, each with its group
+ * @param drivers names of the drivers
+ */
 public record Machine(String name, String zone, List<MemberPattern> members, List<String> drivers) {
     /**
-     * A member; an id that ends in {@code *} stands for all that begin so: machines come back under
-     * new ids.
+     * A member's id and group. An id that ends in {@code *} matches all ids with that prefix, since
+     * members of a machine may return under new ids.
      */
     public record MemberPattern(String uid, int group) {
         boolean matches(String other) {
@@ -19,6 +24,7 @@
         }
     }
 
+    /** Returns whether the member runs on this machine. */
     public boolean holds(String uid) {
         return members.stream().anyMatch(member -> member.matches(uid));
     }
@@ -38,7 +44,10 @@
                                                 otherMember -> otherMember.group == member.group));
     }
 
-    /** As one line, for the log: names hold neither blanks nor signs that part them. */
+    /**
+     * Returns the machine as one line for the log. Names contain no blanks and none of the
+     * separators.
+     */
     String toLine() {
         return name
                 + " "
@@ -51,7 +60,9 @@
                 + String.join(",", drivers);
     }
 
-    /** Reads such a line; throws {@link IllegalArgumentException} where it is none. */
+    /**
+     * Reads a line of {@link #toLine}; throws {@link IllegalArgumentException} if it is malformed.
+     */
     static Machine parse(String line) {
         String[] fields = line.split(" ", -1);
         if (fields.length != 4) {
@@ -68,6 +79,7 @@
         return new Machine(fields[0], fields[1], List.copyOf(members), splitList(fields[3]));
     }
 
+    /** Splits a comma-separated list; an empty text is an empty list. */
     static List<String> splitList(String commas) {
         return commas.isEmpty() ? List.of() : List.of(commas.split(","));
     }
--- a/src/main/java/wingroad/work/MachineIndex.java
+++ b/src/main/java/wingroad/work/MachineIndex.java
@@ -6,13 +6,13 @@
 import java.util.TreeMap;
 
 /**
- * Which machine holds a member: by its id, else by the longest beginning that a machine names.
- * Lists have thousands of members.
+ * Finds the machine that holds a member: by the member's id, else by the longest prefix that a
+ * machine names. Avoids scanning all machines, since lists have thousands of members.
  */
 final class MachineIndex {
     private final Map<String, Machine> machinesByUid = new HashMap<>();
 
-    /** By beginning; all beginnings of an id that are in here lie before it in order. */
+    /** Machines by prefix. All prefixes of an id that are in the map sort before it. */
     private final TreeMap<String, Machine> machinesByPrefix = new TreeMap<>();
 
     MachineIndex(Collection<Machine> machines) {
@@ -28,7 +28,7 @@
         }
     }
 
-    /** The machine, or null. */
+    /** Returns the machine that holds the member, or null. */
     Machine find(String uid) {
         Machine machine = machinesByUid.get(uid);
         if (machine != null) {
@@ -36,7 +36,7 @@
         }
         Map.Entry<String, Machine> candidate = machinesByPrefix.floorEntry(uid);
         while (candidate != null && !uid.startsWith(candidate.getKey())) {
-            // Whatever begins both has no more in common with the id than this one has.
+            // A prefix of both the id and this key is no longer than what the two have in common.
             int commonLength = 0;
             while (commonLength < candidate.getKey().length()
                     && commonLength < uid.length()
--- a/src/main/java/wingroad/work/MaintenanceController.java
+++ b/src/main/java/wingroad/work/MaintenanceController.java
@@ -14,34 +14,49 @@
 import java.util.TreeSet;
 
 /**
- * The work's conductor: what the next steps are, from what is settled and from what its driver has
- * seen of the members. It only proposes; the log refuses what breaks a limit, and whatever comes
- * under an older epoch. No I/O; the clock is handed in.
+ * Decides the next maintenance steps from the committed plan and from what its driver has observed
+ * of the members. It only proposes: the replicated plan refuses every step that breaks a limit or
+ * comes under a stale epoch. No I/O; the clock is passed in.
  */
 public final class MaintenanceController {
-    /** A member may have this part of its room in use once another one of its group is away. */
+    /**
+     * The largest fraction of its capacity that a member may use after another member of its group
+     * is taken out.
+     */
     private static final double MAX_CAPACITY_USE = 0.8;
 
     /**
-     * A machine that was put back for harm is looked at again after so many times the watched span.
+     * A machine that was put back because of harm is considered again after so many watch periods.
      */
     private static final int COOLDOWN_WATCH_PERIODS = 3;
 
-    /** So many times the bound may one that carries on be behind, while a machine drains. */
+    /**
+     * While a machine drains, the remaining members may lag behind the log by so many times the
+     * usual limit.
+     */
     private static final int DRAINING_LAG_FACTOR = 2;
 
-    /** Drivers that have not confirmed for so many watched spans are told about. */
+    /**
+     * An operator is alerted if drivers have not confirmed an announcement for so many watch
+     * periods.
+     */
     private static final int CONFIRMATION_ALERT_WATCH_PERIODS = 6;
 
     /**
-     * So many times what may go at a time, and some, are looked at in one look: their members have
-     * to be asked.
+     * Limits the machines considered in one pass to so many times the concurrent ones, plus {@link
+     * #EXTRA_CANDIDATES}, because all of their members have to be observed.
      */
     private static final int CANDIDATES_PER_SLOT = 2;
 
     private static final int EXTRA_CANDIDATES = 8;
 
-    /** A step to be settled; {@code to} is a stage's name, "IN" or "note". */
+    /**
+     * A proposed step.
+     *
+     * @param target a stage's name, {@code IN} (back in service) or {@code note} (only the note
+     *     changes)
+     * @param stageRevision the machine's stage revision that the step is based on
+     */
     public record Step(String machine, String target, long stageRevision, String reason) {}
 
     private final MaintenanceSettings settings;
@@ -51,33 +66,36 @@
     private final Map<String, Duration> returningSince = new TreeMap<>();
     private final Map<String, Duration> unhealthySince = new HashMap<>();
     private final Map<String, Duration> cooldownUntil = new HashMap<>();
-    private final Map<String, String> takeAlerts = new HashMap<>();
+    private final Map<String, String> pendingAlerts = new HashMap<>();
     private final Map<Integer, Long> previousBusyMs = new TreeMap<>();
     private final Map<Integer, Double> concurrentTxns = new TreeMap<>();
     private final Map<String, Duration> plannedSince = new HashMap<>();
 
-    /**
-     * Machines of which it has been told that they wait for confirmations, and that they are too
-     * late.
-     */
+    /** Planned machines whose missing confirmations were already alerted on. */
     private final Set<String> confirmationAlerted = new HashSet<>();
 
+    /** Machines whose deadline was already alerted on. */
     private final Set<String> deadlineAlerted = new HashSet<>();
+
     private Duration busySampledAt;
 
-    /** Machines that are out, and when the last one was seen to have become so. */
+    /** Machines that are out, as of the last pass. */
     private Set<String> outMachines = Set.of();
 
-    /** Those that are to drain by the look that is under way. */
+    /** Machines that the current pass starts to drain. */
     private final Set<String> chosenToDrain = new HashSet<>();
 
-    /** Those whose members had to be known in the last look. */
+    /** Machines whose members the last pass had to consider. */
     private final Set<String> consideredMachines = new HashSet<>();
 
+    /** When a machine was last seen to go out, or null. */
     private Duration lastOutAt;
 
     /**
-     * @param voters who decides in the council: never more of them away than a majority can spare
+     * Creates a controller without observations.
+     *
+     * @param voters names of the council's voters; never more of them are taken out than a majority
+     *     can spare
      */
     public MaintenanceController(MaintenanceSettings settings, Collection<String> voters) {
         this.settings = settings;
@@ -86,14 +104,17 @@
         groupCapacity = new GroupCapacity(settings.watchPeriod());
     }
 
-    /** Lines that somebody should be woken up for, each once: machine to text. */
+    /**
+     * Returns the alerts for operators since the last call: texts by machine. Each is returned
+     * once.
+     */
     public Map<String, String> takeAlerts() {
-        Map<String, String> alerts = new TreeMap<>(takeAlerts);
-        takeAlerts.clear();
+        Map<String, String> alerts = new TreeMap<>(pendingAlerts);
+        pendingAlerts.clear();
         return alerts;
     }
 
-    /** The groups whose members have to be seen for the next look. */
+    /** Returns the groups whose members must be observed for the next pass. */
     public Set<Integer> groupsToObserve(PlanCopy plan) {
         Set<Integer> groups = new TreeSet<>();
         consideredMachines.stream()
@@ -103,7 +124,12 @@
         return groups;
     }
 
-    /** The steps that are next; asked again and again until they are seen settled. */
+    /**
+     * Returns the next steps. They are proposed again in each pass until they are seen committed.
+     *
+     * @param nowMs wall clock in Unix milliseconds, for deadlines
+     * @param now monotonic clock
+     */
     public List<Step> nextSteps(
             PlanCopy plan, MemberObservations observations, long nowMs, Duration now) {
         List<Step> steps = new ArrayList<>();
@@ -165,15 +191,15 @@
     }
 
     /**
-     * One that has to be out before a time that it can't keep any more is told about, once; it goes
-     * on waiting.
+     * Alerts once about a machine that cannot be out before its deadline any more; it keeps
+     * waiting.
      */
     private void checkDeadline(MaintenancePlan.Entry entry, long nowMs, List<Step> steps) {
         long minDrainMs = settings.drainGrace().plus(settings.watchPeriod()).toMillis();
         if (entry.deadlineMs > 0
                 && nowMs + minDrainMs > entry.deadlineMs
                 && deadlineAlerted.add(entry.machine)) {
-            takeAlerts.put(
+            pendingAlerts.put(
                     entry.machine,
                     "PAGE: wanted out before "
                             + java.time.Instant.ofEpochMilli(entry.deadlineMs)
@@ -189,7 +215,10 @@
         }
     }
 
-    /** How many txns are at members of each group at a time, from the fleet's sums. */
+    /**
+     * Updates the mean number of txns in progress at the members of each group, from the sums of
+     * the drivers' reports.
+     */
     private void updateConcurrency(PlanCopy plan, Duration now) {
         if (busySampledAt != null
                 && now.minus(busySampledAt).compareTo(settings.watchPeriod().dividedBy(4)) < 0) {
@@ -222,7 +251,7 @@
             long nowMs,
             Duration now,
             List<Step> steps) {
-        Duration since = plannedSince.computeIfAbsent(entry.machine, k -> now);
+        Duration since = plannedSince.computeIfAbsent(entry.machine, key -> now);
         checkDeadline(entry, nowMs, steps);
         if (!entry.confirmedByAll) {
             if (now.minus(since)
@@ -231,7 +260,7 @@
                                                     .multipliedBy(CONFIRMATION_ALERT_WATCH_PERIODS))
                             > 0
                     && confirmationAlerted.add(entry.machine)) {
-                takeAlerts.put(
+                pendingAlerts.put(
                         entry.machine,
                         "PAGE: drivers have not confirmed it for "
                                 + now.minus(since).toSeconds()
@@ -254,7 +283,7 @@
         }
     }
 
-    /** Why a machine can't be spared now, or empty. */
+    /** Returns why a machine can't be drained now, or an empty string. */
     private String drainBlocker(
             MaintenancePlan.Entry entry,
             Machine machine,
@@ -308,8 +337,8 @@
         if (!entry.noPrimaryReported) {
             return "some driver still takes a member here for a primary";
         }
-        // Those that are chosen in the same look count as well; two that only wait for each other's
-        // turn do not.
+        // Machines chosen in this pass count as well; two that only wait for their announcement do
+        // not block each other.
         Set<String> away = new HashSet<>(machine.drivers());
         plan.entries().stream()
                 .filter(
@@ -341,7 +370,7 @@
         return share < 0 ? "too few to say" : String.format(Locale.ROOT, "%.1f%%", share * 100);
     }
 
-    /** The fit members of a group that are on other machines. */
+    /** Returns the healthy members of a group on other machines. */
     private List<String> healthyElsewhere(
             Machine machine, int group, MemberObservations observations, Duration now) {
         return observations.membersOf(group).stream()
@@ -349,6 +378,7 @@
                 .toList();
     }
 
+    /** Returns the members that could take over as primary, as a text for operators. */
     private String primaryCandidates(
             Machine machine, int group, MemberObservations observations, Duration now) {
         List<String> candidates =
@@ -368,7 +398,10 @@
                 : String.join(" or ", candidates);
     }
 
-    /** What of its groups' others is not fit, or empty: one that fails by itself counts as away. */
+    /**
+     * Returns which other member of the machine's groups is unhealthy, or an empty string. A member
+     * that fails by itself counts as taken out.
+     */
     private String unhealthyPeer(Machine machine, MemberObservations observations, Duration now) {
         for (int group : machine.groups()) {
             for (String uid : observations.membersOf(group)) {
@@ -436,8 +469,8 @@
     }
 
     /**
-     * Which of the others has fallen behind the log since its machine's share came to them, or
-     * empty.
+     * Returns which remaining member has fallen behind the log since it took over load from the
+     * machine, or an empty string.
      */
     private String laggingPeer(Machine machine, MemberObservations observations, Duration now) {
         for (int group : machine.groups()) {
@@ -462,13 +495,16 @@
         return "";
     }
 
-    /** Only what is seen for a while: a single probe may go astray. */
+    /**
+     * Returns the problem if it has lasted for half a watch period, else an empty string: a single
+     * probe may be lost.
+     */
     private String ifPersistent(String machine, String text, Duration now) {
         if (text.isEmpty()) {
             unhealthySince.remove(machine);
             return "";
         }
-        Duration since = unhealthySince.computeIfAbsent(machine, k -> now);
+        Duration since = unhealthySince.computeIfAbsent(machine, key -> now);
         return now.minus(since).compareTo(settings.watchPeriod().dividedBy(2)) >= 0 ? text : "";
     }
 
@@ -496,7 +532,7 @@
             MemberObservations observations,
             Duration now,
             List<Step> steps) {
-        Duration since = returningSince.computeIfAbsent(entry.machine, k -> now);
+        Duration since = returningSince.computeIfAbsent(entry.machine, key -> now);
         for (int group : machine.groups()) {
             List<String> membersHere =
                     observations.membersOf(group).stream().filter(machine::holds).toList();
@@ -533,12 +569,12 @@
     }
 
     private void setNote(MaintenancePlan.Entry entry, String text, List<Step> steps) {
-        // Measured figures change with each look: what stands in the log is changed only where the
-        // rest is another.
+        // Measured figures change in each pass; the note in the log is replaced only if the rest of
+        // the text differs.
         if (!withoutFigures(entry.note).equals(withoutFigures(text))) {
             steps.add(new Step(entry.machine, "note", entry.stageRevision, text));
             if (text.startsWith("PAGE")) {
-                takeAlerts.put(entry.machine, text);
+                pendingAlerts.put(entry.machine, text);
             }
         }
     }
@@ -547,7 +583,7 @@
         return text.replaceAll("[0-9]+\\.[0-9]+|[0-9]+ ms", "0");
     }
 
-    /** Announces what may go next: as much together as the limits let. */
+    /** Announces the machines that may go out next, as many together as the limits allow. */
     private void announceNext(
             List<MaintenancePlan.Entry> entries,
             PlanCopy plan,
@@ -567,8 +603,7 @@
                                                         && plan.machines()
                                                                 .containsKey(entry.machine))
                                 .toList());
-        // Whoever has a time to keep first, then replicas before primaries, then whoever has waited
-        // longest.
+        // Earliest deadline first, then replicas before primaries, then the oldest request.
         waiting.sort(
                 Comparator.<MaintenancePlan.Entry>comparingLong(
                                 entry -> entry.deadlineMs > 0 ? entry.deadlineMs : Long.MAX_VALUE)
@@ -614,7 +649,7 @@
                                 "its turn"));
             } else {
                 if (!ifPersistent(entry.machine, unhealthy, now).isEmpty()) {
-                    // Those behind it have their turn meanwhile.
+                    // Lets later requests go first meanwhile.
                     cooldownUntil.put(entry.machine, now.plus(settings.watchPeriod()));
                 }
                 setNote(entry, unhealthy, steps);
@@ -622,6 +657,9 @@
         }
     }
 
+    /**
+     * Returns how many machines may be announced at a time, from the first line of the inventory.
+     */
     private int maxConcurrent(PlanCopy plan) {
         return plan.inventoryLines().isEmpty()
                 ? 1
--- a/src/main/java/wingroad/work/MaintenancePlan.java
+++ b/src/main/java/wingroad/work/MaintenancePlan.java
@@ -11,10 +11,10 @@
 import java.util.TreeSet;
 
 /**
- * What is settled of the work on machines: what was asked for, how far each machine has come, who
- * has confirmed what. Part of the state that follows from the agreed log: it reads no clock, draws
- * nothing and iterates in order of names, and it refuses each step that breaks a limit, whoever
- * proposes it.
+ * The replicated maintenance plan: which machines are requested for maintenance, which stage each
+ * has reached, and which drivers have confirmed it. It is part of the replicated state, so it reads
+ * no clock, uses no randomness and iterates in order of names. It refuses every step that would
+ * break a limit, whoever proposes it.
  */
 public class MaintenancePlan {
     private static final int MAX_REQUESTS = 4096;
@@ -24,10 +24,13 @@
     private static final int MAX_REMOVALS = 1024;
     private static final int MAX_TEXT_CHARS = 200;
 
-    /** What a word or step is called that concerns all. */
+    /** The machine name in operator's commands and history lines that concern all machines. */
     public static final String ALL_MACHINES = "*";
 
-    /** One machine that is asked for. */
+    /**
+     * A machine requested for maintenance, and its stage. Fields are written by position in {@link
+     * #toValues}.
+     */
     public static final class Entry {
         final String machine;
         final String requestId;
@@ -39,29 +42,36 @@
         final long requestNumber;
         MaintenanceStage stage = MaintenanceStage.ASKED;
 
-        /** The plan's revision when it was planned, and when its stage changed last. */
+        /** Revision of the plan at which the machine was announced. */
         long announcedRevision;
 
+        /** Revision of the plan at which the stage changed last. */
         long stageRevision;
 
-        /** Wall clock of the last change, and of when it was out, for people. */
+        /** Wall clock of the last stage change in Unix milliseconds, for display. */
         long changedAtMs;
 
+        /**
+         * Wall clock when the machine became {@link MaintenanceStage#OUT}, in Unix milliseconds.
+         */
         long outSinceMs;
+
+        /** Whether an operator has put this machine on hold. */
         boolean held;
 
-        /**
-         * Derived: each driver knows that it is planned; each has nothing there; nobody believes in
-         * a primary there.
-         */
+        /** Derived: every driver has confirmed that it knows of the announcement. */
         boolean confirmedByAll;
 
+        /** Derived: every driver has confirmed that nothing of it is left at the machine. */
         boolean drained;
+
+        /** Derived: no driver reports a member on the machine as the primary of its group. */
         boolean noPrimaryReported;
 
-        /** The conductor's word on what it waits for. */
+        /** What the machine waits for, as the controller says. */
         String note = "";
 
+        /** Number of the entry's last change, see {@link #changeNumber()}. */
         long lastChange;
 
         Entry(
@@ -95,7 +105,11 @@
             return note;
         }
 
-        /** For people. */
+        /**
+         * Returns the fields of the status page.
+         *
+         * @param waitReason what the machine waits for
+         */
         public Map<String, Object> statusFields(String waitReason) {
             Map<String, Object> fields = new TreeMap<>();
             fields.put("machine", machine);
@@ -112,7 +126,10 @@
             return fields;
         }
 
-        /** As plain values, for drivers and snapshots. */
+        /**
+         * Returns the entry as plain values, for drivers and snapshots. Order and number of the
+         * values are part of the message and snapshot formats.
+         */
         public List<Object> toValues() {
             return List.of(
                     machine,
@@ -136,7 +153,7 @@
                     lastChange);
         }
 
-        /** Reads what {@link #values} has written. */
+        /** Reads what {@link #toValues} has written. */
         public static Entry fromValues(List<?> values) {
             List<String> afterMachines = new ArrayList<>();
             ((List<?>) values.get(5))
@@ -166,7 +183,7 @@
         }
     }
 
-    /** A driver without a session whose process may still run. */
+    /** A driver that has lost its session and whose process may still run. */
     public static final class LostDriver {
         final String identity;
         final String name;
@@ -174,12 +191,15 @@
         final long lossNumber;
 
         /**
-         * It has said that it ends: its process does, within the time that such an end takes at the
-         * most.
+         * Whether the driver has announced that it is exiting; its process ends within the maximum
+         * time that an exit takes.
          */
         final boolean exiting;
 
-        /** 0: lately lost; 1: what it knew to be announced has nothing of it any more. */
+        /**
+         * 0: recently lost; 1: it certainly has nothing left on the machines that it knew to be
+         * announced.
+         */
         int stoppedLevel;
 
         LostDriver(
@@ -199,7 +219,7 @@
             return identity;
         }
 
-        /** By which people tell it from another one of the name. */
+        /** Returns a name that distinguishes it from another lost driver of the same name. */
         public String displayName() {
             return name + "/" + identity;
         }
@@ -217,6 +237,7 @@
         }
     }
 
+    /** A driver with a session, and its newest report. */
     private static final class ConnectedDriver {
         final String identity;
         final String name;
@@ -232,14 +253,15 @@
     private final TreeMap<String, Entry> entries = new TreeMap<>();
 
     /**
-     * The same by their last changes: what is new is asked for by each driver, after each change.
+     * The entries by the number of their last change. Each driver asks for what is new after each
+     * change, so this must not take a scan.
      */
     private final TreeMap<Long, Entry> entriesByChange = new TreeMap<>();
 
     private final TreeMap<String, ConnectedDriver> connectedDrivers = new TreeMap<>();
     private final TreeMap<String, LostDriver> lostDrivers = new TreeMap<>();
 
-    /** Machines that were taken off the plan, with the change's number, oldest first. */
+    /** Machines removed from the plan with the number of the change, oldest first. */
     private final ArrayDeque<Object[]> removals = new ArrayDeque<>();
 
     private final ArrayDeque<String> history = new ArrayDeque<>();
@@ -274,16 +296,17 @@
         return lostViewPolicy;
     }
 
+    /** Returns whether an operator has put all machines on hold. */
     public boolean held() {
         return held;
     }
 
-    /** Counts what drivers have to know of. */
+    /** Returns the revision of the plan, which counts the changes that drivers must confirm. */
     public long revision() {
         return revision;
     }
 
-    /** Counts what anybody is to be told of. */
+    /** Returns the number of the last change, which counts everything that drivers are sent. */
     public long changeNumber() {
         return changeNumber;
     }
@@ -292,11 +315,11 @@
         return history;
     }
 
-    // ---- who is there ----
+    // ---- sessions of drivers ----
 
     /**
-     * A driver has a session from now on; where it had another one, that one's process has ended or
-     * is the same.
+     * Records that a driver has opened a session. If it had another one, that one's process has
+     * ended or is the same.
      */
     public void sessionOpened(String session, String identity, String name) {
         lostDrivers.remove(identity);
@@ -305,13 +328,16 @@
     }
 
     /**
-     * A session has ended, by itself where {@code ends}: its process may run on, and is waited for.
+     * Records that a session has ended. Its process may still run, so the driver counts as lost
+     * until it has certainly stopped.
+     *
+     * @param exiting whether the driver closed the session itself
      */
     public void sessionEnded(String session, boolean exiting) {
         ConnectedDriver driver = connectedDrivers.remove(session);
         if (driver != null) {
-            // More than there can be drivers: one stands for the rest, and nothing goes out until
-            // somebody has looked.
+            // Beyond any possible number of drivers, one entry stands for all others; with it no
+            // machine goes out until an operator has looked into it.
             boolean hasRoom =
                     lostDrivers.size() < MAX_LOST_DRIVERS
                             || lostDrivers.containsKey(driver.identity);
@@ -329,8 +355,11 @@
     }
 
     /**
-     * By the voters' clocks: level 1, nothing of it is left at what it knew to be announced; level
-     * 2, nothing at all.
+     * Records what is certain of a lost driver by the voters' clocks. Returns an empty string, or
+     * why it does not count.
+     *
+     * @param stoppedLevel 1: nothing of it is left on machines that it knew to be announced; 2:
+     *     nothing at all
      */
     public String driverStopped(String identity, long lossNumber, long stoppedLevel) {
         LostDriver lostDriver = lostDrivers.get(identity);
@@ -346,7 +375,7 @@
         return "";
     }
 
-    /** Drivers' reports, a line each; those without a session count for nothing. */
+    /** Records reports of drivers, one line each; those without a session are ignored. */
     public String applyReports(List<String> lines) {
         for (String line : lines) {
             ConnectedDriver driver = connectedDrivers.get(DriverReport.sessionOf(line));
@@ -358,11 +387,13 @@
         return "";
     }
 
-    // ---- what is asked ----
+    // ---- requests and operators' commands ----
 
     /**
-     * The machines that there are, and the limits, by the conductor's file; what is away stays as
-     * it was.
+     * Replaces machines and limits by those of the controller's file. Returns an empty string, or
+     * why it is refused: a machine under maintenance must not change.
+     *
+     * @param lines see {@link MaintenanceSettings#toLines}
      */
     public String applyInventory(List<String> lines) {
         if (lines.equals(inventoryLines)) {
@@ -401,7 +432,13 @@
         return "";
     }
 
-    /** Somebody wants a machine; empty, or why it can never be had. */
+    /**
+     * Adds a request for a machine. Returns an empty string, or why it is refused.
+     *
+     * @param durationMs how long the machine is expected to be out, or 0
+     * @param deadlineMs Unix time in milliseconds before which it must be out, or 0
+     * @param afterMachines machines that must be back in service before
+     */
     public String addRequest(
             String machine,
             String requestId,
@@ -485,7 +522,13 @@
                                                 || comesAfter(predecessor, second, visited));
     }
 
-    /** An operator's word on a machine, or on all. */
+    /**
+     * Applies an operator's command to a machine, or to {@link #ALL_MACHINES}. Returns an empty
+     * string, or why it is refused.
+     *
+     * @param command {@code hold}, {@code go}, {@code done}, {@code back}, {@code cancel} or {@code
+     *     gone}; the last one names a lost driver in place of a machine
+     */
     public String applyOperatorCommand(String command, String machine, long proposedAtMs) {
         if (command.equals("gone")) {
             return lostDrivers
@@ -561,6 +604,7 @@
         return updateAndAccept();
     }
 
+    /** Returns an announced or draining machine to the waiting requests. */
     private void putBack(Entry entry, long proposedAtMs, String reason) {
         if (entry.stage == MaintenanceStage.PLANNED || entry.stage == MaintenanceStage.DRAINING) {
             moveTo(entry, MaintenanceStage.ASKED, proposedAtMs, reason);
@@ -583,12 +627,15 @@
         }
     }
 
-    // ---- the conductor's steps ----
+    // ---- the controller's steps ----
 
     /**
-     * A step under the conductor's epoch, which has been looked at; {@code stageAt} is what the
-     * conductor knew of the machine, {@code idle} whether no driver on it owns a duty. Empty, or
-     * why it is not taken.
+     * Applies a step of the controller, whose epoch has been checked. Returns an empty string, or
+     * why it is refused.
+     *
+     * @param target a stage, {@code IN} (back in service) or {@code note} (only the note changes)
+     * @param stageRevision the machine's stage revision that the controller knew
+     * @param ownsNoDuty whether no driver on the machine owns a duty
      */
     public String applyStep(
             String machine,
@@ -651,6 +698,7 @@
         return updateAndAccept();
     }
 
+    /** Returns why a machine may not be announced now, or an empty string. */
     private String planningBlocker(Entry entry) {
         Machine machine = machines.get(entry.machine);
         int awayCount = 0;
@@ -676,6 +724,7 @@
                         : "";
     }
 
+    /** Moves an entry to a stage; the confirmations of the former one no longer count. */
     private void moveTo(Entry entry, MaintenanceStage target, long proposedAtMs, String reason) {
         entry.stage = target;
         entry.note = "";
@@ -718,7 +767,7 @@
         return text.length() > MAX_TEXT_CHARS ? text.substring(0, MAX_TEXT_CHARS) : text;
     }
 
-    // ---- what follows ----
+    // ---- derived state ----
 
     private String updateAndAccept() {
         updateConfirmations();
@@ -732,7 +781,7 @@
             boolean drained =
                     entry.stage == MaintenanceStage.DRAINING
                             && mayProceedWithout(undrainedDrivers(entry));
-            // Of what only waits nothing is asked: there may be a thousand of them.
+            // Skipped for requests that only wait, of which there may be a thousand.
             boolean noPrimaryReported =
                     entry.stage.announced()
                             && connectedDrivers.values().stream()
@@ -752,11 +801,15 @@
         }
     }
 
-    /** Whether those who have not said so may be left out of account: nobody may. */
+    /**
+     * Returns whether a step may proceed without the confirmation of these drivers: only if there
+     * are none.
+     */
     protected boolean mayProceedWithout(Set<String> missing) {
         return missing.isEmpty();
     }
 
+    /** Returns whether the report names a member on the machine as primary. */
     private static boolean reportsPrimaryOn(DriverReport report, Machine machine) {
         return machine != null
                 && machine.members().stream()
@@ -767,7 +820,7 @@
                                                         report.primaries().get(member.group())));
     }
 
-    /** Those who have not confirmed that the machine is announced. */
+    /** Returns the drivers that have not confirmed the announcement of the machine. */
     public Set<String> unconfirmedDrivers(Entry entry) {
         Set<String> unconfirmed = new TreeSet<>();
         connectedDrivers.values().stream()
@@ -779,12 +832,12 @@
         return unconfirmed;
     }
 
-    /** How many drivers have a session. */
+    /** Returns the number of drivers with a session. */
     protected int sessionCount() {
         return connectedDrivers.size();
     }
 
-    /** Those who may have something at a machine that drains. */
+    /** Returns the drivers that may still have something at a draining machine. */
     public Set<String> undrainedDrivers(Entry entry) {
         Set<String> undrained = new TreeSet<>();
         connectedDrivers.values().stream()
@@ -802,7 +855,7 @@
         return undrained;
     }
 
-    /** What a machine waits for, for people. */
+    /** Returns what a machine waits for, for display. */
     public String waitReason(Entry entry) {
         if (entry.held || held) {
             return "held";
@@ -821,7 +874,7 @@
         };
     }
 
-    /** Whether a driver runs on a machine that drains or is out: it gets no duties. */
+    /** Returns whether a driver runs on a machine that drains or is out, and so gets no duties. */
     public boolean isOnDrainingMachine(String driver) {
         return entries.values().stream()
                 .anyMatch(
@@ -833,8 +886,8 @@
     }
 
     /**
-     * The fleet's figures, all drivers together: served, harmed, and by group the milliseconds at
-     * members.
+     * Returns the sums of all drivers' reports: txns served, txns harmed, and milliseconds at
+     * members by group.
      */
     public List<Object> totals() {
         long servedCount = 0;
@@ -854,7 +907,8 @@
     }
 
     /**
-     * What has changed for drivers since a change's number; all of it where that lies too far back.
+     * Returns what has changed since a change number, as a message for drivers; the complete plan
+     * if that is too long ago.
      */
     public Map<String, Object> changesSince(long sinceChange) {
         Map<String, Object> changes = new TreeMap<>();
@@ -888,9 +942,9 @@
         return changes;
     }
 
-    // ---- as a whole ----
+    // ---- snapshots ----
 
-    /** All of it, for a snapshot. */
+    /** Returns the whole state as plain values, for a snapshot. */
     public Map<String, Object> snapshot() {
         Map<String, Object> state = new TreeMap<>();
         state.put("lines", inventoryLines);
@@ -928,8 +982,8 @@
     }
 
     /**
-     * Takes over a snapshot in place of all that is there; one from before there was a plan is
-     * empty.
+     * Replaces the whole state by a snapshot's; a snapshot taken before the plan existed has none
+     * and yields an empty plan.
      */
     public void restore(Object snapshot) {
         machines.clear();
--- a/src/main/java/wingroad/work/MaintenanceStage.java
+++ b/src/main/java/wingroad/work/MaintenanceStage.java
@@ -1,19 +1,25 @@
 package wingroad.work;
 
-/** How far a machine has come on its way; one that is in, and not asked for, has none. */
+/**
+ * The stages of a machine under maintenance. A machine in service for which nothing is requested
+ * has none. The values are written by name to messages and to the log.
+ */
 public enum MaintenanceStage {
-    /** Somebody wants it; nobody but the conductor does anything. */
+    /** Requested; only the controller deals with it. */
     ASKED,
-    /** Announced: each driver confirms that it knows, and goes on sending. */
+    /** Announced: each driver confirms that it knows, and keeps sending. */
     PLANNED,
-    /** Nothing new goes there. */
+    /** Drivers send nothing new to its members. */
     DRAINING,
-    /** Nothing is there of any driver's, and the operator has been told so. */
+    /** No driver has anything left on it, and the operator has been told so. */
     OUT,
-    /** It runs again, and is cold. */
+    /** It is running again; its members are still cold. */
     RETURNING;
 
-    /** Whether drivers know of it: one that is cut off leaves it alone. */
+    /**
+     * Returns whether drivers have been told of it; a driver that loses its lease stops using such
+     * a machine.
+     */
     public boolean announced() {
         return this != ASKED;
     }
--- a/src/main/java/wingroad/work/MemberAvailability.java
+++ b/src/main/java/wingroad/work/MemberAvailability.java
@@ -7,9 +7,9 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * What the plan makes of the members that discovery lists, at one driver: the list that the module
- * is told. It holds only as long as the driver's lease runs: the plan may have gone on since. The
- * table is in docs/notes/work.md. No I/O; the clock is handed in.
+ * Derives at one driver what the maintenance plan means for the members that discovery lists; the
+ * router is given the result. It is valid only as long as the driver's lease, since the plan may
+ * have changed unseen after that. docs/notes/work.md has the table. No I/O; the clock is passed in.
  */
 public final class MemberAvailability {
     /** What a member counts as. */
@@ -29,16 +29,18 @@
     private boolean leaseEnded = true;
 
     /**
-     * The plan has been known under a lease. Before that, what a voter tells may be old: one that
-     * has just started tells what its own state says, and nobody waits for what this driver makes
-     * of it.
+     * Whether the plan has been known under a lease. Before that, what a voter sends may be old: a
+     * voter that has just started sends its own state, and nobody waits for what this driver
+     * derives from it.
      */
     private boolean planKnown;
 
-    /** Machines that return, and since when this driver has known. */
+    /** Returning machines, and since when this driver has known of their return. */
     private final Map<String, Duration> returningMachines = new TreeMap<>();
 
     /**
+     * Creates the state of a driver that does not know the plan yet.
+     *
      * @param startedAt when the driver started
      * @param startupTimeout with {@link MaintenanceSettings.LostViewPolicy#SERVE}: how long after a
      *     start the plan is waited for
@@ -51,7 +53,7 @@
         this.startupTimeout = startupTimeout;
     }
 
-    /** The plan as it is settled. */
+    /** Takes over the committed plan. */
     public void updatePlan(PlanCopy plan, Duration now) {
         planCopy = plan;
         returningMachines
@@ -66,8 +68,8 @@
     }
 
     /**
-     * What was told last holds so long. Only a lease makes a view that has ended hold again, not
-     * what is told.
+     * Makes the known plan valid up to this time. After {@link #endLease} only a new lease makes it
+     * valid again, not an update of the plan.
      */
     public void extendLease(Duration expiresAt) {
         leaseUntil = expiresAt;
@@ -75,7 +77,7 @@
         planKnown |= planCopy != null;
     }
 
-    /** Nothing is renewed any more: the session is left or has been ended. */
+    /** Ends the lease at once, since the session has ended or the driver leaves it. */
     public void endLease() {
         leaseEnded = true;
     }
@@ -84,12 +86,15 @@
         return planKnown;
     }
 
-    /** Whether the plan is known and has not gone on unseen. */
+    /**
+     * Returns whether the plan is known and the lease holds, so that the plan cannot have changed
+     * unseen.
+     */
     public boolean isCurrent(Duration now) {
         return planKnown && !leaseEnded && now.compareTo(leaseUntil) < 0;
     }
 
-    /** When this driver's lists have to be looked at again though nothing is heard, or null. */
+    /** Returns when a member's state may change though nothing is received, or null. */
     public Duration nextChangeAt(Duration now) {
         if (!planKnown) {
             return settings.lostViewPolicy() == MaintenanceSettings.LostViewPolicy.SERVE
@@ -104,9 +109,10 @@
     }
 
     /**
-     * What a member counts as.
+     * Returns what a member counts as.
      *
-     * @param others whether its group has another member that is listed as fit and may be sent to
+     * @param hasOtherMember whether its group has another member that is listed as healthy and may
+     *     be sent to
      */
     public State state(String uid, BooleanSupplier hasOtherMember, Duration now) {
         if (!planKnown) {
@@ -146,13 +152,16 @@
         return horizonPassed ? State.GONE : State.AS_LISTED;
     }
 
-    /** Since when a machine that returns has been known to; for a member that counts as cold. */
+    /**
+     * Returns since when this driver has known that the member's machine returns, or null; used for
+     * members that count as cold.
+     */
     public Duration returningSince(String uid) {
         Machine machine = planCopy == null ? null : planCopy.machineOf(uid);
         return machine == null ? null : returningMachines.get(machine.name());
     }
 
-    /** The machines at which this driver must have nothing. */
+    /** Returns the entries of machines that this driver must leave. */
     public Collection<MaintenancePlan.Entry> drainingEntries() {
         return planCopy == null
                 ? java.util.List.of()
@@ -164,11 +173,12 @@
                         .toList();
     }
 
-    /** The plan's revision that counts here, or 0. */
+    /** Returns the revision of the plan that is in effect here, or 0. */
     public long revision() {
         return !planKnown ? 0 : Math.max(0, planCopy.revision());
     }
 
+    /** Returns the newest copy of the plan, or null. */
     public PlanCopy planCopy() {
         return planCopy;
     }
--- a/src/main/java/wingroad/work/MemberObservations.java
+++ b/src/main/java/wingroad/work/MemberObservations.java
@@ -8,12 +8,15 @@
 import java.util.TreeMap;
 
 /**
- * What a driver has seen of the members lately, from their answers and probes: who says it is
- * primary, how far behind the log, who answers. What has not been heard for a while counts for
- * nothing. Bounded by what discovery lists.
+ * What a driver has observed of the members recently, from their answers and probes: role,
+ * replication lag, health. Observations expire after a maximum age. Memory is bounded by the
+ * members that discovery lists.
  */
 public final class MemberObservations {
-    /** What a member said last. */
+    /** A member with so many failures since its last answer is unhealthy. */
+    private static final int MAX_CONSECUTIVE_FAILURES = 3;
+
+    /** The newest observations of a member. */
     public static final class Observation {
         final String uid;
         final int group;
@@ -38,13 +41,19 @@
     private final Duration maxAge;
 
     /**
-     * @param maxAge how long what was seen counts
+     * Creates an empty set of observations.
+     *
+     * @param maxAge how long an observation counts
      */
     public MemberObservations(Duration maxAge) {
         this.maxAge = maxAge;
     }
 
-    /** Discovery lists a member, as fit or not; one that is gone is forgotten. */
+    /**
+     * Updates a member from discovery's list; one that is gone is forgotten.
+     *
+     * @param healthy whether the list has it as able to serve
+     */
     public void updateListing(String uid, int group, boolean gone, boolean healthy) {
         if (gone) {
             Observation observation = byUid.remove(uid);
@@ -55,14 +64,15 @@
             }
             return;
         }
-        Observation observation = byUid.computeIfAbsent(uid, u -> new Observation(u, group));
-        byGroup.computeIfAbsent(observation.group, g -> new TreeMap<>()).put(uid, observation);
+        Observation observation = byUid.computeIfAbsent(uid, key -> new Observation(key, group));
+        byGroup.computeIfAbsent(observation.group, key -> new TreeMap<>()).put(uid, observation);
         observation.listed = true;
         observation.listedHealthy = healthy;
     }
 
     /**
-     * It has said of itself; {@code primary} and {@code replicationLag} are null where it did not.
+     * Records a member's answer; {@code primary} and {@code replicationLag} are null if it did not
+     * report them.
      */
     public void recordReport(String uid, Boolean primary, Duration replicationLag, Duration now) {
         Observation observation = byUid.get(uid);
@@ -82,7 +92,7 @@
         }
     }
 
-    /** It gave no answer. */
+    /** Records that a member did not answer. */
     public void recordFailure(String uid, Duration now) {
         Observation observation = byUid.get(uid);
         if (observation != null) {
@@ -95,7 +105,10 @@
         return at != null && now.minus(at).compareTo(maxAge) < 0;
     }
 
-    /** Whom this driver takes for the group's primary, or null. */
+    /**
+     * Returns the member that last reported itself as the group's primary, or null if none did
+     * recently.
+     */
     public String primary(int group, Duration now) {
         Observation newest = null;
         for (Observation observation : byGroup.getOrDefault(group, Map.of()).values()) {
@@ -108,17 +121,20 @@
         return newest == null ? null : newest.uid;
     }
 
-    /** Whether it has answered lately, and not failed several times since. */
+    /**
+     * Returns whether the member is listed as healthy, has answered recently, and has not failed
+     * several times since.
+     */
     public boolean isHealthy(String uid, Duration now) {
         Observation observation = byUid.get(uid);
         return observation != null
                 && observation.listed
                 && observation.listedHealthy
                 && isFresh(observation.answeredAt, now)
-                && observation.consecutiveFailures < 3;
+                && observation.consecutiveFailures < MAX_CONSECUTIVE_FAILURES;
     }
 
-    /** How far behind the log it was when it said so last; null where that is not known. */
+    /** Returns how far behind the log the member last reported itself to be; null if not known. */
     public Duration replicationLag(String uid, Duration now) {
         Observation observation = byUid.get(uid);
         return observation == null || !isFresh(observation.lagAt, now)
@@ -126,6 +142,7 @@
                 : observation.replicationLag;
     }
 
+    /** Returns the ids of the group's listed members. */
     public Collection<String> membersOf(int group) {
         return List.copyOf(byGroup.getOrDefault(group, Map.of()).keySet());
     }
--- a/src/main/java/wingroad/work/PlanCopy.java
+++ b/src/main/java/wingroad/work/PlanCopy.java
@@ -8,7 +8,7 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 
-/** A driver's copy of what is settled of the plan, kept by the news that its voter sends. */
+/** A driver's copy of the committed plan, updated by the changes that its voter sends. */
 public final class PlanCopy {
     private final TreeMap<String, Machine> machines = new TreeMap<>();
     private final TreeMap<String, MaintenancePlan.Entry> entries = new TreeMap<>();
@@ -21,7 +21,7 @@
     private final TreeMap<Integer, Long> busyMsByGroup = new TreeMap<>();
     private Set<String> liveDrivers = Set.of();
 
-    /** Takes news over; returns whether something of it is new. */
+    /** Applies a message of changes; returns whether the plan's revision has changed. */
     public boolean applyChanges(Map<?, ?> changes) {
         if (Boolean.TRUE.equals(changes.get("whole"))) {
             entries.clear();
@@ -51,7 +51,10 @@
         return changed;
     }
 
-    /** What only the conductor is told: the fleet's figures and who has a session. */
+    /**
+     * Takes over what only the controller is sent: the sums of all drivers' reports and the names
+     * of drivers with a session.
+     */
     public void updateFleetFigures(List<?> totals, Collection<?> driverNames) {
         servedCount = number(totals.get(0));
         harmedCount = number(totals.get(1));
@@ -70,7 +73,7 @@
         return ((Number) value).longValue();
     }
 
-    /** Whether anything has been learned. */
+    /** Returns whether the plan has been received. */
     public boolean isKnown() {
         return revision >= 0;
     }
@@ -91,6 +94,7 @@
         return entries.values();
     }
 
+    /** Returns the machine's entry, or null if no maintenance is requested. */
     public MaintenancePlan.Entry entry(String machine) {
         return entries.get(machine);
     }
@@ -99,7 +103,7 @@
         return machines;
     }
 
-    /** The machine that holds this member, or null. */
+    /** Returns the machine that holds this member, or null. */
     public Machine machineOf(String uid) {
         return machineIndex.find(uid);
     }
