--- a/src/main/java/wingroad/work/MaintenanceController.java
+++ b/src/main/java/wingroad/work/MaintenanceController.java
@@ -201,9 +201,9 @@
                 && deadlineAlerted.add(entry.machine)) {
             pendingAlerts.put(
                     entry.machine,
-                    "PAGE: wanted out before "
+                    "PAGE: must be out before "
                             + java.time.Instant.ofEpochMilli(entry.deadlineMs)
-                            + " and still "
+                            + " and is still "
                             + entry.stage.name().toLowerCase(Locale.ROOT)
                             + (entry.note.isEmpty() ? "" : ": " + entry.note));
             steps.add(
@@ -262,10 +262,10 @@
                     && confirmationAlerted.add(entry.machine)) {
                 pendingAlerts.put(
                         entry.machine,
-                        "PAGE: drivers have not confirmed it for "
+                        "PAGE: some drivers have not confirmed the announcement for "
                                 + now.minus(since).toSeconds()
-                                + " s; 'work plan' has"
-                                + " their names");
+                                + " s; 'work plan'"
+                                + " lists them");
             }
             return;
         }
--- a/src/main/java/wingroad/work/MaintenancePlan.java
+++ b/src/main/java/wingroad/work/MaintenancePlan.java
@@ -868,8 +868,9 @@
             case PLANNED ->
                     entry.confirmedByAll
                             ? entry.note
-                            : "to know of it: " + unconfirmedDrivers(entry);
-            case DRAINING -> entry.drained ? entry.note : "to leave it: " + undrainedDrivers(entry);
+                            : "to be confirmed by: " + unconfirmedDrivers(entry);
+            case DRAINING ->
+                    entry.drained ? entry.note : "to be drained by: " + undrainedDrivers(entry);
             default -> entry.note;
         };
     }
