--- a/src/main/java/wingroad/driver/WorkAgent.java
+++ b/src/main/java/wingroad/driver/WorkAgent.java
@@ -2,7 +2,7 @@
 
 import wingroad.fleet.FleetConfig;
 import wingroad.fleet.FleetNode;
-import wingroad.fleet.WorkPlanListener;
+import wingroad.fleet.MaintenancePlanListener;
 import wingroad.protocol.MemberList;
 import wingroad.protocol.MemberList.Entry;
 import wingroad.state.Member;
@@ -31,46 +31,85 @@
 import java.util.function.Consumer;
 
 /**
- * The plan of work at this driver: makes the lists that the module is told from discovery's and the
- * plan's, says of itself what is still at machines that drain, and conducts where that is its duty.
- * On the loop's thread, but for the calls of {@link WorkPlanListener}.
+ * Applies the plan of maintenance work at this driver: combines discovery's member lists with the
+ * plan into the lists that the router is given, reports which draining machines have no txns of
+ * this driver left, and conducts the work while this driver owns that duty. Runs on the event
+ * loop's thread, except for the calls of {@link MaintenancePlanListener}.
  */
-final class WorkAgent implements WorkPlanListener, Exchange.Watcher {
-    /** What is seen of members counts for a lease; within it the conductor asks this often. */
-    private static final int ASKS = 3;
+final class WorkAgent implements MaintenancePlanListener, TxnDispatcher.Observer {
+    /**
+     * How often the conductor probes a member within the duration of a lease, which is how long
+     * observations of members count.
+     */
+    private static final int PROBES_PER_LEASE = 3;
+
+    /** A start time computed anew that differs by less than this is taken as unchanged. */
+    private static final double START_TIME_TOLERANCE_MS = 1000;
 
     private final EventLoop loop;
     private final Clock clock;
     private final MaintenanceSettings rules;
     private final Collection<String> voters;
     private final TxnType[] types;
-    private final Members members;
-    private final Consumer<MemberList> learn;
+    private final MemberPools memberPools;
+    private final Consumer<MemberList> onList;
     private final Consumer<String> log;
+
+    /** For how long a lease is held. */
     private final Duration lease;
-    private final Duration look;
-    private final Duration askEvery;
+
+    private final Duration checkInterval;
+    private final Duration probeInterval;
     private final MemberAvailability view;
     private final PlanCopy planCopy = new PlanCopy();
     private final MemberObservations observations;
 
-    /** Discovery's list as it is known, and what the module was told last of each member. */
-    private final Map<String, Entry> listed = new TreeMap<>();
+    /** Discovery's entries by the member's uid. */
+    private final Map<String, Entry> discoveredEntries = new TreeMap<>();
+
+    /** What the router was last told of each member, by the member's uid. */
+    private final Map<String, Entry> effectiveEntries = new TreeMap<>();
 
-    private final Map<String, Entry> told = new TreeMap<>();
-    private final Map<String, Duration> leftSince = new TreeMap<>();
-    private final Map<String, MaintenanceStage> stages = new TreeMap<>();
-    private final Map<Integer, Long> busy = new TreeMap<>();
-    private final Map<String, Duration> askedAt = new TreeMap<>();
+    /** By machine: since when this driver has known that it drains or is out. */
+    private final Map<String, Duration> drainingSince = new TreeMap<>();
+
+    /** The stages of machines at the last change of the plan, to log what changes. */
+    private final Map<String, MaintenanceStage> loggedStages = new TreeMap<>();
+
+    /** The time that submissions have spent at the members of each group, in total. */
+    private final Map<Integer, Long> busyMsByGroup = new TreeMap<>();
+
+    /** When the conductor last probed each member, by the member's uid. */
+    private final Map<String, Duration> probedAt = new TreeMap<>();
+
+    /** Null until the driver has joined its fleet. */
     private FleetNode fleet;
-    private Runnable onKnown;
-    private Duration nextAt;
+
+    /** Runs once the plan is known; null if it has run. */
+    private Runnable onPlanKnown;
+
+    /** When the effective entries change next even if nothing is heard, or null. */
+    private Duration nextRelistAt;
+
+    /** The epoch under which this driver owns the conductor's duty, or 0. */
     private long epoch;
+
+    /** Null while this driver does not conduct. */
     private MaintenanceController conductor;
-    private long conducts;
-    private long knows;
-    private long served;
-    private long harmed;
+
+    /** The epoch for which {@link #conductor} was created. */
+    private long conductorEpoch;
+
+    /** The plan's revision of which the router has been told. */
+    private long knownRevision;
+
+    /** Txns committed within their SLA time. */
+    private long servedCount;
+
+    /** Txns declined, rolled back or committed late. */
+    private long harmedCount;
+
+    /** Whether the view of the plan was current at the last {@link #relist}. */
     private boolean wasCurrent;
 
     WorkAgent(
@@ -78,155 +117,163 @@
             Clock clock,
             FleetConfig fleet,
             TxnType[] types,
-            Members members,
-            Consumer<MemberList> learn,
+            MemberPools memberPools,
+            Consumer<MemberList> onList,
             Consumer<String> log) {
         this.loop = loop;
         this.clock = clock;
-        this.rules = fleet.work();
+        this.rules = fleet.maintenance();
         this.voters = fleet.voterAddresses().keySet();
         this.types = types;
-        this.members = members;
-        this.learn = learn;
+        this.memberPools = memberPools;
+        this.onList = onList;
         this.log = log;
         lease = fleet.lease().duration();
-        look = fleet.lease().heartbeatInterval().dividedBy(2);
-        askEvery = fleet.lease().duration().dividedBy(ASKS);
+        checkInterval = fleet.lease().heartbeatInterval().dividedBy(2);
+        probeInterval = fleet.lease().duration().dividedBy(PROBES_PER_LEASE);
         view = new MemberAvailability(rules, now(), fleet.lease().duration());
         observations = new MemberObservations(fleet.lease().duration());
-        nextAt = view.nextChangeAt(now());
+        nextRelistAt = view.nextChangeAt(now());
     }
 
-    /** The same clock as the fleet's: its leases are spans on it. */
+    /** The time by the fleet's clock, in which leases are expressed. */
     private static Duration now() {
         return Duration.ofNanos(System.nanoTime());
     }
 
-    /** Runs the task once the plan is known, or after a lease all the same. */
+    /** Runs the task once the plan is known, but after the duration of a lease at the latest. */
     void whenKnown(Runnable task) {
-        onKnown = task;
-        loop.after(lease, this::known);
+        onPlanKnown = task;
+        loop.after(lease, this::planKnown);
     }
 
-    private void known() {
-        if (onKnown != null) {
-            Runnable task = onKnown;
-            onKnown = null;
+    private void planKnown() {
+        if (onPlanKnown != null) {
+            Runnable task = onPlanKnown;
+            onPlanKnown = null;
             task.run();
         }
     }
 
-    void begin(FleetNode with) {
-        fleet = with;
-        lookAgain();
+    void start(FleetNode joinedFleet) {
+        fleet = joinedFleet;
+        checkPeriodically();
     }
 
-    // ---- lists ----
+    // ---- member lists ----
 
-    /** What the module is to be told of a list that discovery, or the list's owner, has given. */
+    /** Applies the plan to a list received from discovery or the list's owner, for the router. */
     MemberList effective(MemberList list) {
         if (list.whole()) {
-            Set<String> named = new TreeSet<>();
-            list.entries().forEach(e -> named.add(e.uid()));
-            for (String uid : List.copyOf(listed.keySet())) {
-                if (!named.contains(uid)) {
-                    listed.remove(uid);
-                    told.remove(uid);
+            Set<String> listedUids = new TreeSet<>();
+            list.entries().forEach(entry -> listedUids.add(entry.uid()));
+            for (String uid : List.copyOf(discoveredEntries.keySet())) {
+                if (!listedUids.contains(uid)) {
+                    discoveredEntries.remove(uid);
+                    effectiveEntries.remove(uid);
                     observations.updateListing(uid, 0, true, false);
                 }
             }
         }
-        for (Entry e : list.entries()) {
-            observations.updateListing(e.uid(), e.group(), e.gone(), !e.draining());
-            if (e.gone()) {
-                listed.remove(e.uid());
+        for (Entry entry : list.entries()) {
+            observations.updateListing(entry.uid(), entry.group(), entry.gone(), !entry.draining());
+            if (entry.gone()) {
+                discoveredEntries.remove(entry.uid());
             } else {
-                listed.put(e.uid(), e);
+                discoveredEntries.put(entry.uid(), entry);
             }
         }
         List<Entry> entries = new ArrayList<>();
         Duration now = now();
-        for (Entry e : list.entries()) {
-            Entry as = e.gone() ? e : effective(e, now);
-            entries.add(as);
-            if (e.gone()) {
-                told.remove(e.uid());
+        for (Entry entry : list.entries()) {
+            Entry effectiveEntry = entry.gone() ? entry : effective(entry, now);
+            entries.add(effectiveEntry);
+            if (entry.gone()) {
+                effectiveEntries.remove(entry.uid());
             } else {
-                told.put(e.uid(), as);
+                effectiveEntries.put(entry.uid(), effectiveEntry);
             }
         }
         return new MemberList(list.version(), list.whole(), entries);
     }
 
-    private Entry effective(Entry e, Duration now) {
-        MemberAvailability.State s = view.state(e.uid(), () -> others(e), now);
-        return switch (s) {
-            case AS_LISTED -> e;
-            case DRAINING -> with(e, "draining", e.startedAt());
-            case GONE -> with(e, "gone", e.startedAt());
+    private Entry effective(Entry entry, Duration now) {
+        MemberAvailability.State state =
+                view.state(entry.uid(), () -> groupHasOtherMember(entry), now);
+        return switch (state) {
+            case AS_LISTED -> entry;
+            case DRAINING -> withState(entry, "draining", entry.startedAt());
+            case GONE -> withState(entry, "gone", entry.startedAt());
             case COLD -> {
-                Duration since = view.returningSince(e.uid());
-                double at =
-                        since == null
-                                ? e.startedAt()
-                                : System.currentTimeMillis() - now.minus(since).toMillis();
-                // The module's figures are to stay where they are from one list to the next.
-                Entry was = told.get(e.uid());
-                boolean same = was != null && Math.abs(was.startedAt() - at) < 1000;
-                yield with(e, e.state(), Math.max(e.startedAt(), same ? was.startedAt() : at));
+                Duration returnedAt = view.returningSince(entry.uid());
+                double startedAtUnixMs =
+                        returnedAt == null
+                                ? entry.startedAt()
+                                : System.currentTimeMillis() - now.minus(returnedAt).toMillis();
+                // What the router is told of the member should not change from list to list.
+                Entry previous = effectiveEntries.get(entry.uid());
+                boolean isSteady =
+                        previous != null
+                                && Math.abs(previous.startedAt() - startedAtUnixMs)
+                                        < START_TIME_TOLERANCE_MS;
+                yield withState(
+                        entry,
+                        entry.state(),
+                        Math.max(
+                                entry.startedAt(),
+                                isSteady ? previous.startedAt() : startedAtUnixMs));
             }
         };
     }
 
-    private static Entry with(Entry e, String state, double startedAt) {
+    private static Entry withState(Entry entry, String state, double startedAt) {
         return new Entry(
-                e.uid(),
-                e.host(),
-                e.port(),
-                e.zone(),
-                e.kind(),
-                e.group(),
+                entry.uid(),
+                entry.host(),
+                entry.port(),
+                entry.zone(),
+                entry.kind(),
+                entry.group(),
                 state,
-                e.weight(),
+                entry.weight(),
                 startedAt,
-                e.primary());
+                entry.primary());
     }
 
-    /** Whether its group has another listed member that no plan concerns. */
-    private boolean others(Entry e) {
-        return listed.values().stream()
+    /** Whether the group has another listed member that is not draining and in no plan. */
+    private boolean groupHasOtherMember(Entry entry) {
+        return discoveredEntries.values().stream()
                 .anyMatch(
-                        o ->
-                                o.group() == e.group()
-                                        && !o.uid().equals(e.uid())
-                                        && !o.draining()
+                        other ->
+                                other.group() == entry.group()
+                                        && !other.uid().equals(entry.uid())
+                                        && !other.draining()
                                         && (view.planCopy() == null
-                                                || view.planCopy().machineOf(o.uid()) == null
+                                                || view.planCopy().machineOf(other.uid()) == null
                                                 || view.planCopy()
                                                                 .entry(
                                                                         view.planCopy()
-                                                                                .machineOf(o.uid())
+                                                                                .machineOf(
+                                                                                        other.uid())
                                                                                 .name())
                                                         == null));
     }
 
-    /**
-     * Tells the module what has become of members by the plan or by the end of this driver's view.
-     */
+    /** Tells the router which members changed because of the plan or the end of a lease. */
     private void relist() {
         Duration now = now();
         List<Entry> changed = new ArrayList<>();
-        for (Entry e : listed.values()) {
-            Entry as = effective(e, now);
-            if (!as.equals(told.get(e.uid()))) {
-                told.put(e.uid(), as);
-                changed.add(as);
+        for (Entry entry : discoveredEntries.values()) {
+            Entry effectiveEntry = effective(entry, now);
+            if (!effectiveEntry.equals(effectiveEntries.get(entry.uid()))) {
+                effectiveEntries.put(entry.uid(), effectiveEntry);
+                changed.add(effectiveEntry);
             }
         }
         if (!changed.isEmpty()) {
-            learn.accept(new MemberList(0, false, changed));
+            onList.accept(new MemberList(0, false, changed));
         }
-        nextAt = view.nextChangeAt(now);
+        nextRelistAt = view.nextChangeAt(now);
         boolean current = view.isCurrent(now);
         if (current != wasCurrent) {
             wasCurrent = current;
@@ -236,41 +283,41 @@
                                     + view.revision()
                                     + ", "
                                     + view.planCopy().entries().size()
-                                    + " machines asked for"
-                            : "work: the view of the plan has ended at revision "
+                                    + " machines requested"
+                            : "work: the view of the plan has expired at revision "
                                     + view.revision()
                                     + ": "
-                                    + stages.values().stream()
+                                    + loggedStages.values().stream()
                                             .filter(MaintenanceStage::announced)
                                             .count()
-                                    + " announced machines are left alone");
+                                    + " announced machines are avoided");
         }
         if (current) {
-            knows = view.revision();
-            left(now);
-            known();
+            knownRevision = view.revision();
+            updateDrainingSince(now);
+            planKnown();
         }
     }
 
-    private void left(Duration now) {
-        Set<String> leaving = new TreeSet<>();
-        view.drainingEntries().forEach(e -> leaving.add(e.machine()));
-        leftSince.keySet().retainAll(leaving);
-        leaving.forEach(m -> leftSince.putIfAbsent(m, now));
+    private void updateDrainingSince(Duration now) {
+        Set<String> drainingMachines = new TreeSet<>();
+        view.drainingEntries().forEach(planEntry -> drainingMachines.add(planEntry.machine()));
+        drainingSince.keySet().retainAll(drainingMachines);
+        drainingMachines.forEach(machine -> drainingSince.putIfAbsent(machine, now));
     }
 
-    // ---- the exchange ----
+    // ---- observations from the dispatcher ----
 
     @Override
-    public void look() {
-        if (nextAt != null && now().compareTo(nextAt) >= 0) {
+    public void beforeRouting() {
+        if (nextRelistAt != null && now().compareTo(nextRelistAt) >= 0) {
             relist();
         }
     }
 
     @Override
-    public void told(long member, Member.Role role, Duration position) {
-        String uid = members.uid(member);
+    public void onMemberStatus(long member, Member.Role role, Duration position) {
+        String uid = memberPools.uid(member);
         if (uid != null) {
             boolean primary = role == Member.Role.PRIMARY;
             observations.recordReport(
@@ -282,139 +329,153 @@
     }
 
     @Override
-    public void failed(long member) {
-        String uid = members.uid(member);
+    public void onMemberFailure(long member) {
+        String uid = memberPools.uid(member);
         if (uid != null) {
             observations.recordFailure(uid, now());
         }
     }
 
     @Override
-    public void took(long member, Duration took) {
-        Entry e = listed.get(members.uid(member));
-        if (e != null) {
-            busy.merge(e.group(), took.toMillis(), Long::sum);
+    public void onSubmissionEnd(long member, Duration elapsed) {
+        Entry entry = discoveredEntries.get(memberPools.uid(member));
+        if (entry != null) {
+            busyMsByGroup.merge(entry.group(), elapsed.toMillis(), Long::sum);
         }
     }
 
     @Override
-    public void answered(int type, Duration after, boolean committed) {
-        if (committed && (type >= types.length || after.compareTo(types[type].slaTime()) <= 0)) {
-            served++;
+    public void onTxnEnd(int typeIndex, Duration sinceArrival, boolean committed) {
+        if (committed
+                && (typeIndex >= types.length
+                        || sinceArrival.compareTo(types[typeIndex].slaTime()) <= 0)) {
+            servedCount++;
         } else {
-            harmed++;
+            harmedCount++;
         }
     }
 
-    // ---- the fleet ----
+    // ---- calls from the fleet ----
 
     @Override
-    public void planUpdated(Map<String, Object> news, List<?> sums, List<?> live) {
+    public void planUpdated(Map<String, Object> changes, List<?> figures, List<?> liveDrivers) {
         loop.run(
                 () -> {
-                    boolean grown = planCopy.applyChanges(news);
-                    if (sums != null) {
-                        planCopy.updateFleetFigures(sums, live);
+                    boolean isNewer = planCopy.applyChanges(changes);
+                    if (figures != null) {
+                        planCopy.updateFleetFigures(figures, liveDrivers);
                     }
-                    if (grown || view.planCopy() == null) {
+                    if (isNewer || view.planCopy() == null) {
                         view.updatePlan(planCopy, now());
-                        tellStages();
+                        logStageChanges();
                         relist();
-                        report();
+                        sendReport();
                     }
                 });
     }
 
-    private void tellStages() {
-        Map<String, MaintenanceStage> now = new LinkedHashMap<>();
-        planCopy.entries().forEach(e -> now.put(e.machine(), e.stage()));
-        now.forEach(
-                (m, s) -> {
-                    if (stages.get(m) != s) {
+    private void logStageChanges() {
+        Map<String, MaintenanceStage> current = new LinkedHashMap<>();
+        planCopy.entries()
+                .forEach(planEntry -> current.put(planEntry.machine(), planEntry.stage()));
+        current.forEach(
+                (machine, stage) -> {
+                    if (loggedStages.get(machine) != stage) {
                         log.accept(
                                 "work: "
-                                        + m
+                                        + machine
                                         + " "
-                                        + s.name().toLowerCase(java.util.Locale.ROOT)
+                                        + stage.name().toLowerCase(java.util.Locale.ROOT)
                                         + ", revision "
                                         + planCopy.revision());
                     }
                 });
-        stages.keySet().stream()
-                .filter(m -> !now.containsKey(m))
+        loggedStages.keySet().stream()
+                .filter(machine -> !current.containsKey(machine))
                 .forEach(
-                        m ->
+                        machine ->
                                 log.accept(
                                         "work: "
-                                                + m
-                                                + " in, or no more asked for, revision "
+                                                + machine
+                                                + " back in service, or no longer requested,"
+                                                + " revision "
                                                 + planCopy.revision()));
-        stages.clear();
-        stages.putAll(now);
+        loggedStages.clear();
+        loggedStages.putAll(current);
     }
 
     @Override
-    public void leaseUpdated(Duration ends, boolean over, long conductsUnder) {
+    public void leaseUpdated(Duration leaseEnd, boolean sessionEnded, long conductingEpoch) {
         loop.run(
                 () -> {
-                    epoch = over ? 0 : conductsUnder;
-                    if (over) {
+                    epoch = sessionEnded ? 0 : conductingEpoch;
+                    if (sessionEnded) {
                         view.endLease();
                     } else {
-                        view.extendLease(ends);
+                        view.extendLease(leaseEnd);
                     }
                     if (view.isCurrent(now()) != wasCurrent) {
                         relist();
-                        report();
+                        sendReport();
                     } else {
-                        nextAt = view.nextChangeAt(now());
+                        nextRelistAt = view.nextChangeAt(now());
                     }
                 });
     }
 
-    private void lookAgain() {
-        look();
-        report();
+    private void checkPeriodically() {
+        beforeRouting();
+        sendReport();
         conduct();
-        loop.after(look, this::lookAgain);
+        loop.after(checkInterval, this::checkPeriodically);
     }
 
-    /** What this driver says of itself. */
-    private void report() {
+    /** Sends the fleet this driver's state with regard to the plan. */
+    private void sendReport() {
         if (fleet == null || !view.isKnown()) {
             return;
         }
         Duration now = now();
-        Set<String> clear = new TreeSet<>();
-        Map<Integer, String> believes = new TreeMap<>();
-        Map<Integer, Long> use = new TreeMap<>();
+        Set<String> clearedMachines = new TreeSet<>();
+        Map<Integer, String> believedPrimaries = new TreeMap<>();
+        Map<Integer, Long> busyMs = new TreeMap<>();
         if (view.isCurrent(now)) {
-            for (Map.Entry<String, Duration> l : leftSince.entrySet()) {
-                Machine m = planCopy.machines().get(l.getKey());
-                if (m != null
-                        && now.minus(l.getValue()).compareTo(rules.drainGrace()) > 0
-                        && !members.busy(m::holds)) {
-                    clear.add(l.getKey());
+            for (Map.Entry<String, Duration> draining : drainingSince.entrySet()) {
+                Machine machine = planCopy.machines().get(draining.getKey());
+                if (machine != null
+                        && now.minus(draining.getValue()).compareTo(rules.drainGrace()) > 0
+                        && !memberPools.hasTxnAt(machine::holds)) {
+                    clearedMachines.add(draining.getKey());
                 }
             }
         }
-        for (int g : touched()) {
-            String primary = observations.primary(g, now);
+        for (int group : affectedGroups()) {
+            String primary = observations.primary(group, now);
             if (primary != null) {
-                believes.put(g, primary);
+                believedPrimaries.put(group, primary);
             }
-            use.put(g, busy.getOrDefault(g, 0L));
+            busyMs.put(group, busyMsByGroup.getOrDefault(group, 0L));
         }
-        fleet.report(new DriverReport(knows, clear, believes, served, harmed, use));
+        fleet.report(
+                new DriverReport(
+                        knownRevision,
+                        clearedMachines,
+                        believedPrimaries,
+                        servedCount,
+                        harmedCount,
+                        busyMs));
     }
 
-    /** The groups that have a member on a machine that is announced. */
-    private Set<Integer> touched() {
+    /** The groups that have a member on an announced machine. */
+    private Set<Integer> affectedGroups() {
         Set<Integer> groups = new TreeSet<>();
-        for (MaintenancePlan.Entry e : planCopy.entries()) {
-            Machine m = e.stage().announced() ? planCopy.machines().get(e.machine()) : null;
-            if (m != null) {
-                groups.addAll(m.groups());
+        for (MaintenancePlan.Entry planEntry : planCopy.entries()) {
+            Machine machine =
+                    planEntry.stage().announced()
+                            ? planCopy.machines().get(planEntry.machine())
+                            : null;
+            if (machine != null) {
+                groups.addAll(machine.groups());
             }
         }
         return groups;
@@ -427,15 +488,15 @@
             conductor = null;
             return;
         }
-        if (conductor == null || conducts != epoch) {
+        if (conductor == null || conductorEpoch != epoch) {
             conductor = new MaintenanceController(rules, voters);
-            conducts = epoch;
+            conductorEpoch = epoch;
             log.accept(
-                    "work: conducts under epoch "
+                    "work: conducts in epoch "
                             + epoch
                             + ", "
                             + planCopy.entries().size()
-                            + " machines asked for");
+                            + " machines requested");
         }
         if (!Objects.equals(planCopy.inventoryLines(), rules.toLines())) {
             fleet.proposeMachines(epoch, rules.toLines());
@@ -443,31 +504,34 @@
         }
         List<MaintenanceController.Step> steps =
                 conductor.nextSteps(planCopy, observations, System.currentTimeMillis(), now());
-        askMembers();
-        conductor.takeAlerts().forEach((m, text) -> log.accept("work: " + m + " " + text));
+        probeMembers();
+        conductor
+                .takeAlerts()
+                .forEach((machine, text) -> log.accept("work: " + machine + " " + text));
         if (!steps.isEmpty()) {
             fleet.proposeSteps(epoch, steps);
         }
     }
 
     /**
-     * A conductor with few txns of its own sees little: it asks the members of the groups concerned
-     * itself.
+     * Probes the members of the groups concerned, since a conductor with few txns of its own
+     * observes too little.
      */
-    private void askMembers() {
+    private void probeMembers() {
         Duration now = now();
         Set<Integer> groups = conductor.groupsToObserve(planCopy);
-        askedAt.keySet().retainAll(listed.keySet());
-        for (Entry e : listed.values()) {
-            Duration at = askedAt.get(e.uid());
-            Entry as = told.get(e.uid());
-            if (groups.contains(e.group())
-                    && as != null
-                    && !as.gone()
-                    && !as.draining()
-                    && (at == null || now.minus(at).compareTo(askEvery) >= 0)) {
-                askedAt.put(e.uid(), now);
-                members.ask(e.uid());
+        probedAt.keySet().retainAll(discoveredEntries.keySet());
+        for (Entry entry : discoveredEntries.values()) {
+            Duration lastProbeAt = probedAt.get(entry.uid());
+            Entry effectiveEntry = effectiveEntries.get(entry.uid());
+            if (groups.contains(entry.group())
+                    && effectiveEntry != null
+                    && !effectiveEntry.gone()
+                    && !effectiveEntry.draining()
+                    && (lastProbeAt == null
+                            || now.minus(lastProbeAt).compareTo(probeInterval) >= 0)) {
+                probedAt.put(entry.uid(), now);
+                memberPools.probeRole(entry.uid());
             }
         }
     }
--- a/src/test/java/wingroad/fleet/SimWork.java
+++ b/src/test/java/wingroad/fleet/SimWork.java
@@ -223,14 +223,14 @@
 
     // ---- a driver ----
 
-    WorkPlanListener agent(Proc p) {
+    MaintenancePlanListener agent(Proc p) {
         Agent d = new Agent(p);
-        p.after(LOOK, d::look);
-        p.after(Duration.ofMillis(20), d::send);
+        p.schedule(LOOK, d::look);
+        p.schedule(Duration.ofMillis(20), d::send);
         return d;
     }
 
-    private final class Agent implements WorkPlanListener {
+    private final class Agent implements MaintenancePlanListener {
         private final Proc proc;
         private final MemberAvailability view;
         private final PlanCopy planCopy = new PlanCopy();
@@ -333,7 +333,7 @@
                     conducts = epoch;
                 }
                 if (!planCopy.inventoryLines().equals(rules.toLines())) {
-                    proc.councilSession.order(
+                    proc.councilSession.proposeAsConductor(
                             epoch, s -> Command.setMachines(s, epoch, rules.toLines()));
                 } else {
                     members.values()
@@ -348,10 +348,10 @@
                                     });
                     long mine = epoch;
                     for (MaintenanceController.Step x :
-                            conductor.nextSteps(planCopy, observations, proc.wall(), now)) {
+                            conductor.nextSteps(planCopy, observations, proc.wallClockMs(), now)) {
                         Runnable order =
                                 () ->
-                                        proc.councilSession.order(
+                                        proc.councilSession.proposeAsConductor(
                                                 mine,
                                                 s ->
                                                         Command.maintenanceStep(
@@ -381,7 +381,7 @@
                     }
                 }
             }
-            proc.after(LOOK, this::look);
+            proc.schedule(LOOK, this::look);
         }
 
         /** One txn to some member that may be sent to; the clock is read in the same turn. */
@@ -407,7 +407,7 @@
                 open.merge(m.uid, 1, Integer::sum);
                 fleet.at(fleet.now + 100_000 + random.nextInt(1_000_000), () -> arrives(m));
             }
-            proc.after(Duration.ofMillis(20 + random.nextInt(30)), this::send);
+            proc.schedule(Duration.ofMillis(20 + random.nextInt(30)), this::send);
         }
 
         private void arrives(Member m) {
@@ -440,9 +440,9 @@
 
     private void late(Command op) {
         fleet.procs.values().stream()
-                .filter(p -> p.alive && p.consensusNode != null && p.consensusNode.leads())
+                .filter(p -> p.alive && p.consensusNode != null && p.consensusNode.isLeader())
                 .findFirst()
-                .ifPresent(p -> p.task(fleet.now, () -> p.consensusNode.inject(op)));
+                .ifPresent(p -> p.task(fleet.now, () -> p.consensusNode.proposeForTest(op)));
     }
 
     // ---- operators and members ----
@@ -495,7 +495,7 @@
                 .forEach(
                         p ->
                                 p.consensusNode
-                                        .register()
+                                        .stateMachine()
                                         .plan()
                                         .lostDrivers()
                                         .forEach(
@@ -560,7 +560,9 @@
                         .toList();
         if (!voters.isEmpty()) {
             Proc p = voters.get(random.nextInt(voters.size()));
-            p.task(fleet.now, () -> p.consensusNode.inject(op.withProposedAt(p.wall())));
+            p.task(
+                    fleet.now,
+                    () -> p.consensusNode.proposeForTest(op.withProposedAt(p.wallClockMs())));
         }
     }
 
@@ -583,10 +585,10 @@
                                     p ->
                                             p.alive
                                                     && p.consensusNode != null
-                                                    && p.consensusNode.register().revision()
+                                                    && p.consensusNode.stateMachine().revision()
                                                             == furthest)
                             .findFirst()
-                            .map(p -> p.consensusNode.register().plan())
+                            .map(p -> p.consensusNode.stateMachine().plan())
                             .map(
                                     p ->
                                             p.entries().stream()
--- a/src/test/java/wingroad/work/WorkIT.java
+++ b/src/test/java/wingroad/work/WorkIT.java
@@ -120,18 +120,18 @@
 
     private String want(String machine) throws IOException {
         String id = UUID.randomUUID().toString();
-        return ask(c -> c.requestMachine(machine, "kernel", 0, 0, List.of(), id));
+        return ask(c -> c.requestMaintenance(machine, "kernel", 0, 0, List.of(), id));
     }
 
     private String wantAs(
             String machine, String why, long forMs, long before, List<String> after, String id)
             throws IOException {
-        return ask(c -> c.requestMachine(machine, why, forMs, before, after, id));
+        return ask(c -> c.requestMaintenance(machine, why, forMs, before, after, id));
     }
 
     private String word(String word, String machine) throws IOException {
         String id = UUID.randomUUID().toString();
-        return ask(c -> c.commandMachine(word, machine, id));
+        return ask(c -> c.sendOperatorCommand(word, machine, id));
     }
 
     private Map<?, ?> work() throws IOException {
