--- a/src/main/java/wingroad/duty/DutyStateMachine.java
+++ b/src/main/java/wingroad/duty/DutyStateMachine.java
@@ -15,10 +15,10 @@
 import java.util.function.Supplier;
 
 /**
- * The replicated state machine of the council: sessions, duties with their owners and epochs,
- * changes of voters and the maintenance plan. All voters apply the same log entries in order and
- * reach the same state, byte for byte: it reads no clock, uses no randomness and iterates in order
- * of names.
+ * The replicated state machine of the fleet's voters: sessions, duties with their owners and
+ * epochs, changes of voters and the maintenance plan. All voters apply the same log entries in
+ * order and reach the same state, byte for byte: it reads no clock, uses no randomness and iterates
+ * in order of names.
  *
  * <p>Its only measure of time is the number of committed heartbeat rounds, which is coarse but the
  * same in every voter.
@@ -31,8 +31,8 @@
     private static final int MAX_RECENT_RESULTS = 256;
 
     /**
-     * Exponential backoff: a driver whose lease has expired k times while it owned duties waits 2^k
-     * rounds before it is given duties again, with k at most this.
+     * Exponential backoff: a driver whose lease has expired k times while it owned duties gets none
+     * for 2^k rounds if another driver accepts them. This is the largest k.
      */
     private static final int MAX_BACKOFF_EXPONENT = 10;
 
@@ -50,10 +50,13 @@
     /** A driver's lost leases are forgotten after so many rounds without another one. */
     private static final long LOSS_RETENTION_ROUNDS = 4096;
 
-    /** The session of a driver with the council. */
+    /** The session of a driver with the voters, which renews its lease by heartbeats. */
     public static final class Session {
         final String id;
+
+        /** Identity of the driver's state folder. */
         final String identity;
+
         final SortedSet<String> duties;
         long lastHeartbeat;
         final long openedAtMs;
@@ -99,6 +102,7 @@
         /** Fencing token: grows each time any duty gets an owner. */
         long epoch;
 
+        /** Wall clock of the proposer when the owner was chosen, in Unix milliseconds. */
         long ownedSinceMs;
 
         /** Number of the newest run that was started, or 0; histories call a run a turn. */
--- a/src/main/java/wingroad/duty/EpochFence.java
+++ b/src/main/java/wingroad/duty/EpochFence.java
@@ -14,7 +14,7 @@
     private long refusedCount;
 
     /**
-     * Announces that the council has committed this epoch for the duty; effects under a lower epoch
+     * Announces that the voters have committed this epoch for the duty; effects under a lower epoch
      * are refused from now on.
      */
     public void advance(String duty, long epoch) {
--- a/src/main/java/wingroad/duty/SessionLease.java
+++ b/src/main/java/wingroad/duty/SessionLease.java
@@ -69,7 +69,7 @@
         return lastHeartbeat;
     }
 
-    /** Renews the lease from when this heartbeat was sent, since the council has committed it. */
+    /** Renews the lease from when this heartbeat was sent, since the voters have committed it. */
     public void heartbeatCommitted(long number, Duration now) {
         while (!pendingHeartbeats.isEmpty() && pendingHeartbeats.peek().number <= number) {
             PendingHeartbeat heartbeat = pendingHeartbeats.poll();
@@ -85,13 +85,13 @@
         return sentAt;
     }
 
-    /** Records that the council has opened the session. */
+    /** Records that the voters have opened the session. */
     public void markOpen() {
         open = true;
     }
 
     /**
-     * Records that the council has ended the session or the driver has left it: nothing may be done
+     * Records that the voters have ended the session or the driver has left it: nothing may be done
      * under it any more.
      */
     public void markEnded() {
--- a/src/main/java/wingroad/work/MaintenanceController.java
+++ b/src/main/java/wingroad/work/MaintenanceController.java
@@ -48,6 +48,7 @@
      */
     private static final int CANDIDATES_PER_SLOT = 2;
 
+    /** See {@link #CANDIDATES_PER_SLOT}. */
     private static final int EXTRA_CANDIDATES = 8;
 
     /**
@@ -94,8 +95,7 @@
     /**
      * Creates a controller without observations.
      *
-     * @param voters names of the council's voters; never more of them are taken out than a majority
-     *     can spare
+     * @param voters names of the voters; never more of them are taken out than a majority can spare
      */
     public MaintenanceController(MaintenanceSettings settings, Collection<String> voters) {
         this.settings = settings;
--- a/src/main/java/wingroad/work/MaintenancePlan.java
+++ b/src/main/java/wingroad/work/MaintenancePlan.java
@@ -19,9 +19,15 @@
 public class MaintenancePlan {
     private static final int MAX_REQUESTS = 4096;
     private static final int MAX_LOST_DRIVERS = 1024;
+
+    /** Identity and name of the entry that stands for all lost drivers beyond the limit. */
     private static final String OVERFLOW_IDENTITY = "many";
+
     private static final int MAX_HISTORY_LINES = 4096;
+
+    /** Drivers that are further behind than so many removals are sent the whole plan. */
     private static final int MAX_REMOVALS = 1024;
+
     private static final int MAX_TEXT_CHARS = 200;
 
     /** The machine name in operator's commands and history lines that concern all machines. */
@@ -48,7 +54,10 @@
         /** Revision of the plan at which the stage changed last. */
         long stageRevision;
 
-        /** Wall clock of the last stage change in Unix milliseconds, for display. */
+        /**
+         * Wall clock of the last stage change or operator's command in Unix milliseconds, for
+         * display.
+         */
         long changedAtMs;
 
         /**
@@ -62,7 +71,10 @@
         /** Derived: every driver has confirmed that it knows of the announcement. */
         boolean confirmedByAll;
 
-        /** Derived: every driver has confirmed that nothing of it is left at the machine. */
+        /**
+         * Derived: no driver has anything left at the machine, as confirmed or certain by the
+         * voters' clocks.
+         */
         boolean drained;
 
         /** Derived: no driver reports a member on the machine as the primary of its group. */
--- a/src/main/java/wingroad/work/MemberAvailability.java
+++ b/src/main/java/wingroad/work/MemberAvailability.java
@@ -14,9 +14,13 @@
 public final class MemberAvailability {
     /** What a member counts as. */
     public enum State {
+        /** As discovery lists it. */
         AS_LISTED,
+        /** Finishes what it has and gets nothing new. */
         DRAINING,
+        /** Not used at all. */
         GONE,
+        /** Used, but its caches are cold. */
         COLD
     }
 
