--- a/src/main/java/wingroad/state/TimingWheel.java
+++ b/src/main/java/wingroad/state/TimingWheel.java
@@ -1,24 +1,28 @@
 package wingroad.state;
 
 /**
- * Timers by the time at which they are due: a hashed wheel. Adding and taking out cost the same
- * however many there are; what is due comes out when its slot of about 4 ms has passed, in the
- * order of the slots, within one in the order in which it was added. A timer is its own link in the
- * wheel, so nothing is allocated for it. Measured against a heap in bench/fair-queues.sh.
+ * A hashed timing wheel. Scheduling and cancelling take constant time whatever the number of
+ * timers. A timer expires when its slot of about 4 ms has passed; timers expire in the order of
+ * their slots and within a slot in the order in which they were scheduled. Timers are linked into
+ * the wheel themselves, so that nothing is allocated. {@code bench/fair-queues.sh} compares it with
+ * a heap.
  */
 public final class TimingWheel {
-    private static final int SLOT_BITS = 22;
-    private static final int SLOTS = 1024;
+    /** Binary logarithm of a slot's length in nanoseconds. */
+    private static final int SLOT_NANOS_BITS = 22;
 
-    /** What is due at a time; it is in one wheel at most. */
+    /** Must be a power of two and a multiple of 64. */
+    private static final int SLOT_COUNT = 1024;
+
+    /** A timer, scheduled in at most one wheel. */
     public static class Timer {
         private long dueNanos;
-        private Timer before;
-        private Timer behind;
+        private Timer previous;
+        private Timer next;
         private TimingWheel wheel;
-        private int at;
+        private int slotIndex;
 
-        /** In nanoseconds; counts only while it is set. */
+        /** Time at which it is due, in nanoseconds; valid only while it is scheduled. */
         public final long dueNanos() {
             return dueNanos;
         }
@@ -28,77 +32,85 @@
         }
     }
 
-    /** The ends of each slot's ring. */
-    private final Timer[] slots = new Timer[SLOTS];
+    /** The sentinel of each slot's circular list, or null if the slot was never used. */
+    private final Timer[] slots = new Timer[SLOT_COUNT];
+
+    /** One bit for each slot that holds a timer. */
+    private final long[] occupiedSlots = new long[SLOT_COUNT / 64];
+
+    /** Absolute number of the first slot that has not passed; not reduced to an index. */
+    private long currentSlot;
 
-    private final long[] used = new long[SLOTS / 64];
-    private long slot;
     private int size;
 
+    /** Number of scheduled timers. */
     public int size() {
         return size;
     }
 
     /**
-     * Sets the timer, anew where it was set. One that is due in the past comes out with the present
-     * slot.
+     * Schedules the timer, again if it was scheduled. One that is due in the past expires with the
+     * current slot.
      */
-    public void schedule(Timer t, long due) {
-        cancel(t);
-        t.dueNanos = due;
-        t.wheel = this;
-        int at = (int) Math.max(due >> SLOT_BITS, slot) & SLOTS - 1;
-        t.at = at;
-        Timer end = slots[at];
-        if (end == null) {
-            end = new Timer();
-            end.before = end;
-            end.behind = end;
-            slots[at] = end;
+    public void schedule(Timer timer, long dueNanos) {
+        cancel(timer);
+        timer.dueNanos = dueNanos;
+        timer.wheel = this;
+        int slotIndex = (int) Math.max(dueNanos >> SLOT_NANOS_BITS, currentSlot) & SLOT_COUNT - 1;
+        timer.slotIndex = slotIndex;
+        Timer sentinel = slots[slotIndex];
+        if (sentinel == null) {
+            sentinel = new Timer();
+            sentinel.previous = sentinel;
+            sentinel.next = sentinel;
+            slots[slotIndex] = sentinel;
         }
-        t.before = end.before;
-        t.behind = end;
-        end.before.behind = t;
-        end.before = t;
-        used[at >> 6] |= 1L << at;
+        timer.previous = sentinel.previous;
+        timer.next = sentinel;
+        sentinel.previous.next = timer;
+        sentinel.previous = timer;
+        occupiedSlots[slotIndex >> 6] |= 1L << slotIndex;
         size++;
     }
 
-    public void cancel(Timer t) {
-        if (t.wheel == null) {
+    /** Cancels the timer; does nothing if it is not scheduled. */
+    public void cancel(Timer timer) {
+        if (timer.wheel == null) {
             return;
         }
-        if (t.wheel != this) {
-            throw new IllegalArgumentException("the timer is set in another wheel");
+        if (timer.wheel != this) {
+            throw new IllegalArgumentException("the timer is scheduled in another wheel");
         }
-        t.before.behind = t.behind;
-        t.behind.before = t.before;
-        if (t.before == t.behind) {
-            // Only the slot's end is left.
-            used[t.at >> 6] &= ~(1L << t.at);
+        timer.previous.next = timer.next;
+        timer.next.previous = timer.previous;
+        if (timer.previous == timer.next) {
+            // Only the sentinel is left.
+            occupiedSlots[timer.slotIndex >> 6] &= ~(1L << timer.slotIndex);
         }
-        t.before = null;
-        t.behind = null;
-        t.wheel = null;
+        timer.previous = null;
+        timer.next = null;
+        timer.wheel = null;
         size--;
     }
 
-    /** Takes out a timer whose slot has passed, or null where there is none. */
-    public Timer poll(long now) {
-        long end = now >> SLOT_BITS;
+    /** Removes and returns a timer whose slot has passed, or null if there is none. */
+    public Timer poll(long nowNanos) {
+        long nowSlot = nowNanos >> SLOT_NANOS_BITS;
         if (size == 0) {
-            slot = Math.max(slot, end);
+            currentSlot = Math.max(currentSlot, nowSlot);
             return null;
         }
-        // Once round meets every slot; what is due in a later round stays where it is.
-        for (slot = Math.max(slot, end - SLOTS); slot < end; slot++) {
-            int at = (int) slot & SLOTS - 1;
-            if ((used[at >> 6] & 1L << at) != 0) {
-                Timer last = slots[at];
-                for (Timer t = last.behind; t != last; t = t.behind) {
-                    if (t.dueNanos <= now) {
-                        cancel(t);
-                        return t;
+        // One round visits every slot; timers that are due in a later round stay where they are.
+        for (currentSlot = Math.max(currentSlot, nowSlot - SLOT_COUNT);
+                currentSlot < nowSlot;
+                currentSlot++) {
+            int slotIndex = (int) currentSlot & SLOT_COUNT - 1;
+            if ((occupiedSlots[slotIndex >> 6] & 1L << slotIndex) != 0) {
+                Timer sentinel = slots[slotIndex];
+                for (Timer timer = sentinel.next; timer != sentinel; timer = timer.next) {
+                    if (timer.dueNanos <= nowNanos) {
+                        cancel(timer);
+                        return timer;
                     }
                 }
             }
@@ -107,21 +119,22 @@
     }
 
     /**
-     * When to poll next, in nanoseconds: no later than the end of the slot in which the first is
-     * due; -1 where none is set.
+     * When to poll next, in nanoseconds: not after the end of the slot in which the first timer is
+     * due; -1 if none is scheduled.
      */
     public long nextPollNanos() {
         if (size == 0) {
             return -1;
         }
-        for (int i = 0; i < SLOTS; ) {
-            int at = (int) (slot + i) & SLOTS - 1;
-            long word = used[at >> 6] >>> (at & 63);
+        for (int offset = 0; offset < SLOT_COUNT; ) {
+            int slotIndex = (int) (currentSlot + offset) & SLOT_COUNT - 1;
+            long word = occupiedSlots[slotIndex >> 6] >>> (slotIndex & 63);
             if (word != 0) {
-                return slot + i + Long.numberOfTrailingZeros(word) + 1 << SLOT_BITS;
+                return currentSlot + offset + Long.numberOfTrailingZeros(word) + 1
+                        << SLOT_NANOS_BITS;
             }
-            i += 64 - (at & 63);
+            offset += 64 - (slotIndex & 63);
         }
-        return slot + SLOTS << SLOT_BITS;
+        return currentSlot + SLOT_COUNT << SLOT_NANOS_BITS;
     }
 }
