--- a/src/test/java/wingroad/work/PlanTest.java
+++ b/src/test/java/wingroad/work/PlanTest.java
@@ -66,14 +66,14 @@
         step("A2", "PLANNED");
         report("d1", plan.revision());
         assertThat(step("A2", "DRAINING")).isEqualTo("not everybody knows of it");
-        assertThat(plan.waitReason(plan.entry("A2"))).isEqualTo("to know of it: [d2]");
+        assertThat(plan.waitReason(plan.entry("A2"))).isEqualTo("to be confirmed by: [d2]");
         allKnow();
         assertThat(step("A2", "DRAINING")).isEmpty();
         // What was said before it drained counts for nothing.
         report("d1", plan.revision() - 1, "A2");
         report("d2", plan.revision(), "A2");
         assertThat(step("A2", "OUT")).isEqualTo("not everybody has left it");
-        assertThat(plan.waitReason(plan.entry("A2"))).isEqualTo("to leave it: [d1]");
+        assertThat(plan.waitReason(plan.entry("A2"))).isEqualTo("to be drained by: [d1]");
         allKnow("A2");
         assertThat(step("A2", "OUT")).isEmpty();
     }
@@ -293,13 +293,13 @@
         "db-2x, C"
     })
     void aMemberIsHeldByWhoNamesItOrTheLongestOfItsBeginnings(String uid, String machine) {
-        Holders h =
-                new Holders(
+        MachineIndex h =
+                new MachineIndex(
                         List.of(
-                                Machine.of("A a db-1#1 "),
-                                Machine.of("B b db-17*#1 "),
-                                Machine.of("C c db-*#2 "),
-                                Machine.of("D c db-25*#2 ")));
-        assertThat(h.of(uid) == null ? "" : h.of(uid).name()).isEqualTo(machine);
+                                Machine.parse("A a db-1#1 "),
+                                Machine.parse("B b db-17*#1 "),
+                                Machine.parse("C c db-*#2 "),
+                                Machine.parse("D c db-25*#2 ")));
+        assertThat(h.find(uid) == null ? "" : h.find(uid).name()).isEqualTo(machine);
     }
 }
