--- a/src/main/java/wingroad/door/QueuedTxn.java
+++ b/src/main/java/wingroad/door/QueuedTxn.java
@@ -5,52 +5,69 @@
 import java.time.Duration;
 
 /**
- * One txn at the door: from its arrival to its final answer. Its timer tells when it has waited or
- * been out too long.
+ * A txn in admission control, from its arrival to its final answer. Its timer expires when it has
+ * been queued or in flight for too long.
  */
 public final class QueuedTxn extends TimingWheel.Timer {
-    /** Where it is. */
-    enum Place {
-        WAITING,
-        HELD,
-        OUT,
+    /** Stages of a txn. */
+    enum State {
+        /** Waits for admission. */
+        QUEUED,
+
+        /** Admitted; the decision module holds it and no submission is in flight. */
+        PENDING,
+
+        /** A submission is in flight. */
+        IN_FLIGHT,
+
+        /** In flight for so long that it no longer counts against the concurrency limit. */
         STUCK,
-        OVER
+
+        /** Declined, answered, or its client has disconnected. */
+        CLOSED
     }
 
     final String txnId;
-    final int type;
-    final int lane;
-    final int row;
+    final int txnType;
+    final int queueIndex;
+    final int flowRow;
     final Duration arrivedAt;
-    final ClientContext caller;
+    final ClientContext client;
+
+    /** The estimated work that the flow was charged when the txn was admitted. */
+    double chargedWorkMs;
+
+    /** The time that ended submissions of the txn have taken at members. */
+    double workMs;
+
+    int inFlightSubmissions;
 
-    /**
-     * What it was charged when it was let in, and the work that it has been so far, in
-     * milliseconds.
-     */
-    double charged;
+    /** The round of the concurrency limit in which the txn last came to be in flight. */
+    long limitRound;
 
-    double work;
-    int submissionsOut;
+    State state = State.QUEUED;
 
-    /** The window's round in which its last submission began. */
-    long round;
+    /** Neighbours in the queue of the flow, or null. */
+    QueuedTxn next;
 
-    Place place = Place.WAITING;
-    QueuedTxn behind;
-    QueuedTxn before;
+    QueuedTxn previous;
 
-    QueuedTxn(String txn, int type, int lane, int row, Duration arrivedAt, ClientContext caller) {
-        this.txnId = txn;
-        this.type = type;
-        this.lane = lane;
-        this.row = row;
+    QueuedTxn(
+            String txnId,
+            int txnType,
+            int queueIndex,
+            int flowRow,
+            Duration arrivedAt,
+            ClientContext client) {
+        this.txnId = txnId;
+        this.txnType = txnType;
+        this.queueIndex = queueIndex;
+        this.flowRow = flowRow;
         this.arrivedAt = arrivedAt;
-        this.caller = caller;
+        this.client = client;
     }
 
-    /** How long it waited at the door, up to now. */
+    /** Time from arrival to now. */
     public Duration queueTime(Duration now) {
         return now.minus(arrivedAt);
     }
