--- a/src/test/java/wingroad/driver/DriverIT.java
+++ b/src/test/java/wingroad/driver/DriverIT.java
@@ -36,19 +36,39 @@
 import wingroad.Fixtures.StandInMember;
 import wingroad.rig.Peer;
 
-/** Starts the packaged program as deploy/balancer.toml does, and speaks to it over sockets. */
+/**
+ * Runs the packaged driver as a process of its own, started as deploy/balancer.toml does, and talks
+ * to it over sockets.
+ */
 @Isolated
 class DriverIT {
-    @TempDir Path dir;
+    /** Limits each wait for a process, a log line or a connection. */
+    private static final long WAIT_TIMEOUT_SECONDS = 20;
+
+    private static final int DEFAULT_DESCRIPTOR_LIMIT = 1024;
+    private static final int LOW_DESCRIPTOR_LIMIT = 64;
+
+    /** The codes that stand for a protocol version in PostgreSQL's startup packets. */
+    private static final int CANCEL_REQUEST_CODE = 80877102;
+
+    private static final int SSL_REQUEST_CODE = 80877103;
+
+    /** The exit status of a Java process that ended on SIGTERM: 128 and the signal's number. */
+    private static final int EXIT_STATUS_SIGTERM = 143;
+
+    /** The exit status if the configuration, the settings or the operator's file is invalid. */
+    private static final int EXIT_STATUS_INVALID_CONFIGURATION = 2;
+
+    @TempDir Path tempDir;
 
     private Process driver;
-    private int port;
-    private final BlockingQueue<String> log = new LinkedBlockingQueue<>();
-    private final StandInDiscovery discovery = discovery();
-    private final StandInMember primary = member(true);
-    private final StandInMember replica = member(false);
+    private int driverPort;
+    private final BlockingQueue<String> logLines = new LinkedBlockingQueue<>();
+    private final StandInDiscovery discovery = startDiscovery();
+    private final StandInMember primary = startMember(true);
+    private final StandInMember replica = startMember(false);
 
-    private static StandInDiscovery discovery() {
+    private static StandInDiscovery startDiscovery() {
         try {
             return new StandInDiscovery();
         } catch (IOException e) {
@@ -56,116 +76,122 @@
         }
     }
 
-    private static StandInMember member(boolean primary) {
+    private static StandInMember startMember(boolean primary) {
         try {
             return new StandInMember(
-                    primary, (sql, s) -> s.row(primary ? "from primary" : "from replica", primary));
+                    primary,
+                    (sql, session) ->
+                            session.row(primary ? "from primary" : "from replica", primary));
         } catch (IOException e) {
             throw new AssertionError(e);
         }
     }
 
-    private Process process(String config, String... more) throws IOException {
-        String run =
+    private Process startProcess(String configPath, String... arguments) throws IOException {
+        String runCommand =
                 Files.readAllLines(Path.of("deploy/balancer.toml")).stream()
-                        .filter(l -> l.startsWith("run = "))
+                        .filter(line -> line.startsWith("run = "))
                         .findFirst()
                         .get()
                         .replaceAll("^run = \"(.*)\"$", "$1");
-        ProcessBuilder p =
-                new ProcessBuilder("/bin/sh", "-c", run + " " + String.join(" ", more))
+        ProcessBuilder builder =
+                new ProcessBuilder("/bin/sh", "-c", runCommand + " " + String.join(" ", arguments))
                         .redirectErrorStream(true);
-        p.environment().put("LB_CONFIG", config);
-        return p.start();
+        builder.environment().put("LB_CONFIG", configPath);
+        return builder.start();
     }
 
-    private Client start() throws Exception {
-        return start(1024);
+    private Client startAndConnect() throws Exception {
+        return startAndConnect(DEFAULT_DESCRIPTOR_LIMIT);
     }
 
-    private String config(int listen, int descriptors) throws IOException {
-        String known =
+    private String writeConfiguration(int listenPort, int descriptorLimit) throws IOException {
+        String knownMembers =
                 entry("s-1", primary.port(), "ready") + "," + entry("s-2", replica.port(), "ready");
         return Files.writeString(
-                        dir.resolve("config.json"),
+                        tempDir.resolve("config.json"),
                         "{\"name\":\"n\",\"listen\":\"127.0.0.1:"
-                                + listen
+                                + listenPort
                                 + "\",\"discovery\":\"127.0.0.1:"
                                 + discovery.port()
                                 + "\",\"seed\":\"8c1f30d27a5be964\",\"new\":{},"
                                 + "\"limits\":{\"cores\":1.0,\"memory_mb\":192,\"sockets\":"
-                                + descriptors
+                                + descriptorLimit
                                 + "},\"known\":{\"rev\":0,\"all\":true,"
                                 + "\"targets\":["
-                                + known
+                                + knownMembers
                                 + "]},\"settings\":"
                                 + Fixtures.SETTINGS
                                 + "}")
                 .toString();
     }
 
-    private Client start(int descriptors) throws Exception {
-        return start(process(config(0, descriptors)));
+    private Client startAndConnect(int descriptorLimit) throws Exception {
+        return startAndConnect(startProcess(writeConfiguration(0, descriptorLimit)));
     }
 
-    /** With the operator's file, as a file's text. */
-    private Client start(String operator) throws Exception {
-        Files.writeString(dir.resolve("operator.kdl"), operator);
-        return start(
-                process(config(0, 1024), "--operator", dir.resolve("operator.kdl").toString()));
+    /** Starts the driver with an operator's file of this text. */
+    private Client startAndConnect(String operatorFileText) throws Exception {
+        Files.writeString(tempDir.resolve("operator.kdl"), operatorFileText);
+        return startAndConnect(
+                startProcess(
+                        writeConfiguration(0, DEFAULT_DESCRIPTOR_LIMIT),
+                        "--operator",
+                        tempDir.resolve("operator.kdl").toString()));
     }
 
-    private Client start(Process begun) throws Exception {
-        driver = begun;
-        BufferedReader out = driver.inputReader(StandardCharsets.UTF_8);
-        for (String line = out.readLine(); line != null; line = out.readLine()) {
+    /** Waits until the process serves; returns the first connected client. */
+    private Client startAndConnect(Process process) throws Exception {
+        driver = process;
+        BufferedReader output = driver.inputReader(StandardCharsets.UTF_8);
+        for (String line = output.readLine(); line != null; line = output.readLine()) {
             if (line.contains(" serves ")) {
-                port = Integer.parseInt(line.replaceAll(".*:([0-9]+),.*", "$1"));
-                Thread rest = new Thread(() -> drain(out));
-                rest.setDaemon(true);
-                rest.start();
-                return client();
+                driverPort = Integer.parseInt(line.replaceAll(".*:([0-9]+),.*", "$1"));
+                Thread logCollector = new Thread(() -> collectLogLines(output));
+                logCollector.setDaemon(true);
+                logCollector.start();
+                return connectClient();
             }
         }
-        throw new AssertionError("it never served");
+        throw new AssertionError("the driver ended before it was ready");
     }
 
-    /** Asks again and again, each time with a new id. */
-    private static void askUntil(Client c, String answer) throws IOException {
-        int n = 0;
-        while (!c.ask(read("again" + n++)).heard().get(0).equals(answer)) {
-            assertThat(n).isLessThan(10_000);
+    /** Repeats a read, each time under a new id, until it gets the expected answer. */
+    private static void askUntilAnswered(Client client, String expectedAnswer) throws IOException {
+        int attempts = 0;
+        while (!client.ask(read("again" + attempts++)).heard().get(0).equals(expectedAnswer)) {
+            assertThat(attempts).isLessThan(10_000);
         }
     }
 
-    private void drain(BufferedReader out) {
+    private void collectLogLines(BufferedReader output) {
         try {
-            for (String line = out.readLine(); line != null; line = out.readLine()) {
-                log.add(line);
+            for (String line = output.readLine(); line != null; line = output.readLine()) {
+                logLines.add(line);
             }
-        } catch (IOException ended) {
-            // the test is over
+        } catch (IOException processEnded) {
+            // the driver was ended by the test
         }
     }
 
-    /** The next log line with these words. */
-    private String awaitLine(String words) throws InterruptedException {
-        for (String line = log.poll(20, TimeUnit.SECONDS);
+    /** Skips log lines up to the next one that contains the text, and returns that one. */
+    private String awaitLogLine(String text) throws InterruptedException {
+        for (String line = logLines.poll(WAIT_TIMEOUT_SECONDS, TimeUnit.SECONDS);
                 line != null;
-                line = log.poll(20, TimeUnit.SECONDS)) {
-            if (line.contains(words)) {
+                line = logLines.poll(WAIT_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
+            if (line.contains(text)) {
                 return line;
             }
         }
-        throw new AssertionError("no line: " + words);
+        throw new AssertionError("no log line contains: " + text);
     }
 
-    private void hangUp() throws Exception {
-        send("HUP");
+    private void sendHangUp() throws Exception {
+        sendSignal("HUP");
     }
 
-    /** Unlike {@code destroy} this leaves the log open. */
-    private void send(String signal) throws Exception {
+    /** Unlike {@link Process#destroy} this keeps the process's output open. */
+    private void sendSignal(String signal) throws Exception {
         assertThat(
                         new ProcessBuilder("/bin/sh", "-c", "kill -" + signal + " " + driver.pid())
                                 .start()
@@ -173,14 +199,14 @@
                 .isZero();
     }
 
-    private Client client() throws IOException {
-        Client c = new Client(port).startup();
-        assertThat(c.heard()).isEmpty();
-        return c;
+    private Client connectClient() throws IOException {
+        Client client = new Client(driverPort).startup();
+        assertThat(client.heard()).isEmpty();
+        return client;
     }
 
     @AfterEach
-    void stop() throws Exception {
+    void closeAll() throws Exception {
         if (driver != null) {
             driver.destroyForcibly().waitFor();
         }
@@ -190,172 +216,178 @@
     }
 
     @Test
-    void readsAndWritesAreCommittedInTheOrderInWhichTheyWereAsked() throws Exception {
-        Client c = start();
-        assertThat(c.ask("").heard()).containsExactly("empty");
-        c.raw(
+    void pipelinedStatementsAreAnsweredInOrder() throws Exception {
+        Client client = startAndConnect();
+        assertThat(client.ask("").heard()).containsExactly("empty");
+        client.raw(
                 message('Q', text(read("a"))),
                 message('Q', text(write("b"))),
                 message('Q', text("")),
                 message('Q', text(read("c"))));
-        assertThat(c.heard()).containsExactly("row from replica");
-        assertThat(c.heard()).containsExactly("row from primary");
-        assertThat(c.heard()).containsExactly("empty");
-        assertThat(c.heard()).containsExactly("row from replica");
+        assertThat(client.heard()).containsExactly("row from replica");
+        assertThat(client.heard()).containsExactly("row from primary");
+        assertThat(client.heard()).containsExactly("empty");
+        assertThat(client.heard()).containsExactly("row from replica");
         assertThat(primary.await()).startsWith("/* id=b,c=change,d=");
     }
 
     @Test
-    void theFirstQueryMayStandRightBehindTheStartup() throws Exception {
-        start();
-        Client c = new Client(port).raw(Fixtures.STARTUP, message('Q', text(write("x"))));
-        assertThat(c.heard()).isEmpty();
-        assertThat(c.heard()).containsExactly("row from primary");
+    void firstQueryMayFollowStartupMessageImmediately() throws Exception {
+        startAndConnect();
+        Client client =
+                new Client(driverPort).raw(Fixtures.STARTUP, message('Q', text(write("x"))));
+        assertThat(client.heard()).isEmpty();
+        assertThat(client.heard()).containsExactly("row from primary");
     }
 
     @Test
-    void anUnsafeWriteThatMayHaveRunIsRolledBackAndNotSentAgain() throws Exception {
-        Client c = start();
-        primary.script((sql, s) -> s.end());
-        assertThat(c.ask(write("w")).heard()).containsExactly("error 08007");
+    void onceOnlyWriteThatMayHaveRunIsRolledBackAndNotRetried() throws Exception {
+        Client client = startAndConnect();
+        primary.script((sql, session) -> session.end());
+        assertThat(client.ask(write("w")).heard()).containsExactly("error 08007");
         assertThat(primary.queries).hasSize(1);
         assertThat(replica.queries).isEmpty();
     }
 
     @Test
-    void aReadThatNobodyCanServeIsDeclined() throws Exception {
-        Client c = start();
+    void readIsDeclinedIfNoMemberCanServeIt() throws Exception {
+        Client client = startAndConnect();
         replica.close();
         primary.close();
-        assertThat(c.ask(read("r")).heard()).containsExactly("error 53300");
+        assertThat(client.ask(read("r")).heard()).containsExactly("error 53300");
     }
 
     @Test
-    void aMemberLostMidAnswerLeavesTheClientOneWholeAnswer() throws Exception {
-        Client c = start();
+    void readIsRetriedIfMemberIsLostMidResponse() throws Exception {
+        Client client = startAndConnect();
         replica.script(
-                (sql, s) -> {
-                    s.raw(message('T', DESCRIPTION), new byte[] {'D', 0, 0, 0, 90, 0, 1});
-                    replica.script((again, s2) -> s2.row("whole", false));
-                    s.end();
+                (sql, session) -> {
+                    session.raw(message('T', DESCRIPTION), new byte[] {'D', 0, 0, 0, 90, 0, 1});
+                    replica.script((retriedSql, retrySession) -> retrySession.row("whole", false));
+                    session.end();
                 });
-        assertThat(c.ask(read("r")).heard()).containsExactly("row whole");
+        assertThat(client.ask(read("r")).heard()).containsExactly("row whole");
         assertThat(replica.queries).hasSize(2);
     }
 
     @Test
-    void writesFollowAPrimaryThatMoved() throws Exception {
-        Client c = start();
-        assertThat(c.ask(write("a")).heard()).containsExactly("row from primary");
+    void writesFollowPrimaryAfterFailover() throws Exception {
+        Client client = startAndConnect();
+        assertThat(client.ask(write("a")).heard()).containsExactly("row from primary");
         primary.primary = false;
         replica.primary = true;
-        primary.script((sql, s) -> s.error("25006", false));
-        replica.script((sql, s) -> s.row("from the new one", true));
-        assertThat(c.ask(write("b")).heard()).containsExactly("row from the new one");
+        primary.script((sql, session) -> session.error("25006", false));
+        replica.script((sql, session) -> session.row("from new primary", true));
+        assertThat(client.ask(write("b")).heard()).containsExactly("row from new primary");
     }
 
     @Test
-    void theListIsFollowed() throws Exception {
-        Client c = start();
-        assertThat(c.ask(read("a")).heard()).containsExactly("row from replica");
-        try (StandInMember later =
-                new StandInMember(false, (sql, s) -> s.row("from a later one", false))) {
-            replica.script((sql, s) -> s.error("53300", false));
+    void memberListUpdatesAreApplied() throws Exception {
+        Client client = startAndConnect();
+        assertThat(client.ask(read("a")).heard()).containsExactly("row from replica");
+        try (StandInMember newMember =
+                new StandInMember(false, (sql, session) -> session.row("from new member", false))) {
+            replica.script((sql, session) -> session.error("53300", false));
             discovery.tell(
                     entry("s-1", primary.port(), "ready")
                             + ","
-                            + entry("s-3", later.port(), "ready"));
-            askUntil(c, "row from a later one");
-            int before = replica.queries.size();
-            assertThat(c.ask(read("c")).heard()).containsExactly("row from a later one");
-            assertThat(replica.queries).hasSize(before);
+                            + entry("s-3", newMember.port(), "ready"));
+            askUntilAnswered(client, "row from new member");
+            int queryCountBefore = replica.queries.size();
+            assertThat(client.ask(read("c")).heard()).containsExactly("row from new member");
+            assertThat(replica.queries).hasSize(queryCountBefore);
         }
     }
 
     @Test
-    void anUnreadableConfigurationLeavesTheOldOneInForce() throws Exception {
-        Client c = start();
-        String whole = Files.readString(dir.resolve("config.json"));
-        for (String bad :
+    void invalidConfigurationIsNotReloaded() throws Exception {
+        Client client = startAndConnect();
+        String validConfiguration = Files.readString(tempDir.resolve("config.json"));
+        for (String invalidConfiguration :
                 new String[] {
                     "",
-                    whole.substring(0, 150),
+                    validConfiguration.substring(0, 150),
                     "[".repeat(100_000),
                     "{\"listen\":\"127.0.0.1:0\"}",
-                    whole.replace("\"discovery\":\"127.0.0.1:", "\"discovery\":\"nowhere:")
+                    validConfiguration.replace(
+                            "\"discovery\":\"127.0.0.1:", "\"discovery\":\"nowhere:")
                 }) {
-            Files.writeString(dir.resolve("config.json"), bad);
-            hangUp();
-            awaitLine("configuration not reloaded");
+            Files.writeString(tempDir.resolve("config.json"), invalidConfiguration);
+            sendHangUp();
+            awaitLogLine("configuration not reloaded");
         }
-        Files.delete(dir.resolve("config.json"));
-        hangUp();
-        awaitLine("configuration not reloaded");
-        try (StandInMember later =
-                new StandInMember(false, (sql, s) -> s.row("from a later one", false))) {
+        Files.delete(tempDir.resolve("config.json"));
+        sendHangUp();
+        awaitLogLine("configuration not reloaded");
+        try (StandInMember newMember =
+                new StandInMember(false, (sql, session) -> session.row("from new member", false))) {
             discovery.tell(
                     entry("s-1", primary.port(), "ready")
                             + ","
-                            + entry("s-3", later.port(), "ready"));
-            awaitLine("list 1");
-            assertThat(c.ask(read("r")).heard()).containsExactly("row from a later one");
+                            + entry("s-3", newMember.port(), "ready"));
+            awaitLogLine("list 1");
+            assertThat(client.ask(read("r")).heard()).containsExactly("row from new member");
         }
     }
 
     @Test
-    void onHangUpDiscoveryIsFollowedAtItsNewAddressFromTheVersionHeld() throws Exception {
-        Client c = start();
+    void reloadedDiscoveryAddressIsWatchedFromHeldVersion() throws Exception {
+        Client client = startAndConnect();
         discovery.tell(
                 41,
                 entry("s-1", primary.port(), "ready")
                         + ","
                         + entry("s-2", replica.port(), "ready"));
-        awaitLine("list 41");
-        try (StandInDiscovery next = new StandInDiscovery();
-                StandInMember later =
-                        new StandInMember(false, (sql, s) -> s.row("from a later one", false))) {
+        awaitLogLine("list 41");
+        try (StandInDiscovery newDiscovery = new StandInDiscovery();
+                StandInMember newMember =
+                        new StandInMember(
+                                false, (sql, session) -> session.row("from new member", false))) {
             Files.writeString(
-                    dir.resolve("config.json"),
-                    Files.readString(dir.resolve("config.json"))
+                    tempDir.resolve("config.json"),
+                    Files.readString(tempDir.resolve("config.json"))
                             .replace(
                                     "\"discovery\":\"127.0.0.1:" + discovery.port(),
-                                    "\"discovery\":\"127.0.0.1:" + next.port()));
-            hangUp();
-            hangUp();
-            assertThat(next.asked.poll(20, TimeUnit.SECONDS)).isEqualTo(41);
-            next.tell(
+                                    "\"discovery\":\"127.0.0.1:" + newDiscovery.port()));
+            sendHangUp();
+            sendHangUp();
+            assertThat(newDiscovery.asked.poll(WAIT_TIMEOUT_SECONDS, TimeUnit.SECONDS))
+                    .isEqualTo(41);
+            newDiscovery.tell(
                     42,
                     entry("s-1", primary.port(), "ready")
                             + ","
-                            + entry("s-3", later.port(), "ready"));
-            awaitLine("list 42");
-            assertThat(c.ask(read("r")).heard()).containsExactly("row from a later one");
-            // The old address has no say any more.
+                            + entry("s-3", newMember.port(), "ready"));
+            awaitLogLine("list 42");
+            assertThat(client.ask(read("r")).heard()).containsExactly("row from new member");
+            // A list at the old address must not be applied.
             discovery.tell(43, entry("s-2", replica.port(), "ready"));
-            assertThat(next.asked.poll(20, TimeUnit.SECONDS)).isEqualTo(42);
-            assertThat(c.ask(read("s")).heard()).containsExactly("row from a later one");
+            assertThat(newDiscovery.asked.poll(WAIT_TIMEOUT_SECONDS, TimeUnit.SECONDS))
+                    .isEqualTo(42);
+            assertThat(client.ask(read("s")).heard()).containsExactly("row from new member");
         }
     }
 
     @Test
-    void aMemberIsFollowedToItsNewAddress() throws Exception {
-        Client c = start();
-        assertThat(c.ask(read("a")).heard()).containsExactly("row from replica");
-        try (StandInMember moved =
-                new StandInMember(false, (sql, s) -> s.row("from its new address", false))) {
-            replica.script((sql, s) -> s.end());
+    void memberIsUsedAtItsNewAddress() throws Exception {
+        Client client = startAndConnect();
+        assertThat(client.ask(read("a")).heard()).containsExactly("row from replica");
+        try (StandInMember movedMember =
+                new StandInMember(
+                        false, (sql, session) -> session.row("from new address", false))) {
+            replica.script((sql, session) -> session.end());
             replica.close();
             discovery.tell(
                     entry("s-1", primary.port(), "ready")
                             + ","
-                            + entry("s-2", moved.port(), "ready"));
-            askUntil(c, "row from its new address");
+                            + entry("s-2", movedMember.port(), "ready"));
+            askUntilAnswered(client, "row from new address");
         }
     }
 
     @Test
-    void brokenAnswersOfDiscoveryLeaveTheListAndAreAskedAgain() throws Exception {
-        for (String bad :
+    void invalidDiscoveryResponsesAreRetriedAndLeaveListUnchanged() throws Exception {
+        for (String invalidResponse :
                 new String[] {
                     "HTTP/1.1 500 no\r\nContent-Length: 0\r\n\r\n",
                     "nonsense\r\n",
@@ -363,259 +395,266 @@
                     "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n{x}",
                     "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n{"
                 }) {
-            discovery.broken.add(bad);
+            discovery.broken.add(invalidResponse);
         }
-        Client c = start();
-        assertThat(c.ask(read("a")).heard()).containsExactly("row from replica");
-        try (StandInMember later =
-                new StandInMember(false, (sql, s) -> s.row("from a later one", false))) {
+        Client client = startAndConnect();
+        assertThat(client.ask(read("a")).heard()).containsExactly("row from replica");
+        try (StandInMember newMember =
+                new StandInMember(false, (sql, session) -> session.row("from new member", false))) {
             discovery.tell(
                     entry("s-1", primary.port(), "ready")
                             + ","
-                            + entry("s-3", later.port(), "ready"));
-            askUntil(c, "row from a later one");
+                            + entry("s-3", newMember.port(), "ready"));
+            askUntilAnswered(client, "row from new member");
         }
         assertThat(discovery.broken).isEmpty();
     }
 
     @Test
-    void aValueOfFullSizeGoesThroughBothWays() throws Exception {
-        Client c = start();
+    void longestValuesPassInBothDirections() throws Exception {
+        Client client = startAndConnect();
         String value = "7f".repeat(64 * 1024);
-        String[] came = new String[1];
+        String[] receivedSql = new String[1];
         primary.script(
-                (sql, s) -> {
-                    came[0] = sql;
-                    s.row("z".repeat(64 * 1024), true);
+                (sql, session) -> {
+                    receivedSql[0] = sql;
+                    session.row("z".repeat(64 * 1024), true);
                 });
-        assertThat(c.ask(write("big").replace("9f03", value)).heard())
+        assertThat(client.ask(write("big").replace("9f03", value)).heard())
                 .containsExactly("row " + "z".repeat(64 * 1024));
-        assertThat(came[0].replaceAll("d=[0-9]+", "d=4000"))
+        assertThat(receivedSql[0].replaceAll("d=[0-9]+", "d=4000"))
                 .isEqualTo(write("big").replace("9f03", value));
-        assertThat(c.ask(write("more").replace("9f03", value + "00")).heard())
+        assertThat(client.ask(write("more").replace("9f03", value + "00")).heard())
                 .containsExactly("error 08P01");
     }
 
     @Test
-    void oneThatAsksMuchAndReadsLateGetsAllAnswersAndHoldsUpNobody() throws Exception {
-        Client other = start();
-        Client c = client();
-        byte[] one = message('Q', text(""));
-        ByteBuffer all = ByteBuffer.allocate(one.length * 20_000);
-        while (all.hasRemaining()) {
-            all.put(one);
+    void slowReaderGetsAllAnswersAndBlocksNoOtherClient() throws Exception {
+        Client otherClient = startAndConnect();
+        Client client = connectClient();
+        byte[] emptyQuery = message('Q', text(""));
+        ByteBuffer queries = ByteBuffer.allocate(emptyQuery.length * 20_000);
+        while (queries.hasRemaining()) {
+            queries.put(emptyQuery);
         }
-        Thread asks =
+        Thread sender =
                 new Thread(
                         () -> {
                             try {
-                                c.raw(all.array());
+                                client.raw(queries.array());
                             } catch (IOException e) {
                                 throw new AssertionError(e);
                             }
                         });
-        asks.start();
-        assertThat(other.ask(read("a")).heard()).containsExactly("row from replica");
+        sender.start();
+        assertThat(otherClient.ask(read("a")).heard()).containsExactly("row from replica");
         for (int i = 0; i < 20_000; i++) {
-            assertThat(c.heard()).containsExactly("empty");
+            assertThat(client.heard()).containsExactly("empty");
         }
-        asks.join();
+        sender.join();
     }
 
     @Test
-    void aBurstOfLargeWritesAtASilentPrimaryStaysWithinTheMemoryLimit() throws Exception {
-        start();
-        primary.script((sql, s) -> s.awaitEnd());
+    void largeWritesToSilentPrimaryStayWithinMemoryLimit() throws Exception {
+        startAndConnect();
+        primary.script((sql, session) -> session.awaitEnd());
         List<Client> clients = new ArrayList<>();
         for (int i = 0; i < 300; i++) {
             clients.add(
-                    client().ask(
+                    connectClient()
+                            .ask(
                                     write("w" + i)
                                             .replace("d=4000", "d=1500")
                                             .replace("9f03", "7f".repeat(64 * 1024))));
         }
-        for (Client c : clients) {
-            assertThat(c.heard().get(0)).isIn("error 53300", "error 08007");
+        for (Client client : clients) {
+            assertThat(client.heard().get(0)).isIn("error 53300", "error 08007");
         }
-        String peak =
+        String peakMemoryKb =
                 Files.readAllLines(Path.of("/proc/" + driver.pid() + "/status")).stream()
-                        .filter(l -> l.startsWith("VmHWM"))
+                        .filter(line -> line.startsWith("VmHWM"))
                         .findFirst()
                         .get()
                         .replaceAll("[^0-9]", "");
-        assertThat(Integer.parseInt(peak)).as("kB at the most").isBetween(1, 192 * 1024);
-        primary.script((again, s) -> s.row("still there", true));
-        assertThat(client().ask(write("x")).heard()).containsExactly("row still there");
+        assertThat(Integer.parseInt(peakMemoryKb))
+                .as("peak resident memory in kB")
+                .isBetween(1, 192 * 1024);
+        primary.script((sql, session) -> session.row("still serving", true));
+        assertThat(connectClient().ask(write("x")).heard()).containsExactly("row still serving");
     }
 
     @Test
-    void atTheDescriptorLimitIdleClientsGiveWayToThoseThatCome() throws Exception {
-        start(64);
-        Client last = null;
+    void atDescriptorLimitIdleClientsAreClosedForNewOnes() throws Exception {
+        startAndConnect(LOW_DESCRIPTOR_LIMIT);
+        Client lastClient = null;
         for (int i = 0; i < 100; i++) {
-            last = client();
-            assertThat(last.ask("").heard()).containsExactly("empty");
+            lastClient = connectClient();
+            assertThat(lastClient.ask("").heard()).containsExactly("empty");
         }
-        assertThat(last.ask(read("a")).heard()).containsExactly("row from replica");
-        assertThat(last.ask(write("b")).heard()).containsExactly("row from primary");
-        try (var open = Files.list(Path.of("/proc/" + driver.pid() + "/fd"))) {
-            assertThat(open.count()).isLessThanOrEqualTo(64);
+        assertThat(lastClient.ask(read("a")).heard()).containsExactly("row from replica");
+        assertThat(lastClient.ask(write("b")).heard()).containsExactly("row from primary");
+        try (var openDescriptors = Files.list(Path.of("/proc/" + driver.pid() + "/fd"))) {
+            assertThat(openDescriptors.count()).isLessThanOrEqualTo(LOW_DESCRIPTOR_LIMIT);
         }
     }
 
     @Test
-    void atTheDescriptorLimitNobodyIsClosedBeforeItsFirstAnswer() throws Exception {
-        start(64);
-        List<Client> all = new ArrayList<>();
+    void atDescriptorLimitNoClientIsClosedBeforeItsFirstAnswer() throws Exception {
+        startAndConnect(LOW_DESCRIPTOR_LIMIT);
+        List<Client> clients = new ArrayList<>();
         for (int i = 0; i < 100; i++) {
-            all.add(new Client(port).raw(Fixtures.STARTUP, message('Q', text(read("r" + i)))));
+            clients.add(
+                    new Client(driverPort)
+                            .raw(Fixtures.STARTUP, message('Q', text(read("r" + i)))));
         }
-        for (Client c : all) {
-            assertThat(c.heard()).isEmpty();
-            assertThat(c.heard().get(0))
+        for (Client client : clients) {
+            assertThat(client.heard()).isEmpty();
+            assertThat(client.heard().get(0))
                     .isIn("row from replica", "row from primary", "error 53300");
         }
     }
 
     @Test
-    void atTheDescriptorLimitNobodyWaitsUnseenWhileAllAreAtWork() throws Exception {
-        start(64);
-        primary.script((sql, s) -> s.awaitEnd());
-        List<Client> all = new ArrayList<>();
+    void atDescriptorLimitNewClientsAreDeclinedWhileAllOthersAreBusy() throws Exception {
+        startAndConnect(LOW_DESCRIPTOR_LIMIT);
+        primary.script((sql, session) -> session.awaitEnd());
+        List<Client> clients = new ArrayList<>();
         for (int i = 0; i < 100; i++) {
             String sql = write("w" + i).replace("d=4000", "d=60000");
-            all.add(new Client(port).raw(Fixtures.STARTUP, message('Q', text(sql))));
+            clients.add(new Client(driverPort).raw(Fixtures.STARTUP, message('Q', text(sql))));
         }
-        // Those that are let in stay at work for a minute; the others, most of them, are told so at
-        // once.
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
-        List<Client> told = new ArrayList<>();
-        while (told.size() < 50 && System.nanoTime() < end) {
-            for (Client c : all) {
-                if (!told.contains(c) && c.isThere() && c.heard().contains("error 53300")) {
-                    told.add(c);
+        // Accepted clients stay busy for a minute. Most of the others must be declined at once.
+        long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
+        List<Client> declinedClients = new ArrayList<>();
+        while (declinedClients.size() < 50 && System.nanoTime() < deadlineNanos) {
+            for (Client client : clients) {
+                if (!declinedClients.contains(client)
+                        && client.isThere()
+                        && client.heard().contains("error 53300")) {
+                    declinedClients.add(client);
                 }
             }
         }
-        assertThat(told).hasSizeGreaterThanOrEqualTo(50);
+        assertThat(declinedClients).hasSizeGreaterThanOrEqualTo(50);
     }
 
     @Test
-    void oneThatHasNotAskedYetKeepsItsPlaceAtTheDescriptorLimit() throws Exception {
-        start(64);
-        primary.script((sql, s) -> s.awaitEnd());
-        List<Client> atWork = new ArrayList<>();
+    void atDescriptorLimitClientWithoutQueryIsNotClosed() throws Exception {
+        startAndConnect(LOW_DESCRIPTOR_LIMIT);
+        primary.script((sql, session) -> session.awaitEnd());
+        List<Client> busyClients = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
             String sql = write("w" + i).replace("d=4000", "d=60000");
-            atWork.add(new Client(port).raw(Fixtures.STARTUP, message('Q', text(sql))));
+            busyClients.add(new Client(driverPort).raw(Fixtures.STARTUP, message('Q', text(sql))));
         }
-        Client waits = client();
+        Client clientWithoutQuery = connectClient();
         for (int i = 0; i < 20; i++) {
-            assertThat(client().ask("").heard()).containsExactly("empty");
+            assertThat(connectClient().ask("").heard()).containsExactly("empty");
         }
-        assertThat(waits.ask("").heard()).containsExactly("empty");
+        assertThat(clientWithoutQuery.ask("").heard()).containsExactly("empty");
     }
 
     @Test
-    void ofManyThatAskOnceAndStayTheOneIdleForLongestIsLetGo() throws Exception {
-        start(64);
-        List<Client> all = new ArrayList<>();
+    void longestIdleClientsAreClosedAboveIdleLimit() throws Exception {
+        startAndConnect(LOW_DESCRIPTOR_LIMIT);
+        List<Client> clients = new ArrayList<>();
         for (int i = 0; i < 16; i++) {
-            all.add(client());
-            assertThat(all.get(i).ask("").heard()).containsExactly("empty");
+            clients.add(connectClient());
+            assertThat(clients.get(i).ask("").heard()).containsExactly("empty");
         }
-        long from = System.nanoTime();
-        assertThat(all.get(0).heard()).containsExactly("end");
-        assertThat(all.get(1).heard()).containsExactly("end");
-        assertThat(System.nanoTime() - from).isLessThan(TimeUnit.SECONDS.toNanos(1));
-        assertThat(all.get(15).ask("").heard()).containsExactly("empty");
+        long startNanos = System.nanoTime();
+        assertThat(clients.get(0).heard()).containsExactly("end");
+        assertThat(clients.get(1).heard()).containsExactly("end");
+        assertThat(System.nanoTime() - startNanos).isLessThan(TimeUnit.SECONDS.toNanos(1));
+        assertThat(clients.get(15).ask("").heard()).containsExactly("empty");
     }
 
     @Test
-    void aClientThatLeavesEndsItsSubmission() throws Exception {
-        start();
-        BlockingQueue<String> ended = new LinkedBlockingQueue<>();
+    void clientDisconnectEndsItsSubmission() throws Exception {
+        startAndConnect();
+        BlockingQueue<String> endedStatements = new LinkedBlockingQueue<>();
         primary.script(
-                (sql, s) -> {
-                    s.awaitEnd();
-                    ended.add(sql);
+                (sql, session) -> {
+                    session.awaitEnd();
+                    endedStatements.add(sql);
                 });
-        Client leaving = client().ask(write("gone"));
+        Client leavingClient = connectClient().ask(write("gone"));
         primary.await();
-        leaving.close();
-        assertThat(ended.poll(20, TimeUnit.SECONDS)).contains("id=gone");
+        leavingClient.close();
+        assertThat(endedStatements.poll(WAIT_TIMEOUT_SECONDS, TimeUnit.SECONDS))
+                .contains("id=gone");
     }
 
     @Test
-    void toldToStopItAnswersWhatItHasAndEnds() throws Exception {
-        Client c = start();
-        Client idle = client();
-        assertThat(idle.ask("").heard()).containsExactly("empty");
+    void shutdownAnswersAcceptedTxnsBeforeExit() throws Exception {
+        Client client = startAndConnect();
+        Client idleClient = connectClient();
+        assertThat(idleClient.ask("").heard()).containsExactly("empty");
         primary.script(
-                (sql, s) -> {
+                (sql, session) -> {
                     driver.destroy();
-                    try (Client late = client()) {
-                        assertThat(late.ask(read("late")).heard())
+                    try (Client lateClient = connectClient()) {
+                        assertThat(lateClient.ask(read("late")).heard())
                                 .containsExactly("row from replica");
-                        // Who is connected is served on for a while, and then let go.
-                        assertThat(idle.ask(read("idle")).heard())
+                        // Connected clients are still served for a while, then disconnected.
+                        assertThat(idleClient.ask(read("idle")).heard())
                                 .containsExactly("row from replica");
-                        // Answered before anybody is let go: what it sent ahead has its whole time
-                        // then.
-                        s.row("after all", true);
-                        assertThat(late.heard()).containsExactly("end");
+                        // Answered before any client is disconnected, so that the txns pipelined
+                        // behind this one still have their whole time.
+                        session.row("after shutdown signal", true);
+                        assertThat(lateClient.heard()).containsExactly("end");
                     }
                 });
-        c.raw(
+        client.raw(
                 message('Q', text(write("w"))),
                 message('Q', text(read("r"))),
                 message('Q', text("")));
-        assertThat(c.heard()).containsExactly("row after all");
-        assertThat(c.heard()).containsExactly("row from replica");
-        assertThat(c.heard()).containsExactly("empty");
-        assertThat(c.heard()).containsExactly("end");
-        assertThat(idle.heard()).containsExactly("end");
-        assertThat(driver.waitFor(20, TimeUnit.SECONDS)).isTrue();
-        assertThat(driver.exitValue()).isEqualTo(143);
+        assertThat(client.heard()).containsExactly("row after shutdown signal");
+        assertThat(client.heard()).containsExactly("row from replica");
+        assertThat(client.heard()).containsExactly("empty");
+        assertThat(client.heard()).containsExactly("end");
+        assertThat(idleClient.heard()).containsExactly("end");
+        assertThat(driver.waitFor(WAIT_TIMEOUT_SECONDS, TimeUnit.SECONDS)).isTrue();
+        assertThat(driver.exitValue()).isEqualTo(EXIT_STATUS_SIGTERM);
     }
 
     @Test
-    void whatIsTakenAfterTheWordToStopHasItsAnswerBeforeTheKill() throws Exception {
-        Client c = start();
-        primary.script((sql, s) -> s.awaitEnd());
-        send("TERM");
-        awaitLine("told to stop");
-        long from = System.nanoTime();
-        assertThat(c.ask(write("late").replace("d=4000", "d=60000")).heard())
+    void txnAcceptedDuringShutdownIsAnsweredBeforeKill() throws Exception {
+        Client client = startAndConnect();
+        primary.script((sql, session) -> session.awaitEnd());
+        sendSignal("TERM");
+        awaitLogLine("told to stop");
+        long startNanos = System.nanoTime();
+        assertThat(client.ask(write("late").replace("d=4000", "d=60000")).heard())
                 .containsExactly("error 08007");
-        assertThat(driver.waitFor(20, TimeUnit.SECONDS)).isTrue();
-        assertThat(System.nanoTime() - from).isLessThan(TimeUnit.SECONDS.toNanos(20));
+        assertThat(driver.waitFor(WAIT_TIMEOUT_SECONDS, TimeUnit.SECONDS)).isTrue();
+        assertThat(System.nanoTime() - startNanos).isLessThan(TimeUnit.SECONDS.toNanos(20));
     }
 
     /**
-     * Open before the word with an expiry behind the kill, at a member that hangs: it is not found
-     * unanswered.
+     * A txn at a member that hangs, with an expiry after the time at which the process is killed,
+     * must be answered before the kill.
      */
     @Test
-    void whatIsOpenAtTheWordToStopHasItsAnswerBeforeTheKill() throws Exception {
-        Client c = start();
-        primary.script((sql, s) -> s.awaitEnd());
-        c.raw(message('Q', text(write("early").replace("d=4000", "d=60000"))));
+    void txnOpenAtShutdownIsAnsweredBeforeKill() throws Exception {
+        Client client = startAndConnect();
+        primary.script((sql, session) -> session.awaitEnd());
+        client.raw(message('Q', text(write("early").replace("d=4000", "d=60000"))));
         primary.await();
-        send("TERM");
-        awaitLine("told to stop");
-        assertThat(c.heard()).containsExactly("error 08007");
-        assertThat(c.heard()).containsExactly("end");
-        assertThat(driver.waitFor(20, TimeUnit.SECONDS)).isTrue();
-        String last = awaitLine("stops after");
-        assertThat(Integer.parseInt(last.replaceAll(".*stops after ([0-9]+) ms.*", "$1")))
+        sendSignal("TERM");
+        awaitLogLine("told to stop");
+        assertThat(client.heard()).containsExactly("error 08007");
+        assertThat(client.heard()).containsExactly("end");
+        assertThat(driver.waitFor(WAIT_TIMEOUT_SECONDS, TimeUnit.SECONDS)).isTrue();
+        String lastLine = awaitLogLine("stops after");
+        assertThat(Integer.parseInt(lastLine.replaceAll(".*stops after ([0-9]+) ms.*", "$1")))
                 .isLessThan(20_000);
     }
 
-    // ---- signals and lists between two steps ----
+    // ---- signals and member lists during start and shutdown ----
 
-    private Process java(Path config) throws IOException {
-        ProcessBuilder p =
+    private Process startJar(Path configPath) throws IOException {
+        ProcessBuilder builder =
                 new ProcessBuilder(
                                 "java",
                                 "-XX:+UseSerialGC",
@@ -624,126 +663,132 @@
                                 "target/wingroad.jar",
                                 "serve")
                         .redirectErrorStream(true);
-        p.environment().put("LB_CONFIG", config.toString());
-        return p.start();
+        builder.environment().put("LB_CONFIG", configPath.toString());
+        return builder.start();
     }
 
-    /**
-     * Opens a pipe for the one configuration that its reader gets; waits until the reader is there.
-     */
-    private static OutputStream toReader(Path pipe) throws Exception {
+    /** Opens a named pipe for writing; waits until the driver has opened it for reading. */
+    private static OutputStream openPipeForReader(Path pipe) throws Exception {
         return CompletableFuture.supplyAsync(
                         () -> {
                             try {
                                 return new FileOutputStream(pipe.toFile());
-                            } catch (IOException e) {
-                                throw new UncheckedIOException(e);
+                            } catch (IOException failure) {
+                                throw new UncheckedIOException(failure);
                             }
                         })
-                .get(20, TimeUnit.SECONDS);
+                .get(WAIT_TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
 
-    /** Guards against a hang-up in the first moments, which ended the program, or was forgotten. */
+    /**
+     * Guards against a SIGHUP that ends the process or is lost because it arrives before its
+     * handler can act on it. The pipe keeps the driver reading its configuration until the signal
+     * is sent.
+     */
     @Test
-    void aHangUpWhileTheConfigurationIsReadIsFollowedOnceItServes() throws Exception {
-        String whole = Files.readString(Path.of(config(0, 1024)));
-        Path pipe = dir.resolve("pipe");
-        Path second = dir.resolve("second");
+    @SuppressWarnings("try")
+    void hangUpDuringConfigurationReadIsHandledOnceServing() throws Exception {
+        String configuration =
+                Files.readString(Path.of(writeConfiguration(0, DEFAULT_DESCRIPTOR_LIMIT)));
+        Path pipe = tempDir.resolve("pipe");
+        Path secondPipe = tempDir.resolve("second");
         assertThat(
-                        new ProcessBuilder("mkfifo", pipe.toString(), second.toString())
+                        new ProcessBuilder("mkfifo", pipe.toString(), secondPipe.toString())
                                 .start()
                                 .waitFor())
                 .isZero();
-        driver = java(pipe);
-        try (OutputStream out = toReader(pipe)) {
-            // Under the same name from now on: the first reader may be slow to close the one that
-            // it has, and is not met again.
-            Files.move(second, pipe, StandardCopyOption.ATOMIC_MOVE);
-            send("HUP");
-            out.write(whole.getBytes(StandardCharsets.UTF_8));
+        driver = startJar(pipe);
+        try (OutputStream output = openPipeForReader(pipe)) {
+            // The reload opens the second pipe under the same name. Reusing the first pipe could
+            // meet its first reader again, which may be slow to close it.
+            Files.move(secondPipe, pipe, StandardCopyOption.ATOMIC_MOVE);
+            sendSignal("HUP");
+            output.write(configuration.getBytes(StandardCharsets.UTF_8));
         }
-        try (StandInDiscovery next = new StandInDiscovery();
-                OutputStream out = toReader(pipe)) {
-            out.write(
-                    whole.replace(
+        try (StandInDiscovery newDiscovery = new StandInDiscovery();
+                OutputStream output = openPipeForReader(pipe)) {
+            output.write(
+                    configuration
+                            .replace(
                                     "\"discovery\":\"127.0.0.1:" + discovery.port(),
-                                    "\"discovery\":\"127.0.0.1:" + next.port())
+                                    "\"discovery\":\"127.0.0.1:" + newDiscovery.port())
                             .getBytes(StandardCharsets.UTF_8));
-            out.close();
-            assertThat(next.asked.poll(20, TimeUnit.SECONDS)).isNotNull();
+            output.close();
+            assertThat(newDiscovery.asked.poll(WAIT_TIMEOUT_SECONDS, TimeUnit.SECONDS)).isNotNull();
         }
     }
 
     /**
-     * Guards against a process that stays till it is killed, since there was no door yet that it
-     * could close.
+     * Guards against a process that ignores SIGTERM and stays until it is killed, because there is
+     * no listener yet that it could close.
      */
     @Test
-    void toldToStopBeforeItServesItEnds() throws Exception {
-        try (Peer.Listener silent = new Peer.Listener()) {
-            String config =
-                    Files.readString(Path.of(config(0, 1024)))
+    @SuppressWarnings("try")
+    void stopSignalBeforeServingEndsProcess() throws Exception {
+        try (Peer.Listener silentDiscovery = new Peer.Listener()) {
+            String configuration =
+                    Files.readString(Path.of(writeConfiguration(0, DEFAULT_DESCRIPTOR_LIMIT)))
                             .replace(
                                     "\"discovery\":\"127.0.0.1:" + discovery.port(),
-                                    "\"discovery\":\"127.0.0.1:" + silent.port());
-            driver = java(Files.writeString(dir.resolve("silent.json"), config));
-            try (Peer call = silent.accept()) {
-                send("TERM");
-                assertThat(driver.waitFor(20, TimeUnit.SECONDS)).isTrue();
-                assertThat(driver.exitValue()).isEqualTo(143);
+                                    "\"discovery\":\"127.0.0.1:" + silentDiscovery.port());
+            driver = startJar(Files.writeString(tempDir.resolve("silent.json"), configuration));
+            try (Peer discoveryRequest = silentDiscovery.accept()) {
+                sendSignal("TERM");
+                assertThat(driver.waitFor(WAIT_TIMEOUT_SECONDS, TimeUnit.SECONDS)).isTrue();
+                assertThat(driver.exitValue()).isEqualTo(EXIT_STATUS_SIGTERM);
             }
         }
     }
 
     /**
-     * What discovery's agent has counts as told from the first moment: nobody is let in before it
-     * is known.
+     * What discovery's agent holds counts as known to the driver from the start, so the list must
+     * be fetched before the first client is accepted.
      */
     @Test
-    void theListIsKnownBeforeAnybodyIsLetIn() throws Exception {
+    void memberListIsFetchedBeforeClientsAreAccepted() throws Exception {
         discovery.tell(
                 entry("s-1", primary.port(), "ready")
                         + ","
                         + entry("s-3", primary.port(), "ready"));
-        driver = process(config(0, 1024));
+        driver = startProcess(writeConfiguration(0, DEFAULT_DESCRIPTOR_LIMIT));
         List<String> lines = new ArrayList<>();
-        BufferedReader out = driver.inputReader(StandardCharsets.UTF_8);
+        BufferedReader output = driver.inputReader(StandardCharsets.UTF_8);
         do {
-            lines.add(out.readLine());
+            lines.add(output.readLine());
         } while (!lines.get(lines.size() - 1).contains(" serves "));
-        assertThat(lines).anyMatch(l -> l.contains("list 1 whole"));
+        assertThat(lines).anyMatch(line -> line.contains("list 1 whole"));
     }
 
     @Test
-    void aHangUpAndASecondWordToStopChangeNothingForWhatIsOpen() throws Exception {
-        Client c = start();
-        Semaphore let = new Semaphore(0);
+    void hangUpAndSecondStopSignalLeaveOpenTxnsAlone() throws Exception {
+        Client client = startAndConnect();
+        Semaphore answerPermits = new Semaphore(0);
         primary.script(
-                (sql, s) -> {
-                    let.acquireUninterruptibly();
-                    s.row("after all", true);
+                (sql, session) -> {
+                    answerPermits.acquireUninterruptibly();
+                    session.row("after shutdown signal", true);
                 });
-        c.raw(message('Q', text(write("w"))));
+        client.raw(message('Q', text(write("w"))));
         primary.await();
-        send("TERM");
-        awaitLine("told to stop");
-        hangUp();
-        awaitLine("configuration reloaded");
-        send("TERM");
-        try (Client late = client()) {
-            assertThat(late.ask(read("late")).heard()).containsExactly("row from replica");
+        sendSignal("TERM");
+        awaitLogLine("told to stop");
+        sendHangUp();
+        awaitLogLine("configuration reloaded");
+        sendSignal("TERM");
+        try (Client lateClient = connectClient()) {
+            assertThat(lateClient.ask(read("late")).heard()).containsExactly("row from replica");
         }
-        let.release();
-        assertThat(c.heard()).containsExactly("row after all");
-        assertThat(c.heard()).containsExactly("end");
-        assertThat(driver.waitFor(20, TimeUnit.SECONDS)).isTrue();
-        assertThat(driver.exitValue()).isEqualTo(143);
+        answerPermits.release();
+        assertThat(client.heard()).containsExactly("row after shutdown signal");
+        assertThat(client.heard()).containsExactly("end");
+        assertThat(driver.waitFor(WAIT_TIMEOUT_SECONDS, TimeUnit.SECONDS)).isTrue();
+        assertThat(driver.exitValue()).isEqualTo(EXIT_STATUS_SIGTERM);
     }
 
-    /** One line that names the key, and status 2. */
+    /** The start ends with one line that names the key, and status 2. */
     @Test
-    void aLimitWithWhichItCannotRunIsNamed() throws Exception {
-        for (String limit :
+    void invalidLimitIsReportedByItsKey() throws Exception {
+        for (String invalidLimit :
                 new String[] {
                     "\"sockets\":3",
                     "\"sockets\":-1",
@@ -751,13 +796,15 @@
                     "\"memory_mb\":1e99",
                     "\"sockets\":\"many\""
                 }) {
-            String key = limit.replaceAll("\"(.*)\":.*", "$1");
-            String whole =
-                    Files.readString(Path.of(config(0, 1024)))
-                            .replaceAll("\"" + key + "\":[0-9]+", limit);
-            driver = java(Files.writeString(dir.resolve("limit.json"), whole));
-            assertThat(driver.waitFor(20, TimeUnit.SECONDS)).as(limit).isTrue();
-            assertThat(driver.exitValue()).isEqualTo(2);
+            String key = invalidLimit.replaceAll("\"(.*)\":.*", "$1");
+            String configuration =
+                    Files.readString(Path.of(writeConfiguration(0, DEFAULT_DESCRIPTOR_LIMIT)))
+                            .replaceAll("\"" + key + "\":[0-9]+", invalidLimit);
+            driver = startJar(Files.writeString(tempDir.resolve("limit.json"), configuration));
+            assertThat(driver.waitFor(WAIT_TIMEOUT_SECONDS, TimeUnit.SECONDS))
+                    .as(invalidLimit)
+                    .isTrue();
+            assertThat(driver.exitValue()).isEqualTo(EXIT_STATUS_INVALID_CONFIGURATION);
             assertThat(driver.inputReader(StandardCharsets.UTF_8).lines().toList())
                     .singleElement()
                     .asString()
@@ -766,260 +813,282 @@
     }
 
     @Test
-    void badInputGetsAnErrorAndReachesNoMember() throws Exception {
-        Client c = start();
-        for (String bad :
+    void invalidInputIsRejectedAndReachesNoMember() throws Exception {
+        Client client = startAndConnect();
+        for (String invalidStatement :
                 new String[] {
                     "SELECT 1",
                     "/* c=look,d=9,cluster=7 */ SELECT v FROM records WHERE k = 'a'",
                     read("a") + "; " + read("b")
                 }) {
-            assertThat(c.ask(bad).heard()).containsExactly("error 08P01");
+            assertThat(client.ask(invalidStatement).heard()).containsExactly("error 08P01");
         }
-        assertThat(c.ask(read("a").replace("c=look", "c=other")).heard())
+        assertThat(client.ask(read("a").replace("c=look", "c=other")).heard())
                 .containsExactly("error 42704");
-        assertThat(c.ask(read("a").replace("cluster=7", "cluster=8")).heard())
+        assertThat(client.ask(read("a").replace("cluster=7", "cluster=8")).heard())
                 .containsExactly("error 42704");
-        c.raw(message('P', text(""), text(read("x"))), message('B'), message('E'), message('S'));
-        assertThat(c.heard()).containsExactly("error 0A000");
-        assertThat(c.raw(new byte[] {1, 2, 3}).heard()).containsExactly("error 08P01", "end");
-        Client cancels =
-                new Client(port).raw(ByteBuffer.allocate(16).putInt(16).putInt(80877102).array());
-        assertThat(cancels.heard()).containsExactly("end");
-        Client tls =
-                new Client(port).raw(ByteBuffer.allocate(8).putInt(8).putInt(80877103).array());
-        assertThat(tls.one()).isEqualTo('N');
-        assertThat(tls.startup().heard()).isEmpty();
+        client.raw(
+                message('P', text(""), text(read("x"))), message('B'), message('E'), message('S'));
+        assertThat(client.heard()).containsExactly("error 0A000");
+        assertThat(client.raw(new byte[] {1, 2, 3}).heard()).containsExactly("error 08P01", "end");
+        Client cancelRequest =
+                new Client(driverPort)
+                        .raw(
+                                ByteBuffer.allocate(16)
+                                        .putInt(16)
+                                        .putInt(CANCEL_REQUEST_CODE)
+                                        .array());
+        assertThat(cancelRequest.heard()).containsExactly("end");
+        Client sslRequest =
+                new Client(driverPort)
+                        .raw(ByteBuffer.allocate(8).putInt(8).putInt(SSL_REQUEST_CODE).array());
+        assertThat(sslRequest.one()).isEqualTo('N');
+        assertThat(sslRequest.startup().heard()).isEmpty();
         assertThat(primary.queries).isEmpty();
         assertThat(replica.queries).isEmpty();
-        assertThat(tls.ask(read("good")).heard()).containsExactly("row from replica");
+        assertThat(sslRequest.ask(read("good")).heard()).containsExactly("row from replica");
     }
 
     @Test
-    void anIdThatIsInUseIsTurnedAwayAndReachesNoMember() throws Exception {
-        Client c = start();
-        Client other = client();
+    void duplicateIdIsRejectedAndReachesNoMember() throws Exception {
+        Client client = startAndConnect();
+        Client otherClient = connectClient();
         primary.script(
-                (sql, s) -> {
-                    assertThat(other.ask(read("w").replace("'ab'", "'cd'")).heard())
+                (sql, session) -> {
+                    assertThat(otherClient.ask(read("w").replace("'ab'", "'cd'")).heard())
                             .containsExactly("error 42704");
-                    assertThat(other.ask(write("w")).heard()).containsExactly("error 42704");
-                    s.row("the only one", true);
+                    assertThat(otherClient.ask(write("w")).heard()).containsExactly("error 42704");
+                    session.row("accepted", true);
                 });
-        assertThat(c.ask(write("w")).heard()).containsExactly("row the only one");
+        assertThat(client.ask(write("w")).heard()).containsExactly("row accepted");
         assertThat(primary.queries).hasSize(1);
         assertThat(replica.queries).isEmpty();
     }
 
     @Test
-    void whoSaysNothingOrStopsInTheMiddleIsToldSoInTime() throws Exception {
-        Client asked = start();
-        assertThat(asked.ask(read("a")).heard()).containsExactly("row from replica");
-        long from = System.nanoTime();
-        List<Client> bad =
+    void silentAndStalledClientsTimeOut() throws Exception {
+        Client idleClient = startAndConnect();
+        assertThat(idleClient.ask(read("a")).heard()).containsExactly("row from replica");
+        long startNanos = System.nanoTime();
+        List<Client> stalledClients =
                 List.of(
-                        new Client(port),
-                        new Client(port).raw(new byte[] {0, 0, 0, 34, 0, 3}),
-                        client().raw(new byte[] {'Q', 0, 0, 1, 0, '/'}));
-        for (Client c : bad) {
-            assertThat(c.heard()).containsExactly("error 08P01", "end");
+                        new Client(driverPort),
+                        new Client(driverPort).raw(new byte[] {0, 0, 0, 34, 0, 3}),
+                        connectClient().raw(new byte[] {'Q', 0, 0, 1, 0, '/'}));
+        for (Client client : stalledClients) {
+            assertThat(client.heard()).containsExactly("error 08P01", "end");
         }
-        // Those that began well and ask nothing, or nothing more, are let go without an error.
-        assertThat(client().heard()).containsExactly("end");
-        assertThat(asked.heard()).containsExactly("end");
-        assertThat(System.nanoTime() - from).isLessThan(TimeUnit.SECONDS.toNanos(20));
+        // Clients that sent a startup message but no query, or no further one, are disconnected
+        // without an error.
+        assertThat(connectClient().heard()).containsExactly("end");
+        assertThat(idleClient.heard()).containsExactly("end");
+        assertThat(System.nanoTime() - startNanos).isLessThan(TimeUnit.SECONDS.toNanos(20));
     }
 
     @Test
-    void whoIsToldTheEndCannotGoOnSending() throws Exception {
-        start();
-        Client c = client().raw(new byte[] {'Q', 3, (byte) 0x93, (byte) 0x87, 0});
-        byte[] some = new byte[1 << 16];
-        long sent = 0;
+    void rejectedClientCannotKeepSending() throws Exception {
+        startAndConnect();
+        // The header of a query of 60,000,000 bytes, far above the limit.
+        Client client = connectClient().raw(new byte[] {'Q', 3, (byte) 0x93, (byte) 0x87, 0});
+        byte[] chunk = new byte[1 << 16];
+        long sentBytes = 0;
         try {
-            for (; sent < 60_000_000; sent += some.length) {
-                c.raw(some);
+            for (; sentBytes < 60_000_000; sentBytes += chunk.length) {
+                client.raw(chunk);
             }
-        } catch (SocketException ended) {
-            // as it should
+        } catch (SocketException connectionClosed) {
+            // expected: the driver has closed the connection
         }
-        assertThat(sent).isLessThan(60_000_000);
-        assertThat(client().ask(read("r")).heard()).containsExactly("row from replica");
+        assertThat(sentBytes).isLessThan(60_000_000);
+        assertThat(connectClient().ask(read("r")).heard()).containsExactly("row from replica");
     }
 
     @Test
-    void whoAsksTheSameNonsenseAgainIsSlowedDownAndThenLetGo() throws Exception {
-        Client c = start();
-        long from = System.nanoTime();
+    void repeatedInvalidQueriesAreThrottledThenDisconnected() throws Exception {
+        Client client = startAndConnect();
+        long startNanos = System.nanoTime();
         for (int i = 0; i < 7; i++) {
-            assertThat(c.ask(read("a").replace("c=look", "c=other")).heard())
+            assertThat(client.ask(read("a").replace("c=look", "c=other")).heard())
                     .containsExactly("error 42704");
         }
-        assertThat(c.ask("nonsense").heard()).containsExactly("error 08P01", "end");
-        assertThat(System.nanoTime() - from).isGreaterThan(TimeUnit.SECONDS.toNanos(1));
+        assertThat(client.ask("nonsense").heard()).containsExactly("error 08P01", "end");
+        assertThat(System.nanoTime() - startNanos).isGreaterThan(TimeUnit.SECONDS.toNanos(1));
     }
 
     @Test
-    void withoutAConfigurationOrAnAddressItEndsWithOneLine() throws Exception {
-        for (String config :
+    void unusableConfigurationOrListenAddressEndsStartWithOneLine() throws Exception {
+        for (String configPath :
                 new String[] {
                     "",
-                    config(primary.port(), 1024),
-                    dir.resolve("none.json").toString(),
-                    Files.writeString(dir.resolve("broken.json"), "{\"listen\":").toString(),
-                    Files.writeString(dir.resolve("short.json"), "{\"listen\":\"127.0.0.1:0\"}")
+                    writeConfiguration(primary.port(), DEFAULT_DESCRIPTOR_LIMIT),
+                    tempDir.resolve("none.json").toString(),
+                    Files.writeString(tempDir.resolve("broken.json"), "{\"listen\":").toString(),
+                    Files.writeString(tempDir.resolve("short.json"), "{\"listen\":\"127.0.0.1:0\"}")
                             .toString()
                 }) {
-            driver = process(config);
+            driver = startProcess(configPath);
             assertThat(driver.inputReader(StandardCharsets.UTF_8).lines().toList()).hasSize(1);
-            assertThat(driver.waitFor()).isEqualTo(2);
+            assertThat(driver.waitFor()).isEqualTo(EXIT_STATUS_INVALID_CONFIGURATION);
         }
     }
 
-    // ---- the door ----
+    // ---- the door and the operator's file ----
 
-    private static final String SMALL_DOOR =
+    /** A door node that the test closes, after adding to it. */
+    private static final String DOOR_NODE_START =
             "door {\n tenant-from comment tenant\n tenant-from startup user\n";
 
-    /** Members that answer nothing before they are let. */
-    private Semaphore stopMembers() {
-        Semaphore let = new Semaphore(0);
-        for (StandInMember m : List.of(primary, replica)) {
-            m.script(
-                    (sql, s) -> {
-                        let.acquireUninterruptibly();
-                        s.row("late", m.primary);
+    /** Makes both members answer only as permits are released. */
+    private Semaphore blockMembers() {
+        Semaphore answerPermits = new Semaphore(0);
+        for (StandInMember member : List.of(primary, replica)) {
+            member.script(
+                    (sql, session) -> {
+                        answerPermits.acquireUninterruptibly();
+                        session.row("late", member.primary);
                     });
         }
-        return let;
+        return answerPermits;
     }
 
     @Test
-    void withTheDoorTxnsAreServedAndDeclinesSayWhenToComeBack() throws Exception {
-        Client c = start(SMALL_DOOR + "}");
-        assertThat(c.ask(read("a")).heard()).containsExactly("row from replica");
-        assertThat(c.ask(write("b")).heard()).containsExactly("row from primary");
-        Semaphore let = stopMembers();
-        List<Client> many = new ArrayList<>();
+    void doorServesTxnsAndDeclinesWithRetryAdvice() throws Exception {
+        Client client = startAndConnect(DOOR_NODE_START + "}");
+        assertThat(client.ask(read("a")).heard()).containsExactly("row from replica");
+        assertThat(client.ask(write("b")).heard()).containsExactly("row from primary");
+        Semaphore answerPermits = blockMembers();
+        List<Client> waitingClients = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
-            many.add(client().ask(read("m" + i)));
+            waitingClients.add(connectClient().ask(read("m" + i)));
         }
-        int declined = 0;
-        for (Client m : many) {
-            String answer = m.wholeAnswer();
+        int declinedCount = 0;
+        for (Client waitingClient : waitingClients) {
+            String answer = waitingClient.wholeAnswer();
             if (answer.contains("53300")) {
-                declined++;
-                int advice = Integer.parseInt(answer.replaceAll("(?s).*\0D([0-9]+)\0.*", "$1"));
-                assertThat(advice).isBetween(1, 500);
+                declinedCount++;
+                int retryAfterMs =
+                        Integer.parseInt(answer.replaceAll("(?s).*\0D([0-9]+)\0.*", "$1"));
+                assertThat(retryAfterMs).isBetween(1, 500);
             }
         }
-        assertThat(declined).isGreaterThan(40);
-        // The module leaves members that were silent alone for up to 2.5 s: who asks without a
-        // pause has asked thousands of times by then.
-        let.release(10_000);
-        Client later = client();
-        for (int n = 0; !later.ask(read("again" + n)).heard().get(0).equals("row late"); n++) {
-            assertThat(n).isLessThan(1000);
+        assertThat(declinedCount).isGreaterThan(40);
+        // The router may avoid members that did not respond for up to 2.5 s. Retrying without a
+        // pause would use up all attempts before then.
+        answerPermits.release(10_000);
+        Client laterClient = connectClient();
+        for (int attempts = 0;
+                !laterClient.ask(read("again" + attempts)).heard().get(0).equals("row late");
+                attempts++) {
+            assertThat(attempts).isLessThan(1000);
             Thread.sleep(20);
         }
     }
 
     @Test
-    void theSameBuildServesWhereTheListMustBeAskedAndReportsComeByProbes() throws Exception {
-        Path config = Path.of(config(0, 1024));
+    void pullDiscoveryAndProbedReportsAreSupported() throws Exception {
+        Path configPath = Path.of(writeConfiguration(0, DEFAULT_DESCRIPTOR_LIMIT));
         Files.writeString(
-                config,
-                Files.readString(config)
+                configPath,
+                Files.readString(configPath)
                         .replace("\"discovery\":\"push\"", "\"discovery\":\"ask\"")
                         .replace("\"piggyback\"", "\"pull\"")
                         .replace("\"retry-after\":true", "\"retry-after\":false")
                         .replace(
                                 "\"drain-grace\":1000",
                                 "\"drain-grace\":250,\"removal-not-binding\":true"));
-        Client c = start(process(config.toString()));
-        assertThat(c.ask(write("w")).heard()).containsExactly("row from primary");
-        askUntil(c, "row from replica");
+        Client client = startAndConnect(startProcess(configPath.toString()));
+        assertThat(client.ask(write("w")).heard()).containsExactly("row from primary");
+        askUntilAnswered(client, "row from replica");
     }
 
     /**
-     * Guards against a start on settings of two shapes of deployment, found out only when a rule is
-     * broken.
+     * Guards against a start with settings that belong to two different kinds of deployment, where
+     * the contradiction would only show once a rule is broken.
      */
     @Test
-    void settingsOfTwoShapesAreRefusedAtTheStartByTheirKey() throws Exception {
-        Path config = Path.of(config(0, 1024));
+    void contradictorySettingsAreRefusedAtStartByTheirKey() throws Exception {
+        Path configPath = Path.of(writeConfiguration(0, DEFAULT_DESCRIPTOR_LIMIT));
         Files.writeString(
-                config,
-                Files.readString(config)
+                configPath,
+                Files.readString(configPath)
                         .replace("\"discovery\":\"push\"", "\"discovery\":\"ask\"")
                         .replace("\"ask-within\":10000", "\"ask-within\":0"));
-        driver = process(config.toString());
-        String said = new String(driver.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-        assertThat(driver.waitFor()).isEqualTo(2);
-        assertThat(said).contains("rules.ask-within: required if discovery is ask");
+        driver = startProcess(configPath.toString());
+        String output = new String(driver.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+        assertThat(driver.waitFor()).isEqualTo(EXIT_STATUS_INVALID_CONFIGURATION);
+        assertThat(output).contains("rules.ask-within: required if discovery is ask");
     }
 
     @Test
-    void aBrokenOperatorsFileIsRefusedAtTheStart() throws Exception {
-        Files.writeString(dir.resolve("operator.kdl"), "door {\n others weight=0\n nobody\n}");
-        driver = process(config(0, 1024), "--operator", dir.resolve("operator.kdl").toString());
-        assertThat(driver.waitFor(20, TimeUnit.SECONDS)).isTrue();
-        assertThat(driver.exitValue()).isEqualTo(2);
+    void invalidOperatorFileIsRefusedAtStart() throws Exception {
+        Files.writeString(tempDir.resolve("operator.kdl"), "door {\n others weight=0\n nobody\n}");
+        driver =
+                startProcess(
+                        writeConfiguration(0, DEFAULT_DESCRIPTOR_LIMIT),
+                        "--operator",
+                        tempDir.resolve("operator.kdl").toString());
+        assertThat(driver.waitFor(WAIT_TIMEOUT_SECONDS, TimeUnit.SECONDS)).isTrue();
+        assertThat(driver.exitValue()).isEqualTo(EXIT_STATUS_INVALID_CONFIGURATION);
         assertThat(driver.inputReader().lines())
-                .anyMatch(l -> l.contains("operator.kdl:2:16: found the number 0"))
-                .anyMatch(l -> l.contains("operator.kdl:3:2: 'nobody' is not known"));
+                .anyMatch(line -> line.contains("operator.kdl:2:16: found the number 0"))
+                .anyMatch(line -> line.contains("operator.kdl:3:2: 'nobody' is not known"));
     }
 
     /**
-     * A start in the moment in which the file is written anew: serving with all of it off would
-     * look like any other start.
+     * The file is empty if the driver starts while somebody rewrites it. Serving without any of its
+     * features would look like a normal start.
      */
     @Test
-    void anEmptyOperatorsFileIsRefusedAtTheStart() throws Exception {
-        Files.writeString(dir.resolve("operator.kdl"), "");
-        driver = process(config(0, 1024), "--operator", dir.resolve("operator.kdl").toString());
+    void emptyOperatorFileIsRefusedAtStart() throws Exception {
+        Files.writeString(tempDir.resolve("operator.kdl"), "");
+        driver =
+                startProcess(
+                        writeConfiguration(0, DEFAULT_DESCRIPTOR_LIMIT),
+                        "--operator",
+                        tempDir.resolve("operator.kdl").toString());
         assertThat(driver.inputReader().readLine()).contains("operator.kdl:1:1: empty: ");
-        assertThat(driver.waitFor(20, TimeUnit.SECONDS)).isTrue();
-        assertThat(driver.exitValue()).isEqualTo(2);
+        assertThat(driver.waitFor(WAIT_TIMEOUT_SECONDS, TimeUnit.SECONDS)).isTrue();
+        assertThat(driver.exitValue()).isEqualTo(EXIT_STATUS_INVALID_CONFIGURATION);
     }
 
     @Test
-    void onHangUpTheOperatorsFileIsReadAgainAndABrokenOneChangesNothing() throws Exception {
-        Client c = start(SMALL_DOOR + " tenant svc weight=2\n}");
-        Semaphore let = stopMembers();
-        c.ask(write("w"));
+    void hangUpReloadsOperatorFileUnlessItIsInvalid() throws Exception {
+        Client client = startAndConnect(DOOR_NODE_START + " tenant svc weight=2\n}");
+        Semaphore answerPermits = blockMembers();
+        client.ask(write("w"));
         primary.await();
-        Files.writeString(dir.resolve("operator.kdl"), "door {");
-        hangUp();
-        assertThat(awaitLine("operator's file not reloaded"))
+        Files.writeString(tempDir.resolve("operator.kdl"), "door {");
+        sendHangUp();
+        assertThat(awaitLogLine("operator's file not reloaded"))
                 .contains("1:7: found the end of the text");
         Files.writeString(
-                dir.resolve("operator.kdl"), SMALL_DOOR + " tenant svc weight=3\n tenant b\n}");
-        hangUp();
-        awaitLine("operator's file reloaded, 2 tenants listed");
-        let.release(100);
-        assertThat(c.heard()).containsExactly("row late");
+                tempDir.resolve("operator.kdl"),
+                DOOR_NODE_START + " tenant svc weight=3\n tenant b\n}");
+        sendHangUp();
+        awaitLogLine("operator's file reloaded, 2 tenants listed");
+        answerPermits.release(100);
+        assertThat(client.heard()).containsExactly("row late");
     }
 
     @Test
-    void toldToStopWithAFullQueueAllAreAnswered() throws Exception {
-        start(SMALL_DOOR + "}");
-        stopMembers();
-        List<Client> many = new ArrayList<>();
+    void shutdownWithFullQueueAnswersAllClients() throws Exception {
+        startAndConnect(DOOR_NODE_START + "}");
+        blockMembers();
+        List<Client> waitingClients = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
-            many.add(client().ask(write("w" + i)));
+            waitingClients.add(connectClient().ask(write("w" + i)));
         }
         primary.await();
-        send("TERM");
-        for (Client m : many) {
-            assertThat(m.heard()).hasSize(1).first().asString().startsWith("error ");
+        sendSignal("TERM");
+        for (Client waitingClient : waitingClients) {
+            assertThat(waitingClient.heard()).hasSize(1).first().asString().startsWith("error ");
         }
-        awaitLine("stops after");
+        awaitLogLine("stops after");
     }
 
     @Test
-    void withoutAnOperatorsFileNoClassOfItIsLoaded() throws Exception {
-        ProcessBuilder p =
+    void withoutOperatorFileNoOptionalClassIsLoaded() throws Exception {
+        ProcessBuilder builder =
                 new ProcessBuilder(
                                 "java",
                                 "-Xlog:class+load:stdout",
@@ -1027,28 +1096,28 @@
                                 "target/wingroad.jar",
                                 "serve")
                         .redirectErrorStream(true);
-        p.environment().put("LB_CONFIG", config(0, 1024));
-        driver = p.start();
-        BufferedReader out = driver.inputReader(StandardCharsets.UTF_8);
+        builder.environment().put("LB_CONFIG", writeConfiguration(0, DEFAULT_DESCRIPTOR_LIMIT));
+        driver = builder.start();
+        BufferedReader output = driver.inputReader(StandardCharsets.UTF_8);
         List<String> lines = new ArrayList<>();
-        for (String line = out.readLine();
+        for (String line = output.readLine();
                 line != null && !line.contains(" serves ");
-                line = out.readLine()) {
+                line = output.readLine()) {
             lines.add(line);
         }
-        assertThat(lines).anyMatch(l -> l.contains(" wingroad.routing.TxnRouter "));
+        assertThat(lines).anyMatch(line -> line.contains(" wingroad.routing.TxnRouter "));
         assertThat(lines)
                 .noneMatch(
-                        l ->
-                                l.contains(" picocli.")
-                                        || l.contains(" org.antlr.")
-                                        || l.contains(" wingroad.door.")
-                                        || l.contains(" wingroad.operator.")
-                                        || l.contains(" wingroad.cli.")
-                                        || l.contains(" com.dynatrace.")
-                                        || l.contains(" wingroad.fleet.")
-                                        || l.contains(" wingroad.duty.")
-                                        || l.contains(" io.microraft.")
-                                        || l.contains(" org.sqlite."));
+                        line ->
+                                line.contains(" picocli.")
+                                        || line.contains(" org.antlr.")
+                                        || line.contains(" wingroad.door.")
+                                        || line.contains(" wingroad.operator.")
+                                        || line.contains(" wingroad.cli.")
+                                        || line.contains(" com.dynatrace.")
+                                        || line.contains(" wingroad.fleet.")
+                                        || line.contains(" wingroad.duty.")
+                                        || line.contains(" io.microraft.")
+                                        || line.contains(" org.sqlite."));
     }
 }
