--- a/src/test/java/wingroad/driver/MemberPoolsTest.java
+++ b/src/test/java/wingroad/driver/MemberPoolsTest.java
@@ -11,8 +11,10 @@
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.ServerSocket;
+import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
+import java.util.Arrays;
 import java.util.Map;
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.CompletableFuture;
@@ -20,6 +22,7 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
+import wingroad.Fixtures;
 import wingroad.Fixtures.Script;
 import wingroad.Fixtures.StandInMember;
 import wingroad.protocol.MemberList;
@@ -28,28 +31,47 @@
 import wingroad.state.Submission.Outcome;
 import wingroad.transport.EventLoop;
 
-/** How each way in which a member can answer, or not answer, ends a submission. */
+/**
+ * Verifies the outcome of a submission for each way in which a member can respond or fail, and
+ * which connections are reused afterwards.
+ */
 class MemberPoolsTest {
-    private static final Duration CONNECT = Duration.ofSeconds(5);
-    private static final Duration LONG = Duration.ofSeconds(15);
+    /** Limits each wait for the driver or a member. */
+    private static final long WAIT_TIMEOUT_SECONDS = 20;
 
-    private final BlockingQueue<Ended> ends = new LinkedBlockingQueue<>();
-    private final EventLoop loop = loop(900);
+    private static final int CHANNEL_LIMIT = 900;
+    private static final int MEMORY_LIMIT_BYTES = 1 << 24;
+    private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(5);
+
+    /** Until when a member may respond, long enough that no request with it times out. */
+    private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(15);
+
+    /** The id that the pools assign to the first member that is listed. */
+    private static final long MOVING_MEMBER_ID = 1;
+
+    private final BlockingQueue<CompletedRequest> completedRequests = new LinkedBlockingQueue<>();
+    private final EventLoop loop = createEventLoop(CHANNEL_LIMIT);
     private final Clock clock = new Clock();
-    private MemberPools members = members(CONNECT);
-    private int submissions;
-    private volatile boolean mayGo = true;
+    private MemberPools pools = createPools(CONNECT_TIMEOUT);
+    private int submissionCount;
+    private volatile boolean mayDispatch = true;
 
-    /** Runs once, in the turn of the loop in which the next submission ends. */
-    private volatile Runnable atItsEnd;
+    /** Runs once, in the event loop task in which the next submission ends. */
+    private volatile Runnable onNextCompletion;
 
-    private record Ended(Outcome end, TxnDispatcher.MemberStatus status, byte[] row) {}
+    /**
+     * The outcome of a submission or of a probe.
+     *
+     * @param row the messages for the client, or null if there are none
+     */
+    private record CompletedRequest(
+            Outcome outcome, TxnDispatcher.MemberStatus status, byte[] row) {}
 
-    private static EventLoop loop(int most) {
+    private static EventLoop createEventLoop(int channelLimit) {
         try {
             return new EventLoop(
-                    most,
-                    1 << 24,
+                    channelLimit,
+                    MEMORY_LIMIT_BYTES,
                     bug -> {
                         throw new AssertionError(bug);
                     });
@@ -58,35 +80,35 @@
         }
     }
 
-    private MemberPools members(Duration connectTime) {
-        return members(connectTime, Duration.ofSeconds(30));
+    private MemberPools createPools(Duration connectTimeout) {
+        return createPools(connectTimeout, Duration.ofSeconds(30));
     }
 
-    private MemberPools members(Duration connectTime, Duration idleTime) {
+    private MemberPools createPools(Duration connectTimeout, Duration idleTimeout) {
         return new MemberPools(
                 loop,
                 clock,
                 new Counters(),
-                Map.of("connect-time-out", connectTime, "idle-time", idleTime),
+                Map.of("connect-time-out", connectTimeout, "idle-time", idleTimeout),
                 new MemberTransportListener() {
                     @Override
                     public void roleProbeEnded(
                             long member, boolean answered, TxnDispatcher.MemberReport report) {
-                        // nobody plans work here
+                        // no maintenance work in these tests
                     }
 
                     @Override
                     public void submissionEnded(
-                            TxnDispatcher.MemberRequest e,
-                            Outcome end,
-                            Duration took,
+                            TxnDispatcher.MemberRequest request,
+                            Outcome outcome,
+                            Duration elapsed,
                             TxnDispatcher.MemberStatus status,
                             byte[] row) {
-                        ends.add(new Ended(end, status, row));
-                        Runnable then = atItsEnd;
-                        atItsEnd = null;
-                        if (then != null) {
-                            then.run();
+                        completedRequests.add(new CompletedRequest(outcome, status, row));
+                        Runnable callback = onNextCompletion;
+                        onNextCompletion = null;
+                        if (callback != null) {
+                            callback.run();
                         }
                     }
 
@@ -94,10 +116,10 @@
                     public void probeEnded(
                             long member,
                             boolean answered,
-                            Duration took,
+                            Duration elapsed,
                             TxnDispatcher.MemberReport report) {
-                        ends.add(
-                                new Ended(
+                        completedRequests.add(
+                                new CompletedRequest(
                                         answered ? Outcome.COMMITTED : Outcome.ERROR,
                                         new TxnDispatcher.MemberStatus(
                                                 report.role(), report.position(), report),
@@ -105,8 +127,8 @@
                     }
 
                     @Override
-                    public boolean mayDispatch(TxnDispatcher.MemberRequest e) {
-                        return mayGo;
+                    public boolean mayDispatch(TxnDispatcher.MemberRequest request) {
+                        return mayDispatch;
                     }
 
                     @Override
@@ -116,17 +138,17 @@
                 });
     }
 
-    private Ended next() throws InterruptedException {
-        Ended e = ends.poll(20, TimeUnit.SECONDS);
-        assertThat(e).as("an end").isNotNull();
-        return e;
+    private CompletedRequest awaitCompletion() throws InterruptedException {
+        CompletedRequest completed = completedRequests.poll(WAIT_TIMEOUT_SECONDS, TimeUnit.SECONDS);
+        assertThat(completed).as("outcome of a request").isNotNull();
+        return completed;
     }
 
-    private void dispatch(int port, Duration wait) {
+    private void dispatch(int port, Duration timeout) {
         loop.run(
                 () -> {
-                    long id =
-                            members.updateMember(
+                    long memberId =
+                            pools.updateMember(
                                     MemberList.parse(
                                                     ("{\"rev\":1,\"all\":true,\"targets\":["
                                                                     + entry(
@@ -138,73 +160,85 @@
                                             .list()
                                             .entries()
                                             .get(0));
-                    Statement s =
+                    Statement statement =
                             Statement.parse(
-                                            wingroad.Fixtures.read("r" + submissions)
+                                            Fixtures.read("r" + submissionCount)
                                                     .getBytes(StandardCharsets.UTF_8))
                                     .statement();
-                    members.dispatch(
+                    pools.dispatch(
                             new TxnDispatcher.MemberRequest(
-                                    "t", submissions++, id, s, clock.now().plus(wait)));
+                                    "t",
+                                    submissionCount++,
+                                    memberId,
+                                    statement,
+                                    clock.now().plus(timeout)));
                 });
     }
 
-    /** How one submission ends at a member that does this with it. */
-    private Ended end(Script script) throws Exception {
-        try (StandInMember m = new StandInMember(false, script)) {
-            dispatch(m.port(), LONG);
-            return next();
+    /** Sends one submission to a member with this script; returns how it ended. */
+    private CompletedRequest dispatchTo(Script script) throws Exception {
+        try (StandInMember member = new StandInMember(false, script)) {
+            dispatch(member.port(), REQUEST_TIMEOUT);
+            return awaitCompletion();
         }
     }
 
     @Test
-    void aRowIsCommittedWithItsRoleAndPosition() throws Exception {
-        Ended e = end((sql, s) -> s.row("val", true));
-        assertThat(e.end()).isEqualTo(Outcome.COMMITTED);
-        assertThat(e.status().role().name()).isEqualTo("PRIMARY");
-        assertThat(e.status().position()).isBetween(clock.now().minusSeconds(20), clock.now());
-        assertThat(e.row()).startsWith(message('T', DESCRIPTION));
+    void rowIsCommittedWithRoleAndPosition() throws Exception {
+        CompletedRequest completed = dispatchTo((sql, session) -> session.row("val", true));
+        assertThat(completed.outcome()).isEqualTo(Outcome.COMMITTED);
+        assertThat(completed.status().role().name()).isEqualTo("PRIMARY");
+        assertThat(completed.status().position())
+                .isBetween(clock.now().minusSeconds(20), clock.now());
+        assertThat(completed.row()).startsWith(message('T', DESCRIPTION));
     }
 
     @Test
-    void eachErrorCodeHasItsEnd() throws Exception {
-        assertThat(end((sql, s) -> s.error("25006", false)).end()).isEqualTo(Outcome.MISSED);
-        assertThat(end((sql, s) -> s.error("72000", false)).end()).isEqualTo(Outcome.MISSED);
-        assertThat(end((sql, s) -> s.error("53300", false)).end()).isEqualTo(Outcome.FULL);
-        assertThat(end((sql, s) -> s.error("XX000", false)).end()).isEqualTo(Outcome.ERROR);
-        assertThat(end((sql, s) -> s.error("08P01", false)).end()).isEqualTo(Outcome.ERROR);
+    void eachErrorCodeHasItsOutcome() throws Exception {
+        assertThat(dispatchTo((sql, session) -> session.error("25006", false)).outcome())
+                .isEqualTo(Outcome.MISSED);
+        assertThat(dispatchTo((sql, session) -> session.error("72000", false)).outcome())
+                .isEqualTo(Outcome.MISSED);
+        assertThat(dispatchTo((sql, session) -> session.error("53300", false)).outcome())
+                .isEqualTo(Outcome.FULL);
+        assertThat(dispatchTo((sql, session) -> session.error("XX000", false)).outcome())
+                .isEqualTo(Outcome.ERROR);
+        assertThat(dispatchTo((sql, session) -> session.error("08P01", false)).outcome())
+                .isEqualTo(Outcome.ERROR);
     }
 
     @Test
-    void aConnectionThatBreaksAfterTheLastByteMayHaveRun() throws Exception {
-        assertThat(end((sql, s) -> s.end()).end()).isEqualTo(Outcome.RESET);
+    void connectionLostAfterSendingIsReset() throws Exception {
+        assertThat(dispatchTo((sql, session) -> session.end()).outcome()).isEqualTo(Outcome.RESET);
         assertThat(
-                        end((sql, s) -> {
-                                    s.raw(
-                                            message('T', DESCRIPTION),
-                                            new byte[] {'D', 0, 0, 0, 50, 0});
-                                    s.end();
-                                })
-                                .end())
+                        dispatchTo(
+                                        (sql, session) -> {
+                                            session.raw(
+                                                    message('T', DESCRIPTION),
+                                                    new byte[] {'D', 0, 0, 0, 50, 0});
+                                            session.end();
+                                        })
+                                .outcome())
                 .isEqualTo(Outcome.RESET);
     }
 
     @Test
-    void anAnswerThatMakesNoSenseMayHaveRunAndEndsItsConnection() throws Exception {
-        for (byte[] bad :
+    void invalidResponseIsReportedAsError() throws Exception {
+        for (byte[] invalidResponse :
                 new byte[][] {
                     READY, message('?'), {'D', 127, 0, 0, 0}, message('D', column("x"))
                 }) {
-            assertThat(end((sql, s) -> s.raw(bad)).end()).isEqualTo(Outcome.ERROR);
+            assertThat(dispatchTo((sql, session) -> session.raw(invalidResponse)).outcome())
+                    .isEqualTo(Outcome.ERROR);
         }
     }
 
     @Test
-    void whatMakesNoSenseIsToldBeforeItIsWhole() throws Exception {
-        byte[] begun = message('T', DESCRIPTION);
-        // A value of 3 GB, a row longer than its value, a text that does not end, noise: none is
-        // waited for.
-        for (byte[] bad :
+    void invalidResponseIsDetectedBeforeItIsComplete() throws Exception {
+        byte[] rowDescription = message('T', DESCRIPTION);
+        // A value of 3 GB, a row longer than its value, an unterminated text, unknown bytes: the
+        // rest of none of them may be awaited.
+        for (byte[] invalidRest :
                 new byte[][] {
                     {'D', (byte) 0xb2, (byte) 0xd0, 0x5e, 0},
                     {'D', 0, 0, 0, 99, 0, 1, 0, 0, 0, 5},
@@ -216,248 +250,263 @@
                     message('D', new byte[] {0, 1, -1, -1, -1, -1})
                 }) {
             assertThat(
-                            end((sql, s) -> {
-                                        s.raw(begun, bad);
-                                        s.awaitEnd();
-                                    })
-                                    .end())
+                            dispatchTo(
+                                            (sql, session) -> {
+                                                session.raw(rowDescription, invalidRest);
+                                                session.awaitEnd();
+                                            })
+                                    .outcome())
                     .isEqualTo(Outcome.ERROR);
         }
     }
 
     @Test
-    void whatComesBehindAnAnswerIsNeverTakenForTheNextOne() throws Exception {
-        byte[] copy =
-                wingroad.Fixtures.joined(
+    void unexpectedBytesAfterResponseAreNotTakenForTheNextOne() throws Exception {
+        byte[] completeResponse =
+                Fixtures.joined(
                         message('T', DESCRIPTION),
                         message('D', column("old")),
                         message('C', text("SELECT 1")),
                         READY);
-        for (byte[] more :
+        for (byte[] unexpectedBytes :
                 new byte[][] {
-                    copy, message('S', text("part"), text("master")), {'T', 0, 0}, {17}
+                    completeResponse, message('S', text("part"), text("master")), {'T', 0, 0}, {17}
                 }) {
-            // In one piece: what comes in another one may come after the rest, and can't be told
-            // from an answer then.
-            try (StandInMember m =
-                    new StandInMember(false, (sql, s) -> s.row("first", false, more))) {
-                dispatch(m.port(), LONG);
-                assertThat(next().end()).isEqualTo(Outcome.COMMITTED);
-                dispatch(m.port(), LONG);
-                Ended second = next();
-                if (second.end() == Outcome.MOOT) {
-                    // Nothing of it had been sent.
-                    dispatch(m.port(), LONG);
-                    second = next();
+            // Sent in one write with the response. Bytes of a later write may arrive after the
+            // reuse delay, and can't be told from the next response then.
+            try (StandInMember member =
+                    new StandInMember(
+                            false,
+                            (sql, session) -> session.row("first", false, unexpectedBytes))) {
+                dispatch(member.port(), REQUEST_TIMEOUT);
+                assertThat(awaitCompletion().outcome()).isEqualTo(Outcome.COMMITTED);
+                dispatch(member.port(), REQUEST_TIMEOUT);
+                CompletedRequest second = awaitCompletion();
+                if (second.outcome() == Outcome.MOOT) {
+                    // The request had not been sent yet.
+                    dispatch(member.port(), REQUEST_TIMEOUT);
+                    second = awaitCompletion();
                 }
-                assertThat(second.end()).isEqualTo(Outcome.COMMITTED);
+                assertThat(second.outcome()).isEqualTo(Outcome.COMMITTED);
                 assertThat(new String(second.row(), StandardCharsets.ISO_8859_1)).contains("first");
-                assertThat(m.connections).hasValue(2);
+                assertThat(member.connections).hasValue(2);
             }
         }
     }
 
     @Test
-    void aLargeRowComesThroughWhole() throws Exception {
-        String large = "z".repeat(1_000_000);
-        Ended e = end((sql, s) -> s.row(large, false));
-        assertThat(e.end()).isEqualTo(Outcome.COMMITTED);
-        assertThat(e.row()).hasSizeGreaterThan(1_000_000);
-        // Asked on the loop's own thread, behind the task that the answer came with: that one gives
-        // its buffer back at its end.
-        CompletableFuture<Long> held = new CompletableFuture<>();
-        loop.run(() -> held.complete(loop.held()));
-        assertThat(held.get(20, TimeUnit.SECONDS)).isLessThanOrEqualTo(1024);
+    void largeRowIsReadCompletelyAndItsBufferReleased() throws Exception {
+        String largeValue = "z".repeat(1_000_000);
+        CompletedRequest completed = dispatchTo((sql, session) -> session.row(largeValue, false));
+        assertThat(completed.outcome()).isEqualTo(Outcome.COMMITTED);
+        assertThat(completed.row()).hasSizeGreaterThan(1_000_000);
+        // Read by a later task of the event loop: the task that received the response releases its
+        // buffer at its end.
+        CompletableFuture<Long> heldBytes = new CompletableFuture<>();
+        loop.run(() -> heldBytes.complete(loop.held()));
+        assertThat(heldBytes.get(WAIT_TIMEOUT_SECONDS, TimeUnit.SECONDS)).isLessThanOrEqualTo(1024);
     }
 
     @Test
-    void oneThatIsNoLongerThoughtOfIsLetGoWithItsConnections() throws Exception {
-        try (StandInMember m = new StandInMember(false, (sql, s) -> s.row("x", false))) {
-            dispatch(m.port(), LONG);
-            assertThat(next().end()).isEqualTo(Outcome.COMMITTED);
-            BlockingQueue<Integer> left = new LinkedBlockingQueue<>();
+    void unknownMemberIsRemovedWithItsConnections() throws Exception {
+        try (StandInMember member =
+                new StandInMember(false, (sql, session) -> session.row("x", false))) {
+            dispatch(member.port(), REQUEST_TIMEOUT);
+            assertThat(awaitCompletion().outcome()).isEqualTo(Outcome.COMMITTED);
+            BlockingQueue<Integer> connectionCounts = new LinkedBlockingQueue<>();
             loop.run(
                     () -> {
-                        members.removeUnknown(id -> false);
-                        left.add(members.connectionCount());
+                        pools.removeUnknown(id -> false);
+                        connectionCounts.add(pools.connectionCount());
                     });
-            assertThat(left.poll(20, TimeUnit.SECONDS)).isZero();
-            dispatch(m.port(), LONG);
-            assertThat(next().end()).isEqualTo(Outcome.COMMITTED);
-            assertThat(m.connections).hasValue(2);
+            assertThat(connectionCounts.poll(WAIT_TIMEOUT_SECONDS, TimeUnit.SECONDS)).isZero();
+            dispatch(member.port(), REQUEST_TIMEOUT);
+            assertThat(awaitCompletion().outcome()).isEqualTo(Outcome.COMMITTED);
+            assertThat(member.connections).hasValue(2);
         }
     }
 
     @Test
-    void figuresThatCannotBeTrueCountAsAbsent() throws Exception {
-        for (String absurd :
+    void impossiblePositionsAreIgnored() throws Exception {
+        for (String invalidPosition :
                 new String[] {
                     "999999999999999999",
                     "-5",
                     "1e99",
                     Long.toString(System.currentTimeMillis() + 60_000)
                 }) {
-            Ended e =
-                    end(
-                            (sql, s) ->
-                                    s.raw(
+            CompletedRequest completed =
+                    dispatchTo(
+                            (sql, session) ->
+                                    session.raw(
                                             message('T', DESCRIPTION),
                                             message('D', column("x")),
                                             message('C', text("SELECT 1")),
-                                            wingroad.Fixtures.parameter("caught_up_to", absurd),
-                                            wingroad.Fixtures.parameter(
-                                                    "gauges", "x0=" + absurd + ",x1=1"),
+                                            Fixtures.parameter("caught_up_to", invalidPosition),
+                                            Fixtures.parameter(
+                                                    "gauges", "x0=" + invalidPosition + ",x1=1"),
                                             READY));
-            assertThat(e.end()).isEqualTo(Outcome.COMMITTED);
-            assertThat(e.status().position()).isNull();
-            assertThat(e.status().report().position()).isNull();
+            assertThat(completed.outcome()).isEqualTo(Outcome.COMMITTED);
+            assertThat(completed.status().position()).isNull();
+            assertThat(completed.status().report().position()).isNull();
         }
     }
 
     @Test
-    void aWholeAnswerCountsWhereOnlyReadyIsMissing() throws Exception {
+    void completeResponseIsCommittedWithoutReadyForQuery() throws Exception {
         assertThat(
-                        end((sql, s) -> {
-                                    s.raw(
-                                            message('T', DESCRIPTION),
-                                            message('D', column("x")),
-                                            message('C', text("SELECT 1")));
-                                    s.end();
-                                })
-                                .end())
+                        dispatchTo(
+                                        (sql, session) -> {
+                                            session.raw(
+                                                    message('T', DESCRIPTION),
+                                                    message('D', column("x")),
+                                                    message('C', text("SELECT 1")));
+                                            session.end();
+                                        })
+                                .outcome())
                 .isEqualTo(Outcome.COMMITTED);
     }
 
     @Test
-    void whereNothingCouldBeWrittenNothingRan() throws Exception {
-        try (StandInMember m = new StandInMember(false, (sql, s) -> s.row("x", false))) {
-            m.welcome = new byte[] {'E', 0, 0, 0, 14, 'C', '5', '7', 'P', '0', '3', 0, 0, 0, 0};
-            dispatch(m.port(), LONG);
-            assertThat(next().end()).isEqualTo(Outcome.UNREACHABLE);
-            m.welcome = message('E', text("SFATAL"), text("C53300"), new byte[1]);
-            dispatch(m.port(), LONG);
-            assertThat(next().end()).isEqualTo(Outcome.FULL);
-            assertThat(m.queries).isEmpty();
+    void rejectedConnectionsNeverRunTheStatement() throws Exception {
+        try (StandInMember member =
+                new StandInMember(false, (sql, session) -> session.row("x", false))) {
+            member.welcome =
+                    new byte[] {'E', 0, 0, 0, 14, 'C', '5', '7', 'P', '0', '3', 0, 0, 0, 0};
+            dispatch(member.port(), REQUEST_TIMEOUT);
+            assertThat(awaitCompletion().outcome()).isEqualTo(Outcome.UNREACHABLE);
+            member.welcome = message('E', text("SFATAL"), text("C53300"), new byte[1]);
+            dispatch(member.port(), REQUEST_TIMEOUT);
+            assertThat(awaitCompletion().outcome()).isEqualTo(Outcome.FULL);
+            assertThat(member.queries).isEmpty();
         }
-        int nobody;
-        try (ServerSocket s = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            nobody = s.getLocalPort();
+        int closedPort;
+        try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+            closedPort = socket.getLocalPort();
         }
-        dispatch(nobody, LONG);
-        assertThat(next().end()).isEqualTo(Outcome.UNREACHABLE);
+        dispatch(closedPort, REQUEST_TIMEOUT);
+        assertThat(awaitCompletion().outcome()).isEqualTo(Outcome.UNREACHABLE);
     }
 
     @Test
-    void aMemberThatNeverLetsInIsUnreachableAndNothingIsSent() throws Exception {
-        members = members(Duration.ofMillis(50));
-        try (ServerSocket silent = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
-            dispatch(silent.getLocalPort(), LONG);
-            assertThat(next().end()).isEqualTo(Outcome.UNREACHABLE);
+    void memberThatNeverCompletesStartupIsUnreachable() throws Exception {
+        pools = createPools(Duration.ofMillis(50));
+        try (ServerSocket silentMember = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
+            dispatch(silentMember.getLocalPort(), REQUEST_TIMEOUT);
+            assertThat(awaitCompletion().outcome()).isEqualTo(Outcome.UNREACHABLE);
         }
     }
 
     @Test
-    void silenceTimesOutAndClosesItsConnection() throws Exception {
-        BlockingQueue<String> closed = new LinkedBlockingQueue<>();
-        try (StandInMember m =
+    void silentMemberTimesOutAndItsConnectionIsClosed() throws Exception {
+        BlockingQueue<String> statementsOfClosedConnections = new LinkedBlockingQueue<>();
+        try (StandInMember member =
                 new StandInMember(
                         false,
-                        (sql, s) -> {
-                            s.awaitEnd();
-                            closed.add(sql);
+                        (sql, session) -> {
+                            session.awaitEnd();
+                            statementsOfClosedConnections.add(sql);
                         })) {
-            dispatch(m.port(), Duration.ofMillis(100));
-            assertThat(next().end()).isEqualTo(Outcome.TIMED_OUT);
-            assertThat(closed.poll(20, TimeUnit.SECONDS)).contains("id=r0");
+            dispatch(member.port(), Duration.ofMillis(100));
+            assertThat(awaitCompletion().outcome()).isEqualTo(Outcome.TIMED_OUT);
+            assertThat(statementsOfClosedConnections.poll(WAIT_TIMEOUT_SECONDS, TimeUnit.SECONDS))
+                    .contains("id=r0");
         }
     }
 
     @Test
-    void oneThatIsCalledOffClosesItsConnection() throws Exception {
-        BlockingQueue<String> closed = new LinkedBlockingQueue<>();
-        try (StandInMember m =
+    void cancelledSubmissionClosesItsConnection() throws Exception {
+        BlockingQueue<String> statementsOfClosedConnections = new LinkedBlockingQueue<>();
+        try (StandInMember member =
                 new StandInMember(
                         false,
-                        (sql, s) -> {
-                            s.awaitEnd();
-                            closed.add(sql);
+                        (sql, session) -> {
+                            session.awaitEnd();
+                            statementsOfClosedConnections.add(sql);
                         })) {
-            dispatch(m.port(), LONG);
-            m.await();
-            loop.run(() -> members.cancel("t", 0));
-            assertThat(next().end()).isEqualTo(Outcome.CANCELLED);
-            assertThat(closed.poll(20, TimeUnit.SECONDS)).contains("id=r0");
+            dispatch(member.port(), REQUEST_TIMEOUT);
+            member.await();
+            loop.run(() -> pools.cancel("t", 0));
+            assertThat(awaitCompletion().outcome()).isEqualTo(Outcome.CANCELLED);
+            assertThat(statementsOfClosedConnections.poll(WAIT_TIMEOUT_SECONDS, TimeUnit.SECONDS))
+                    .contains("id=r0");
         }
     }
 
     @Test
-    void connectionsAreUsedAgainButNotAfterDoubt() throws Exception {
-        try (StandInMember m = new StandInMember(false, (sql, s) -> s.row("x", false))) {
+    void connectionsAreReusedExceptAfterReset() throws Exception {
+        try (StandInMember member =
+                new StandInMember(false, (sql, session) -> session.row("x", false))) {
             for (int i = 0; i < 3; i++) {
-                dispatch(m.port(), LONG);
-                assertThat(next().end()).isEqualTo(Outcome.COMMITTED);
+                dispatch(member.port(), REQUEST_TIMEOUT);
+                assertThat(awaitCompletion().outcome()).isEqualTo(Outcome.COMMITTED);
             }
-            assertThat(m.connections).hasValue(1);
-            m.script((sql, s) -> s.end());
-            dispatch(m.port(), LONG);
-            assertThat(next().end()).isEqualTo(Outcome.RESET);
-            m.script((sql, s) -> s.error("25006", false));
-            dispatch(m.port(), LONG);
-            assertThat(next().end()).isEqualTo(Outcome.MISSED);
-            assertThat(m.connections).hasValue(2);
-            assertThat(m.queries).hasSize(5);
+            assertThat(member.connections).hasValue(1);
+            member.script((sql, session) -> session.end());
+            dispatch(member.port(), REQUEST_TIMEOUT);
+            assertThat(awaitCompletion().outcome()).isEqualTo(Outcome.RESET);
+            member.script((sql, session) -> session.error("25006", false));
+            dispatch(member.port(), REQUEST_TIMEOUT);
+            assertThat(awaitCompletion().outcome()).isEqualTo(Outcome.MISSED);
+            assertThat(member.connections).hasValue(2);
+            assertThat(member.queries).hasSize(5);
         }
     }
 
     @Test
-    void whatIsNoLongerToGoWhenItsConnectionIsUpIsNeverSent() throws Exception {
-        mayGo = false;
-        try (StandInMember m = new StandInMember(false, (sql, s) -> s.row("x", false))) {
-            dispatch(m.port(), LONG);
-            assertThat(next().end()).isEqualTo(Outcome.MOOT);
-            mayGo = true;
-            dispatch(m.port(), LONG);
-            assertThat(next().end()).isEqualTo(Outcome.COMMITTED);
-            assertThat(m.connections).hasValue(1);
-            assertThat(m.queries).hasSize(1).first().asString().contains("id=r1");
+    void obsoleteRequestIsNotSentOnceItsConnectionIsOpen() throws Exception {
+        mayDispatch = false;
+        try (StandInMember member =
+                new StandInMember(false, (sql, session) -> session.row("x", false))) {
+            dispatch(member.port(), REQUEST_TIMEOUT);
+            assertThat(awaitCompletion().outcome()).isEqualTo(Outcome.MOOT);
+            mayDispatch = true;
+            dispatch(member.port(), REQUEST_TIMEOUT);
+            assertThat(awaitCompletion().outcome()).isEqualTo(Outcome.COMMITTED);
+            assertThat(member.connections).hasValue(1);
+            assertThat(member.queries).hasSize(1).first().asString().contains("id=r1");
         }
     }
 
     @Test
-    void theTimeLeftIsWhatTheMemberIsTold() throws Exception {
-        try (StandInMember m = new StandInMember(false, (sql, s) -> s.row("x", false))) {
-            dispatch(m.port(), Duration.ofMillis(900));
-            String sql = m.await();
+    void memberReceivesRemainingTime() throws Exception {
+        try (StandInMember member =
+                new StandInMember(false, (sql, session) -> session.row("x", false))) {
+            dispatch(member.port(), Duration.ofMillis(900));
+            String sql = member.await();
             assertThat(Integer.parseInt(sql.replaceAll(".*d=([0-9]+).*", "$1"))).isBetween(1, 900);
-            assertThat(sql.replaceAll("d=[0-9]+", "d=3000"))
-                    .isEqualTo(wingroad.Fixtures.read("r0"));
+            assertThat(sql.replaceAll("d=[0-9]+", "d=3000")).isEqualTo(Fixtures.read("r0"));
         }
     }
 
-    /** Guards against idle connections that keep other drivers out of a member that takes few. */
+    /**
+     * Guards against idle connections that keep other drivers from connecting to a member with a
+     * low connection limit.
+     */
     @Test
-    void releasedConnectionsAreClosedAndTheNextSubmissionOpensOne() throws Exception {
-        try (StandInMember m = new StandInMember(false, (sql, s) -> s.row("val", false))) {
-            dispatch(m.port(), LONG);
-            assertThat(next().end()).isEqualTo(Outcome.COMMITTED);
-            CompletableFuture<Integer> left = new CompletableFuture<>();
+    void closedIdleConnectionIsReopenedByNextSubmission() throws Exception {
+        try (StandInMember member =
+                new StandInMember(false, (sql, session) -> session.row("val", false))) {
+            dispatch(member.port(), REQUEST_TIMEOUT);
+            assertThat(awaitCompletion().outcome()).isEqualTo(Outcome.COMMITTED);
+            CompletableFuture<Integer> connectionCount = new CompletableFuture<>();
             loop.run(
                     () -> {
-                        members.closeIdleConnections(1);
-                        left.complete(members.connectionCount());
+                        pools.closeIdleConnections(1);
+                        connectionCount.complete(pools.connectionCount());
                     });
-            assertThat(left.get(20, TimeUnit.SECONDS)).isZero();
-            dispatch(m.port(), LONG);
-            assertThat(next().end()).isEqualTo(Outcome.COMMITTED);
-            assertThat(m.connections.get()).isEqualTo(2);
+            assertThat(connectionCount.get(WAIT_TIMEOUT_SECONDS, TimeUnit.SECONDS)).isZero();
+            dispatch(member.port(), REQUEST_TIMEOUT);
+            assertThat(awaitCompletion().outcome()).isEqualTo(Outcome.COMMITTED);
+            assertThat(member.connections.get()).isEqualTo(2);
         }
     }
 
-    /** A list names the member at this port. */
-    private void listed(int port) {
+    /** Applies a list entry that gives the moving member this port. */
+    private void updateMovingMember(int port) {
         loop.run(
                 () ->
-                        members.updateMember(
+                        pools.updateMember(
                                 MemberList.parse(
                                                 ("{\"rev\":1,\"all\":true,\"targets\":["
                                                                 + entry("s-moves", port, "ready")
@@ -468,255 +517,269 @@
                                         .get(0)));
     }
 
-    private void carryToTheOne() {
+    private void dispatchToMovingMember() {
         loop.run(
                 () ->
-                        members.dispatch(
+                        pools.dispatch(
                                 new TxnDispatcher.MemberRequest(
                                         "t",
-                                        submissions,
-                                        1,
+                                        submissionCount,
+                                        MOVING_MEMBER_ID,
                                         Statement.parse(
-                                                        wingroad.Fixtures.read("r" + submissions++)
+                                                        Fixtures.read("r" + submissionCount++)
                                                                 .getBytes(StandardCharsets.UTF_8))
                                                 .statement(),
-                                        clock.now().plus(LONG))));
+                                        clock.now().plus(REQUEST_TIMEOUT))));
     }
 
     /**
-     * Guards against a connection that was at work while its member moved, and would be used for
-     * all that follows.
+     * A member moves to another address while one of its connections is busy. Guards against that
+     * connection being reused for all later requests.
      */
     @Test
-    void aConnectionAtWorkWhileItsMemberMovesAnswersAndIsNotUsedAgain() throws Exception {
-        try (Peer.Listener old = new Peer.Listener();
-                StandInMember moved = new StandInMember(false, (sql, s) -> s.row("new", false))) {
-            listed(old.port());
-            carryToTheOne();
-            Peer at = old.accept();
-            at.read(startupLength(at) - 4);
-            at.send(message('R', new byte[4]), READY);
-            at.until("'\0");
-            listed(moved.port());
-            at.send(
+    void busyConnectionIsNotReusedAfterItsMemberMoves() throws Exception {
+        try (Peer.Listener oldAddress = new Peer.Listener();
+                StandInMember movedMember =
+                        new StandInMember(false, (sql, session) -> session.row("new", false))) {
+            updateMovingMember(oldAddress.port());
+            dispatchToMovingMember();
+            Peer connection = oldAddress.accept();
+            connection.read(startupLength(connection) - 4);
+            connection.send(message('R', new byte[4]), READY);
+            connection.until("'\0");
+            updateMovingMember(movedMember.port());
+            connection.send(
                     message('T', DESCRIPTION),
                     message('D', column("old")),
                     message('C', text("SELECT 1")),
                     READY);
-            assertThat(new String(next().row(), StandardCharsets.ISO_8859_1)).contains("old");
-            at.awaitEnd();
-            carryToTheOne();
-            assertThat(new String(next().row(), StandardCharsets.ISO_8859_1)).contains("new");
+            assertThat(new String(awaitCompletion().row(), StandardCharsets.ISO_8859_1))
+                    .contains("old");
+            connection.awaitEnd();
+            dispatchToMovingMember();
+            assertThat(new String(awaitCompletion().row(), StandardCharsets.ISO_8859_1))
+                    .contains("new");
         }
     }
 
-    private static int startupLength(Peer at) throws IOException {
-        return java.nio.ByteBuffer.wrap(at.read(4)).getInt();
+    /**
+     * Reads the length of a startup message, which includes the four bytes of the length itself.
+     */
+    private static int startupLength(Peer connection) throws IOException {
+        return ByteBuffer.wrap(connection.read(4)).getInt();
     }
 
     /**
-     * The connection comes up at last where the member no longer is: nothing is sent there, and
-     * nothing is held against it.
+     * A connection opens or fails at the old address after its member has moved: nothing may be
+     * sent there, and a failure may not count against the member.
      */
     @Test
-    void aConnectionThatOpensWhileItsMemberMovesSendsNothing() throws Exception {
-        try (Peer.Listener old = new Peer.Listener()) {
-            for (boolean comesUp : new boolean[] {true, false}) {
-                listed(old.port());
-                carryToTheOne();
-                Peer at = old.accept();
-                at.read(startupLength(at) - 4);
-                listed(1);
-                if (comesUp) {
-                    at.send(message('R', new byte[4]), READY);
+    void openingConnectionSendsNothingAfterItsMemberMoves() throws Exception {
+        try (Peer.Listener oldAddress = new Peer.Listener()) {
+            for (boolean connects : new boolean[] {true, false}) {
+                updateMovingMember(oldAddress.port());
+                dispatchToMovingMember();
+                Peer connection = oldAddress.accept();
+                connection.read(startupLength(connection) - 4);
+                updateMovingMember(1);
+                if (connects) {
+                    connection.send(message('R', new byte[4]), READY);
                 } else {
-                    at.reset();
+                    connection.reset();
                 }
-                assertThat(next().end()).isEqualTo(Outcome.MOOT);
-                if (comesUp) {
-                    assertThat(at.awaitEnd()).doesNotContain("Q");
+                assertThat(awaitCompletion().outcome()).isEqualTo(Outcome.MOOT);
+                if (connects) {
+                    assertThat(connection.awaitEnd()).doesNotContain("Q");
                 }
             }
         }
     }
 
     /**
-     * Guards against resting connections to what has gone, or is no longer thought of, while a txn
-     * was there.
+     * A member is removed while one of its connections is busy. Guards against that connection
+     * staying open and idle after its response.
      */
     @Test
-    void aConnectionAtWorkWhileItsMemberIsForgottenEndsWithItsAnswer() throws Exception {
-        try (Peer.Listener old = new Peer.Listener()) {
-            listed(old.port());
-            carryToTheOne();
-            Peer at = old.accept();
-            at.read(startupLength(at) - 4);
-            at.send(message('R', new byte[4]), READY);
-            at.until("'\0");
-            loop.run(() -> members.removeUnknown(id -> false));
-            at.send(
+    void busyConnectionOfRemovedMemberIsClosedAfterItsResponse() throws Exception {
+        try (Peer.Listener listener = new Peer.Listener()) {
+            updateMovingMember(listener.port());
+            dispatchToMovingMember();
+            Peer connection = listener.accept();
+            connection.read(startupLength(connection) - 4);
+            connection.send(message('R', new byte[4]), READY);
+            connection.until("'\0");
+            loop.run(() -> pools.removeUnknown(id -> false));
+            connection.send(
                     message('T', DESCRIPTION),
                     message('D', column("x")),
                     message('C', text("SELECT 1")),
                     READY);
-            assertThat(next().end()).isEqualTo(Outcome.COMMITTED);
-            at.awaitEnd();
+            assertThat(awaitCompletion().outcome()).isEqualTo(Outcome.COMMITTED);
+            connection.awaitEnd();
         }
     }
 
-    /** Its end is told a task later; in between the connection comes up. */
+    /**
+     * A request is cancelled while its connection opens. Its outcome is reported by a later task of
+     * the event loop, and the connection becomes ready in between.
+     */
     @Test
-    void whatIsCalledOffAsItsConnectionComesUpIsNotSent() throws Exception {
+    void requestCancelledWhileItsConnectionOpensIsNotSent() throws Exception {
         try (Peer.Listener member = new Peer.Listener()) {
-            listed(member.port());
-            carryToTheOne();
-            Peer at = member.accept();
-            at.read(startupLength(at) - 4);
-            CountDownLatch standing = new CountDownLatch(1);
-            CountDownLatch goes = new CountDownLatch(1);
+            updateMovingMember(member.port());
+            dispatchToMovingMember();
+            Peer connection = member.accept();
+            connection.read(startupLength(connection) - 4);
+            CountDownLatch loopBlocked = new CountDownLatch(1);
+            CountDownLatch loopReleased = new CountDownLatch(1);
             loop.run(
                     () -> {
-                        standing.countDown();
+                        loopBlocked.countDown();
                         try {
-                            goes.await();
-                        } catch (InterruptedException e) {
+                            loopReleased.await();
+                        } catch (InterruptedException interrupted) {
                             Thread.currentThread().interrupt();
                         }
-                        members.cancel("t", 0);
+                        pools.cancel("t", 0);
                     });
-            standing.await();
-            at.send(message('R', new byte[4]), READY);
-            goes.countDown();
-            assertThat(next().end()).isEqualTo(Outcome.MOOT);
-            loop.run(() -> members.removeUnknown(id -> false));
-            assertThat(at.awaitEnd()).doesNotContain("Q");
+            loopBlocked.await();
+            connection.send(message('R', new byte[4]), READY);
+            loopReleased.countDown();
+            assertThat(awaitCompletion().outcome()).isEqualTo(Outcome.MOOT);
+            loop.run(() -> pools.removeUnknown(id -> false));
+            assertThat(connection.awaitEnd()).doesNotContain("Q");
         }
     }
 
-    /** An answer broken off at each of its bytes may have run; once its end is there, it counts. */
+    /**
+     * The connection is closed after each part of a response: the statement may have run, and is
+     * committed once the response is complete but for ReadyForQuery.
+     */
     @Test
-    void anAnswerBrokenOffAtAnyByteHasOneEnd() throws Exception {
-        byte[] answer =
-                wingroad.Fixtures.joined(
+    void responseTruncatedAtAnyByteHasOneOutcome() throws Exception {
+        byte[] response =
+                Fixtures.joined(
                         message('T', DESCRIPTION),
                         message('D', column("x")),
                         message('C', text("SELECT 1")),
                         READY);
-        int whole = answer.length - READY.length;
-        for (int bytes = 0; bytes <= answer.length; bytes += 5) {
-            byte[] part = java.util.Arrays.copyOf(answer, bytes);
+        int committedLength = response.length - READY.length;
+        for (int sentLength = 0; sentLength <= response.length; sentLength += 5) {
+            byte[] sentPart = Arrays.copyOf(response, sentLength);
             assertThat(
-                            end((sql, s) -> {
-                                        s.raw(part);
-                                        s.end();
-                                    })
-                                    .end())
-                    .as(bytes + " bytes")
-                    .isEqualTo(bytes >= whole ? Outcome.COMMITTED : Outcome.RESET);
+                            dispatchTo(
+                                            (sql, session) -> {
+                                                session.raw(sentPart);
+                                                session.end();
+                                            })
+                                    .outcome())
+                    .as(sentLength + " bytes")
+                    .isEqualTo(sentLength >= committedLength ? Outcome.COMMITTED : Outcome.RESET);
         }
-        assertThat(ends).isEmpty();
+        assertThat(completedRequests).isEmpty();
     }
 
     /**
-     * Half a line comes unasked on a resting connection: it is in doubt, and the next txn gets one
-     * of its own.
+     * Part of an unexpected message arrives on an idle connection: the connection can't be trusted
+     * any more, and the next txn gets a new one.
      */
     @Test
-    void halfALineUnaskedEndsARestingConnection() throws Exception {
+    void unexpectedBytesCloseIdleConnection() throws Exception {
         try (Peer.Listener member = new Peer.Listener()) {
-            listed(member.port());
-            carryToTheOne();
-            Peer at = member.accept();
-            at.read(startupLength(at) - 4);
-            at.send(message('R', new byte[4]), READY);
-            at.until("'\0");
-            at.send(
+            updateMovingMember(member.port());
+            dispatchToMovingMember();
+            Peer connection = member.accept();
+            connection.read(startupLength(connection) - 4);
+            connection.send(message('R', new byte[4]), READY);
+            connection.until("'\0");
+            connection.send(
                     message('T', DESCRIPTION),
                     message('D', column("x")),
                     message('C', text("SELECT 1")),
                     READY);
-            assertThat(next().end()).isEqualTo(Outcome.COMMITTED);
-            at.send(new byte[] {'S', 0, 0});
-            at.awaitEnd();
-            carryToTheOne();
-            Peer second = member.accept();
-            second.read(startupLength(second) - 4);
-            second.send(message('R', new byte[4]), READY);
-            second.until("'\0");
-            second.reset();
-            assertThat(next().end()).isEqualTo(Outcome.RESET);
+            assertThat(awaitCompletion().outcome()).isEqualTo(Outcome.COMMITTED);
+            connection.send(new byte[] {'S', 0, 0});
+            connection.awaitEnd();
+            dispatchToMovingMember();
+            Peer secondConnection = member.accept();
+            secondConnection.read(startupLength(secondConnection) - 4);
+            secondConnection.send(message('R', new byte[4]), READY);
+            secondConnection.until("'\0");
+            secondConnection.reset();
+            assertThat(awaitCompletion().outcome()).isEqualTo(Outcome.RESET);
         }
     }
 
-    /** Lets the connection in and waits for its first statement. */
-    private static Peer letIn(Peer at) throws IOException {
-        at.read(startupLength(at) - 4);
-        at.send(message('R', new byte[4]), READY);
-        at.until("'\0");
-        return at;
+    /** Completes the startup of a connection and waits for its first statement. */
+    private static Peer acceptStartup(Peer connection) throws IOException {
+        connection.read(startupLength(connection) - 4);
+        connection.send(message('R', new byte[4]), READY);
+        connection.until("'\0");
+        return connection;
     }
 
-    private static void answer(Peer at) throws IOException {
-        at.send(
+    private static void sendResponse(Peer connection) throws IOException {
+        connection.send(
                 message('T', DESCRIPTION),
                 message('D', column("x")),
                 message('C', text("SELECT 1")),
                 READY);
     }
 
-    /** The client leaves while its txn waits for a connection that rests behind its last answer. */
+    /** A client disconnects while its txn waits for a connection in its reuse delay. */
     @Test
-    void oneWhoseClientLeavesWhileItsConnectionRestsIsNotSent() throws Exception {
+    void requestOfLeftClientIsNotSentAfterReuseDelay() throws Exception {
         try (Peer.Listener member = new Peer.Listener()) {
-            listed(member.port());
-            carryToTheOne();
-            Peer at = letIn(member.accept());
-            // In the turn of its answer: its rest has begun, and can't be over.
-            atItsEnd =
+            updateMovingMember(member.port());
+            dispatchToMovingMember();
+            Peer connection = acceptStartup(member.accept());
+            // Runs in the task that handles the response: the reuse delay has begun and can't be
+            // over.
+            onNextCompletion =
                     () -> {
-                        mayGo = false;
-                        members.dispatch(requestToTheOne());
+                        mayDispatch = false;
+                        pools.dispatch(requestToMovingMember());
                     };
-            answer(at);
-            assertThat(next().end()).isEqualTo(Outcome.COMMITTED);
-            assertThat(next().end()).isEqualTo(Outcome.MOOT);
-            mayGo = true;
-            carryToTheOne();
-            assertThat(at.until("'\0"))
-                    .contains("id=r" + (submissions - 1))
-                    .doesNotContain("id=r" + (submissions - 2));
-            answer(at);
-            assertThat(next().end()).isEqualTo(Outcome.COMMITTED);
+            sendResponse(connection);
+            assertThat(awaitCompletion().outcome()).isEqualTo(Outcome.COMMITTED);
+            assertThat(awaitCompletion().outcome()).isEqualTo(Outcome.MOOT);
+            mayDispatch = true;
+            dispatchToMovingMember();
+            assertThat(connection.until("'\0"))
+                    .contains("id=r" + (submissionCount - 1))
+                    .doesNotContain("id=r" + (submissionCount - 2));
+            sendResponse(connection);
+            assertThat(awaitCompletion().outcome()).isEqualTo(Outcome.COMMITTED);
         }
     }
 
-    private TxnDispatcher.MemberRequest requestToTheOne() {
+    private TxnDispatcher.MemberRequest requestToMovingMember() {
         return new TxnDispatcher.MemberRequest(
                 "t",
-                submissions,
-                1,
+                submissionCount,
+                MOVING_MEMBER_ID,
                 Statement.parse(
-                                wingroad.Fixtures.read("r" + submissions++)
+                                Fixtures.read("r" + submissionCount++)
                                         .getBytes(StandardCharsets.UTF_8))
                         .statement(),
-                clock.now().plus(LONG));
+                clock.now().plus(REQUEST_TIMEOUT));
     }
 
     /**
-     * Gone and back under the same address: what was connected before is not used again, a new
-     * connection is.
+     * A member is removed from the list and listed again under the same address: its old connection
+     * must be closed, and a new one opened.
      */
     @Test
-    void oneThatIsGoneAndBackAtItsAddressGetsANewConnection() throws Exception {
+    void memberThatIsRemovedAndListedAgainGetsNewConnection() throws Exception {
         try (Peer.Listener member = new Peer.Listener()) {
-            listed(member.port());
-            carryToTheOne();
-            Peer before = letIn(member.accept());
-            answer(before);
-            assertThat(next().end()).isEqualTo(Outcome.COMMITTED);
+            updateMovingMember(member.port());
+            dispatchToMovingMember();
+            Peer oldConnection = acceptStartup(member.accept());
+            sendResponse(oldConnection);
+            assertThat(awaitCompletion().outcome()).isEqualTo(Outcome.COMMITTED);
             loop.run(
                     () ->
-                            members.updateMember(
+                            pools.updateMember(
                                     MemberList.parse(
                                                     ("{\"rev\":2,\"all\":false,\"targets\":["
                                                                     + entry(
@@ -728,75 +791,76 @@
                                             .list()
                                             .entries()
                                             .get(0)));
-            before.awaitEnd();
-            listed(member.port());
-            carryToTheOne();
-            answer(letIn(member.accept()));
-            assertThat(next().end()).isEqualTo(Outcome.COMMITTED);
+            oldConnection.awaitEnd();
+            updateMovingMember(member.port());
+            dispatchToMovingMember();
+            sendResponse(acceptStartup(member.accept()));
+            assertThat(awaitCompletion().outcome()).isEqualTo(Outcome.COMMITTED);
         }
     }
 
     /**
-     * The member closes in the moment in which a statement goes out: it may have run, and has one
-     * end.
+     * The member closes the connection just as a statement is sent: the statement may have run, and
+     * exactly one outcome is reported.
      */
     @Test
-    void oneThatClosesInTheMomentOfUseHasOneEnd() throws Exception {
+    void connectionClosedWhileSendingHasOneOutcome() throws Exception {
         for (boolean resets : new boolean[] {true, false}) {
             try (Peer.Listener member = new Peer.Listener()) {
-                listed(member.port());
-                carryToTheOne();
-                Peer at = letIn(member.accept());
-                answer(at);
-                assertThat(next().end()).isEqualTo(Outcome.COMMITTED);
-                carryToTheOne();
-                at.until("'\0");
+                updateMovingMember(member.port());
+                dispatchToMovingMember();
+                Peer connection = acceptStartup(member.accept());
+                sendResponse(connection);
+                assertThat(awaitCompletion().outcome()).isEqualTo(Outcome.COMMITTED);
+                dispatchToMovingMember();
+                connection.until("'\0");
                 if (resets) {
-                    at.reset();
+                    connection.reset();
                 } else {
-                    at.close();
+                    connection.close();
                 }
-                assertThat(next().end()).isEqualTo(Outcome.RESET);
-                assertThat(ends).isEmpty();
+                assertThat(awaitCompletion().outcome()).isEqualTo(Outcome.RESET);
+                assertThat(completedRequests).isEmpty();
             }
         }
     }
 
     /**
-     * Guards the thread against notices without end, up to the txn's expiry: bounded in bytes as
-     * well.
+     * Guards against a member that sends notices without end, which would keep the event loop busy
+     * until the txn's expiry. The bytes of a response are limited as well.
      */
     @Test
-    void anAnswerWithoutEndIsBrokenOff() throws Exception {
+    void endlessResponseIsAborted() throws Exception {
         try (Peer.Listener member = new Peer.Listener()) {
-            listed(member.port());
-            carryToTheOne();
-            Peer at = letIn(member.accept());
-            at.send(message('T', DESCRIPTION));
+            updateMovingMember(member.port());
+            dispatchToMovingMember();
+            Peer connection = acceptStartup(member.accept());
+            connection.send(message('T', DESCRIPTION));
             byte[] notice = message('N', new byte[1000]);
             try {
                 while (true) {
-                    at.send(notice);
+                    connection.send(notice);
                 }
-            } catch (IOException brokenOff) {
-                assertThat(next().end()).isEqualTo(Outcome.ERROR);
+            } catch (IOException connectionClosed) {
+                assertThat(awaitCompletion().outcome()).isEqualTo(Outcome.ERROR);
             }
         }
     }
 
     /**
-     * Guards against connections that are closed behind each answer, where members keep idle ones
-     * for a short time only.
+     * Guards against connections being closed after each response where members keep idle ones for
+     * a short time only.
      */
     @Test
-    void aConnectionIsUsedAgainWhereTheIdleTimeIsShorterThanTheConnectingTime() throws Exception {
-        members = members(Duration.ofSeconds(10), Duration.ofSeconds(8));
-        try (StandInMember m = new StandInMember(false, (sql, s) -> s.row("x", false))) {
+    void connectionIsReusedIfIdleTimeoutIsShorterThanConnectTimeout() throws Exception {
+        pools = createPools(Duration.ofSeconds(10), Duration.ofSeconds(8));
+        try (StandInMember member =
+                new StandInMember(false, (sql, session) -> session.row("x", false))) {
             for (int i = 0; i < 3; i++) {
-                dispatch(m.port(), LONG);
-                assertThat(next().end()).isEqualTo(Outcome.COMMITTED);
+                dispatch(member.port(), REQUEST_TIMEOUT);
+                assertThat(awaitCompletion().outcome()).isEqualTo(Outcome.COMMITTED);
             }
-            assertThat(m.connections.get()).isEqualTo(1);
+            assertThat(member.connections.get()).isEqualTo(1);
         }
     }
 }
