--- a/src/test/java/wingroad/driver/ClientFrontendTest.java
+++ b/src/test/java/wingroad/driver/ClientFrontendTest.java
@@ -11,6 +11,7 @@
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
+import java.util.Arrays;
 import java.util.List;
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.CountDownLatch;
@@ -27,54 +28,65 @@
 import wingroad.transport.EventLoop;
 
 /**
- * Clients that leave, send, and are told the end, at moments that the test chooses; the members are
- * the test's own.
+ * Clients that send, disconnect and are disconnected at moments that the test chooses. The test
+ * also takes the place of the members.
  */
 class ClientFrontendTest {
-    private static final long MEMBER = 1;
+    /** Limits each wait for a request to a member or for a task of the event loop. */
+    private static final long WAIT_TIMEOUT_SECONDS = 20;
+
+    private static final int CHANNEL_LIMIT = 200;
+    private static final int MEMORY_LIMIT_BYTES = 1 << 24;
+    private static final int HALF_MEMORY_LIMIT_BYTES = 1 << 23;
+
+    /** The ReadyForQuery message, with which each response to a client ends. */
+    private static final String READY_FOR_QUERY = "Z\0\0\0\5I";
+
+    private static final long MEMBER_ID = 1;
 
     private final BlockingQueue<TxnDispatcher.MemberRequest> dispatched =
             new LinkedBlockingQueue<>();
-    private final BlockingQueue<Throwable> bugs = new LinkedBlockingQueue<>();
-    private final EventLoop loop = new EventLoop(200, 1 << 24, bugs::add);
+    private final BlockingQueue<Throwable> unexpectedFailures = new LinkedBlockingQueue<>();
+    private final EventLoop loop =
+            new EventLoop(CHANNEL_LIMIT, MEMORY_LIMIT_BYTES, unexpectedFailures::add);
     private final Clock clock = new Clock();
-    private final Fixtures given = new Fixtures();
-    private final TxnRouter router = new TxnRouter(given.terms, 1, line -> {});
-    private final TxnDispatcher exchange =
-            new TxnDispatcher(loop, clock, router, Duration.ofMillis(250), bugs::add);
-    private final ClientFrontend clients =
+    private final Fixtures fixtures = new Fixtures();
+    private final TxnRouter router = new TxnRouter(fixtures.terms, 1, line -> {});
+    private final TxnDispatcher dispatcher =
+            new TxnDispatcher(loop, clock, router, Duration.ofMillis(250), unexpectedFailures::add);
+    private final ClientFrontend frontend =
             new ClientFrontend(
                     loop,
-                    exchange,
+                    dispatcher,
                     new Counters(),
                     List.of("look", "change"),
-                    given.terms,
-                    g -> true);
+                    fixtures.terms,
+                    group -> true);
     private int port;
 
     ClientFrontendTest() throws IOException {
-        // the loop opens its polling
+        // declares the exception of the event loop's constructor
     }
 
     @BeforeEach
     void listen() throws Exception {
-        exchange.attach(
+        dispatcher.attach(
                 new TxnDispatcher.MemberTransport() {
                     @Override
-                    public void dispatch(TxnDispatcher.MemberRequest e) {
-                        if (!e.isProbe()) {
-                            dispatched.add(e);
+                    public void dispatch(TxnDispatcher.MemberRequest request) {
+                        if (!request.isProbe()) {
+                            dispatched.add(request);
                         }
                     }
 
                     @Override
                     public void cancel(String txn, int submission) {
-                        // the test ends it, or leaves it out
+                        // the test reports the outcome where it matters
                     }
 
                     @Override
                     public void closeIdleConnections(long member) {
-                        // nothing stands idle here
+                        // there are no member connections
                     }
 
                     @Override
@@ -85,41 +97,43 @@
                 new TxnDispatcher.MemberListSource() {
                     @Override
                     public void watch() {
-                        // the test tells the list
+                        // the test supplies the member list
                     }
 
                     @Override
                     public void fetch() {
-                        // as above
+                        // the test supplies the member list
                     }
                 },
                 () -> false);
-        BlockingQueue<Integer> at = new LinkedBlockingQueue<>();
+        BlockingQueue<Integer> ports = new LinkedBlockingQueue<>();
         loop.run(
                 () -> {
                     try {
-                        clients.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-                        at.add(clients.localAddress().getPort());
+                        frontend.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
+                        ports.add(frontend.localAddress().getPort());
                     } catch (IOException e) {
-                        bugs.add(e);
+                        unexpectedFailures.add(e);
                     }
                     Duration now = clock.now();
-                    exchange.router().memberListStarted(now, true);
-                    exchange.router()
-                            .memberListed(now, MEMBER, 7, 0, 0, 1, false, false, false, null);
-                    exchange.router().memberListEnded(now);
+                    dispatcher.router().memberListStarted(now, true);
+                    dispatcher
+                            .router()
+                            .memberListed(now, MEMBER_ID, 7, 0, 0, 1, false, false, false, null);
+                    dispatcher.router().memberListEnded(now);
                 });
-        port = at.poll(20, TimeUnit.SECONDS);
+        port = ports.poll(WAIT_TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
 
-    /** The member says that it is the primary: writes that were held are sent on. */
-    private void primaryFound() {
+    /** Reports the member as the primary, which releases held writes. */
+    private void reportPrimary() {
         loop.run(
                 () ->
-                        exchange.router()
+                        dispatcher
+                                .router()
                                 .memberReported(
                                         clock.now(),
-                                        MEMBER,
+                                        MEMBER_ID,
                                         Role.PRIMARY,
                                         clock.now(),
                                         Double.NaN,
@@ -127,322 +141,335 @@
                                         Double.NaN));
     }
 
-    private Peer client() throws IOException {
-        Peer c = Peer.to(port).send(Fixtures.STARTUP);
-        c.until("Z\0\0\0\5I");
-        return c;
+    private Peer connectClient() throws IOException {
+        Peer client = Peer.to(port).send(Fixtures.STARTUP);
+        client.until(READY_FOR_QUERY);
+        return client;
     }
 
-    private static byte[] ask(String sql) {
+    private static byte[] query(String sql) {
         return message('Q', text(sql));
     }
 
     /**
-     * Asked on the loop's own thread, again and again, until it is so; not for longer than any wait
-     * in the code.
+     * Evaluates a condition on the event loop's thread until it holds. The limit is shorter than
+     * the timeouts of the code under test, so that none of them can bring the condition about.
      */
-    private void until(BooleanSupplier is) throws InterruptedException {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(5);
-        BlockingQueue<Boolean> was = new LinkedBlockingQueue<>();
+    private void awaitOnLoop(BooleanSupplier condition) throws InterruptedException {
+        long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(5);
+        BlockingQueue<Boolean> results = new LinkedBlockingQueue<>();
         do {
-            assertThat(System.nanoTime()).as("it never came to be").isLessThan(end);
-            loop.run(() -> was.add(is.getAsBoolean()));
-        } while (!was.take());
+            assertThat(System.nanoTime())
+                    .as("deadline for the condition")
+                    .isLessThan(deadlineNanos);
+            loop.run(() -> results.add(condition.getAsBoolean()));
+        } while (!results.take());
     }
 
-    private void commit(TxnDispatcher.MemberRequest e) {
-        byte[] row =
+    private void commit(TxnDispatcher.MemberRequest request) {
+        byte[] rowMessages =
                 Fixtures.joined(
                         message('T', Fixtures.DESCRIPTION),
                         message('D', Fixtures.column("done")),
                         message('C', text("SELECT 1")));
         loop.run(
                 () ->
-                        exchange.submissionEnded(
-                                e,
+                        dispatcher.submissionEnded(
+                                request,
                                 Outcome.COMMITTED,
                                 Duration.ofMillis(1),
                                 new TxnDispatcher.MemberStatus(Role.PRIMARY, null, null),
-                                row));
+                                rowMessages));
     }
 
     /**
-     * Guards against a txn that is sent on though its client has left behind all that it had sent
-     * ahead.
+     * Guards against a txn being sent to a member although its client has disconnected, where the
+     * disconnect stands behind many unread pipelined statements.
      */
     @Test
-    void oneThatSendsMuchAheadAndLeavesIsSeenToLeave() throws Exception {
+    void disconnectBehindPipelinedStatementsIsDetected() throws Exception {
         for (boolean resets : new boolean[] {false, true}) {
-            Peer c = client();
-            c.send(ask(write("w" + resets).replace("d=4000", "d=60000")));
-            until(() -> exchange.openTxnCount() == 1);
+            Peer client = connectClient();
+            client.send(query(write("w" + resets).replace("d=4000", "d=60000")));
+            awaitOnLoop(() -> dispatcher.openTxnCount() == 1);
             for (int i = 0; i < 400; i++) {
-                c.send(ask(read("r" + resets + i)));
+                client.send(query(read("r" + resets + i)));
             }
             if (resets) {
-                c.reset();
+                client.reset();
             } else {
-                c.close();
+                client.close();
             }
-            until(() -> exchange.openTxnCount() == 0);
-            primaryFound();
-            until(() -> clients.connectionCount() == 0);
+            awaitOnLoop(() -> dispatcher.openTxnCount() == 0);
+            reportPrimary();
+            awaitOnLoop(() -> frontend.connectionCount() == 0);
             assertThat(dispatched).isEmpty();
             loop.run(
                     () ->
-                            exchange.router()
+                            dispatcher
+                                    .router()
                                     .memberReported(
                                             clock.now(),
-                                            MEMBER,
+                                            MEMBER_ID,
                                             Role.REPLICA,
                                             clock.now(),
                                             Double.NaN,
                                             Double.NaN,
                                             Double.NaN));
         }
-        assertThat(bugs).isEmpty();
+        assertThat(unexpectedFailures).isEmpty();
     }
 
     /**
-     * What is read ahead gives way: with half of the room in use, a flood is held up and everybody
-     * else is served.
+     * Pipelined statements are read only while less than half of the memory is in use: a client
+     * that floods the driver must wait, and the rest is left to others.
      */
     @Test
-    void aFloodThatIsReadAheadLeavesHalfOfTheRoom() throws Exception {
-        Peer c = client();
-        c.send(ask(write("w").replace("d=4000", "d=60000")));
-        until(() -> exchange.openTxnCount() == 1);
-        loop.run(() -> loop.hold((1 << 23) - loop.held()));
+    void pipelinedStatementsUseHalfOfTheMemoryAtMost() throws Exception {
+        Peer client = connectClient();
+        client.send(query(write("w").replace("d=4000", "d=60000")));
+        awaitOnLoop(() -> dispatcher.openTxnCount() == 1);
+        loop.run(() -> loop.hold(HALF_MEMORY_LIMIT_BYTES - loop.held()));
         for (int i = 0; i < 1000; i++) {
-            c.send(ask(read("r" + i)));
+            client.send(query(read("r" + i)));
         }
-        primaryFound();
-        commit(dispatched.poll(20, TimeUnit.SECONDS));
-        assertThat(c.until("Z\0\0\0\5I")).contains("done");
-        BlockingQueue<Long> held = new LinkedBlockingQueue<>();
-        loop.run(() -> held.add(loop.held()));
-        assertThat(held.poll(20, TimeUnit.SECONDS)).isLessThan((1 << 23) + 64 * 1024);
-        assertThat(dispatched.poll(20, TimeUnit.SECONDS).statement().id()).isEqualTo("r0");
+        reportPrimary();
+        commit(dispatched.poll(WAIT_TIMEOUT_SECONDS, TimeUnit.SECONDS));
+        assertThat(client.until(READY_FOR_QUERY)).contains("done");
+        BlockingQueue<Long> heldBytes = new LinkedBlockingQueue<>();
+        loop.run(() -> heldBytes.add(loop.held()));
+        assertThat(heldBytes.poll(WAIT_TIMEOUT_SECONDS, TimeUnit.SECONDS))
+                .isLessThan(HALF_MEMORY_LIMIT_BYTES + 64 * 1024);
+        assertThat(dispatched.poll(WAIT_TIMEOUT_SECONDS, TimeUnit.SECONDS).statement().id())
+                .isEqualTo("r0");
     }
 
     /**
-     * Guards against a planned stop that cuts a statement off in its middle, be it a client's first
-     * or a later one.
+     * Guards against a shutdown that disconnects a client in the middle of sending a statement, be
+     * it the client's first or a later one.
      */
     @Test
-    void oneInTheMiddleOfAStatementIsAnsweredBeforeItIsToldTheEnd() throws Exception {
-        primaryFound();
-        Peer asked = client();
-        asked.send(ask(""));
-        asked.until("Z\0\0\0\5I");
-        for (Peer c : List.of(asked, client())) {
-            byte[] whole = ask(write("half" + (c == asked)));
-            c.send(java.util.Arrays.copyOf(whole, 60));
-            until(() -> !clients.isIdle());
-            loop.run(clients::beginClosing);
-            c.send(java.util.Arrays.copyOfRange(whole, 60, whole.length));
-            commit(dispatched.poll(20, TimeUnit.SECONDS));
-            assertThat(c.until("Z\0\0\0\5I")).contains("done");
-            assertThat(c.rest()).isEmpty();
-            c.close();
-            until(clients::isIdle);
+    void partlySentStatementIsAnsweredBeforeClosing() throws Exception {
+        reportPrimary();
+        Peer clientWithAnswer = connectClient();
+        clientWithAnswer.send(query(""));
+        clientWithAnswer.until(READY_FOR_QUERY);
+        for (Peer client : List.of(clientWithAnswer, connectClient())) {
+            byte[] statement = query(write("half" + (client == clientWithAnswer)));
+            client.send(Arrays.copyOf(statement, 60));
+            awaitOnLoop(() -> !frontend.isIdle());
+            loop.run(frontend::beginClosing);
+            client.send(Arrays.copyOfRange(statement, 60, statement.length));
+            commit(dispatched.poll(WAIT_TIMEOUT_SECONDS, TimeUnit.SECONDS));
+            assertThat(client.until(READY_FOR_QUERY)).contains("done");
+            assertThat(client.rest()).isEmpty();
+            client.close();
+            awaitOnLoop(frontend::isIdle);
         }
-        until(() -> clients.connectionCount() == 0);
+        awaitOnLoop(() -> frontend.connectionCount() == 0);
     }
 
     /**
-     * Open as the others are let go, with more behind it: all of it is answered, in order, and then
-     * it is told the end.
+     * A txn is open when closing begins, with pipelined statements behind it: all of them are
+     * answered in order before the connection is closed.
      */
     @Test
-    void oneWithAnOpenTxnAndMoreSentAheadIsAnsweredBeforeItIsToldTheEnd() throws Exception {
-        primaryFound();
-        Peer c = client();
-        // In one piece, so that all of it is read at once: what is still unread when it is told the
-        // end, the client sends elsewhere.
-        c.send(Fixtures.joined(ask(write("w")), ask(read("r")), ask("")));
-        TxnDispatcher.MemberRequest w = dispatched.poll(20, TimeUnit.SECONDS);
-        loop.run(clients::beginClosing);
-        commit(w);
-        assertThat(c.until("Z\0\0\0\5I")).contains("done");
-        TxnDispatcher.MemberRequest r = dispatched.poll(20, TimeUnit.SECONDS);
-        assertThat(r.statement().id()).isEqualTo("r");
-        commit(r);
-        assertThat(c.until("Z\0\0\0\5I")).contains("done");
-        assertThat(c.until("Z\0\0\0\5I")).startsWith("I");
-        assertThat(c.rest()).isEmpty();
-        c.close();
-        until(() -> clients.connectionCount() == 0);
+    void pipelinedStatementsAreAnsweredBeforeClosing() throws Exception {
+        reportPrimary();
+        Peer client = connectClient();
+        // Sent in one write so that all of it is read at once. Statements that are unread when the
+        // driver closes its side are not answered; their client sends them to another driver.
+        client.send(Fixtures.joined(query(write("w")), query(read("r")), query("")));
+        TxnDispatcher.MemberRequest writeRequest =
+                dispatched.poll(WAIT_TIMEOUT_SECONDS, TimeUnit.SECONDS);
+        loop.run(frontend::beginClosing);
+        commit(writeRequest);
+        assertThat(client.until(READY_FOR_QUERY)).contains("done");
+        TxnDispatcher.MemberRequest readRequest =
+                dispatched.poll(WAIT_TIMEOUT_SECONDS, TimeUnit.SECONDS);
+        assertThat(readRequest.statement().id()).isEqualTo("r");
+        commit(readRequest);
+        assertThat(client.until(READY_FOR_QUERY)).contains("done");
+        assertThat(client.until(READY_FOR_QUERY)).startsWith("I");
+        assertThat(client.rest()).isEmpty();
+        client.close();
+        awaitOnLoop(() -> frontend.connectionCount() == 0);
     }
 
     /**
-     * A statement that comes in the moment of the end is not sent on, and its client sees an end
-     * and no break.
+     * A statement that arrives just after the driver has closed its side is not sent to a member,
+     * and its client sees an orderly close instead of a reset.
      */
     @Test
-    void whatComesBehindTheEndIsReadAndThrownAway() throws Exception {
-        primaryFound();
-        Peer c = client();
-        c.send(ask(""));
-        c.until("Z\0\0\0\5I");
-        Peer fresh = client();
-        loop.run(clients::finishAll);
-        // Taken from the listener's queue behind all others: told the same.
-        Peer last = Peer.to(port);
-        assertThat(last.rest()).isEmpty();
-        last.close();
-        for (Peer p : List.of(c, fresh)) {
-            p.send(ask(write("late")));
-            assertThat(p.rest()).isEmpty();
-            p.send(ask(write("later")));
+    void inputAfterFinishIsDiscarded() throws Exception {
+        reportPrimary();
+        Peer client = connectClient();
+        client.send(query(""));
+        client.until(READY_FOR_QUERY);
+        Peer newClient = connectClient();
+        loop.run(frontend::finishAll);
+        // Accepted from the listen backlog after all others were finished: finished at once.
+        Peer pendingClient = Peer.to(port);
+        assertThat(pendingClient.rest()).isEmpty();
+        pendingClient.close();
+        for (Peer finishedClient : List.of(client, newClient)) {
+            finishedClient.send(query(write("late")));
+            assertThat(finishedClient.rest()).isEmpty();
+            finishedClient.send(query(write("later")));
         }
-        // Both stay until their clients end their side: a close over unread bytes would break the
-        // connection.
-        until(() -> clients.connectionCount() == 2 && clients.isIdle());
-        c.close();
-        fresh.close();
-        until(() -> clients.connectionCount() == 0);
+        // Both connections stay open until their clients close them: closing a socket with unread
+        // bytes would reset the connection.
+        awaitOnLoop(() -> frontend.connectionCount() == 2 && frontend.isIdle());
+        client.close();
+        newClient.close();
+        awaitOnLoop(() -> frontend.connectionCount() == 0);
         assertThat(dispatched).isEmpty();
-        assertThat(exchange.openTxnCount()).isZero();
+        assertThat(dispatcher.openTxnCount()).isZero();
     }
 
     /**
-     * Its client reads late: the answer is handed over but not flushed when all are told the end,
-     * and comes whole.
+     * A client reads late, and its answer is still being written when all connections are finished:
+     * the answer must arrive completely.
      */
     @Test
-    void anAnswerThatIsNotFlushedYetIsWrittenBeforeTheEnd() throws Exception {
-        primaryFound();
-        Peer c = client();
-        c.send(ask(write("large")));
-        TxnDispatcher.MemberRequest e = dispatched.poll(20, TimeUnit.SECONDS);
-        byte[] row = new byte[32 << 20];
+    void unflushedAnswerIsWrittenBeforeFinish() throws Exception {
+        reportPrimary();
+        Peer client = connectClient();
+        client.send(query(write("large")));
+        TxnDispatcher.MemberRequest request =
+                dispatched.poll(WAIT_TIMEOUT_SECONDS, TimeUnit.SECONDS);
+        byte[] rowMessages = new byte[32 << 20];
         loop.run(
                 () -> {
-                    exchange.submissionEnded(
-                            e,
+                    dispatcher.submissionEnded(
+                            request,
                             Outcome.COMMITTED,
                             Duration.ofMillis(1),
                             new TxnDispatcher.MemberStatus(Role.PRIMARY, null, null),
-                            row);
-                    clients.finishAll();
+                            rowMessages);
+                    frontend.finishAll();
                 });
-        until(() -> exchange.openTxnCount() == 0 && !clients.isIdle());
-        assertThat(c.rest().length).isGreaterThanOrEqualTo(row.length);
-        c.close();
-        until(() -> clients.connectionCount() == 0);
+        awaitOnLoop(() -> dispatcher.openTxnCount() == 0 && !frontend.isIdle());
+        assertThat(client.rest().length).isGreaterThanOrEqualTo(rowMessages.length);
+        client.close();
+        awaitOnLoop(() -> frontend.connectionCount() == 0);
     }
 
     /**
-     * Guards the thread against clients that send without end what nobody answers: rows for a copy,
-     * extended queries.
+     * Guards against clients that keep the event loop busy with an endless stream of messages that
+     * get no answer: CopyData, or extended queries without Sync.
      */
     @Test
-    void oneThatSendsWithoutEndWhatIsNoQueryIsLetGo() throws Exception {
-        for (byte[] nothing :
+    void clientWithTooManyIgnoredMessagesIsDisconnected() throws Exception {
+        for (byte[] ignoredMessage :
                 new byte[][] {message('d', new byte[1000]), message('P', new byte[1000])}) {
-            Peer c = client();
+            Peer client = connectClient();
             for (int i = 0; i < 300; i++) {
-                c.send(nothing);
+                client.send(ignoredMessage);
             }
-            assertThat(new String(c.rest(), StandardCharsets.ISO_8859_1))
+            assertThat(new String(client.rest(), StandardCharsets.ISO_8859_1))
                     .contains("too much that is no query");
-            c.close();
-            until(() -> clients.connectionCount() == 0);
+            client.close();
+            awaitOnLoop(() -> frontend.connectionCount() == 0);
         }
-        primaryFound();
-        Peer c = client();
-        c.send(ask(write("other")));
-        commit(dispatched.poll(20, TimeUnit.SECONDS));
-        assertThat(c.until("Z\0\0\0\5I")).contains("done");
+        reportPrimary();
+        Peer client = connectClient();
+        client.send(query(write("other")));
+        commit(dispatched.poll(WAIT_TIMEOUT_SECONDS, TimeUnit.SECONDS));
+        assertThat(client.until(READY_FOR_QUERY)).contains("done");
     }
 
     /**
-     * It comes again at once under the same id: taken where nothing of it went out, turned away
-     * where something may have.
+     * A client disconnects and retries at once under the same id: the retry is accepted if the
+     * first attempt was not sent to a member, and rejected if it may have been.
      */
     @Test
-    void oneThatLeftComesAgainUnderTheSameIdOnlyIfNothingWentOut() throws Exception {
-        Peer c = client();
-        c.send(ask(write("same")));
-        until(() -> exchange.openTxnCount() == 1);
-        c.reset();
-        until(() -> exchange.openTxnCount() == 0);
-        Peer again = client().send(ask(write("same")));
-        until(() -> exchange.openTxnCount() == 1);
-        primaryFound();
-        assertThat(dispatched.poll(20, TimeUnit.SECONDS).statement().id()).isEqualTo("same");
-        again.reset();
-        until(() -> exchange.openTxnCount() == 0);
-        assertThat(client().send(ask(write("same"))).until("Z\0\0\0\5I")).contains("42704");
+    void idOfDisconnectedClientIsReusableOnlyIfNothingWasSent() throws Exception {
+        Peer client = connectClient();
+        client.send(query(write("same")));
+        awaitOnLoop(() -> dispatcher.openTxnCount() == 1);
+        client.reset();
+        awaitOnLoop(() -> dispatcher.openTxnCount() == 0);
+        Peer retryingClient = connectClient().send(query(write("same")));
+        awaitOnLoop(() -> dispatcher.openTxnCount() == 1);
+        reportPrimary();
+        assertThat(dispatched.poll(WAIT_TIMEOUT_SECONDS, TimeUnit.SECONDS).statement().id())
+                .isEqualTo("same");
+        retryingClient.reset();
+        awaitOnLoop(() -> dispatcher.openTxnCount() == 0);
+        assertThat(connectClient().send(query(write("same"))).until(READY_FOR_QUERY))
+                .contains("42704");
         assertThat(dispatched).isEmpty();
     }
 
     /**
-     * The client leaves while its txn waits for its connection: asked just before it would go, the
-     * exchange says no.
+     * A client disconnects while its txn waits for a connection: the dispatcher must refuse it when
+     * it is consulted just before sending.
      */
     @Test
-    void oneThatLeavesWhileItsConnectionOpensIsNotSentOn() throws Exception {
-        primaryFound();
-        Peer c = client();
-        c.send(ask(write("w")));
-        TxnDispatcher.MemberRequest e = dispatched.poll(20, TimeUnit.SECONDS);
-        BlockingQueue<Boolean> may = new LinkedBlockingQueue<>();
-        loop.run(() -> may.add(exchange.mayDispatch(e)));
-        assertThat(may.poll(20, TimeUnit.SECONDS)).isTrue();
-        c.endOutput();
-        until(() -> exchange.openTxnCount() == 0);
-        loop.run(() -> may.add(exchange.mayDispatch(e)));
-        assertThat(may.poll(20, TimeUnit.SECONDS)).isFalse();
-        c.close();
+    void txnIsNotSentIfItsClientDisconnectsWhileConnectionOpens() throws Exception {
+        reportPrimary();
+        Peer client = connectClient();
+        client.send(query(write("w")));
+        TxnDispatcher.MemberRequest request =
+                dispatched.poll(WAIT_TIMEOUT_SECONDS, TimeUnit.SECONDS);
+        BlockingQueue<Boolean> results = new LinkedBlockingQueue<>();
+        loop.run(() -> results.add(dispatcher.mayDispatch(request)));
+        assertThat(results.poll(WAIT_TIMEOUT_SECONDS, TimeUnit.SECONDS)).isTrue();
+        client.endOutput();
+        awaitOnLoop(() -> dispatcher.openTxnCount() == 0);
+        loop.run(() -> results.add(dispatcher.mayDispatch(request)));
+        assertThat(results.poll(WAIT_TIMEOUT_SECONDS, TimeUnit.SECONDS)).isFalse();
+        client.close();
     }
 
     /**
-     * Its statement and its end stand side by side when the driver next looks, as after a pause of
-     * the whole process.
+     * A statement and the client's disconnect are both pending when the event loop next polls, as
+     * after a pause of the whole process.
      */
     @Test
-    void oneThatHasLeftByTheTimeItsStatementIsReadIsNotSentOn() throws Exception {
-        primaryFound();
+    void txnReadAfterItsClientDisconnectedIsNotSent() throws Exception {
+        reportPrimary();
         for (boolean resets : new boolean[] {false, true}) {
-            Peer c = client();
-            CountDownLatch standing = new CountDownLatch(1);
-            CountDownLatch goes = new CountDownLatch(1);
+            Peer client = connectClient();
+            CountDownLatch loopBlocked = new CountDownLatch(1);
+            CountDownLatch loopReleased = new CountDownLatch(1);
             loop.run(
                     () -> {
-                        standing.countDown();
+                        loopBlocked.countDown();
                         try {
-                            goes.await();
-                        } catch (InterruptedException e) {
+                            loopReleased.await();
+                        } catch (InterruptedException interrupted) {
                             Thread.currentThread().interrupt();
                         }
                     });
-            standing.await();
-            c.send(ask(write("left" + resets)));
+            loopBlocked.await();
+            client.send(query(write("left" + resets)));
             if (resets) {
-                c.reset();
+                client.reset();
             } else {
-                c.close();
+                client.close();
             }
-            goes.countDown();
-            until(() -> clients.connectionCount() == 0);
+            loopReleased.countDown();
+            awaitOnLoop(() -> frontend.connectionCount() == 0);
             assertThat(dispatched).isEmpty();
         }
     }
 
-    /** Bytes one at a time, two statements in a row: both are answered, in order. */
+    /** Two statements arrive one byte at a time: both are answered, in order. */
     @Test
-    void bytesOneAtATimeMakeWholeStatements() throws Exception {
-        primaryFound();
-        Peer c = client();
-        c.trickle(Fixtures.joined(ask(write("a")), ask(write("b"))));
+    void statementsMayArriveByteByByte() throws Exception {
+        reportPrimary();
+        Peer client = connectClient();
+        client.trickle(Fixtures.joined(query(write("a")), query(write("b"))));
         for (String id : new String[] {"a", "b"}) {
-            TxnDispatcher.MemberRequest e = dispatched.poll(20, TimeUnit.SECONDS);
-            assertThat(e.statement().id()).isEqualTo(id);
-            commit(e);
-            assertThat(c.until("Z\0\0\0\5I")).contains("done");
+            TxnDispatcher.MemberRequest request =
+                    dispatched.poll(WAIT_TIMEOUT_SECONDS, TimeUnit.SECONDS);
+            assertThat(request.statement().id()).isEqualTo(id);
+            commit(request);
+            assertThat(client.until(READY_FOR_QUERY)).contains("done");
         }
-        assertThat(new String(c.send(message('X')).rest(), StandardCharsets.ISO_8859_1)).isEmpty();
+        assertThat(new String(client.send(message('X')).rest(), StandardCharsets.ISO_8859_1))
+                .isEmpty();
     }
 }
--- a/src/test/java/wingroad/driver/MemberPoolsTest.java
+++ b/src/test/java/wingroad/driver/MemberPoolsTest.java
@@ -728,7 +728,7 @@
 
     /** A client disconnects while its txn waits for a connection in its reuse delay. */
     @Test
-    void requestOfLeftClientIsNotSentAfterReuseDelay() throws Exception {
+    void requestOfDisconnectedClientIsNotSentAfterReuseDelay() throws Exception {
         try (Peer.Listener member = new Peer.Listener()) {
             updateMovingMember(member.port());
             dispatchToMovingMember();
