--- a/src/test/java/wingroad/driver/DiscoveryClientTest.java
+++ b/src/test/java/wingroad/driver/DiscoveryClientTest.java
@@ -19,29 +19,48 @@
 import wingroad.rig.Peer;
 import wingroad.transport.EventLoop;
 
-/** The list's watch, with answers, ends and silence put between any two of its lines. */
+/**
+ * Discovery's watch and fetch against an agent played by the test, which responds, closes, resets
+ * or stays silent at any point of an exchange.
+ */
 class DiscoveryClientTest {
-    private static final String HEAD = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n";
+    /** Limits each wait for an event of the discovery client. */
+    private static final long WAIT_TIMEOUT_SECONDS = 20;
 
-    private final BlockingQueue<Object> heard = new LinkedBlockingQueue<>();
-    private final EventLoop loop = loop();
-    private final Peer.Listener agent = listener();
-    private final DiscoveryClient discovery = discovery(false);
+    private static final int CHANNEL_LIMIT = 100;
+    private static final int MEMORY_LIMIT_BYTES = 1 << 24;
 
-    private static EventLoop loop() {
+    /** The list version that the discovery client holds at the start. */
+    private static final long HELD_VERSION = 5;
+
+    /** The event that stands for a failed request. */
+    private static final String REQUEST_FAILED = "failed";
+
+    /** The event that stands for the end of a fetch, whatever its result. */
+    private static final String FETCH_DONE = "done";
+
+    private static final String RESPONSE_HEAD =
+            "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n";
+
+    private final BlockingQueue<Object> events = new LinkedBlockingQueue<>();
+    private final EventLoop loop = createEventLoop();
+    private final Peer.Listener agent = createListener();
+    private final DiscoveryClient discovery = createClient(false);
+
+    private static EventLoop createEventLoop() {
         try {
             return new EventLoop(
-                    100,
-                    1 << 24,
-                    bug -> {
-                        throw new AssertionError(bug);
+                    CHANNEL_LIMIT,
+                    MEMORY_LIMIT_BYTES,
+                    failure -> {
+                        throw new AssertionError(failure);
                     });
         } catch (IOException e) {
             throw new AssertionError(e);
         }
     }
 
-    private static Peer.Listener listener() {
+    private static Peer.Listener createListener() {
         try {
             return new Peer.Listener();
         } catch (IOException e) {
@@ -49,13 +68,19 @@
         }
     }
 
-    private DiscoveryClient discovery(boolean asked) {
+    private DiscoveryClient createClient(boolean pullMode) {
         return new DiscoveryClient(
-                loop, at(agent), 5, new Counters(), asked, heard::add, () -> heard.add("failed"));
+                loop,
+                addressOf(agent),
+                HELD_VERSION,
+                new Counters(),
+                pullMode,
+                events::add,
+                () -> events.add(REQUEST_FAILED));
     }
 
-    private static InetSocketAddress at(Peer.Listener l) {
-        return new InetSocketAddress(InetAddress.getLoopbackAddress(), l.port());
+    private static InetSocketAddress addressOf(Peer.Listener listener) {
+        return new InetSocketAddress(InetAddress.getLoopbackAddress(), listener.port());
     }
 
     @AfterEach
@@ -63,299 +88,312 @@
         agent.close();
     }
 
-    private static String list(long rev, boolean whole, String state) {
+    private static String list(long version, boolean complete, String state) {
         return "{\"rev\":"
-                + rev
+                + version
                 + ",\"all\":"
-                + whole
+                + complete
                 + ",\"targets\":["
                 + entry("s-1", 5433, state)
                 + "]}";
     }
 
-    private static String sized(String body) {
-        return HEAD + "Content-Length: " + body.length() + "\r\n\r\n" + body;
+    private static String responseWithLength(String body) {
+        return RESPONSE_HEAD + "Content-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
-    private MemberList news() throws InterruptedException {
-        return (MemberList) heard.poll(20, TimeUnit.SECONDS);
+    private MemberList awaitList() throws InterruptedException {
+        return (MemberList) events.poll(WAIT_TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
 
-    /** The version that the next call on this connection names, -1 for the whole list. */
-    private static long since(Peer call) throws IOException {
-        String asked = call.until("\r\n\r\n");
-        return asked.contains("since=")
-                ? Long.parseLong(asked.replaceAll("(?s).*since=([0-9]+).*", "$1"))
+    /** The version that the next request on this connection names, -1 for a fetch. */
+    private static long requestedVersion(Peer connection) throws IOException {
+        String request = connection.until("\r\n\r\n");
+        return request.contains("since=")
+                ? Long.parseLong(request.replaceAll("(?s).*since=([0-9]+).*", "$1"))
                 : -1;
     }
 
-    /** Guards rule 3: half a list taken for a whole one would leave out who drains. */
+    /**
+     * Guards rule 3: a truncated list that is taken for a complete one would not show which members
+     * are draining. A response without a length ends with its connection, so that a reset must not
+     * count as its end.
+     */
     @Test
-    void anAnswerWithoutALengthThatIsResetIsNotTaken() throws Exception {
+    void responseWithoutLengthIsDiscardedOnReset() throws Exception {
         loop.run(discovery::watch);
-        Peer first = agent.accept();
-        assertThat(since(first)).isEqualTo(5);
-        first.send(HEAD + "\r\n" + list(6, true, "ready"));
-        first.reset();
-        Peer second = agent.accept();
-        assertThat(since(second)).isEqualTo(5);
-        assertThat(heard).isEmpty();
-        second.send(HEAD + "\r\n" + list(6, true, "draining")).close();
-        assertThat(news().entries().get(0).draining()).isTrue();
-        assertThat(since(agent.accept())).isEqualTo(6);
+        Peer firstConnection = agent.accept();
+        assertThat(requestedVersion(firstConnection)).isEqualTo(HELD_VERSION);
+        firstConnection.send(RESPONSE_HEAD + "\r\n" + list(6, true, "ready"));
+        firstConnection.reset();
+        Peer secondConnection = agent.accept();
+        assertThat(requestedVersion(secondConnection)).isEqualTo(HELD_VERSION);
+        assertThat(events).isEmpty();
+        secondConnection.send(RESPONSE_HEAD + "\r\n" + list(6, true, "draining")).close();
+        assertThat(awaitList().entries().get(0).draining()).isTrue();
+        assertThat(requestedVersion(agent.accept())).isEqualTo(6);
     }
 
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void brokenOffAtAnyByteItIsAskedAgainFromTheVersionHeld(boolean reset) throws Exception {
-        String whole = sized(list(6, true, "ready"));
+    void truncatedResponseIsRequestedAgainFromHeldVersion(boolean reset) throws Exception {
+        String response = responseWithLength(list(6, true, "ready"));
         loop.run(discovery::watch);
-        for (int at = 0; at < whole.length(); at += 7) {
-            Peer call = agent.accept();
-            assertThat(since(call)).isEqualTo(5);
-            call.send(whole.substring(0, at));
+        for (int sentLength = 0; sentLength < response.length(); sentLength += 7) {
+            Peer connection = agent.accept();
+            assertThat(requestedVersion(connection)).isEqualTo(HELD_VERSION);
+            connection.send(response.substring(0, sentLength));
             if (reset) {
-                call.reset();
+                connection.reset();
             } else {
-                call.close();
+                connection.close();
             }
         }
-        Peer last = agent.accept();
-        assertThat(since(last)).isEqualTo(5);
-        last.trickle(whole.getBytes(StandardCharsets.ISO_8859_1));
-        assertThat(news().version()).isEqualTo(6);
-        assertThat(heard).isEmpty();
-        assertThat(since(last)).isEqualTo(6);
+        Peer lastConnection = agent.accept();
+        assertThat(requestedVersion(lastConnection)).isEqualTo(HELD_VERSION);
+        lastConnection.trickle(response.getBytes(StandardCharsets.ISO_8859_1));
+        assertThat(awaitList().version()).isEqualTo(6);
+        assertThat(events).isEmpty();
+        assertThat(requestedVersion(lastConnection)).isEqualTo(6);
     }
 
-    /** Guards rule 3: what the agent has counts as told whether or not a watch is open. */
+    /**
+     * Guards rule 3: what the agent holds counts as known to the driver whether or not a watch is
+     * open.
+     */
     @Test
-    void whereListsArePushedALostWatchIsOpenWithinTheShortestGrace() throws Exception {
+    void lostWatchIsReopenedWithinShortestGraceInPushMode() throws Exception {
         loop.run(discovery::watch);
         for (int i = 0; i < 6; i++) {
-            Peer call = agent.accept();
-            since(call);
-            long from = System.nanoTime();
-            call.reset();
-            since(agent.accept());
-            assertThat(System.nanoTime() - from).isLessThan(TimeUnit.MILLISECONDS.toNanos(1000));
+            Peer connection = agent.accept();
+            requestedVersion(connection);
+            long startNanos = System.nanoTime();
+            connection.reset();
+            requestedVersion(agent.accept());
+            assertThat(System.nanoTime() - startNanos)
+                    .isLessThan(TimeUnit.MILLISECONDS.toNanos(1000));
             agent.accept().close();
         }
-        assertThat(heard).isEmpty();
+        assertThat(events).isEmpty();
     }
 
-    /** Nobody is there: asked again and again, but not in a loop without a pause. */
+    /** Guards against a busy loop of connection attempts while the agent refuses connections. */
     @Test
-    void anAgentThatRefusesIsAskedAgainAtAPace() throws Exception {
-        Counters tally = new Counters();
-        int nobody;
-        try (Peer.Listener gone = new Peer.Listener()) {
-            nobody = gone.port();
+    void refusedConnectionsAreRetriedAtLimitedRate() throws Exception {
+        Counters counters = new Counters();
+        int closedPort;
+        try (Peer.Listener closedListener = new Peer.Listener()) {
+            closedPort = closedListener.port();
         }
-        DiscoveryClient d =
+        DiscoveryClient client =
                 new DiscoveryClient(
                         loop,
-                        new InetSocketAddress(InetAddress.getLoopbackAddress(), nobody),
-                        5,
-                        tally,
+                        new InetSocketAddress(InetAddress.getLoopbackAddress(), closedPort),
+                        HELD_VERSION,
+                        counters,
                         false,
-                        heard::add,
-                        () -> heard.add("failed"));
-        BlockingQueue<String> counted = new LinkedBlockingQueue<>();
-        loop.run(d::watch);
-        loop.after(Duration.ofMillis(600), () -> counted.add(tally.takeSummary()));
-        String refused = counted.poll(20, TimeUnit.SECONDS);
-        assertThat(Integer.parseInt(refused.replaceAll(".* ", ""))).isBetween(1, 7);
-        assertThat(heard).isEmpty();
+                        events::add,
+                        () -> events.add(REQUEST_FAILED));
+        BlockingQueue<String> summaries = new LinkedBlockingQueue<>();
+        loop.run(client::watch);
+        loop.after(Duration.ofMillis(600), () -> summaries.add(counters.takeSummary()));
+        String summary = summaries.poll(WAIT_TIMEOUT_SECONDS, TimeUnit.SECONDS);
+        assertThat(Integer.parseInt(summary.replaceAll(".* ", ""))).isBetween(1, 7);
+        assertThat(events).isEmpty();
     }
 
     @Test
-    void whereTheListMustBeAskedForTheModuleSaysWhenToAskAgain() throws Exception {
-        DiscoveryClient d = discovery(true);
-        loop.run(d::watch);
-        Peer call = agent.accept();
-        assertThat(call.until("\r\n\r\n")).contains("timeout_ms=20000");
-        call.reset();
-        assertThat(heard.poll(20, TimeUnit.SECONDS)).isEqualTo("failed");
+    void failedWatchIsLeftToTheRouterInPullMode() throws Exception {
+        DiscoveryClient client = createClient(true);
+        loop.run(client::watch);
+        Peer connection = agent.accept();
+        assertThat(connection.until("\r\n\r\n")).contains("timeout_ms=20000");
+        connection.reset();
+        assertThat(events.poll(WAIT_TIMEOUT_SECONDS, TimeUnit.SECONDS)).isEqualTo(REQUEST_FAILED);
         assertThat(agent.nobodyFor(400)).isTrue();
     }
 
     /**
-     * Guards against a list that goes quiet without a word: it is missed long before it counts as
-     * told, 6 s later.
+     * Guards against a watch that falls silent without being closed: it must be detected long
+     * before the changes that it misses count as known, 6 s later.
      */
     @Test
-    void aWatchThatFallsSilentIsOpenedAnewInTime() throws Exception {
+    void silentWatchIsReopenedInTime() throws Exception {
         loop.run(discovery::watch);
-        Peer first = agent.accept();
-        since(first);
-        first.send(sized(list(6, true, "ready")));
-        assertThat(news().version()).isEqualTo(6);
-        assertThat(since(first)).isEqualTo(6);
-        // Half an answer, then nothing: a silence in the middle is one as well.
-        first.send(HEAD + "Content-Length: 500\r\n\r\n{\"rev\":7");
-        long from = System.nanoTime();
-        Peer second = agent.accept();
-        assertThat(System.nanoTime() - from).isLessThan(TimeUnit.SECONDS.toNanos(5));
-        assertThat(since(second)).isEqualTo(6);
-        second.send(sized(list(7, false, "draining")));
-        assertThat(news().entries().get(0).draining()).isTrue();
-        first.awaitEnd();
+        Peer firstConnection = agent.accept();
+        requestedVersion(firstConnection);
+        firstConnection.send(responseWithLength(list(6, true, "ready")));
+        assertThat(awaitList().version()).isEqualTo(6);
+        assertThat(requestedVersion(firstConnection)).isEqualTo(6);
+        // Part of a response, then nothing: silence within a response must be detected too.
+        firstConnection.send(RESPONSE_HEAD + "Content-Length: 500\r\n\r\n{\"rev\":7");
+        long startNanos = System.nanoTime();
+        Peer secondConnection = agent.accept();
+        assertThat(System.nanoTime() - startNanos).isLessThan(TimeUnit.SECONDS.toNanos(5));
+        assertThat(requestedVersion(secondConnection)).isEqualTo(6);
+        secondConnection.send(responseWithLength(list(7, false, "draining")));
+        assertThat(awaitList().entries().get(0).draining()).isTrue();
+        firstConnection.awaitEnd();
     }
 
     /**
-     * Guards against an answer that comes twice: the second would stand for the answer to the next
-     * call.
+     * Guards against a response that arrives twice: the second would be taken for the response to
+     * the next request.
      */
     @Test
-    void whatComesBehindAnAnswerEndsItsConnection() throws Exception {
+    void unexpectedBytesAfterResponseCloseTheConnection() throws Exception {
         loop.run(discovery::watch);
-        Peer first = agent.accept();
-        since(first);
-        first.send(sized(list(6, true, "ready")) + sized(list(6, true, "ready")));
-        assertThat(news().version()).isEqualTo(6);
-        Peer second = agent.accept();
-        assertThat(since(second)).isEqualTo(6);
-        first.awaitEnd();
-        second.send(sized(list(7, false, "draining")));
-        assertThat(news().version()).isEqualTo(7);
-        assertThat(heard).isEmpty();
+        Peer firstConnection = agent.accept();
+        requestedVersion(firstConnection);
+        firstConnection.send(
+                responseWithLength(list(6, true, "ready"))
+                        + responseWithLength(list(6, true, "ready")));
+        assertThat(awaitList().version()).isEqualTo(6);
+        Peer secondConnection = agent.accept();
+        assertThat(requestedVersion(secondConnection)).isEqualTo(6);
+        firstConnection.awaitEnd();
+        secondConnection.send(responseWithLength(list(7, false, "draining")));
+        assertThat(awaitList().version()).isEqualTo(7);
+        assertThat(events).isEmpty();
     }
 
     @Test
-    void anIndentedListIsRead() throws Exception {
+    void indentedListInChunkedEncodingIsRead() throws Exception {
         loop.run(discovery::watch);
-        Peer call = agent.accept();
-        since(call);
-        String indented =
+        Peer connection = agent.accept();
+        requestedVersion(connection);
+        String indentedList =
                 list(6, true, "draining")
                         .replace(",", ",\r\n\t ")
                         .replace("{", "{\n  ")
                         .replace("}", "\n}\n");
-        call.send(
-                HEAD
+        connection.send(
+                RESPONSE_HEAD
                         + "Transfer-Encoding: chunked\r\n\r\n"
-                        + Integer.toHexString(indented.length())
+                        + Integer.toHexString(indentedList.length())
                         + "\r\n"
-                        + indented
+                        + indentedList
                         + "\r\n0\r\n\r\n");
-        assertThat(news().entries().get(0).draining()).isTrue();
+        assertThat(awaitList().entries().get(0).draining()).isTrue();
     }
 
     /**
-     * A discovery that began anew counts from a lower number: its whole list stands, its changes
-     * alone mean nothing.
+     * A restarted discovery counts its versions from a lower number: its complete list is valid,
+     * but changes without the list that they refer to are not.
      */
     @Test
-    void versionsMayGoBackWithAWholeListOnly() throws Exception {
+    void onlyCompleteListMayLowerTheVersion() throws Exception {
         loop.run(discovery::watch);
-        Peer call = agent.accept();
-        assertThat(since(call)).isEqualTo(5);
-        call.send(sized(list(3, false, "ready")));
-        Peer second = agent.accept();
-        assertThat(since(second)).isZero();
-        assertThat(heard).isEmpty();
-        second.send(sized(list(3, true, "draining")));
-        assertThat(news().version()).isEqualTo(3);
-        assertThat(since(second)).isEqualTo(3);
+        Peer connection = agent.accept();
+        assertThat(requestedVersion(connection)).isEqualTo(HELD_VERSION);
+        connection.send(responseWithLength(list(3, false, "ready")));
+        Peer secondConnection = agent.accept();
+        assertThat(requestedVersion(secondConnection)).isZero();
+        assertThat(events).isEmpty();
+        secondConnection.send(responseWithLength(list(3, true, "draining")));
+        assertThat(awaitList().version()).isEqualTo(3);
+        assertThat(requestedVersion(secondConnection)).isEqualTo(3);
     }
 
-    /** A whole list that was fetched beside the watch may be overtaken by what the watch brings. */
+    /** The watch may deliver a newer list while an older one is being fetched. */
     @Test
-    void aFetchedListThatIsOlderThanTheWatchIsNotTaken() throws Exception {
+    void fetchedListOlderThanWatchIsIgnored() throws Exception {
         loop.run(discovery::watch);
         Peer watch = agent.accept();
-        since(watch);
+        requestedVersion(watch);
         loop.run(discovery::fetch);
         Peer fetch = agent.accept();
-        assertThat(since(fetch)).isEqualTo(-1);
-        watch.send(sized(list(7, false, "draining")));
-        assertThat(news().version()).isEqualTo(7);
-        assertThat(since(watch)).isEqualTo(7);
-        fetch.send(sized(list(6, true, "ready")));
+        assertThat(requestedVersion(fetch)).isEqualTo(-1);
+        watch.send(responseWithLength(list(7, false, "draining")));
+        assertThat(awaitList().version()).isEqualTo(7);
+        assertThat(requestedVersion(watch)).isEqualTo(7);
+        fetch.send(responseWithLength(list(6, true, "ready")));
         fetch.awaitEnd();
-        watch.send(sized(list(8, false, "draining")));
-        assertThat(news().version()).isEqualTo(8);
-        assertThat(heard).isEmpty();
+        watch.send(responseWithLength(list(8, false, "draining")));
+        assertThat(awaitList().version()).isEqualTo(8);
+        assertThat(events).isEmpty();
     }
 
     /**
-     * Guards a start that waits for the list: it hears that there is one, or none, however the call
-     * ends.
+     * Guards against a start that waits forever for the fetched list: its callback must run however
+     * the request ends.
      */
     @Test
-    void whoeverWaitsForTheWholeListHearsOfItHoweverTheCallEnds() throws Exception {
+    void fetchAlwaysReportsItsCompletion() throws Exception {
         loop.run(discovery::watch);
         Peer watch = agent.accept();
-        since(watch);
-        watch.send(sized(list(9, true, "ready")));
-        assertThat(news().version()).isEqualTo(9);
-        since(watch);
-        for (String answer :
+        requestedVersion(watch);
+        watch.send(responseWithLength(list(9, true, "ready")));
+        assertThat(awaitList().version()).isEqualTo(9);
+        requestedVersion(watch);
+        for (String response :
                 new String[] {
-                    sized(list(9, true, "ready")),
-                    sized(list(8, true, "ready")),
-                    sized("{}"),
+                    responseWithLength(list(9, true, "ready")),
+                    responseWithLength(list(8, true, "ready")),
+                    responseWithLength("{}"),
                     "nonsense\n",
                     "reset",
                     "silent"
                 }) {
-            loop.run(() -> discovery.fetch(() -> heard.add("tried")));
-            Peer call = agent.accept();
-            assertThat(since(call)).isEqualTo(-1);
-            if (answer.equals("reset")) {
-                call.reset();
-            } else if (!answer.equals("silent")) {
-                call.send(answer);
+            loop.run(() -> discovery.fetch(() -> events.add(FETCH_DONE)));
+            Peer connection = agent.accept();
+            assertThat(requestedVersion(connection)).isEqualTo(-1);
+            if (response.equals("reset")) {
+                connection.reset();
+            } else if (!response.equals("silent")) {
+                connection.send(response);
             }
-            if (answer.contains("\"rev\":9")) {
-                assertThat(news().version()).isEqualTo(9);
-            } else if (!answer.contains("\"rev\":8")) {
-                assertThat(heard.poll(20, TimeUnit.SECONDS)).isEqualTo("failed");
+            if (response.contains("\"rev\":9")) {
+                assertThat(awaitList().version()).isEqualTo(9);
+            } else if (!response.contains("\"rev\":8")) {
+                assertThat(events.poll(WAIT_TIMEOUT_SECONDS, TimeUnit.SECONDS))
+                        .isEqualTo(REQUEST_FAILED);
             }
-            assertThat(heard.poll(20, TimeUnit.SECONDS)).as(answer).isEqualTo("tried");
-            call.close();
+            assertThat(events.poll(WAIT_TIMEOUT_SECONDS, TimeUnit.SECONDS))
+                    .as(response)
+                    .isEqualTo(FETCH_DONE);
+            connection.close();
         }
-        assertThat(heard).isEmpty();
+        assertThat(events).isEmpty();
     }
 
     /**
-     * Moved while a call is out, in mid-answer: the old address has no say any more, and nothing
-     * counts as failed.
+     * The address changes while a response is being received: the old address is not used any more,
+     * and no failure is reported.
      */
     @Test
-    void movedInTheMiddleOfAnAnswerTheWatchGoesOnElsewhere() throws Exception {
+    void watchMovesToNewAddressMidResponse() throws Exception {
         loop.run(discovery::watch);
-        Peer old = agent.accept();
-        since(old);
-        String answer = sized(list(6, true, "ready"));
-        old.send(answer.substring(0, answer.length() - 10));
-        try (Peer.Listener next = new Peer.Listener()) {
-            loop.run(() -> discovery.setAddress(at(next)));
-            Peer moved = next.accept();
-            assertThat(since(moved)).isEqualTo(5);
-            old.awaitEnd();
-            moved.send(sized(list(6, true, "draining")));
-            assertThat(news().entries().get(0).draining()).isTrue();
-            // And moved again while the news is told.
-            loop.run(() -> discovery.setAddress(at(agent)));
-            assertThat(since(agent.accept())).isEqualTo(6);
+        Peer oldConnection = agent.accept();
+        requestedVersion(oldConnection);
+        String response = responseWithLength(list(6, true, "ready"));
+        oldConnection.send(response.substring(0, response.length() - 10));
+        try (Peer.Listener newAgent = new Peer.Listener()) {
+            loop.run(() -> discovery.setAddress(addressOf(newAgent)));
+            Peer newConnection = newAgent.accept();
+            assertThat(requestedVersion(newConnection)).isEqualTo(HELD_VERSION);
+            oldConnection.awaitEnd();
+            newConnection.send(responseWithLength(list(6, true, "draining")));
+            assertThat(awaitList().entries().get(0).draining()).isTrue();
+            // The address changes again right after the list.
+            loop.run(() -> discovery.setAddress(addressOf(agent)));
+            assertThat(requestedVersion(agent.accept())).isEqualTo(6);
         }
-        assertThat(heard).isEmpty();
+        assertThat(events).isEmpty();
     }
 
-    /** Moved while it waits to ask again: it asks at the new address, and there once. */
+    /** The address changes during the retry delay: a single request is sent to the new address. */
     @Test
-    void movedBetweenTwoCallsItAsksAtTheNewAddress() throws Exception {
+    void watchMovesToNewAddressBetweenRequests() throws Exception {
         loop.run(discovery::watch);
-        Peer call = agent.accept();
-        since(call);
-        try (Peer.Listener next = new Peer.Listener()) {
-            call.reset();
-            since(agent.accept());
-            loop.run(() -> discovery.setAddress(at(next)));
-            assertThat(since(next.accept())).isEqualTo(5);
-            assertThat(next.nobodyFor(300)).isTrue();
+        Peer connection = agent.accept();
+        requestedVersion(connection);
+        try (Peer.Listener newAgent = new Peer.Listener()) {
+            connection.reset();
+            requestedVersion(agent.accept());
+            loop.run(() -> discovery.setAddress(addressOf(newAgent)));
+            assertThat(requestedVersion(newAgent.accept())).isEqualTo(HELD_VERSION);
+            assertThat(newAgent.nobodyFor(300)).isTrue();
         }
     }
 }
--- a/src/test/java/wingroad/driver/MemberPoolsTest.java
+++ b/src/test/java/wingroad/driver/MemberPoolsTest.java
@@ -72,8 +72,8 @@
             return new EventLoop(
                     channelLimit,
                     MEMORY_LIMIT_BYTES,
-                    bug -> {
-                        throw new AssertionError(bug);
+                    failure -> {
+                        throw new AssertionError(failure);
                     });
         } catch (IOException e) {
             throw new AssertionError(e);
