--- a/src/test/java/wingroad/routing/TxnRouterTest.java
+++ b/src/test/java/wingroad/routing/TxnRouterTest.java
@@ -1,6 +1,7 @@
 package wingroad.routing;
 
 import static org.assertj.core.api.Assertions.assertThat;
+import static org.assertj.core.api.Assertions.tuple;
 
 import static wingroad.Fixtures.READ;
 import static wingroad.Fixtures.WRITE;
@@ -17,204 +18,226 @@
 import java.time.Duration;
 import java.util.List;
 
+/**
+ * Tests the decisions of {@link TxnRouter}. Each test reports events to a router at given times, in
+ * milliseconds since its start, and checks the decisions that follow.
+ */
 class TxnRouterTest {
+    /** The group of {@link Fixtures#group}. */
+    private static final int GROUP_ID = 7;
 
-    private static List<Decision> of(Kind kind, List<Decision> all) {
-        return all.stream().filter(d -> d.kind() == kind).toList();
+    private static final long NO_SESSION = -1;
+
+    private static List<Decision> ofKind(Kind kind, List<Decision> decisions) {
+        return decisions.stream().filter(decision -> decision.kind() == kind).toList();
     }
 
     @Test
-    void firstWriteIsHeldAndAllMembersAreAsked() {
-        Fixtures g = new Fixtures().group(1, 2, 3);
-        g.txn(10, "w", WRITE, 3000);
-        List<Decision> all = g.decisions(10);
-        assertThat(of(Kind.SUBMIT, all)).isEmpty();
-        assertThat(of(Kind.PROBE, all)).extracting(Decision::member).containsExactly(1L, 2L, 3L);
+    void firstWriteIsHeldAndAllMembersAreProbed() {
+        Fixtures fixture = new Fixtures().group(1, 2, 3);
+        fixture.txn(10, "w", WRITE, 3000);
+        List<Decision> decisions = fixture.decisions(10);
+        assertThat(ofKind(Kind.SUBMIT, decisions)).isEmpty();
+        assertThat(ofKind(Kind.PROBE, decisions))
+                .extracting(Decision::member)
+                .containsExactly(1L, 2L, 3L);
     }
 
     @Test
-    void heldWritesWakeTogetherOnTheConfirmedPrimary() {
-        Fixtures g = new Fixtures().group(1, 2, 3);
-        g.txn(10, "a", WRITE, 3000);
-        g.txn(11, "b", WRITE, 3000);
-        g.decisions(11);
-        g.says(20, 2, Role.PRIMARY, 18);
-        assertThat(of(Kind.SUBMIT, g.decisions(20)))
+    void heldWritesAreSubmittedTogetherOnceThePrimaryIsConfirmed() {
+        Fixtures fixture = new Fixtures().group(1, 2, 3);
+        fixture.txn(10, "a", WRITE, 3000);
+        fixture.txn(11, "b", WRITE, 3000);
+        fixture.decisions(11);
+        fixture.says(20, 2, Role.PRIMARY, 18);
+        assertThat(ofKind(Kind.SUBMIT, fixture.decisions(20)))
                 .extracting(Decision::txn, Decision::member)
-                .containsExactly(
-                        org.assertj.core.api.Assertions.tuple("a", 2L),
-                        org.assertj.core.api.Assertions.tuple("b", 2L));
+                .containsExactly(tuple("a", 2L), tuple("b", 2L));
     }
 
     @Test
-    void aNewPrimaryIsProbedFastAfterwards() {
-        Fixtures g = new Fixtures().group(1, 2).roles(5, 2);
-        g.txn(10, "w", WRITE, 3000);
-        g.decisions(10);
-        g.ends(20, "w", 0, 1, Outcome.MISSED, Role.REPLICA);
-        g.decisions(20);
-        g.says(30, 2, Role.PRIMARY, 28);
-        g.decisions(30);
-        assertThat(of(Kind.PROBE, g.decisions(135)))
+    void newPrimaryIsProbedAtTheFastRate() {
+        Fixtures fixture = new Fixtures().group(1, 2).roles(5, 2);
+        fixture.txn(10, "w", WRITE, 3000);
+        fixture.decisions(10);
+        fixture.ends(20, "w", 0, 1, Outcome.MISSED, Role.REPLICA);
+        fixture.decisions(20);
+        fixture.says(30, 2, Role.PRIMARY, 28);
+        fixture.decisions(30);
+        assertThat(ofKind(Kind.PROBE, fixture.decisions(135)))
                 .extracting(Decision::member)
                 .containsExactly(2L);
     }
 
     @Test
-    void aPrimaryFoundAtTheFirstAskingIsProbedAtTheSteadyRate() {
-        Fixtures g = new Fixtures().group(1, 2);
-        g.txn(10, "w", WRITE, 3000);
-        g.decisions(10);
-        g.says(20, 1, Role.PRIMARY, 18);
-        g.says(20, 2, Role.REPLICA, 18);
-        assertThat(of(Kind.PROBE, g.decisions(135))).isEmpty();
-        g.ends(140, "w", 0, 1, Outcome.COMMITTED, Role.PRIMARY);
-        assertThat(of(Kind.PROBE, g.until(5100))).extracting(Decision::member).containsExactly(1L);
+    void primaryFoundByTheFirstSearchIsProbedAtTheSteadyRate() {
+        Fixtures fixture = new Fixtures().group(1, 2);
+        fixture.txn(10, "w", WRITE, 3000);
+        fixture.decisions(10);
+        fixture.says(20, 1, Role.PRIMARY, 18);
+        fixture.says(20, 2, Role.REPLICA, 18);
+        assertThat(ofKind(Kind.PROBE, fixture.decisions(135))).isEmpty();
+        fixture.ends(140, "w", 0, 1, Outcome.COMMITTED, Role.PRIMARY);
+        assertThat(ofKind(Kind.PROBE, fixture.until(5100)))
+                .extracting(Decision::member)
+                .containsExactly(1L);
     }
 
     @Test
-    void aSearchIsRepeatedUntilOneSaysYes() {
-        Fixtures g = new Fixtures().group(1, 2);
-        g.txn(10, "w", WRITE, 3000);
-        g.decisions(10);
-        g.says(20, 1, Role.REPLICA, 5);
-        g.says(20, 2, Role.REPLICA, 5);
-        assertThat(of(Kind.PROBE, g.until(115))).hasSize(2);
+    void writerSearchProbesAgainUntilAPrimaryIsFound() {
+        Fixtures fixture = new Fixtures().group(1, 2);
+        fixture.txn(10, "w", WRITE, 3000);
+        fixture.decisions(10);
+        fixture.says(20, 1, Role.REPLICA, 5);
+        fixture.says(20, 2, Role.REPLICA, 5);
+        assertThat(ofKind(Kind.PROBE, fixture.until(115))).hasSize(2);
     }
 
     @Test
-    void anErrorOnAWriteStartsASearchAndHoldsTheNext() {
-        Fixtures g = new Fixtures().group(1, 2).roles(5, 2);
-        g.txn(10, "a", WRITE, 3000);
-        g.decisions(10);
-        g.ends(20, "a", 0, 1, Outcome.ERROR, Role.UNKNOWN);
-        g.txn(21, "b", WRITE, 3000);
-        List<Decision> all = g.decisions(21);
-        assertThat(of(Kind.SUBMIT, all)).isEmpty();
-        assertThat(of(Kind.PROBE, all)).hasSize(2);
+    void writeErrorStartsAWriterSearchAndHoldsTheNextWrite() {
+        Fixtures fixture = new Fixtures().group(1, 2).roles(5, 2);
+        fixture.txn(10, "a", WRITE, 3000);
+        fixture.decisions(10);
+        fixture.ends(20, "a", 0, 1, Outcome.ERROR, Role.UNKNOWN);
+        fixture.txn(21, "b", WRITE, 3000);
+        List<Decision> decisions = fixture.decisions(21);
+        assertThat(ofKind(Kind.SUBMIT, decisions)).isEmpty();
+        assertThat(ofKind(Kind.PROBE, decisions)).hasSize(2);
     }
 
     @Test
-    void onceOnlyThatMayHaveRunIsRolledBackNeverDeclined() {
-        Fixtures g = new Fixtures().group(1, 2).roles(5, 2);
-        g.txn(10, "a", WRITE, 3000);
-        g.decisions(10);
-        g.ends(20, "a", 0, 1, Outcome.RESET, Role.UNKNOWN);
-        List<Decision> all = g.until(3100);
-        assertThat(of(Kind.ROLL_BACK, all)).extracting(Decision::txn).containsExactly("a");
-        assertThat(of(Kind.DECLINE, all)).isEmpty();
-        assertThat(of(Kind.SUBMIT, all)).isEmpty();
+    void onceOnlyTxnThatMayHaveRunIsRolledBackNotDeclined() {
+        Fixtures fixture = new Fixtures().group(1, 2).roles(5, 2);
+        fixture.txn(10, "a", WRITE, 3000);
+        fixture.decisions(10);
+        fixture.ends(20, "a", 0, 1, Outcome.RESET, Role.UNKNOWN);
+        List<Decision> decisions = fixture.until(3100);
+        assertThat(ofKind(Kind.ROLL_BACK, decisions))
+                .extracting(Decision::txn)
+                .containsExactly("a");
+        assertThat(ofKind(Kind.DECLINE, decisions)).isEmpty();
+        assertThat(ofKind(Kind.SUBMIT, decisions)).isEmpty();
     }
 
     @Test
-    void onceOnlyStillOutIsAnsweredBeforeItsClientGivesUp() {
-        Fixtures g = new Fixtures().group(1, 2).roles(5, 2);
-        g.txn(10, "a", WRITE, 1000);
-        g.decisions(10);
-        assertThat(of(Kind.ROLL_BACK, g.until(1004))).isEmpty();
-        assertThat(of(Kind.ROLL_BACK, g.until(1009))).hasSize(1);
+    void outstandingOnceOnlyTxnIsAnsweredBeforeItsExpiry() {
+        Fixtures fixture = new Fixtures().group(1, 2).roles(5, 2);
+        fixture.txn(10, "a", WRITE, 1000);
+        fixture.decisions(10);
+        assertThat(ofKind(Kind.ROLL_BACK, fixture.until(1004))).isEmpty();
+        assertThat(ofKind(Kind.ROLL_BACK, fixture.until(1009))).hasSize(1);
     }
 
     @Test
-    void aMissedOnceOnlyGoesAgainAfterTheSearch() {
-        Fixtures g = new Fixtures().group(1, 2).roles(5, 2);
-        g.txn(10, "a", WRITE, 3000);
-        g.decisions(10);
-        g.ends(20, "a", 0, 1, Outcome.MISSED, Role.REPLICA);
-        assertThat(of(Kind.SUBMIT, g.decisions(20))).isEmpty();
-        g.says(40, 2, Role.PRIMARY, 38);
-        assertThat(of(Kind.SUBMIT, g.decisions(40)))
+    void missedOnceOnlyTxnIsResubmittedAfterTheWriterSearch() {
+        Fixtures fixture = new Fixtures().group(1, 2).roles(5, 2);
+        fixture.txn(10, "a", WRITE, 3000);
+        fixture.decisions(10);
+        fixture.ends(20, "a", 0, 1, Outcome.MISSED, Role.REPLICA);
+        assertThat(ofKind(Kind.SUBMIT, fixture.decisions(20))).isEmpty();
+        fixture.says(40, 2, Role.PRIMARY, 38);
+        assertThat(ofKind(Kind.SUBMIT, fixture.decisions(40)))
                 .extracting(Decision::member)
                 .containsExactly(2L);
     }
 
     @Test
-    void aHeldWriteThatCannotBeServedIsDeclined() {
-        Fixtures g = new Fixtures().group(1, 2);
-        g.txn(10, "a", WRITE, 1000);
-        assertThat(of(Kind.DECLINE, g.until(1010))).extracting(Decision::txn).containsExactly("a");
+    void heldWriteThatNoMemberCanTakeIsDeclined() {
+        Fixtures fixture = new Fixtures().group(1, 2);
+        fixture.txn(10, "a", WRITE, 1000);
+        assertThat(ofKind(Kind.DECLINE, fixture.until(1010)))
+                .extracting(Decision::txn)
+                .containsExactly("a");
     }
 
     @Test
-    void referencedIsNotRepeatedPastItsWindow() {
-        Fixtures g =
+    void referencedTxnIsNotRepeatedAfterItsRepeatWindow() {
+        Fixtures fixture =
                 new Fixtures()
                         .type(WRITE, "referenced", "update", 600, 9000)
                         .group(1, 2)
                         .roles(5, 2);
-        g.txn(10, "a", WRITE, 9000);
-        g.decisions(10);
-        g.ends(4500, "a", 0, 1, Outcome.TIMED_OUT, Role.UNKNOWN);
-        List<Decision> all = g.until(4500);
-        assertThat(of(Kind.SUBMIT, all)).isEmpty();
-        assertThat(of(Kind.ROLL_BACK, all)).hasSize(1);
+        fixture.txn(10, "a", WRITE, 9000);
+        fixture.decisions(10);
+        fixture.ends(4500, "a", 0, 1, Outcome.TIMED_OUT, Role.UNKNOWN);
+        List<Decision> decisions = fixture.until(4500);
+        assertThat(ofKind(Kind.SUBMIT, decisions)).isEmpty();
+        assertThat(ofKind(Kind.ROLL_BACK, decisions)).hasSize(1);
     }
 
     @Test
-    void noSecondSubmissionWhileOneIsOutWhereSecondCopiesAreOff() {
-        Fixtures g = new Fixtures().with("second-copies", false).group(1, 2, 3).roles(5, 2, 3);
-        g.txn(10, "r", READ, 2000);
-        g.decisions(10);
-        List<Decision> all = g.until(560);
-        assertThat(of(Kind.SUBMIT, all)).isEmpty();
+    void noSecondSubmissionWhileOneIsOutstandingIfSecondCopiesAreOff() {
+        Fixtures fixture =
+                new Fixtures().with("second-copies", false).group(1, 2, 3).roles(5, 2, 3);
+        fixture.txn(10, "r", READ, 2000);
+        fixture.decisions(10);
+        List<Decision> decisions = fixture.until(560);
+        assertThat(ofKind(Kind.SUBMIT, decisions)).isEmpty();
     }
 
     @Test
-    void aReadFromASilentReplicaIsTriedElsewhere() {
-        Fixtures g =
+    void readAtAnUnresponsiveReplicaIsResubmittedElsewhere() {
+        Fixtures fixture =
                 new Fixtures()
                         .type(READ, "repeatable", "recent", 2000, 4000)
                         .with("txn-type.0.oldest-data", at(3000))
                         .group(1, 2, 3)
                         .roles(5, 2, 3);
         for (int i = 0; i < 4; i++) {
-            g.txn(10, "r" + i, READ, 4000);
+            fixture.txn(10, "r" + i, READ, 4000);
         }
-        List<Decision> first = of(Kind.SUBMIT, g.decisions(10));
-        long quiet = first.get(0).member();
-        for (Decision d : first) {
-            if (d.member() != quiet) {
-                g.ends(20, d.txn(), 0, d.member(), Outcome.COMMITTED, Role.REPLICA);
+        List<Decision> firstSubmissions = ofKind(Kind.SUBMIT, fixture.decisions(10));
+        long unresponsiveId = firstSubmissions.get(0).member();
+        for (Decision decision : firstSubmissions) {
+            if (decision.member() != unresponsiveId) {
+                fixture.ends(
+                        20, decision.txn(), 0, decision.member(), Outcome.COMMITTED, Role.REPLICA);
             }
         }
-        assertThat(of(Kind.SUBMIT, g.until(1500)))
+        assertThat(ofKind(Kind.SUBMIT, fixture.until(1500)))
                 .isNotEmpty()
-                .allMatch(d -> d.member() != quiet && d.submission() == 1);
+                .allMatch(
+                        decision ->
+                                decision.member() != unresponsiveId && decision.submission() == 1);
     }
 
     @Test
     void readsGoToReplicasOnly() {
-        Fixtures g = new Fixtures().group(1, 2, 3).roles(5, 2, 3);
+        Fixtures fixture = new Fixtures().group(1, 2, 3).roles(5, 2, 3);
         for (int i = 0; i < 6; i++) {
-            g.txn(10, "r" + i, READ, 2000);
+            fixture.txn(10, "r" + i, READ, 2000);
         }
-        assertThat(of(Kind.SUBMIT, g.decisions(10))).hasSize(6).allMatch(d -> d.member() != 1);
+        assertThat(ofKind(Kind.SUBMIT, fixture.decisions(10)))
+                .hasSize(6)
+                .allMatch(decision -> decision.member() != 1);
     }
 
     @Test
-    void noReadGoesToAReplicaWhoseKnownPositionIsTooOld() {
-        Fixtures g = new Fixtures().group(1, 2).roles(5, 2);
-        g.txn(1003, "r", READ, 2000);
-        List<Decision> all = g.decisions(1003);
-        assertThat(of(Kind.SUBMIT, all)).isEmpty();
-        assertThat(of(Kind.PROBE, all)).extracting(Decision::member).contains(2L);
-        g.says(1010, 2, Role.REPLICA, 990);
-        assertThat(of(Kind.SUBMIT, g.decisions(1010)))
+    void readIsNotSentToAReplicaWhosePositionIsTooOld() {
+        Fixtures fixture = new Fixtures().group(1, 2).roles(5, 2);
+        fixture.txn(1003, "r", READ, 2000);
+        List<Decision> decisions = fixture.decisions(1003);
+        assertThat(ofKind(Kind.SUBMIT, decisions)).isEmpty();
+        assertThat(ofKind(Kind.PROBE, decisions)).extracting(Decision::member).contains(2L);
+        fixture.says(1010, 2, Role.REPLICA, 990);
+        assertThat(ofKind(Kind.SUBMIT, fixture.decisions(1010)))
                 .extracting(Decision::member)
                 .containsExactly(2L);
     }
 
+    /**
+     * Guards against a replica that oscillates around the age limit: overloaded, it falls behind;
+     * without reads, it catches up; then it is overloaded again.
+     */
     @Test
-    void aReplicaThatFallsBehindUnderSlowAnswersGetsLess() {
-        // Guards against replicas that swing about the bound: crowded, idle until caught up,
-        // crowded again.
-        Fixtures g = new Fixtures().group(1, 2).roles(5, 2);
+    void slowReplicaThatFallsBehindGetsFewerReads() {
+        Fixtures fixture = new Fixtures().group(1, 2).roles(5, 2);
         for (int i = 0; i < 30; i++) {
-            long now = 10 + 50 * i;
-            g.txn(now, "r" + i, READ, 2000);
-            g.decisions(now);
-            g.router.submissionEnded(
-                    at(now + 40),
+            long nowMs = 10 + 50 * i;
+            fixture.txn(nowMs, "r" + i, READ, 2000);
+            fixture.decisions(nowMs);
+            fixture.router.submissionEnded(
+                    at(nowMs + 40),
                     "r" + i,
                     0,
                     2,
@@ -222,497 +245,570 @@
                     at(400),
                     true,
                     Role.REPLICA,
-                    at(now + 40 - 260 - i));
+                    at(nowMs + 40 - 260 - i));
         }
         for (int i = 0; i < 8; i++) {
-            g.txn(1600, "x" + i, READ, 2000);
+            fixture.txn(1600, "x" + i, READ, 2000);
         }
-        assertThat(of(Kind.SUBMIT, g.decisions(1600)).stream().filter(d -> d.member() == 2))
+        assertThat(
+                        ofKind(Kind.SUBMIT, fixture.decisions(1600)).stream()
+                                .filter(decision -> decision.member() == 2))
                 .hasSizeBetween(1, 5);
     }
 
     @Test
-    void anOldReportDoesNotOverruleANewerAnswer() {
-        Fixtures g = new Fixtures().group(1, 2).roles(5, 2);
-        g.txn(10, "a", WRITE, 3000);
-        g.decisions(10);
-        g.ends(500, "a", 0, 1, Outcome.COMMITTED, Role.PRIMARY);
-        g.says(510, 2, Role.PRIMARY, 300);
-        g.txn(520, "b", WRITE, 3000);
-        assertThat(of(Kind.SUBMIT, g.decisions(520)))
+    void staleReportDoesNotOverrideANewerAnswer() {
+        Fixtures fixture = new Fixtures().group(1, 2).roles(5, 2);
+        fixture.txn(10, "a", WRITE, 3000);
+        fixture.decisions(10);
+        fixture.ends(500, "a", 0, 1, Outcome.COMMITTED, Role.PRIMARY);
+        fixture.says(510, 2, Role.PRIMARY, 300);
+        fixture.txn(520, "b", WRITE, 3000);
+        assertThat(ofKind(Kind.SUBMIT, fixture.decisions(520)))
                 .extracting(Decision::member)
                 .containsExactly(1L);
     }
 
+    /**
+     * Guards once-only writes, which cannot be repeated, against a primary that accepts submissions
+     * and answers none of them.
+     */
     @Test
-    void writesStopAtAPrimaryThatIsSilentOnWhatItHolds() {
-        Fixtures g = new Fixtures().group(1, 2).roles(5, 2);
+    void writesAreHeldWhileThePrimaryIsUnresponsive() {
+        Fixtures fixture = new Fixtures().group(1, 2).roles(5, 2);
         for (int i = 0; i < 4; i++) {
-            g.txn(10, "w" + i, WRITE, 3000);
+            fixture.txn(10, "w" + i, WRITE, 3000);
         }
-        assertThat(of(Kind.SUBMIT, g.decisions(10))).hasSize(4);
-        g.txn(700, "late", WRITE, 3000);
-        assertThat(of(Kind.SUBMIT, g.decisions(700))).isEmpty();
-        // Its own probe's yes is no proof that it serves; an answer on the txn path is.
-        g.says(710, 1, Role.PRIMARY, 709);
-        assertThat(of(Kind.SUBMIT, g.decisions(710))).isEmpty();
-        g.ends(720, "w0", 0, 1, Outcome.COMMITTED, Role.PRIMARY);
-        assertThat(of(Kind.SUBMIT, g.decisions(720)))
+        assertThat(ofKind(Kind.SUBMIT, fixture.decisions(10))).hasSize(4);
+        fixture.txn(700, "late", WRITE, 3000);
+        assertThat(ofKind(Kind.SUBMIT, fixture.decisions(700))).isEmpty();
+        // A successful probe does not prove that the primary serves txns; an answer to a submission
+        // does.
+        fixture.says(710, 1, Role.PRIMARY, 709);
+        assertThat(ofKind(Kind.SUBMIT, fixture.decisions(710))).isEmpty();
+        fixture.ends(720, "w0", 0, 1, Outcome.COMMITTED, Role.PRIMARY);
+        assertThat(ofKind(Kind.SUBMIT, fixture.decisions(720)))
                 .extracting(Decision::txn)
                 .containsExactly("late");
     }
 
     @Test
-    void nothingNewGoesToADrainingReplica() {
-        Fixtures g = new Fixtures().group(1, 2, 3).roles(5, 2, 3);
-        g.router.memberListStarted(at(10), false);
-        g.listed(10, 2, true, null);
-        g.router.memberListEnded(at(10));
+    void drainingReplicaGetsNoNewSubmissions() {
+        Fixtures fixture = new Fixtures().group(1, 2, 3).roles(5, 2, 3);
+        fixture.router.memberListStarted(at(10), false);
+        fixture.listed(10, 2, true, null);
+        fixture.router.memberListEnded(at(10));
         for (int i = 0; i < 5; i++) {
-            g.txn(11, "r" + i, READ, 2000);
+            fixture.txn(11, "r" + i, READ, 2000);
         }
-        assertThat(of(Kind.SUBMIT, g.decisions(11))).isNotEmpty().allMatch(d -> d.member() == 3);
-    }
-
-    @Test
-    void aDrainingPrimaryIsUsedWithinTheGraceOnly() {
-        Fixtures g = new Fixtures().group(1, 2).roles(5, 2);
-        g.router.memberListStarted(at(10), false);
-        g.listed(10, 1, true, null);
-        g.router.memberListEnded(at(10));
-        g.txn(500, "a", WRITE, 3000);
-        assertThat(of(Kind.SUBMIT, g.decisions(500))).hasSize(1);
-        g.ends(600, "a", 0, 1, Outcome.COMMITTED, Role.PRIMARY);
-        g.txn(1001, "b", WRITE, 3000);
-        assertThat(of(Kind.SUBMIT, g.decisions(1001))).isEmpty();
-    }
-
-    @Test
-    void aColdMemberIsHeldToABudgetEvenIfItMissesQuickly() {
-        // Guards the fail-back rule: quick misses keep nothing out, so a limit on work out is no
-        // bound; and
-        // what each driver may send at once would add up over many of them.
-        Fixtures g = new Fixtures().with("members-check", "hold").group(1).roles(5);
-        g.router.memberListStarted(at(6), false);
-        g.listed(6, 2, false, at(6));
-        g.router.memberListEnded(at(6));
-        int sent = 0;
-        int early = 0;
-        for (int i = 10; i < 9000; i += 20) {
-            g.txn(i, "r" + i, READ, 2000);
-            for (Decision d : of(Kind.SUBMIT, g.decisions(i))) {
-                sent += d.member() == 2 ? 1 : 0;
-                early += d.member() == 2 && i < 500 ? 1 : 0;
-                g.ends(i, d.txn(), d.submission(), d.member(), Outcome.MISSED, Role.REPLICA);
+        assertThat(ofKind(Kind.SUBMIT, fixture.decisions(11)))
+                .isNotEmpty()
+                .allMatch(decision -> decision.member() == 3);
+    }
+
+    @Test
+    void drainingPrimaryIsUsedOnlyWithinTheDrainGrace() {
+        Fixtures fixture = new Fixtures().group(1, 2).roles(5, 2);
+        fixture.router.memberListStarted(at(10), false);
+        fixture.listed(10, 1, true, null);
+        fixture.router.memberListEnded(at(10));
+        fixture.txn(500, "a", WRITE, 3000);
+        assertThat(ofKind(Kind.SUBMIT, fixture.decisions(500))).hasSize(1);
+        fixture.ends(600, "a", 0, 1, Outcome.COMMITTED, Role.PRIMARY);
+        fixture.txn(1001, "b", WRITE, 3000);
+        assertThat(ofKind(Kind.SUBMIT, fixture.decisions(1001))).isEmpty();
+    }
+
+    /**
+     * Guards against overloading a member in its warm-up after a fail-back. Quick misses leave
+     * nothing outstanding, so that a limit on outstanding submissions does not bound them, and what
+     * each driver may send at once adds up over many drivers.
+     */
+    @Test
+    void memberInWarmUpIsRateLimitedEvenIfItMissesQuickly() {
+        Fixtures fixture = new Fixtures().with("members-check", "hold").group(1).roles(5);
+        fixture.router.memberListStarted(at(6), false);
+        fixture.listed(6, 2, false, at(6));
+        fixture.router.memberListEnded(at(6));
+        int submittedCount = 0;
+        int earlyCount = 0;
+        for (int nowMs = 10; nowMs < 9000; nowMs += 20) {
+            fixture.txn(nowMs, "r" + nowMs, READ, 2000);
+            for (Decision decision : ofKind(Kind.SUBMIT, fixture.decisions(nowMs))) {
+                submittedCount += decision.member() == 2 ? 1 : 0;
+                earlyCount += decision.member() == 2 && nowMs < 500 ? 1 : 0;
+                fixture.ends(
+                        nowMs,
+                        decision.txn(),
+                        decision.submission(),
+                        decision.member(),
+                        Outcome.MISSED,
+                        Role.REPLICA);
             }
         }
-        assertThat(early).isLessThan(3);
-        assertThat(sent).isBetween(1, 40);
+        assertThat(earlyCount).isLessThan(3);
+        assertThat(submittedCount).isBetween(1, 40);
     }
 
     @Test
-    void oneBrokenConnectionAmongAnswersIsNoLoss() {
-        Fixtures g = new Fixtures().group(1, 2).roles(5, 2);
-        g.txn(10, "a", READ, 2000);
-        g.decisions(10);
-        g.ends(15, "a", 0, 2, Outcome.RESET, Role.UNKNOWN);
-        assertThat(of(Kind.SUBMIT, g.decisions(15)))
+    void singleConnectionResetStartsNoBackoff() {
+        Fixtures fixture = new Fixtures().group(1, 2).roles(5, 2);
+        fixture.txn(10, "a", READ, 2000);
+        fixture.decisions(10);
+        fixture.ends(15, "a", 0, 2, Outcome.RESET, Role.UNKNOWN);
+        assertThat(ofKind(Kind.SUBMIT, fixture.decisions(15)))
                 .extracting(Decision::member)
                 .containsExactly(2L);
     }
 
     @Test
-    void aSubscriptionThatFailsIsAskedForAgainLater() {
-        Fixtures g = new Fixtures().with("member-list", "ask").group(1, 2);
-        assertThat(of(Kind.FOLLOW_LIST, g.decisions(1))).hasSize(1);
-        g.router.memberListFailed(at(1000));
-        assertThat(of(Kind.FOLLOW_LIST, g.decisions(1000))).isEmpty();
-        assertThat(of(Kind.FOLLOW_LIST, g.until(2000))).hasSize(1);
+    void failedMemberListSubscriptionIsRetriedAfterABackoff() {
+        Fixtures fixture = new Fixtures().with("member-list", "ask").group(1, 2);
+        assertThat(ofKind(Kind.FOLLOW_LIST, fixture.decisions(1))).hasSize(1);
+        fixture.router.memberListFailed(at(1000));
+        assertThat(ofKind(Kind.FOLLOW_LIST, fixture.decisions(1000))).isEmpty();
+        assertThat(ofKind(Kind.FOLLOW_LIST, fixture.until(2000))).hasSize(1);
     }
 
+    /**
+     * Guards against retries that multiply the load where nothing succeeds: the retry budget
+     * follows the share of recent submissions that committed.
+     */
     @Test
-    void furtherSubmissionsStopWhenNoneSucceed() {
-        // Staff's way: how often further ones are made follows how many recent ones succeeded.
-        Fixtures g =
+    void retriesStopIfNoSubmissionSucceeds() {
+        Fixtures fixture =
                 new Fixtures().with("members-check", "hold").group(1, 2, 3, 4).roles(5, 2, 3, 4);
-        int further = 0;
+        int retryCount = 0;
         for (int i = 0; i < 40; i++) {
-            g.txn(10 + i, "r" + i, READ, 2000);
-            for (Decision d : of(Kind.SUBMIT, g.decisions(10 + i))) {
-                further += d.submission() > 0 ? 1 : 0;
-                g.ends(10 + i, d.txn(), d.submission(), d.member(), Outcome.ERROR, Role.REPLICA);
+            fixture.txn(10 + i, "r" + i, READ, 2000);
+            for (Decision decision : ofKind(Kind.SUBMIT, fixture.decisions(10 + i))) {
+                retryCount += decision.submission() > 0 ? 1 : 0;
+                fixture.ends(
+                        10 + i,
+                        decision.txn(),
+                        decision.submission(),
+                        decision.member(),
+                        Outcome.ERROR,
+                        Role.REPLICA);
             }
         }
-        assertThat(further).isLessThan(10);
+        assertThat(retryCount).isLessThan(10);
     }
 
+    /**
+     * Guards against clients' retries that come too late to meet the SLA time and are served all
+     * the same.
+     */
     @Test
-    void aReadThatNothingCanTakeIsDeclinedWhileARetryCanStillBeInTime() {
-        // Guards against retries that come too late to be worth anything and are served all the
-        // same.
-        Fixtures g =
+    void readThatNoMemberCanTakeIsDeclinedWhileARetryCanMeetTheSlaTime() {
+        Fixtures fixture =
                 new Fixtures()
                         .with("may-advise-come-back", true)
                         .with("longest-come-back", at(500))
                         .group(1);
-        g.txn(10, "r", READ, 2000);
-        List<Decision> declined = of(Kind.DECLINE, g.until(400));
-        assertThat(declined).extracting(Decision::txn).containsExactly("r");
-        assertThat(declined.get(0).deadlineOrRetryDelay()).isNull();
+        fixture.txn(10, "r", READ, 2000);
+        List<Decision> declines = ofKind(Kind.DECLINE, fixture.until(400));
+        assertThat(declines).extracting(Decision::txn).containsExactly("r");
+        assertThat(declines.get(0).deadlineOrRetryDelay()).isNull();
     }
 
+    /** Guards against wasting a submission on a replica that has just reported to be far behind. */
     @Test
-    void aSureMissIsNotTried() {
-        // Guards against wasting a submission on a replica that was just heard to be far behind.
-        Fixtures g =
+    void readIsNotSentToAReplicaThatIsCertainToMiss() {
+        Fixtures fixture =
                 new Fixtures()
                         .with("members-check", "hold")
                         .with("members-hold-for", at(20))
                         .group(1, 2);
-        g.says(3000, 1, Role.REPLICA, 1000);
-        g.says(3000, 2, Role.REPLICA, 1000);
-        g.txn(3001, "r", READ, 2000);
-        assertThat(of(Kind.SUBMIT, g.decisions(3001))).isEmpty();
+        fixture.says(3000, 1, Role.REPLICA, 1000);
+        fixture.says(3000, 2, Role.REPLICA, 1000);
+        fixture.txn(3001, "r", READ, 2000);
+        assertThat(ofKind(Kind.SUBMIT, fixture.decisions(3001))).isEmpty();
     }
 
     @Test
-    void referencedHeldByAFormerPrimaryMovesToTheNewOne() {
-        Fixtures g =
+    void referencedTxnOutstandingAtTheFormerPrimaryIsRepeatedAtTheNewOne() {
+        Fixtures fixture =
                 new Fixtures()
                         .type(WRITE, "referenced", "update", 600, 9000)
                         .group(1, 2)
                         .roles(5, 2);
-        g.txn(10, "a", WRITE, 9000);
-        g.decisions(10);
-        g.says(500, 2, Role.PRIMARY, 499);
-        assertThat(of(Kind.CANCEL, g.decisions(500)))
+        fixture.txn(10, "a", WRITE, 9000);
+        fixture.decisions(10);
+        fixture.says(500, 2, Role.PRIMARY, 499);
+        assertThat(ofKind(Kind.CANCEL, fixture.decisions(500)))
                 .extracting(Decision::txn)
                 .containsExactly("a");
-        g.ends(505, "a", 0, 1, Outcome.CANCELLED, Role.UNKNOWN);
-        assertThat(of(Kind.SUBMIT, g.decisions(505)))
+        fixture.ends(505, "a", 0, 1, Outcome.CANCELLED, Role.UNKNOWN);
+        assertThat(ofKind(Kind.SUBMIT, fixture.decisions(505)))
                 .extracting(Decision::member)
                 .containsExactly(2L);
     }
 
     @Test
-    void aLapsedTxnGetsNoAnswer() {
-        Fixtures g = new Fixtures().group(1, 2);
-        g.txn(10, "w", WRITE, 1000);
-        g.router.txnAbandoned(at(20), "w");
-        assertThat(g.until(2000)).noneMatch(d -> "w".equals(d.txn()));
+    void abandonedTxnGetsNoDecisions() {
+        Fixtures fixture = new Fixtures().group(1, 2);
+        fixture.txn(10, "w", WRITE, 1000);
+        fixture.router.txnAbandoned(at(20), "w");
+        assertThat(fixture.until(2000)).noneMatch(decision -> "w".equals(decision.txn()));
     }
 
+    /**
+     * Guards against many drivers that each have few submissions outstanding and together overload
+     * a group.
+     */
     @Test
-    void readsSentToACrowdedGroupFollowThoseAnsweredInTime() {
-        // Guards against many drivers that each keep little out and together crowd a group.
-        Fixtures g = new Fixtures().group(1, 2, 3).roles(5, 2, 3);
-        int sent = 0;
-        for (int i = 10; i < 8000; i += 100) {
-            g.txn(i, "r" + i, READ, 2000);
-            g.says(i, 2, Role.REPLICA, i);
-            g.says(i, 3, Role.REPLICA, i);
-            for (Decision d : of(Kind.SUBMIT, g.decisions(i))) {
-                sent++;
-                g.router.submissionEnded(
-                        at(i),
-                        d.txn(),
-                        d.submission(),
-                        d.member(),
+    void readRateToAnOverloadedGroupFollowsItsTimelyAnswers() {
+        Fixtures fixture = new Fixtures().group(1, 2, 3).roles(5, 2, 3);
+        int submittedCount = 0;
+        for (int nowMs = 10; nowMs < 8000; nowMs += 100) {
+            fixture.txn(nowMs, "r" + nowMs, READ, 2000);
+            fixture.says(nowMs, 2, Role.REPLICA, nowMs);
+            fixture.says(nowMs, 3, Role.REPLICA, nowMs);
+            for (Decision decision : ofKind(Kind.SUBMIT, fixture.decisions(nowMs))) {
+                submittedCount++;
+                fixture.router.submissionEnded(
+                        at(nowMs),
+                        decision.txn(),
+                        decision.submission(),
+                        decision.member(),
                         Outcome.COMMITTED,
                         at(900),
                         true,
                         Role.REPLICA,
-                        at(i));
+                        at(nowMs));
             }
         }
-        assertThat(sent).isBetween(3, 20);
-    }
-
-    @Test
-    void aSearchAsksAgainOnlyWhileWritesAreHeld() {
-        // Guards a group against the probes of many drivers that wait for nothing, just as its
-        // primary comes.
-        Fixtures g = new Fixtures().group(1, 2).roles(5, 2);
-        g.says(100, 1, Role.REPLICA, 100);
-        assertThat(of(Kind.PROBE, g.decisions(100))).hasSize(2);
-        g.router.probeEnded(at(110), 1, true, at(1));
-        g.router.probeEnded(at(110), 2, true, at(1));
-        assertThat(of(Kind.PROBE, g.until(1000))).isEmpty();
-        g.txn(1001, "w", WRITE, 3000);
-        assertThat(of(Kind.PROBE, g.decisions(1001))).hasSize(2);
-    }
-
-    @Test
-    void fastProbesRunOnlyWhileWorkIsOutAtTheNewPrimary() {
-        // Guards against the sum of all drivers' probes after a change of primary.
-        Fixtures g = new Fixtures().group(1, 2).roles(5, 2);
-        g.says(100, 2, Role.PRIMARY, 100);
-        assertThat(of(Kind.PROBE, g.until(2000))).isEmpty();
-        g.txn(2001, "w", WRITE, 3000);
-        assertThat(of(Kind.PROBE, g.until(2001))).hasSize(1);
-    }
-
-    @Test
-    void timeOutsAtACrowdedReplicaBringItsShareDown() {
-        // Guards against a replica that answers nothing in time any more and is sent as much as
-        // before.
-        Fixtures g = new Fixtures().group(1, 2).roles(5, 2);
-        int sent = 0;
-        for (int i = 10; i < 6000; i += 100) {
-            g.says(i, 2, Role.REPLICA, i);
-            g.txn(i, "a" + i, READ, 2000);
-            g.txn(i, "b" + i, READ, 2000);
-            for (Decision d : of(Kind.SUBMIT, g.decisions(i))) {
-                boolean sign = d.member() != 2 || sent++ % 2 == 0;
-                g.ends(
-                        i + (sign ? 1 : 2),
-                        d.txn(),
-                        d.submission(),
-                        d.member(),
-                        sign ? Outcome.MISSED : Outcome.TIMED_OUT,
+        assertThat(submittedCount).isBetween(3, 20);
+    }
+
+    /**
+     * Guards a group, at the moment when its new primary takes over, against the probes of many
+     * drivers that hold no writes.
+     */
+    @Test
+    void writerSearchProbesFastOnlyWhileWritesAreHeld() {
+        Fixtures fixture = new Fixtures().group(1, 2).roles(5, 2);
+        fixture.says(100, 1, Role.REPLICA, 100);
+        assertThat(ofKind(Kind.PROBE, fixture.decisions(100))).hasSize(2);
+        fixture.router.probeEnded(at(110), 1, true, at(1));
+        fixture.router.probeEnded(at(110), 2, true, at(1));
+        assertThat(ofKind(Kind.PROBE, fixture.until(1000))).isEmpty();
+        fixture.txn(1001, "w", WRITE, 3000);
+        assertThat(ofKind(Kind.PROBE, fixture.decisions(1001))).hasSize(2);
+    }
+
+    /** Guards a new primary against the sum of all drivers' fast probes. */
+    @Test
+    void newPrimaryIsProbedFastOnlyWhileSubmissionsAreOutstandingThere() {
+        Fixtures fixture = new Fixtures().group(1, 2).roles(5, 2);
+        fixture.says(100, 2, Role.PRIMARY, 100);
+        assertThat(ofKind(Kind.PROBE, fixture.until(2000))).isEmpty();
+        fixture.txn(2001, "w", WRITE, 3000);
+        assertThat(ofKind(Kind.PROBE, fixture.until(2001))).hasSize(1);
+    }
+
+    /** Guards against a replica that no longer answers in time and gets as many reads as before. */
+    @Test
+    void timeoutsReduceTheReadsSentToAnOverloadedReplica() {
+        Fixtures fixture = new Fixtures().group(1, 2).roles(5, 2);
+        int submittedCount = 0;
+        for (int nowMs = 10; nowMs < 6000; nowMs += 100) {
+            fixture.says(nowMs, 2, Role.REPLICA, nowMs);
+            fixture.txn(nowMs, "a" + nowMs, READ, 2000);
+            fixture.txn(nowMs, "b" + nowMs, READ, 2000);
+            for (Decision decision : ofKind(Kind.SUBMIT, fixture.decisions(nowMs))) {
+                boolean answered = decision.member() != 2 || submittedCount++ % 2 == 0;
+                fixture.ends(
+                        nowMs + (answered ? 1 : 2),
+                        decision.txn(),
+                        decision.submission(),
+                        decision.member(),
+                        answered ? Outcome.MISSED : Outcome.TIMED_OUT,
                         Role.REPLICA);
             }
         }
-        assertThat(sent).isLessThan(40);
+        assertThat(submittedCount).isLessThan(40);
     }
 
+    /**
+     * Guards against a fault in a driver that restarts while the member list names all members as
+     * gone: its groups have no members then.
+     */
     @Test
-    void aFreshDriverWithAnEmptyListHoldsAndThenDeclines() {
-        // Guards against a fault where a driver restarts while the list calls all members gone.
-        Fixtures g = new Fixtures().group();
-        g.txn(10, "r", READ, 2000);
-        g.txn(10, "w", WRITE, 3000);
-        assertThat(of(Kind.DECLINE, g.until(4000)))
+    void emptyFirstMemberListHoldsTxnsUntilTheyAreDeclined() {
+        Fixtures fixture = new Fixtures().group();
+        fixture.txn(10, "r", READ, 2000);
+        fixture.txn(10, "w", WRITE, 3000);
+        assertThat(ofKind(Kind.DECLINE, fixture.until(4000)))
                 .extracting(Decision::txn)
                 .containsExactly("r", "w");
     }
 
     @Test
-    void whatIsOutForAClientThatLeftIsCalledOff() {
-        Fixtures g = new Fixtures().group(1, 2).roles(5, 2);
-        g.txn(10, "w", WRITE, 3000);
-        assertThat(of(Kind.SUBMIT, g.decisions(10))).hasSize(1);
-        g.router.txnAbandoned(at(20), "w");
-        assertThat(of(Kind.CANCEL, g.decisions(20))).extracting(Decision::txn).containsExactly("w");
-        g.ends(21, "w", 0, 1, Outcome.CANCELLED, Role.UNKNOWN);
-        assertThat(g.decisions(21)).isEmpty();
+    void outstandingSubmissionIsCancelledIfTheClientDisconnects() {
+        Fixtures fixture = new Fixtures().group(1, 2).roles(5, 2);
+        fixture.txn(10, "w", WRITE, 3000);
+        assertThat(ofKind(Kind.SUBMIT, fixture.decisions(10))).hasSize(1);
+        fixture.router.txnAbandoned(at(20), "w");
+        assertThat(ofKind(Kind.CANCEL, fixture.decisions(20)))
+                .extracting(Decision::txn)
+                .containsExactly("w");
+        fixture.ends(21, "w", 0, 1, Outcome.CANCELLED, Role.UNKNOWN);
+        assertThat(fixture.decisions(21)).isEmpty();
     }
 
+    /**
+     * Guards against sending a submission that is no longer allowed, since its connection took time
+     * to open.
+     */
     @Test
-    void whatWaitedForItsConnectionGoesOnlyWhileTheRulesAllowIt() {
-        Fixtures g = new Fixtures().group(1, 2, 3).roles(5, 2, 3);
-        g.txn(10, "r", READ, 2000);
-        long m = of(Kind.SUBMIT, g.decisions(10)).get(0).member();
-        assertThat(g.router.mayStillSend(at(200), "r", m)).isTrue();
-        assertThat(g.router.mayStillSend(at(1100), "r", m))
-                .as("its data is too old by then")
+    void submissionIsCheckedAgainOnceItsConnectionIsOpen() {
+        Fixtures fixture = new Fixtures().group(1, 2, 3).roles(5, 2, 3);
+        fixture.txn(10, "r", READ, 2000);
+        long replicaId = ofKind(Kind.SUBMIT, fixture.decisions(10)).get(0).member();
+        assertThat(fixture.router.mayStillSend(at(200), "r", replicaId)).isTrue();
+        assertThat(fixture.router.mayStillSend(at(1100), "r", replicaId))
+                .as("the position of the replica is too old by then")
+                .isFalse();
+        assertThat(fixture.router.mayStillSend(at(1100), "r", 1))
+                .as("the position of the primary is always fresh enough")
+                .isTrue();
+        fixture.router.memberListStarted(at(300), false);
+        fixture.listed(300, replicaId, true, null);
+        fixture.router.memberListEnded(at(300));
+        assertThat(fixture.router.mayStillSend(at(300), "r", replicaId))
+                .as("the replica is draining")
+                .isFalse();
+        fixture.router.txnAbandoned(at(301), "r");
+        assertThat(fixture.router.mayStillSend(at(301), "r", 1))
+                .as("the client has disconnected")
                 .isFalse();
-        assertThat(g.router.mayStillSend(at(1100), "r", 1)).as("the primary's never is").isTrue();
-        g.router.memberListStarted(at(300), false);
-        g.listed(300, m, true, null);
-        g.router.memberListEnded(at(300));
-        assertThat(g.router.mayStillSend(at(300), "r", m)).as("it drains").isFalse();
-        g.router.txnAbandoned(at(301), "r");
-        assertThat(g.router.mayStillSend(at(301), "r", 1)).as("nobody waits for it").isFalse();
     }
 
     @Test
-    void aMemberThatIsGoneIsLetGoOnceItHoldsNothing() {
-        Fixtures g = new Fixtures().group(1, 2).roles(5, 2);
-        g.txn(10, "r", READ, 2000);
-        assertThat(of(Kind.SUBMIT, g.decisions(10)))
+    void goneMemberIsForgottenOnceNothingIsOutstandingThere() {
+        Fixtures fixture = new Fixtures().group(1, 2).roles(5, 2);
+        fixture.txn(10, "r", READ, 2000);
+        assertThat(ofKind(Kind.SUBMIT, fixture.decisions(10)))
                 .extracting(Decision::member)
                 .containsExactly(2L);
-        gone(g, 20);
-        assertThat(g.router.knowsMember(2)).isTrue();
-        g.ends(30, "r", 0, 2, Outcome.COMMITTED, Role.REPLICA);
-        gone(g, 40);
-        assertThat(g.router.knowsMember(2)).isFalse();
-        // Under its id it may come again, and then it is what the list says of it.
-        g.listed(50, 2, true, null);
-        g.router.memberListEnded(at(50));
-        g.says(60, 2, Role.REPLICA, 60);
-        g.txn(70, "s", READ, 2000);
-        assertThat(of(Kind.SUBMIT, g.decisions(70)))
+        listMember2AsGone(fixture, 20);
+        assertThat(fixture.router.knowsMember(2)).isTrue();
+        fixture.ends(30, "r", 0, 2, Outcome.COMMITTED, Role.REPLICA);
+        listMember2AsGone(fixture, 40);
+        assertThat(fixture.router.knowsMember(2)).isFalse();
+        // A member may return under the same id and then has the state that the list gives it.
+        fixture.listed(50, 2, true, null);
+        fixture.router.memberListEnded(at(50));
+        fixture.says(60, 2, Role.REPLICA, 60);
+        fixture.txn(70, "s", READ, 2000);
+        assertThat(ofKind(Kind.SUBMIT, fixture.decisions(70)))
                 .extracting(Decision::member)
                 .doesNotContain(2L);
     }
 
-    private static void gone(Fixtures g, long now) {
-        g.router.memberListStarted(at(now), false);
-        g.router.memberListed(at(now), 2, 7, 0, 0, 1, false, false, true, null);
-        g.router.memberListEnded(at(now));
+    private static void listMember2AsGone(Fixtures fixture, long nowMs) {
+        fixture.router.memberListStarted(at(nowMs), false);
+        fixture.router.memberListed(at(nowMs), 2, GROUP_ID, 0, 0, 1, false, false, true, null);
+        fixture.router.memberListEnded(at(nowMs));
     }
 
     @Test
-    void whereTheListDoesNotBindOneThatIsGoneStaysUntilItIsLost() {
-        Fixtures g = new Fixtures().with("removal-not-binding", true).group(1, 2).roles(5, 2);
-        gone(g, 20);
-        assertThat(g.router.knowsMember(2)).isTrue();
-        g.router.probeEnded(at(30), 2, false, at(250));
-        gone(g, 9000);
-        assertThat(g.router.knowsMember(2)).isTrue();
-        gone(g, 20_000);
-        assertThat(g.router.knowsMember(2)).isFalse();
+    void nonBindingRemovalKeepsTheMemberUntilItIsUnreachableForLong() {
+        Fixtures fixture = new Fixtures().with("removal-not-binding", true).group(1, 2).roles(5, 2);
+        listMember2AsGone(fixture, 20);
+        assertThat(fixture.router.knowsMember(2)).isTrue();
+        fixture.router.probeEnded(at(30), 2, false, at(250));
+        listMember2AsGone(fixture, 9000);
+        assertThat(fixture.router.knowsMember(2)).isTrue();
+        listMember2AsGone(fixture, 20_000);
+        assertThat(fixture.router.knowsMember(2)).isFalse();
     }
 
     @Test
-    void sessionsWhoseLastWriteIsLongAgoAreHeldToTheLatestOfThoseTogether() {
-        Fixtures g =
+    void forgottenSessionReadsAtTheLatestWriteOfAllForgottenSessions() {
+        Fixtures fixture =
                 new Fixtures()
                         .with("session-marks", "router")
                         .type(READ, "repeatable", "own-writes", 600, 2000);
-        g.group(1, 2).roles(5, 2);
-        committed(g, 100, "w", 5);
-        committed(g, 70_000, "x", 6);
-        g.says(70_010, 2, Role.REPLICA, 90);
-        // Its own write is no longer known, so it must see what any of that time wrote.
-        g.router.txnArrived(at(70_020), "r", READ, 7, at(2000), 99, null, false, at(0));
-        assertThat(of(Kind.SUBMIT, g.decisions(70_020)))
+        fixture.group(1, 2).roles(5, 2);
+        commitWrite(fixture, 100, "w", 5);
+        commitWrite(fixture, 70_000, "x", 6);
+        fixture.says(70_010, 2, Role.REPLICA, 90);
+        // The router may have forgotten a write of this session, so the read must see the latest of
+        // all forgotten writes.
+        fixture.router.txnArrived(
+                at(70_020), "r", READ, GROUP_ID, at(2000), 99, null, false, at(0));
+        assertThat(ofKind(Kind.SUBMIT, fixture.decisions(70_020)))
                 .extracting(Decision::member)
                 .doesNotContain(2L);
-        g.says(70_030, 2, Role.REPLICA, 200);
-        assertThat(of(Kind.SUBMIT, g.decisions(70_030)))
+        fixture.says(70_030, 2, Role.REPLICA, 200);
+        assertThat(ofKind(Kind.SUBMIT, fixture.decisions(70_030)))
                 .extracting(Decision::member)
                 .doesNotContain(1L);
     }
 
-    private static void committed(Fixtures g, long now, String id, long session) {
-        g.router.txnArrived(at(now), id, WRITE, 7, at(3000), session, null, false, at(0));
-        g.decisions(now);
-        g.router.submissionEnded(
-                at(now + 5), id, 0, 1, Outcome.COMMITTED, at(5), true, Role.PRIMARY, at(now));
-        g.decisions(now + 5);
+    /** Runs a write of the session, which the primary, member 1, commits at {@code nowMs}. */
+    private static void commitWrite(Fixtures fixture, long nowMs, String txnId, long session) {
+        fixture.router.txnArrived(
+                at(nowMs), txnId, WRITE, GROUP_ID, at(3000), session, null, false, at(0));
+        fixture.decisions(nowMs);
+        fixture.router.submissionEnded(
+                at(nowMs + 5),
+                txnId,
+                0,
+                1,
+                Outcome.COMMITTED,
+                at(5),
+                true,
+                Role.PRIMARY,
+                at(nowMs));
+        fixture.decisions(nowMs + 5);
+    }
+
+    @Test
+    void singleReadTestsWhetherAnUnresponsivePrimaryStillAnswers() {
+        Fixtures fixture = new Fixtures().group(1, 2).roles(5, 2);
+        fixture.txn(10, "stuck", WRITE, 3000);
+        fixture.decisions(10);
+        fixture.txn(1400, "held", WRITE, 3000);
+        assertThat(ofKind(Kind.SUBMIT, fixture.decisions(1400))).isEmpty();
+        fixture.txn(1410, "r", READ, 2000);
+        fixture.txn(1410, "s", READ, 2000);
+        // Only one read is sent to the primary. Its answer proves that the primary serves txns; the
+        // stuck write no longer counts against it.
+        List<Decision> submitted = ofKind(Kind.SUBMIT, fixture.decisions(1410));
+        assertThat(submitted).extracting(Decision::member).containsOnlyOnce(1L);
+        String testReadId =
+                submitted.stream()
+                        .filter(decision -> decision.member() == 1)
+                        .findFirst()
+                        .get()
+                        .txn();
+        fixture.ends(1420, testReadId, 0, 1, Outcome.COMMITTED, Role.PRIMARY);
+        assertThat(ofKind(Kind.SUBMIT, fixture.decisions(1420)))
+                .extracting(Decision::txn)
+                .contains("held");
+        fixture.ends(1430, "held", 0, 1, Outcome.COMMITTED, Role.PRIMARY);
+        fixture.txn(2900, "next", WRITE, 3000);
+        assertThat(ofKind(Kind.SUBMIT, fixture.decisions(2900)))
+                .extracting(Decision::txn)
+                .contains("next");
     }
 
     @Test
-    void aReadAsksAPrimaryThatIsSilentOnOneConnection() {
-        Fixtures g = new Fixtures().group(1, 2).roles(5, 2);
-        g.txn(10, "stuck", WRITE, 3000);
-        g.decisions(10);
-        g.txn(1400, "held", WRITE, 3000);
-        assertThat(of(Kind.SUBMIT, g.decisions(1400))).isEmpty();
-        g.txn(1410, "r", READ, 2000);
-        g.txn(1410, "s", READ, 2000);
-        // One read, not more, and its answer proves the primary; the stuck write counts for nothing
-        // from then on.
-        List<Decision> submitted = of(Kind.SUBMIT, g.decisions(1410));
-        assertThat(submitted).extracting(Decision::member).containsOnlyOnce(1L);
-        String test = submitted.stream().filter(d -> d.member() == 1).findFirst().get().txn();
-        g.ends(1420, test, 0, 1, Outcome.COMMITTED, Role.PRIMARY);
-        assertThat(of(Kind.SUBMIT, g.decisions(1420))).extracting(Decision::txn).contains("held");
-        g.ends(1430, "held", 0, 1, Outcome.COMMITTED, Role.PRIMARY);
-        g.txn(2900, "next", WRITE, 3000);
-        assertThat(of(Kind.SUBMIT, g.decisions(2900))).extracting(Decision::txn).contains("next");
-    }
-
-    @Test
-    void aPrimaryInDoubtServesReadsAsFarAsItsPositionIsProven() {
-        Fixtures g = new Fixtures().group(1, 2).roles(5);
-        g.txn(10, "w", WRITE, 3000);
-        g.decisions(10);
-        g.ends(20, "w", 0, 1, Outcome.RESET, Role.UNKNOWN);
-        // Nothing is known of the replica; the primary's position is proven for 5, which the bound
-        // of 1000 allows yet.
-        g.txn(30, "r", READ, 2000);
-        assertThat(of(Kind.SUBMIT, g.decisions(30)))
+    void primaryServesReadsDuringAWriterSearchWhileItsPositionIsFreshEnough() {
+        Fixtures fixture = new Fixtures().group(1, 2).roles(5);
+        fixture.txn(10, "w", WRITE, 3000);
+        fixture.decisions(10);
+        fixture.ends(20, "w", 0, 1, Outcome.RESET, Role.UNKNOWN);
+        // The replica's position is unknown. The primary's is proven for the time 5 ms, which is
+        // within the age limit of 1000 ms for the first read only.
+        fixture.txn(30, "r", READ, 2000);
+        assertThat(ofKind(Kind.SUBMIT, fixture.decisions(30)))
                 .extracting(Decision::member)
                 .containsExactly(1L);
-        g.txn(1100, "late", READ, 2000);
-        assertThat(of(Kind.SUBMIT, g.decisions(1100))).isEmpty();
+        fixture.txn(1100, "late", READ, 2000);
+        assertThat(ofKind(Kind.SUBMIT, fixture.decisions(1100))).isEmpty();
     }
 
     @Test
-    void aNewerYesEndsBeingLeftAloneForBrokenConnections() {
-        Fixtures g = new Fixtures().group(1, 2).roles(5, 2);
+    void newerReportOfThePrimaryEndsItsBackoffAfterConnectionResets() {
+        Fixtures fixture = new Fixtures().group(1, 2).roles(5, 2);
         for (int i = 0; i < 2; i++) {
-            g.txn(10 + i, "w" + i, WRITE, 3000);
+            fixture.txn(10 + i, "w" + i, WRITE, 3000);
         }
-        g.decisions(12);
-        g.ends(20, "w0", 0, 1, Outcome.RESET, Role.UNKNOWN);
-        g.ends(21, "w1", 0, 1, Outcome.RESET, Role.UNKNOWN);
-        g.txn(30, "next", WRITE, 3000);
-        assertThat(of(Kind.SUBMIT, g.decisions(30))).isEmpty();
-        g.says(40, 1, Role.PRIMARY, 38);
-        assertThat(of(Kind.SUBMIT, g.decisions(40)))
+        fixture.decisions(12);
+        fixture.ends(20, "w0", 0, 1, Outcome.RESET, Role.UNKNOWN);
+        fixture.ends(21, "w1", 0, 1, Outcome.RESET, Role.UNKNOWN);
+        fixture.txn(30, "next", WRITE, 3000);
+        assertThat(ofKind(Kind.SUBMIT, fixture.decisions(30))).isEmpty();
+        fixture.says(40, 1, Role.PRIMARY, 38);
+        assertThat(ofKind(Kind.SUBMIT, fixture.decisions(40)))
                 .extracting(Decision::txn)
                 .containsExactly("next");
     }
 
     @Test
-    void oneConnectionThatCouldNotBeMadeIsNoLoss() {
-        Fixtures g = new Fixtures().group(1, 2).roles(5, 2);
-        g.txn(10, "r", READ, 2000);
-        g.decisions(10);
-        g.router.submissionEnded(
+    void singleConnectFailureStartsNoBackoff() {
+        Fixtures fixture = new Fixtures().group(1, 2).roles(5, 2);
+        fixture.txn(10, "r", READ, 2000);
+        fixture.decisions(10);
+        fixture.router.submissionEnded(
                 at(200), "r", 0, 2, Outcome.UNREACHABLE, at(190), false, Role.UNKNOWN, null);
-        assertThat(of(Kind.SUBMIT, g.decisions(200)))
+        assertThat(ofKind(Kind.SUBMIT, fixture.decisions(200)))
                 .extracting(Decision::member)
                 .containsExactly(2L);
     }
 
     @Test
-    void timeAtTheDoorCountsAsTheTxnsOwn() {
-        // Nobody can serve either of them: each is given up at half of its SLA time, counted from
-        // its arrival.
-        Fixtures g = new Fixtures().group(1);
-        g.router.txnArrived(at(1000), "waited", READ, 7, at(1800), -1, null, false, at(200));
-        g.router.txnArrived(at(1000), "fresh", READ, 7, at(2000), -1, null, false, at(0));
-        assertThat(of(Kind.DECLINE, g.until(1150)))
+    void timeQueuedByTheHostCountsTowardsTheSlaTime() {
+        // No member can take either of them: each is given up at half of its SLA time, counted from
+        // its arrival at the host.
+        Fixtures fixture = new Fixtures().group(1);
+        fixture.router.txnArrived(
+                at(1000), "waited", READ, GROUP_ID, at(1800), NO_SESSION, null, false, at(200));
+        fixture.router.txnArrived(
+                at(1000), "fresh", READ, GROUP_ID, at(2000), NO_SESSION, null, false, at(0));
+        assertThat(ofKind(Kind.DECLINE, fixture.until(1150)))
                 .extracting(Decision::txn)
                 .containsExactly("waited");
-        assertThat(of(Kind.DECLINE, g.until(1299)))
+        assertThat(ofKind(Kind.DECLINE, fixture.until(1299)))
                 .extracting(Decision::txn)
                 .containsExactly("fresh");
     }
 
     /**
-     * Guards against a read, held among the writes, that goes where a write could:
-     * bidhannagar-ledger's big-2 broke the rule.
+     * Guards against a read of the latest data, which is held with the writes, that is sent to any
+     * member to which a write may be sent.
      */
     @Test
-    void aReadThatMustBeCurrentGoesToThePrimaryAlone() {
-        Fixtures g = new Fixtures().type(WRITE, "repeatable", "latest", 600, 2000).group(1, 2);
-        g.says(4000, 1, Role.PRIMARY, 3000);
-        g.txn(4010, "r", WRITE, 2000);
-        assertThat(of(Kind.SUBMIT, g.decisions(4010)))
+    void readOfTheLatestDataGoesToThePrimaryOnly() {
+        Fixtures fixture =
+                new Fixtures().type(WRITE, "repeatable", "latest", 600, 2000).group(1, 2);
+        fixture.says(4000, 1, Role.PRIMARY, 3000);
+        fixture.txn(4010, "r", WRITE, 2000);
+        assertThat(ofKind(Kind.SUBMIT, fixture.decisions(4010)))
                 .extracting(Decision::member)
                 .containsExactly(1L);
     }
 
     /**
-     * Guards against a primary that all drivers together keep behind its txns' expiry, each with
-     * one out.
+     * Guards against a primary that many drivers, each with one submission outstanding, keep so
+     * overloaded that it answers only after the expiry of its txns.
      */
     @Test
-    void writesSentToACrowdedPrimaryFollowThoseAnsweredInTime() {
-        Fixtures g = new Fixtures().group(1, 2).roles(5, 2);
-        int sent = 0;
-        for (int i = 10; i < 8000; i += 100) {
-            g.txn(i, "w" + i, WRITE, 3000);
-            for (Decision d : of(Kind.SUBMIT, g.decisions(i))) {
-                sent++;
-                g.router.submissionEnded(
-                        at(i),
-                        d.txn(),
-                        d.submission(),
-                        d.member(),
+    void writeRateToAnOverloadedPrimaryFollowsItsTimelyAnswers() {
+        Fixtures fixture = new Fixtures().group(1, 2).roles(5, 2);
+        int submittedCount = 0;
+        for (int nowMs = 10; nowMs < 8000; nowMs += 100) {
+            fixture.txn(nowMs, "w" + nowMs, WRITE, 3000);
+            for (Decision decision : ofKind(Kind.SUBMIT, fixture.decisions(nowMs))) {
+                submittedCount++;
+                fixture.router.submissionEnded(
+                        at(nowMs),
+                        decision.txn(),
+                        decision.submission(),
+                        decision.member(),
                         Outcome.COMMITTED,
                         at(2500),
                         true,
                         Role.PRIMARY,
-                        at(i));
+                        at(nowMs));
             }
         }
-        assertThat(sent).isBetween(3, 20);
+        assertThat(submittedCount).isBetween(3, 20);
     }
 
-    private static void turnedAway(Fixtures g, long now, String id, int submission, long member) {
-        g.router.submissionEnded(
-                at(now),
-                id,
+    /** Ends the submission as one whose connection the member refused at once. */
+    private static void refuseConnection(
+            Fixtures fixture, long nowMs, String txnId, int submission, long memberId) {
+        fixture.router.submissionEnded(
+                at(nowMs),
+                txnId,
                 submission,
-                member,
+                memberId,
                 Outcome.UNREACHABLE,
                 at(0),
                 false,
@@ -721,397 +817,438 @@
     }
 
     /**
-     * Guards against writes held in a search of all because a primary that lives takes no further
-     * connection.
+     * Guards against holding writes during a writer search over all members when a running primary
+     * is only at its connection limit.
      */
     @Test
-    void aPrimaryThatTurnsAConnectionAwayAtOnceIsAskedAloneAndKept() {
-        Fixtures g = new Fixtures().group(1, 2, 3).roles(5, 2, 3);
-        g.txn(10, "w", WRITE, 3000);
-        g.decisions(10);
-        turnedAway(g, 11, "w", 0, 1);
-        assertThat(of(Kind.PROBE, g.decisions(11)))
+    void primaryThatRefusesAConnectionIsProbedAloneAndKept() {
+        Fixtures fixture = new Fixtures().group(1, 2, 3).roles(5, 2, 3);
+        fixture.txn(10, "w", WRITE, 3000);
+        fixture.decisions(10);
+        refuseConnection(fixture, 11, "w", 0, 1);
+        assertThat(ofKind(Kind.PROBE, fixture.decisions(11)))
+                .extracting(Decision::member)
+                .containsExactly(1L);
+        fixture.says(13, 1, Role.PRIMARY, 5);
+        assertThat(ofKind(Kind.SUBMIT, fixture.until(400)))
                 .extracting(Decision::member)
                 .containsExactly(1L);
-        g.says(13, 1, Role.PRIMARY, 5);
-        assertThat(of(Kind.SUBMIT, g.until(400))).extracting(Decision::member).containsExactly(1L);
-        assertThat(g.log).noneMatch(line -> line.contains("search"));
+        assertThat(fixture.log).noneMatch(line -> line.contains("search"));
     }
 
     /**
-     * Guards against taking a dead primary, which refuses connections as quickly, for a crowded
-     * one.
+     * Guards against mistaking a primary that is down, whose host refuses connections as quickly,
+     * for one at its connection limit.
      */
     @Test
-    void aPrimaryThatTurnsAConnectionAwayAndAnswersNoProbeIsSearchedFor() {
-        Fixtures g = new Fixtures().group(1, 2, 3).roles(5, 2, 3);
-        g.txn(10, "w", WRITE, 3000);
-        g.decisions(10);
-        turnedAway(g, 11, "w", 0, 1);
-        g.decisions(11);
-        g.router.probeEnded(at(13), 1, false, at(2));
-        assertThat(of(Kind.PROBE, g.decisions(13)))
+    void primaryThatRefusesAConnectionAndFailsAProbeStartsAWriterSearch() {
+        Fixtures fixture = new Fixtures().group(1, 2, 3).roles(5, 2, 3);
+        fixture.txn(10, "w", WRITE, 3000);
+        fixture.decisions(10);
+        refuseConnection(fixture, 11, "w", 0, 1);
+        fixture.decisions(11);
+        fixture.router.probeEnded(at(13), 1, false, at(2));
+        assertThat(ofKind(Kind.PROBE, fixture.decisions(13)))
                 .extracting(Decision::member)
                 .containsExactly(1L, 2L, 3L);
     }
 
-    /** Guards against a limit of two that counts as low where two drivers share the member. */
+    /** Guards against treating a limit of two as low where only two drivers share the member. */
     @Test
-    void aLimitOfTwoIsUsedFreelyWhereFewDriversShareTheMember() {
-        assertThat(sentAtALimitOfTwo(2)).isEqualTo(6);
-        assertThat(sentAtALimitOfTwo(250)).isLessThan(3);
+    void lowConcurrencyLimitIsUsedInFullIfFewDriversShareTheMember() {
+        assertThat(submissionCountAtConcurrencyLimitOfTwo(2)).isEqualTo(6);
+        assertThat(submissionCountAtConcurrencyLimitOfTwo(250)).isLessThan(3);
     }
 
-    private static int sentAtALimitOfTwo(double drivers) {
-        Fixtures g = new Fixtures().with("drivers", drivers).group(1, 2).roles(5, 2);
-        for (String id : List.of("a", "b", "c")) {
-            g.txn(10, id, READ, 2000);
+    /**
+     * Number of reads that a router submits to a replica whose concurrency limit a slow answer has
+     * lowered to about two.
+     */
+    private static int submissionCountAtConcurrencyLimitOfTwo(double driverCount) {
+        Fixtures fixture = new Fixtures().with("drivers", driverCount).group(1, 2).roles(5, 2);
+        for (String txnId : List.of("a", "b", "c")) {
+            fixture.txn(10, txnId, READ, 2000);
         }
-        g.decisions(10);
-        g.router.submissionEnded(
+        fixture.decisions(10);
+        fixture.router.submissionEnded(
                 at(710), "a", 0, 2, Outcome.COMMITTED, at(700), true, Role.REPLICA, at(710));
-        int sent = 0;
-        for (int i = 711; i < 717; i++) {
-            g.txn(i, "d" + i, READ, 2000);
-            for (Decision d : of(Kind.SUBMIT, g.decisions(i))) {
-                sent++;
-                g.router.txnAbandoned(at(i), d.txn());
-                g.ends(i, d.txn(), d.submission(), d.member(), Outcome.CANCELLED, Role.UNKNOWN);
+        int submittedCount = 0;
+        for (int nowMs = 711; nowMs < 717; nowMs++) {
+            fixture.txn(nowMs, "d" + nowMs, READ, 2000);
+            for (Decision decision : ofKind(Kind.SUBMIT, fixture.decisions(nowMs))) {
+                submittedCount++;
+                fixture.router.txnAbandoned(at(nowMs), decision.txn());
+                fixture.ends(
+                        nowMs,
+                        decision.txn(),
+                        decision.submission(),
+                        decision.member(),
+                        Outcome.CANCELLED,
+                        Role.UNKNOWN);
             }
         }
-        return sent;
+        return submittedCount;
     }
 
     /**
-     * Guards against hundreds of drivers whose probes at rest cost a primary more than their txns.
+     * Guards against hundreds of drivers whose steady probes cost a primary more than their txns
+     * do.
      */
     @Test
-    void atRestManyDriversProbeAPrimaryLessOftenEach() {
-        Fixtures few = new Fixtures().with("drivers", 8.0).group(1, 2).roles(5, 2);
-        few.decisions(5);
-        assertThat(of(Kind.PROBE, few.until(24_000))).hasSize(1);
-        Fixtures many = new Fixtures().with("drivers", 250.0).group(1, 2).roles(5, 2);
-        many.decisions(5);
-        assertThat(of(Kind.PROBE, many.until(24_000))).isEmpty();
-        assertThat(of(Kind.PROBE, many.until(26_000)))
+    void steadyProbeIntervalGrowsWithTheNumberOfDrivers() {
+        Fixtures fewDrivers = new Fixtures().with("drivers", 8.0).group(1, 2).roles(5, 2);
+        fewDrivers.decisions(5);
+        assertThat(ofKind(Kind.PROBE, fewDrivers.until(24_000))).hasSize(1);
+        Fixtures manyDrivers = new Fixtures().with("drivers", 250.0).group(1, 2).roles(5, 2);
+        manyDrivers.decisions(5);
+        assertThat(ofKind(Kind.PROBE, manyDrivers.until(24_000))).isEmpty();
+        assertThat(ofKind(Kind.PROBE, manyDrivers.until(26_000)))
                 .extracting(Decision::member)
                 .containsExactly(1L);
     }
 
+    /** Guards a new primary against the fast probes of hundreds of drivers. */
     @Test
-    void afterAChangeManyDriversProbeTheNewPrimaryLessOftenEach() {
-        Fixtures g = new Fixtures().with("drivers", 250.0).group(1, 2).roles(5, 2);
-        g.txn(10, "w", WRITE, 3000);
-        g.decisions(10);
-        g.ends(20, "w", 0, 1, Outcome.MISSED, Role.REPLICA);
-        g.decisions(20);
-        g.says(30, 2, Role.PRIMARY, 28);
-        g.decisions(30);
-        assertThat(of(Kind.PROBE, g.until(135))).extracting(Decision::member).doesNotContain(2L);
+    void fastProbeIntervalGrowsWithTheNumberOfDrivers() {
+        Fixtures fixture = new Fixtures().with("drivers", 250.0).group(1, 2).roles(5, 2);
+        fixture.txn(10, "w", WRITE, 3000);
+        fixture.decisions(10);
+        fixture.ends(20, "w", 0, 1, Outcome.MISSED, Role.REPLICA);
+        fixture.decisions(20);
+        fixture.says(30, 2, Role.PRIMARY, 28);
+        fixture.decisions(30);
+        assertThat(ofKind(Kind.PROBE, fixture.until(135)))
+                .extracting(Decision::member)
+                .doesNotContain(2L);
     }
 
     /**
-     * Guards against a replica that hundreds of drivers each find out by reads of their own, though
-     * it says it itself.
+     * Guards against hundreds of drivers that each detect an overloaded replica by reads of their
+     * own, though it reports its queue length.
      */
     @Test
-    void aMemberThatReportsMoreWaitingThanItAnswersInTimeGetsNothing() {
-        Fixtures g = new Fixtures().with("drivers", 250.0).group(1, 2).roles(5, 2);
-        g.router.memberReported(at(8), 2, Role.REPLICA, at(8), Double.NaN, 20, 0.3);
-        g.txn(10, "r", READ, 2000);
-        assertThat(of(Kind.SUBMIT, g.decisions(10)))
+    void replicaThatReportsAnOverlongQueueGetsNoReads() {
+        Fixtures fixture = new Fixtures().with("drivers", 250.0).group(1, 2).roles(5, 2);
+        fixture.router.memberReported(at(8), 2, Role.REPLICA, at(8), Double.NaN, 20, 0.3);
+        fixture.txn(10, "r", READ, 2000);
+        assertThat(ofKind(Kind.SUBMIT, fixture.decisions(10)))
                 .extracting(Decision::member)
                 .doesNotContain(2L);
-        g.router.memberReported(at(20), 2, Role.REPLICA, at(20), Double.NaN, 0, 0.3);
-        g.txn(21, "s", READ, 2000);
-        assertThat(of(Kind.SUBMIT, g.decisions(21))).extracting(Decision::member).contains(2L);
+        fixture.router.memberReported(at(20), 2, Role.REPLICA, at(20), Double.NaN, 0, 0.3);
+        fixture.txn(21, "s", READ, 2000);
+        assertThat(ofKind(Kind.SUBMIT, fixture.decisions(21)))
+                .extracting(Decision::member)
+                .contains(2L);
     }
 
     /**
-     * Guards against idle connections that keep other drivers out where members take few:
-     * tallinn-logs, if2aaf1.
+     * Guards against idle connections that keep other drivers from connecting where members accept
+     * few connections.
      */
     @Test
-    void whereConnectionsAreRefusedOneThatIsNoLongerNeededIsReleased() {
-        Fixtures g = new Fixtures().group(1, 2, 3).roles(5, 2, 3);
-        g.txn(10, "a", READ, 2000);
-        Decision first = of(Kind.SUBMIT, g.decisions(10)).get(0);
-        g.ends(20, "a", 0, first.member(), Outcome.COMMITTED, Role.REPLICA);
-        assertThat(of(Kind.RELEASE, g.decisions(20))).isEmpty();
-        for (String id : List.of("b", "c")) {
-            g.txn(30, id, READ, 2000);
-            Decision refused = of(Kind.SUBMIT, g.decisions(30)).get(0);
-            turnedAway(g, 31, id, 0, refused.member());
-            g.router.txnAbandoned(at(31), id);
+    void idleConnectionIsReleasedAfterConnectionRefusals() {
+        Fixtures fixture = new Fixtures().group(1, 2, 3).roles(5, 2, 3);
+        fixture.txn(10, "a", READ, 2000);
+        Decision firstSubmission = ofKind(Kind.SUBMIT, fixture.decisions(10)).get(0);
+        fixture.ends(20, "a", 0, firstSubmission.member(), Outcome.COMMITTED, Role.REPLICA);
+        assertThat(ofKind(Kind.RELEASE, fixture.decisions(20))).isEmpty();
+        for (String txnId : List.of("b", "c")) {
+            fixture.txn(30, txnId, READ, 2000);
+            Decision refusedSubmission = ofKind(Kind.SUBMIT, fixture.decisions(30)).get(0);
+            refuseConnection(fixture, 31, txnId, 0, refusedSubmission.member());
+            fixture.router.txnAbandoned(at(31), txnId);
         }
-        g.decisions(31);
-        g.txn(400, "d", READ, 2000);
-        Decision last = of(Kind.SUBMIT, g.decisions(400)).get(0);
-        g.ends(410, "d", 0, last.member(), Outcome.COMMITTED, Role.REPLICA);
-        assertThat(of(Kind.RELEASE, g.decisions(410)))
+        fixture.decisions(31);
+        fixture.txn(400, "d", READ, 2000);
+        Decision lastSubmission = ofKind(Kind.SUBMIT, fixture.decisions(400)).get(0);
+        fixture.ends(410, "d", 0, lastSubmission.member(), Outcome.COMMITTED, Role.REPLICA);
+        assertThat(ofKind(Kind.RELEASE, fixture.decisions(410)))
                 .extracting(Decision::member)
-                .containsExactly(last.member());
+                .containsExactly(lastSubmission.member());
     }
 
     /**
-     * Guards against a crowd that never ends, since each of many drivers tries it with a read now
-     * and then.
+     * Guards against an overload that never ends because each of many drivers tries the member with
+     * a read now and then.
      */
     @Test
-    void aLowMemberNotHeardOfLatelyIsAskedBeforeAReadGoesThere() {
-        Fixtures g =
+    void memberWithALowLimitAndAnOldReportIsProbedBeforeItGetsARead() {
+        Fixtures fixture =
                 new Fixtures()
                         .with("drivers", 250.0)
                         .type(READ, "repeatable", "loose", 600, 2000)
                         .group(1, 2)
                         .roles(5, 2);
-        g.router.memberReported(at(8), 2, Role.REPLICA, at(8), Double.NaN, 0, 0.3);
-        g.txn(10, "a", READ, 2000);
-        g.decisions(10);
-        g.router.submissionEnded(
+        fixture.router.memberReported(at(8), 2, Role.REPLICA, at(8), Double.NaN, 0, 0.3);
+        fixture.txn(10, "a", READ, 2000);
+        fixture.decisions(10);
+        fixture.router.submissionEnded(
                 at(700), "a", 0, 2, Outcome.TIMED_OUT, at(690), false, Role.UNKNOWN, null);
-        g.router.txnAbandoned(at(701), "a");
-        // Work for it is saved up slowly; until there is enough, nothing is sent and nobody is
-        // asked.
-        List<Decision> all = List.of();
-        long now = 1000;
+        fixture.router.txnAbandoned(at(701), "a");
+        // Its credit grows slowly; until there is enough for a read, it gets neither a read nor a
+        // probe.
+        List<Decision> decisions = List.of();
+        long nowMs = 1000;
         for (;
-                now < 200_000 && of(Kind.PROBE, all).stream().noneMatch(d -> d.member() == 2);
-                now += 1000) {
-            assertThat(of(Kind.SUBMIT, all)).extracting(Decision::member).doesNotContain(2L);
-            g.txn(now, "b" + now, READ, 2000);
-            all = g.decisions(now);
-            for (Decision d : of(Kind.SUBMIT, all)) {
-                g.ends(now, d.txn(), d.submission(), d.member(), Outcome.COMMITTED, Role.PRIMARY);
+                nowMs < 200_000
+                        && ofKind(Kind.PROBE, decisions).stream()
+                                .noneMatch(decision -> decision.member() == 2);
+                nowMs += 1000) {
+            assertThat(ofKind(Kind.SUBMIT, decisions))
+                    .extracting(Decision::member)
+                    .doesNotContain(2L);
+            fixture.txn(nowMs, "b" + nowMs, READ, 2000);
+            decisions = fixture.decisions(nowMs);
+            for (Decision decision : ofKind(Kind.SUBMIT, decisions)) {
+                fixture.ends(
+                        nowMs,
+                        decision.txn(),
+                        decision.submission(),
+                        decision.member(),
+                        Outcome.COMMITTED,
+                        Role.PRIMARY);
             }
         }
-        assertThat(of(Kind.SUBMIT, all)).extracting(Decision::member).doesNotContain(2L);
-        g.router.memberReported(at(now), 2, Role.REPLICA, at(now), Double.NaN, 0, 0.3);
-        g.router.probeEnded(at(now), 2, true, at(1));
-        g.txn(now, "c", READ, 2000);
-        assertThat(of(Kind.SUBMIT, g.decisions(now))).extracting(Decision::member).contains(2L);
+        assertThat(ofKind(Kind.SUBMIT, decisions)).extracting(Decision::member).doesNotContain(2L);
+        fixture.router.memberReported(at(nowMs), 2, Role.REPLICA, at(nowMs), Double.NaN, 0, 0.3);
+        fixture.router.probeEnded(at(nowMs), 2, true, at(1));
+        fixture.txn(nowMs, "c", READ, 2000);
+        assertThat(ofKind(Kind.SUBMIT, fixture.decisions(nowMs)))
+                .extracting(Decision::member)
+                .contains(2L);
     }
 
     /**
-     * Guards against a current read that reaches a former primary, since its connection took time
-     * to open.
+     * Guards against a read of the latest data that reaches a former primary, since its connection
+     * took time to open.
      */
     @Test
-    void aReadThatMustBeCurrentIsNotSentToWhatIsNoLongerThePrimary() {
-        Fixtures g =
+    void readOfTheLatestDataIsNotSentToAFormerPrimary() {
+        Fixtures fixture =
                 new Fixtures()
                         .type(READ, "repeatable", "latest", 600, 2000)
                         .group(1, 2)
                         .roles(5, 2);
-        g.txn(10, "r", READ, 2000);
-        assertThat(of(Kind.SUBMIT, g.decisions(10)))
+        fixture.txn(10, "r", READ, 2000);
+        assertThat(ofKind(Kind.SUBMIT, fixture.decisions(10)))
                 .extracting(Decision::member)
                 .containsExactly(1L);
-        assertThat(g.router.mayStillSend(at(20), "r", 1)).isTrue();
-        g.says(30, 2, Role.PRIMARY, 28);
-        assertThat(g.router.mayStillSend(at(40), "r", 1)).isFalse();
+        assertThat(fixture.router.mayStillSend(at(20), "r", 1)).isTrue();
+        fixture.says(30, 2, Role.PRIMARY, 28);
+        assertThat(fixture.router.mayStillSend(at(40), "r", 1)).isFalse();
     }
 
     /**
-     * Guards against writes held for as long as hundreds of drivers take to come by, for a crowd
-     * that is over.
+     * Guards against holding writes because of an overload that is over: the steady probes of
+     * hundreds of drivers are too far apart to notice its end.
      */
     @Test
-    void aCrowdedPrimaryIsAskedAgainWhileWritesWaitAndUsedOnceItReportsLittle() {
-        Fixtures g = new Fixtures().with("drivers", 250.0).group(1, 2).roles(5, 2);
-        g.router.memberReported(at(8), 1, Role.PRIMARY, at(8), Double.NaN, 20, 0.3);
-        g.txn(10, "w", WRITE, 3000);
-        assertThat(of(Kind.SUBMIT, g.decisions(10))).isEmpty();
-        assertThat(of(Kind.PROBE, g.until(700))).extracting(Decision::member).containsExactly(1L);
-        g.router.memberReported(at(702), 1, Role.PRIMARY, at(702), Double.NaN, 0, 0.3);
-        g.router.probeEnded(at(702), 1, true, at(1));
-        assertThat(of(Kind.SUBMIT, g.decisions(702)))
+    void overloadedPrimaryIsProbedWhileWritesAreHeldAndUsedOnceItsQueueIsShort() {
+        Fixtures fixture = new Fixtures().with("drivers", 250.0).group(1, 2).roles(5, 2);
+        fixture.router.memberReported(at(8), 1, Role.PRIMARY, at(8), Double.NaN, 20, 0.3);
+        fixture.txn(10, "w", WRITE, 3000);
+        assertThat(ofKind(Kind.SUBMIT, fixture.decisions(10))).isEmpty();
+        assertThat(ofKind(Kind.PROBE, fixture.until(700)))
+                .extracting(Decision::member)
+                .containsExactly(1L);
+        fixture.router.memberReported(at(702), 1, Role.PRIMARY, at(702), Double.NaN, 0, 0.3);
+        fixture.router.probeEnded(at(702), 1, true, at(1));
+        assertThat(ofKind(Kind.SUBMIT, fixture.decisions(702)))
                 .extracting(Decision::member)
                 .containsExactly(1L);
     }
 
-    // ---- narrow moments ----
+    // ---- Races between events ----
 
     /**
-     * Guards rule 2: a window that counts from the first attempt may end while the repeat's
-     * connection opens.
+     * Guards against a referenced txn that takes effect twice: its repeat window counts from the
+     * first submission and may end while the connection for the repeat opens.
      */
     @Test
-    void aRepeatIsNotSentOnceItsWindowIsOver() {
-        Fixtures g =
+    void repeatIsNotSentIfItsRepeatWindowEndsWhileConnecting() {
+        Fixtures fixture =
                 new Fixtures()
                         .type(WRITE, "referenced", "update", 600, 3000)
                         .with("txn-type.1.window", at(300))
                         .group(1, 2)
                         .roles(5, 2);
-        g.txn(10, "w", WRITE, 3000);
-        assertThat(of(Kind.SUBMIT, g.decisions(10))).hasSize(1);
-        assertThat(g.router.mayStillSend(at(400), "w", 1))
-                .as("the first attempt is bound by no window")
+        fixture.txn(10, "w", WRITE, 3000);
+        assertThat(ofKind(Kind.SUBMIT, fixture.decisions(10))).hasSize(1);
+        assertThat(fixture.router.mayStillSend(at(400), "w", 1))
+                .as("the repeat window does not limit the first submission")
                 .isTrue();
-        g.ends(200, "w", 0, 1, Outcome.ERROR, Role.PRIMARY);
-        g.says(205, 1, Role.PRIMARY, 205);
-        assertThat(of(Kind.SUBMIT, g.decisions(206)))
+        fixture.ends(200, "w", 0, 1, Outcome.ERROR, Role.PRIMARY);
+        fixture.says(205, 1, Role.PRIMARY, 205);
+        assertThat(ofKind(Kind.SUBMIT, fixture.decisions(206)))
                 .extracting(Decision::submission)
                 .containsExactly(1);
-        assertThat(g.router.mayStillSend(at(290), "w", 1)).isTrue();
-        assertThat(g.router.mayStillSend(at(310), "w", 1)).isFalse();
-        g.ends(310, "w", 1, 1, Outcome.MOOT, Role.UNKNOWN);
-        assertThat(g.decisions(311))
+        assertThat(fixture.router.mayStillSend(at(290), "w", 1)).isTrue();
+        assertThat(fixture.router.mayStillSend(at(310), "w", 1)).isFalse();
+        fixture.ends(310, "w", 1, 1, Outcome.MOOT, Role.UNKNOWN);
+        assertThat(fixture.decisions(311))
                 .extracting(Decision::kind)
                 .contains(Kind.ROLL_BACK)
                 .doesNotContain(Kind.SUBMIT);
     }
 
     @Test
-    void aRepeatableReadGoesAgainWhateverTheWindow() {
-        Fixtures g =
+    void repeatableReadIsResubmittedAfterItsRepeatWindow() {
+        Fixtures fixture =
                 new Fixtures()
                         .type(READ, "repeatable", "loose", 600, 2000)
                         .with("txn-type.0.window", at(100))
                         .group(1, 2, 3)
                         .roles(5, 2, 3);
-        g.txn(10, "r", READ, 2000);
-        long first = of(Kind.SUBMIT, g.decisions(10)).get(0).member();
-        g.ends(50, "r", 0, first, Outcome.RESET, Role.UNKNOWN);
-        Decision again = of(Kind.SUBMIT, g.decisions(50)).get(0);
-        assertThat(g.router.mayStillSend(at(400), "r", again.member())).isTrue();
+        fixture.txn(10, "r", READ, 2000);
+        long firstMemberId = ofKind(Kind.SUBMIT, fixture.decisions(10)).get(0).member();
+        fixture.ends(50, "r", 0, firstMemberId, Outcome.RESET, Role.UNKNOWN);
+        Decision resubmission = ofKind(Kind.SUBMIT, fixture.decisions(50)).get(0);
+        assertThat(fixture.router.mayStillSend(at(400), "r", resubmission.member())).isTrue();
     }
 
     /**
      * Guards against a write that reaches a former primary, since its connection took time to open.
      */
     @Test
-    void aWriteIsNotSentToWhatIsNoLongerThePrimary() {
-        Fixtures g = new Fixtures().group(1, 2).roles(5, 2);
-        g.txn(10, "w", WRITE, 3000);
-        assertThat(of(Kind.SUBMIT, g.decisions(10)))
+    void writeIsNotSentToAFormerPrimary() {
+        Fixtures fixture = new Fixtures().group(1, 2).roles(5, 2);
+        fixture.txn(10, "w", WRITE, 3000);
+        assertThat(ofKind(Kind.SUBMIT, fixture.decisions(10)))
                 .extracting(Decision::member)
                 .containsExactly(1L);
-        assertThat(g.router.mayStillSend(at(20), "w", 1)).isTrue();
-        g.says(30, 2, Role.PRIMARY, 28);
-        assertThat(g.router.mayStillSend(at(40), "w", 1)).isFalse();
-        g.ends(40, "w", 0, 1, Outcome.MOOT, Role.UNKNOWN);
-        assertThat(of(Kind.SUBMIT, g.decisions(40)))
+        assertThat(fixture.router.mayStillSend(at(20), "w", 1)).isTrue();
+        fixture.says(30, 2, Role.PRIMARY, 28);
+        assertThat(fixture.router.mayStillSend(at(40), "w", 1)).isFalse();
+        fixture.ends(40, "w", 0, 1, Outcome.MOOT, Role.UNKNOWN);
+        assertThat(ofKind(Kind.SUBMIT, fixture.decisions(40)))
                 .extracting(Decision::member)
                 .containsExactly(2L);
     }
 
     /**
-     * Guards against txns that wait longer than the process lives: the kill would find them without
-     * an answer.
+     * Guards against txns that outlast the process: they would have no answer when it is killed at
+     * the end of the shutdown.
      */
     @Test
-    void whereTheHostEndsAllThatIsOpenHasItsAnswerByThen() {
-        Fixtures g =
+    void openTxnsAreAnsweredByTheShutdownDeadline() {
+        Fixtures fixture =
                 new Fixtures()
                         .type(WRITE, "once-only", "update", 600, 60_000)
                         .group(1, 2)
                         .roles(5, 2);
-        g.txn(10, "out", WRITE, 60_000);
-        assertThat(of(Kind.SUBMIT, g.decisions(10))).hasSize(1);
-        g.router.memberReported(
+        fixture.txn(10, "out", WRITE, 60_000);
+        assertThat(ofKind(Kind.SUBMIT, fixture.decisions(10))).hasSize(1);
+        fixture.router.memberReported(
                 at(20), 1, Role.REPLICA, at(20), Double.NaN, Double.NaN, Double.NaN);
-        g.txn(30, "held", WRITE, 60_000);
-        g.txn(30, "short", WRITE, 500);
-        assertThat(of(Kind.SUBMIT, g.until(40))).isEmpty();
-        g.router.answerAllBy(at(50), at(3000));
-        assertThat(g.until(2900))
+        fixture.txn(30, "held", WRITE, 60_000);
+        fixture.txn(30, "short", WRITE, 500);
+        assertThat(ofKind(Kind.SUBMIT, fixture.until(40))).isEmpty();
+        fixture.router.answerAllBy(at(50), at(3000));
+        assertThat(fixture.until(2900))
                 .extracting(Decision::txn)
                 .doesNotContain("out", "held")
                 .contains("short");
-        List<Decision> last = g.until(3000);
-        assertThat(of(Kind.ROLL_BACK, last)).extracting(Decision::txn).containsExactly("out");
-        assertThat(of(Kind.DECLINE, last)).extracting(Decision::txn).containsExactly("held");
+        List<Decision> finalDecisions = fixture.until(3000);
+        assertThat(ofKind(Kind.ROLL_BACK, finalDecisions))
+                .extracting(Decision::txn)
+                .containsExactly("out");
+        assertThat(ofKind(Kind.DECLINE, finalDecisions))
+                .extracting(Decision::txn)
+                .containsExactly("held");
     }
 
     /**
-     * Guards against a module that asks for the list without end, where the settings name no time
-     * to ask within.
+     * Guards against a router that requests the member list without delay and without end: where
+     * lists are pushed, the settings contain no request interval.
      */
     @Test
-    void aFailedCallWhereListsArePushedAsksForNothing() {
-        Fixtures g =
+    void failedMemberListRequestIsNotRepeatedIfListsArePushed() {
+        Fixtures fixture =
                 new Fixtures()
                         .with("ask-within", Duration.ZERO)
                         .with("member-list", "push")
                         .group(1, 2)
                         .roles(5, 2);
-        g.decisions(10);
-        g.router.memberListFailed(at(20));
-        for (long now = 20; now < 40; now++) {
-            Decision d = g.router.nextDecision(at(now));
-            assertThat(d == null ? null : d.kind()).isNotEqualTo(Kind.FOLLOW_LIST);
+        fixture.decisions(10);
+        fixture.router.memberListFailed(at(20));
+        for (long nowMs = 20; nowMs < 40; nowMs++) {
+            Decision decision = fixture.router.nextDecision(at(nowMs));
+            assertThat(decision == null ? null : decision.kind()).isNotEqualTo(Kind.FOLLOW_LIST);
         }
     }
 
     /**
-     * The primary moves while its confirmation is on its way: what was true before counts for
-     * nothing.
+     * Guards against a delayed report of the former primary that arrives after another member has
+     * become the primary.
      */
     @Test
-    void aConfirmationThatIsOlderThanTheNewPrimarysIsNone() {
-        Fixtures g = new Fixtures().group(1, 2, 3).roles(5, 2, 3);
-        g.txn(10, "w", WRITE, 3000);
-        g.decisions(10);
-        g.ends(20, "w", 0, 1, Outcome.MISSED, Role.REPLICA);
-        g.decisions(20);
-        g.says(60, 2, Role.PRIMARY, 55);
-        assertThat(of(Kind.SUBMIT, g.decisions(60)))
+    void reportOlderThanTheNewPrimarysClaimIsIgnored() {
+        Fixtures fixture = new Fixtures().group(1, 2, 3).roles(5, 2, 3);
+        fixture.txn(10, "w", WRITE, 3000);
+        fixture.decisions(10);
+        fixture.ends(20, "w", 0, 1, Outcome.MISSED, Role.REPLICA);
+        fixture.decisions(20);
+        fixture.says(60, 2, Role.PRIMARY, 55);
+        assertThat(ofKind(Kind.SUBMIT, fixture.decisions(60)))
                 .extracting(Decision::member)
                 .containsExactly(2L);
-        // The former one's word from before, late.
-        g.says(70, 1, Role.PRIMARY, 15);
-        g.txn(71, "x", WRITE, 3000);
-        assertThat(of(Kind.SUBMIT, g.decisions(71)))
+        // A report that the former primary made before the change, received late.
+        fixture.says(70, 1, Role.PRIMARY, 15);
+        fixture.txn(71, "x", WRITE, 3000);
+        assertThat(ofKind(Kind.SUBMIT, fixture.decisions(71)))
                 .extracting(Decision::member)
                 .containsExactly(2L);
     }
 
     /**
-     * Two probes confirm the same primary, or two claim to be it: each held write goes out once.
+     * Guards against submitting held writes twice: two probes may confirm the same primary, and two
+     * members may claim to be the primary.
      */
     @Test
-    void writesThatAreWokenTwiceGoOutOnce() {
-        Fixtures g = new Fixtures().group(1, 2, 3).roles(5, 2, 3);
-        g.router.memberReported(at(8), 1, Role.REPLICA, at(8), Double.NaN, Double.NaN, Double.NaN);
-        g.txn(10, "w", WRITE, 3000);
-        assertThat(of(Kind.SUBMIT, g.decisions(10))).isEmpty();
-        g.says(30, 2, Role.PRIMARY, 28);
-        g.says(30, 2, Role.PRIMARY, 29);
-        assertThat(of(Kind.SUBMIT, g.decisions(30)))
+    void heldWriteIsSubmittedOnceIfThePrimaryIsConfirmedTwice() {
+        Fixtures fixture = new Fixtures().group(1, 2, 3).roles(5, 2, 3);
+        fixture.router.memberReported(
+                at(8), 1, Role.REPLICA, at(8), Double.NaN, Double.NaN, Double.NaN);
+        fixture.txn(10, "w", WRITE, 3000);
+        assertThat(ofKind(Kind.SUBMIT, fixture.decisions(10))).isEmpty();
+        fixture.says(30, 2, Role.PRIMARY, 28);
+        fixture.says(30, 2, Role.PRIMARY, 29);
+        assertThat(ofKind(Kind.SUBMIT, fixture.decisions(30)))
                 .extracting(Decision::member)
                 .containsExactly(2L);
-        g.says(31, 3, Role.PRIMARY, 30);
-        assertThat(of(Kind.SUBMIT, g.until(200))).extracting(Decision::txn).doesNotContain("w");
+        fixture.says(31, 3, Role.PRIMARY, 30);
+        assertThat(ofKind(Kind.SUBMIT, fixture.until(200)))
+                .extracting(Decision::txn)
+                .doesNotContain("w");
     }
 
     /**
-     * The search ends as its last held write leaves: nobody is sent on, and the next write finds
-     * the primary.
+     * Guards against submitting a write that was abandoned during the writer search. The search
+     * ends all the same, and the next write is sent to the primary that it found.
      */
     @Test
-    void aSearchWhoseLastWriteHasLeftEndsWithoutIt() {
-        Fixtures g = new Fixtures().group(1, 2).roles(5, 2);
-        g.router.memberReported(at(8), 1, Role.REPLICA, at(8), Double.NaN, Double.NaN, Double.NaN);
-        g.txn(10, "gone", WRITE, 3000);
-        g.decisions(10);
-        g.router.txnAbandoned(at(29), "gone");
-        g.says(30, 2, Role.PRIMARY, 28);
-        assertThat(of(Kind.SUBMIT, g.decisions(30))).isEmpty();
-        g.txn(31, "next", WRITE, 3000);
-        assertThat(of(Kind.SUBMIT, g.decisions(31)))
+    void writerSearchEndsAfterItsLastHeldWriteIsAbandoned() {
+        Fixtures fixture = new Fixtures().group(1, 2).roles(5, 2);
+        fixture.router.memberReported(
+                at(8), 1, Role.REPLICA, at(8), Double.NaN, Double.NaN, Double.NaN);
+        fixture.txn(10, "gone", WRITE, 3000);
+        fixture.decisions(10);
+        fixture.router.txnAbandoned(at(29), "gone");
+        fixture.says(30, 2, Role.PRIMARY, 28);
+        assertThat(ofKind(Kind.SUBMIT, fixture.decisions(30))).isEmpty();
+        fixture.txn(31, "next", WRITE, 3000);
+        assertThat(ofKind(Kind.SUBMIT, fixture.decisions(31)))
                 .extracting(Decision::txn)
                 .containsExactly("next");
     }
 
     /**
-     * A time-out, a cancel and the client's leaving in each order, and the answer behind them:
-     * never a second end.
+     * Guards against a second end of a txn whose client has disconnected, whichever outcome its
+     * submission has after that.
      */
     @Test
-    void whateverEndsFirstNothingFollowsTheClientsLeaving() {
-        for (Outcome late :
+    void lateOutcomeOfAnAbandonedTxnLeadsToNoDecision() {
+        for (Outcome lateOutcome :
                 new Outcome[] {
                     Outcome.COMMITTED,
                     Outcome.TIMED_OUT,
@@ -1120,129 +1257,151 @@
                     Outcome.MOOT,
                     Outcome.ERROR
                 }) {
-            Fixtures g = new Fixtures().group(1, 2, 3).roles(5, 2, 3);
-            g.txn(10, "r", READ, 2000);
-            Decision first = of(Kind.SUBMIT, g.decisions(10)).get(0);
-            g.router.txnAbandoned(at(20), "r");
-            assertThat(of(Kind.CANCEL, g.decisions(20))).hasSize(1);
-            assertThat(g.router.mayStillSend(at(21), "r", first.member())).isFalse();
-            g.router.submissionEnded(
-                    at(30), "r", 0, first.member(), late, at(20), false, Role.UNKNOWN, null);
-            assertThat(g.until(3000))
-                    .as(late.name())
+            Fixtures fixture = new Fixtures().group(1, 2, 3).roles(5, 2, 3);
+            fixture.txn(10, "r", READ, 2000);
+            Decision firstSubmission = ofKind(Kind.SUBMIT, fixture.decisions(10)).get(0);
+            fixture.router.txnAbandoned(at(20), "r");
+            assertThat(ofKind(Kind.CANCEL, fixture.decisions(20))).hasSize(1);
+            assertThat(fixture.router.mayStillSend(at(21), "r", firstSubmission.member()))
+                    .isFalse();
+            fixture.router.submissionEnded(
+                    at(30),
+                    "r",
+                    0,
+                    firstSubmission.member(),
+                    lateOutcome,
+                    at(20),
+                    false,
+                    Role.UNKNOWN,
+                    null);
+            assertThat(fixture.until(3000))
+                    .as(lateOutcome.name())
                     .extracting(Decision::kind)
                     .doesNotContain(Kind.SUBMIT, Kind.DECLINE, Kind.ROLL_BACK, Kind.CANCEL);
         }
     }
 
     /**
-     * Guards rule 5: what has said that it is a replica proves its data, whatever it was, and
-     * whatever it says it by.
+     * Guards against reads of old data: a member that has reported to be a replica must have a
+     * proven position, even if it was the primary, and however it made the report.
      */
     @Test
-    void aSilentPrimaryThatHasSaidItIsAReplicaIsAskedNoMore() {
-        Fixtures g =
+    void unresponsivePrimaryThatReportsToBeAReplicaGetsNoReads() {
+        Fixtures fixture =
                 new Fixtures()
                         .type(READ, "repeatable", "recent", 600, 3000)
                         .with("txn-type.0.oldest-data", at(1000))
                         .group(1, 2, 3)
                         .roles(5, 2, 3);
-        g.txn(10, "w", WRITE, 5000);
-        assertThat(of(Kind.SUBMIT, g.decisions(10))).hasSize(1);
-        // It answers none of what it holds: writes are held, and a repeatable read asks it all the
-        // same.
-        g.until(1900);
-        g.txn(1900, "v", WRITE, 5000);
-        g.txn(1900, "r", READ, 3000);
-        assertThat(of(Kind.SUBMIT, g.decisions(1900)))
+        fixture.txn(10, "w", WRITE, 5000);
+        assertThat(ofKind(Kind.SUBMIT, fixture.decisions(10))).hasSize(1);
+        // It answers none of its outstanding submissions: writes are held, and one repeatable read
+        // is sent to find out whether it still serves txns.
+        fixture.until(1900);
+        fixture.txn(1900, "v", WRITE, 5000);
+        fixture.txn(1900, "r", READ, 3000);
+        assertThat(ofKind(Kind.SUBMIT, fixture.decisions(1900)))
                 .extracting(Decision::txn, Decision::member)
                 .containsExactly(Tuple.tuple("r", 1L));
-        g.ends(1950, "r", 0, 1, Outcome.RESET, Role.UNKNOWN);
-        // Back from its pause it is a replica, with data from before; its write has not answered
-        // yet.
-        g.says(2000, 1, Role.REPLICA, 20);
-        g.txn(2001, "s", READ, 3000);
-        assertThat(of(Kind.SUBMIT, g.until(2010))).extracting(Decision::member).doesNotContain(1L);
+        fixture.ends(1950, "r", 0, 1, Outcome.RESET, Role.UNKNOWN);
+        // After its pause it is a replica with old data; its outstanding write has no outcome yet.
+        fixture.says(2000, 1, Role.REPLICA, 20);
+        fixture.txn(2001, "s", READ, 3000);
+        assertThat(ofKind(Kind.SUBMIT, fixture.until(2010)))
+                .extracting(Decision::member)
+                .doesNotContain(1L);
     }
 
     /**
-     * Its word is dated by its position, which may lie before its own last claim: it counts all the
+     * Guards against reads of old data: a report is dated by its position, which may be earlier
+     * than the last claim of the same member to be the primary. That it is a replica counts all the
      * same.
      */
     @Test
-    void aPrimaryThatSaysItIsAReplicaAtAnOldPositionProvesItsData() {
-        for (String reads : new String[] {"recent", "latest"}) {
-            Fixtures g =
+    void primaryThatReportsToBeAReplicaAtAnOldPositionGetsNoReads() {
+        for (String freshness : new String[] {"recent", "latest"}) {
+            Fixtures fixture =
                     new Fixtures()
-                            .type(READ, "repeatable", reads, 600, 3000)
+                            .type(READ, "repeatable", freshness, 600, 3000)
                             .with("txn-type.0.oldest-data", at(1000))
                             .group(1)
                             .roles(5);
-            g.says(100, 1, Role.PRIMARY, 100);
-            g.txn(110, "r", READ, 3000);
-            assertThat(of(Kind.SUBMIT, g.decisions(110))).as(reads).hasSize(1);
-            g.ends(150, "r", 0, 1, Outcome.COMMITTED, Role.UNKNOWN);
-            g.until(1999);
-            g.says(2000, 1, Role.REPLICA, 90);
-            g.txn(2001, "s", READ, 3000);
-            assertThat(of(Kind.SUBMIT, g.until(2010))).as(reads).isEmpty();
-            g.says(2050, 1, Role.PRIMARY, 2045);
-            assertThat(of(Kind.SUBMIT, g.until(2060)))
-                    .as(reads)
+            fixture.says(100, 1, Role.PRIMARY, 100);
+            fixture.txn(110, "r", READ, 3000);
+            assertThat(ofKind(Kind.SUBMIT, fixture.decisions(110))).as(freshness).hasSize(1);
+            fixture.ends(150, "r", 0, 1, Outcome.COMMITTED, Role.UNKNOWN);
+            fixture.until(1999);
+            fixture.says(2000, 1, Role.REPLICA, 90);
+            fixture.txn(2001, "s", READ, 3000);
+            assertThat(ofKind(Kind.SUBMIT, fixture.until(2010))).as(freshness).isEmpty();
+            fixture.says(2050, 1, Role.PRIMARY, 2045);
+            assertThat(ofKind(Kind.SUBMIT, fixture.until(2060)))
+                    .as(freshness)
                     .extracting(Decision::txn)
                     .containsExactly("s");
         }
     }
 
-    /** The word comes while the connection opens. */
+    /**
+     * Guards against reads of old data where the primary reports to be a replica while the
+     * connection opens.
+     */
     @Test
-    void aReadForAPrimaryThatSaysItIsAReplicaWhileItsConnectionOpensIsNotSent() {
-        for (String reads : new String[] {"recent", "latest"}) {
-            Fixtures g =
+    void readIsNotSentIfThePrimaryReportsToBeAReplicaWhileConnecting() {
+        for (String freshness : new String[] {"recent", "latest"}) {
+            Fixtures fixture =
                     new Fixtures()
-                            .type(READ, "repeatable", reads, 600, 3000)
+                            .type(READ, "repeatable", freshness, 600, 3000)
                             .with("txn-type.0.oldest-data", at(1000))
                             .group(1)
                             .roles(5);
-            g.says(2000, 1, Role.PRIMARY, 2000);
-            g.txn(2010, "r", READ, 3000);
-            assertThat(of(Kind.SUBMIT, g.decisions(2010))).hasSize(1);
-            assertThat(g.router.mayStillSend(at(2015), "r", 1)).isTrue();
-            g.says(2020, 1, Role.REPLICA, 90);
-            assertThat(g.router.mayStillSend(at(3100), "r", 1)).as(reads).isFalse();
+            fixture.says(2000, 1, Role.PRIMARY, 2000);
+            fixture.txn(2010, "r", READ, 3000);
+            assertThat(ofKind(Kind.SUBMIT, fixture.decisions(2010))).hasSize(1);
+            assertThat(fixture.router.mayStillSend(at(2015), "r", 1)).isTrue();
+            fixture.says(2020, 1, Role.REPLICA, 90);
+            assertThat(fixture.router.mayStillSend(at(3100), "r", 1)).as(freshness).isFalse();
         }
     }
 
     /**
-     * Guards rule 4 where most of a kind start at once: what is left of it must not be shared out
-     * among few.
+     * Guards members in their warm-up against overload where most members of a host class start at
+     * once: a rate divided by their capacity shares would give each of many the rate meant for a
+     * few.
      */
     @Test
-    void manyThatStartAtOnceEachGetNoMoreThanTheirWarmPartBears() {
-        Fixtures g =
+    void membersThatStartTogetherEachGetNoMoreThanTheirWarmUpRate() {
+        Fixtures fixture =
                 new Fixtures()
                         .type(READ, "repeatable", "loose", 600, 2000)
                         .group(1, 2, 3, 4, 5, 6, 7, 8, 9, 10)
                         .roles(5, 2, 3, 4, 5, 6, 7, 8, 9, 10);
-        // 200 reads in a second, each answered at once: some 22 a replica.
-        int[] perMember = new int[11];
-        for (int ms = 10; ms < 6000; ms += 5) {
-            if (ms == 5000) {
-                g.router.memberListStarted(at(ms), false);
-                for (long m = 2; m <= 10; m++) {
-                    g.listed(ms, m, false, at(ms));
+        // 200 reads per second, each answered at once: about 22 per replica.
+        int[] submittedCounts = new int[11];
+        for (int nowMs = 10; nowMs < 6000; nowMs += 5) {
+            if (nowMs == 5000) {
+                fixture.router.memberListStarted(at(nowMs), false);
+                for (long memberId = 2; memberId <= 10; memberId++) {
+                    fixture.listed(nowMs, memberId, false, at(nowMs));
                 }
-                g.router.memberListEnded(at(ms));
+                fixture.router.memberListEnded(at(nowMs));
             }
-            g.txn(ms, "r" + ms, READ, 2000);
-            for (Decision d : of(Kind.SUBMIT, g.decisions(ms))) {
-                perMember[(int) d.member()] += ms < 5000 ? 0 : 1;
-                g.ends(ms, d.txn(), d.submission(), d.member(), Outcome.COMMITTED, Role.UNKNOWN);
+            fixture.txn(nowMs, "r" + nowMs, READ, 2000);
+            for (Decision decision : ofKind(Kind.SUBMIT, fixture.decisions(nowMs))) {
+                submittedCounts[(int) decision.member()] += nowMs < 5000 ? 0 : 1;
+                fixture.ends(
+                        nowMs,
+                        decision.txn(),
+                        decision.submission(),
+                        decision.member(),
+                        Outcome.COMMITTED,
+                        Role.UNKNOWN);
             }
         }
-        // Twice what a quarter to a third of a warm one's 22 comes to: at 0.35 of them, 15.
-        for (int m = 2; m <= 10; m++) {
-            assertThat(perMember[m]).as("member " + m).isBetween(1, 15);
+        // fall-multiple (2) times a capacity share of a quarter to a third, times the 22 reads of a
+        // member at full capacity: 15 at a share of 0.35.
+        for (int memberId = 2; memberId <= 10; memberId++) {
+            assertThat(submittedCounts[memberId]).as("member " + memberId).isBetween(1, 15);
         }
     }
 }
