--- a/src/test/java/wingroad/terms/SettingsValidatorTest.java
+++ b/src/test/java/wingroad/terms/SettingsValidatorTest.java
@@ -17,7 +17,8 @@
 import java.util.Map;
 
 class SettingsValidatorTest {
-    private static final String PUSHED =
+    /** The member list is pushed, and members report their state with their answers. */
+    private static final String PUSH_SETTINGS =
             """
             {"balancers": 12, "granularity": 5, "discovery": "push",
              "grades": [{"name": "a", "aim": 500, "deadline": 1000, "semantics": "repeatable"},
@@ -27,7 +28,9 @@
              "report": {"source": "piggyback", "names": ["x0", "x1", "q"]},
              "limits": {"peers": true, "probes": true, "retry-after": true}, "rules": {"drain-grace": 250}}\
             """;
-    private static final String ASKED =
+
+    /** The member list must be requested, and members report their state when probed. */
+    private static final String ASK_SETTINGS =
             """
             {"balancers": 3, "granularity": 5, "discovery": "ask",
              "grades": [{"name": "a", "aim": 500, "deadline": 1000, "semantics": "repeatable"},
@@ -39,38 +42,44 @@
              "rules": {"ask-within": 9000, "drain-grace": 250, "removal-not-binding": true}}\
             """;
 
-    private static Map<String, Object> settings(String text) {
+    private static Map<String, Object> parse(String json) {
         try {
-            return Json.object(text.getBytes(StandardCharsets.UTF_8), "the settings");
+            return Json.object(json.getBytes(StandardCharsets.UTF_8), "the settings");
         } catch (IOException e) {
             throw new AssertionError(e);
         }
     }
 
     @Test
-    void bothShapesAndTheExampleCanBeUsed() throws IOException {
-        assertThat(SettingsValidator.problems(settings(PUSHED))).isEmpty();
-        assertThat(SettingsValidator.problems(settings(ASKED))).isEmpty();
+    void validSettingsHaveNoProblems() throws IOException {
+        assertThat(SettingsValidator.problems(parse(PUSH_SETTINGS))).isEmpty();
+        assertThat(SettingsValidator.problems(parse(ASK_SETTINGS))).isEmpty();
         Map<String, Object> example =
                 Json.object(Files.readAllBytes(Path.of("examples/config.json")), "the example");
-        assertThat(SettingsValidator.problems(Json.object(example.get("settings"), "its settings")))
+        assertThat(
+                        SettingsValidator.problems(
+                                Json.object(example.get("settings"), "the example's settings")))
                 .isEmpty();
     }
 
     @Test
-    void whatIsAbsentTakesItsDefaultAndWhatIsNotReadIsSkipped() {
-        Map<String, Object> few =
+    void absentKeysTakeDefaultsAndUnknownKeysAreIgnored() {
+        Map<String, Object> partialSettings =
                 new HashMap<>(
-                        settings(
+                        parse(
                                 """
                                 {"grades": [{"name": "a"}], "something-new": {"x": [1]}}\
                                 """));
-        assertThat(SettingsValidator.problems(few)).isEmpty();
-        assertThat(RouterSettings.fromWire(few))
+        assertThat(SettingsValidator.problems(partialSettings)).isEmpty();
+        assertThat(RouterSettings.fromWire(partialSettings))
                 .containsEntry("drivers", 1.0)
                 .containsEntry("may-advise-come-back", false);
     }
 
+    /**
+     * Replaces one text of {@link #PUSH_SETTINGS}, so that a value is invalid or contradicts
+     * others.
+     */
     @ParameterizedTest
     @CsvSource(
             delimiter = '|',
@@ -93,29 +102,35 @@
                         + " family-info.holds-for",
                 "\"source\": \"piggyback\" | \"source\": \"answers\" | report.source"
             })
-    void aWrongValueOrAMixOfShapesIsRefusedByItsKey(String here, String instead, String key) {
-        assertThat(PUSHED).contains(here);
-        List<String> problems = SettingsValidator.problems(settings(PUSHED.replace(here, instead)));
-        assertThat(problems).anyMatch(p -> p.startsWith(key + ": "));
+    void invalidOrContradictoryValueIsReportedUnderItsKey(
+            String original, String replacement, String key) {
+        assertThat(PUSH_SETTINGS).contains(original);
+        List<String> problems =
+                SettingsValidator.problems(parse(PUSH_SETTINGS.replace(original, replacement)));
+        assertThat(problems).anyMatch(problem -> problem.startsWith(key + ": "));
     }
 
     @Test
-    void reportsByProbesNeedProbes() {
+    void pulledReportsRequireProbes() {
         assertThat(
                         SettingsValidator.problems(
-                                settings(ASKED.replace("\"probes\": true", "\"probes\": false"))))
+                                parse(
+                                        ASK_SETTINGS.replace(
+                                                "\"probes\": true", "\"probes\": false"))))
                 .containsExactly("limits.probes: required if report.source is pull");
     }
 
+    /** Guards against settings under which no replica could ever prove that its data is recent. */
     @Test
-    void readsOfAStatedAgeNeedAProofOfAge() {
-        String mute =
-                ASKED.replace("\"stamps\": true", "\"stamps\": false")
+    void readsWithAMaximumAgeRequireAKnownPosition() {
+        String withoutPositions =
+                ASK_SETTINGS
+                        .replace("\"stamps\": true", "\"stamps\": false")
                         .replace("\"hold\", \"holds-for\": 40", "\"silent\"")
                         .replace("[\"x0\", \"x1\"]", "[\"x1\"]");
-        assertThat(SettingsValidator.problems(settings(mute)))
+        assertThat(SettingsValidator.problems(parse(withoutPositions)))
                 .containsExactly(
                         "family-info.stamps: members neither check freshness nor report a position,"
-                            + " so no replica may be read");
+                                + " so no replica may be read");
     }
 }
