--- a/src/test/java/wingroad/state/TimingWheelTest.java
+++ b/src/test/java/wingroad/state/TimingWheelTest.java
@@ -10,72 +10,83 @@
 import java.util.Random;
 
 class TimingWheelTest {
-    private static final long SLOT = 1 << 22;
+    /** Length of a slot of {@link TimingWheel}. */
+    private static final long SLOT_NANOS = 1 << 22;
+
     private final TimingWheel wheel = new TimingWheel();
 
     /**
-     * Against a list of all that is set: nothing early, nothing more than a slot late, nothing
-     * twice, nothing lost.
+     * Compares the wheel with a list of the scheduled timers: none may expire early, two slots late
+     * or twice, and none may be lost.
      */
     @Test
-    void whatIsDueComesOutOnceAndAtItsTime() {
+    void eachTimerExpiresOnceAndOnTime() {
         Random random = new Random(4);
-        List<TimingWheel.Timer> set = new ArrayList<>();
-        long now = 0;
+        List<TimingWheel.Timer> scheduledTimers = new ArrayList<>();
+        long nowNanos = 0;
         for (int i = 0; i < 30_000; i++) {
-            now +=
+            nowNanos +=
                     random.nextInt(100) == 0
                             ? random.nextInt(2_000_000_000)
                             : random.nextInt(3_000_000);
-            for (TimingWheel.Timer t = wheel.poll(now); t != null; t = wheel.poll(now)) {
-                assertThat(set.remove(t)).isTrue();
-                assertThat(t.dueNanos()).isLessThanOrEqualTo(now);
-                assertThat(t.isScheduled()).isFalse();
+            for (TimingWheel.Timer timer = wheel.poll(nowNanos);
+                    timer != null;
+                    timer = wheel.poll(nowNanos)) {
+                assertThat(scheduledTimers.remove(timer)).isTrue();
+                assertThat(timer.dueNanos()).isLessThanOrEqualTo(nowNanos);
+                assertThat(timer.isScheduled()).isFalse();
             }
-            for (TimingWheel.Timer t : set) {
-                assertThat(t.dueNanos()).isGreaterThan(now - 2 * SLOT);
+            for (TimingWheel.Timer timer : scheduledTimers) {
+                assertThat(timer.dueNanos()).isGreaterThan(nowNanos - 2 * SLOT_NANOS);
             }
-            assertThat(wheel.size()).isEqualTo(set.size());
-            if (set.size() > 40) {
-                TimingWheel.Timer gone = set.remove(random.nextInt(set.size()));
-                wheel.cancel(gone);
+            assertThat(wheel.size()).isEqualTo(scheduledTimers.size());
+            if (scheduledTimers.size() > 40) {
+                TimingWheel.Timer cancelledTimer =
+                        scheduledTimers.remove(random.nextInt(scheduledTimers.size()));
+                wheel.cancel(cancelledTimer);
             } else {
-                TimingWheel.Timer t = new TimingWheel.Timer();
+                TimingWheel.Timer timer = new TimingWheel.Timer();
                 wheel.schedule(
-                        t,
-                        now
+                        timer,
+                        nowNanos
                                 + (random.nextInt(20) == 0
                                         ? 20_000_000_000L
                                         : random.nextInt(500_000_000)));
-                set.add(t);
+                scheduledTimers.add(timer);
             }
-            long next = wheel.nextPollNanos();
-            long first = set.stream().mapToLong(TimingWheel.Timer::dueNanos).min().orElse(-1);
-            if (first < 0) {
-                assertThat(next).isEqualTo(-1);
+            long nextPollNanos = wheel.nextPollNanos();
+            long firstDueNanos =
+                    scheduledTimers.stream()
+                            .mapToLong(TimingWheel.Timer::dueNanos)
+                            .min()
+                            .orElse(-1);
+            if (firstDueNanos < 0) {
+                assertThat(nextPollNanos).isEqualTo(-1);
             } else {
-                assertThat(next)
-                        .isLessThanOrEqualTo(Math.max(first, now) + 2 * SLOT)
-                        .isGreaterThan(now - SLOT);
+                assertThat(nextPollNanos)
+                        .isLessThanOrEqualTo(Math.max(firstDueNanos, nowNanos) + 2 * SLOT_NANOS)
+                        .isGreaterThan(nowNanos - SLOT_NANOS);
             }
         }
     }
 
+    /** Guards against a timer that expires at the time for which it was scheduled before. */
     @Test
-    void aTimerThatIsSetAgainCountsByItsLaterTime() {
-        TimingWheel.Timer t = new TimingWheel.Timer();
-        wheel.schedule(t, SLOT);
-        wheel.schedule(t, 10 * SLOT);
-        assertThat(wheel.poll(5 * SLOT)).isNull();
-        assertThat(wheel.poll(11 * SLOT)).isSameAs(t);
+    void rescheduledTimerExpiresAtItsNewTime() {
+        TimingWheel.Timer timer = new TimingWheel.Timer();
+        wheel.schedule(timer, SLOT_NANOS);
+        wheel.schedule(timer, 10 * SLOT_NANOS);
+        assertThat(wheel.poll(5 * SLOT_NANOS)).isNull();
+        assertThat(wheel.poll(11 * SLOT_NANOS)).isSameAs(timer);
         assertThat(wheel.nextPollNanos()).isEqualTo(-1);
     }
 
+    /** Guards against corrupting the lists of both wheels. */
     @Test
-    void aTimerOfAnotherWheelIsRefused() {
-        TimingWheel.Timer t = new TimingWheel.Timer();
-        new TimingWheel().schedule(t, SLOT);
-        assertThatThrownBy(() -> wheel.schedule(t, SLOT))
+    void timerOfAnotherWheelIsRejected() {
+        TimingWheel.Timer timer = new TimingWheel.Timer();
+        new TimingWheel().schedule(timer, SLOT_NANOS);
+        assertThatThrownBy(() -> wheel.schedule(timer, SLOT_NANOS))
                 .isInstanceOf(IllegalArgumentException.class);
     }
 }
