--- a/src/main/java/wingroad/protocol/HttpReply.java
+++ b/src/main/java/wingroad/protocol/HttpReply.java
@@ -75,7 +75,7 @@
                     }
                 }
                 default -> {
-                    String next = line(in);
+                    String next = readLine(in);
                     if (next != null) {
                         understood(next);
                     } else if (why == null) {
@@ -96,7 +96,7 @@
         return why != null ? State.BROKEN : State.WHOLE;
     }
 
-    private String line(ByteBuffer in) {
+    private String readLine(ByteBuffer in) {
         while (in.hasRemaining()) {
             char c = (char) (in.get() & 0xff);
             if (c == '\n') {
--- a/src/main/java/wingroad/protocol/MemberInput.java
+++ b/src/main/java/wingroad/protocol/MemberInput.java
@@ -75,13 +75,13 @@
             ByteBuffer body = f.body();
             boolean good =
                     switch (f.type()) {
-                        case 'S' -> parameter(body);
+                        case 'S' -> decodeParameterStatus(body);
                         case 'N', 'A' -> true;
-                        case 'E' -> error(body);
+                        case 'E' -> decodeErrorResponse(body);
                         case 'R' -> body.remaining() == 4 && body.getInt() == 0;
-                        case 'T' -> described(body);
-                        case 'D' -> value(body);
-                        case 'C' -> completed(body);
+                        case 'T' -> decodeRowDescription(body);
+                        case 'D' -> decodeDataRow(body);
+                        case 'C' -> decodeCommandComplete(body);
                         case 'Z' -> body.remaining() == 1 && "ITE".indexOf(body.get()) >= 0;
                         default -> body.remaining() >= 8;
                     };
@@ -141,7 +141,7 @@
                 : null;
     }
 
-    private boolean parameter(ByteBuffer body) {
+    private boolean decodeParameterStatus(ByteBuffer body) {
         String name = Frames.text(body);
         String setting = name == null ? null : Frames.text(body);
         if (setting == null || body.hasRemaining() || parameters.size() >= 64) {
@@ -151,7 +151,7 @@
         return true;
     }
 
-    private boolean described(ByteBuffer body) {
+    private boolean decodeRowDescription(ByteBuffer body) {
         described =
                 body.remaining() > 2
                         && body.getShort() == 1
@@ -160,7 +160,7 @@
         return described;
     }
 
-    private boolean value(ByteBuffer body) {
+    private boolean decodeDataRow(ByteBuffer body) {
         if (body.remaining() < 6 || body.getShort() != 1) {
             return false;
         }
@@ -176,13 +176,13 @@
         return true;
     }
 
-    private boolean completed(ByteBuffer body) {
+    private boolean decodeCommandComplete(ByteBuffer body) {
         String tag = Frames.text(body);
         completed = tag != null && !body.hasRemaining() && TAG.matcher(tag).matches();
         return completed;
     }
 
-    private boolean error(ByteBuffer body) {
+    private boolean decodeErrorResponse(ByteBuffer body) {
         String code = null;
         while (body.hasRemaining()) {
             byte field = body.get();
