--- a/src/main/java/wingroad/fleet/ConsensusNode.java
+++ b/src/main/java/wingroad/fleet/ConsensusNode.java
@@ -44,14 +44,15 @@
 import java.util.function.LongFunction;
 
 /**
- * A voter: its part in the agreed log, the state that follows from it, and the drivers that are
- * attached to it. Free of I/O; all calls on one thread.
+ * One voter of the consensus group: runs the Raft engine over its {@link ConsensusStore}, applies
+ * the committed log to the duty state machine, and serves the driver sessions attached to it. Does
+ * no I/O itself; all calls must be made on one thread.
  */
 final class ConsensusNode {
     /**
-     * In the engine's time, which knows whole seconds alone: one of them is the {@link
-     * #ENGINE_SECONDS}th part of a lease, so that a leader is missed after a third of a lease and
-     * another one leads well before all leases have run out.
+     * The engine accepts only whole seconds, so it runs on scaled time: one engine second is
+     * 1/{@link #ENGINE_SECONDS_PER_LEASE} of a lease. Followers then miss a leader after a third of
+     * a lease, and a new leader is elected well before all leases have expired.
      */
     private static final RaftConfig ENGINE_CONFIG =
             RaftConfig.newBuilder()
@@ -63,31 +64,47 @@
                     .setRaftNodeReportPublishPeriodSecs(36_000)
                     .build();
 
+    /** Number of engine seconds in one lease. */
     private static final int ENGINE_SECONDS_PER_LEASE = 12;
 
     /**
-     * An engine looks for another leader after four of its seconds of silence; by now it does not
-     * look.
+     * Silence of the leader, in engine seconds, after which the engine is restarted. The engine
+     * itself starts an election after four, so by this time it has failed to.
      */
     private static final int LEADER_LOST_ENGINE_SECONDS = 8;
 
+    /**
+     * Interval of the periodic checks; also the delay before a lost peer connection is opened
+     * again.
+     */
     private static final Duration CHECK_INTERVAL = Duration.ofMillis(250);
+
     private static final Duration PING_INTERVAL = Duration.ofMillis(500);
+
+    /** A peer connection that has been silent for this long is closed and opened again. */
     private static final Duration PEER_SILENCE_TIMEOUT = Duration.ofMillis(2500);
+
+    /** Delay before reconnecting to a voter that refused this one. */
     private static final Duration REFUSED_RETRY_DELAY = Duration.ofSeconds(5);
+
     private static final int MAX_INBOUND_CONNECTIONS = 1024;
+
+    /** Most session expiries, and most stopped drivers, that are proposed in one tick. */
     private static final int MAX_EXPIRIES_PER_TICK = 64;
+
     private static final int MAX_REPORT_CHARS = 1 << 16;
 
-    /** How far a voter has come. */
+    /** Lifecycle phase of a voter. The names are written out in the status. */
     enum Phase {
-        /** It belongs to no council. */
+        /** Not yet a member of a consensus group. */
         FRESH,
-        /** It has state, and asks the others whether that is the newest. */
+        /**
+         * Has stored state and asks the other voters whether that state is the newest they know of.
+         */
         PROVING,
-        /** It takes part. */
+        /** A member of the consensus group, with a running engine. */
         IN,
-        /** Its state can't be written. */
+        /** The stored state cannot be written; the voter does not take part. */
         BROKEN
     }
 
@@ -103,24 +120,34 @@
     private RaftNode raftNode;
     private Phase phase;
 
-    /** Grows with each start of the engine: what a former one still wants to run is nobody's. */
+    /**
+     * Incremented with each start and stop of the engine, so that tasks of an earlier engine are
+     * dropped.
+     */
     private int engineGeneration;
 
     private final Map<String, Peer> peers = new TreeMap<>();
     private final Set<InboundConnection> inboundConnections = new LinkedHashSet<>();
+
+    /** Newest heartbeat number of each session, not yet passed to the log. */
     private final Map<String, Long> pendingHeartbeats = new TreeMap<>();
 
-    /** The newest that drivers say of themselves, a line by session, not yet handed on. */
+    /** Latest report line of each session, not yet passed to the log. */
     private final Map<String, String> pendingReports = new TreeMap<>();
 
-    /** The clock on drivers without a session, or null where there is no work on machines. */
+    /** Tracks drivers that have lost their session, or null where no maintenance is configured. */
     private final LostDriverMonitor lostDrivers;
 
+    /** Endpoint ids of the voters that acknowledged the proposed group. */
     private final Set<String> foundingAcks = new LinkedHashSet<>();
+
     private boolean pushScheduled;
     private boolean membershipChangePending;
 
-    /** When something came from a leader last, or the engine has known of none. */
+    /**
+     * Time of the last message from a leader, or of the last check at which the engine knew of
+     * none.
+     */
     private Duration leaderSeenAt = Duration.ZERO;
 
     private boolean stopped;
@@ -128,7 +155,8 @@
     private String lastLoggedLeader = "";
 
     /**
-     * @param storeReader reads the voter's state anew, once the former one is closed
+     * @param storeReader opens the stored state, also anew after the previous store was closed
+     * @param seed seeds the engine's random election timeouts and the group id
      */
     ConsensusNode(
             ExecutionContext context,
@@ -141,8 +169,8 @@
     }
 
     /**
-     * @param stateMachineFactory makes the state that follows from the log, from the council's
-     *     first epoch
+     * @param stateMachineFactory creates the replicated state machine from the group's initial
+     *     epoch
      */
     ConsensusNode(
             ExecutionContext context,
@@ -172,20 +200,23 @@
             context.log(
                     "fleet: state set aside as "
                             + store.setAsideNotice()
-                            + "; this voter is a newcomer");
+                            + "; this voter joins as a new one");
         }
         phase = store.groupId().isEmpty() ? Phase.FRESH : Phase.PROVING;
         updatePeers(store.voterChanges());
         logState(
                 phase == Phase.FRESH
-                        ? "belongs to no council yet"
-                        : "asks the others whether its state is the newest");
+                        ? "is not in a consensus group yet"
+                        : "asks the other voters whether its state is the newest");
         advanceStartup();
         runChecks();
         tick();
     }
 
-    /** Whether the council is to have this voter, by the file and what was changed since. */
+    /**
+     * Whether the named driver should be a voter, by the configuration and the committed voter
+     * changes.
+     */
     private boolean isVoter(String name) {
         Map<String, String> changes =
                 raftNode == null ? store.voterChanges() : stateMachine.voterChanges();
@@ -195,8 +226,8 @@
     }
 
     /**
-     * Peers by the file, with what was changed since; an address of the file counts before one that
-     * was told.
+     * Updates the peers from the configured voters and the committed changes. An address from the
+     * configuration takes precedence over one from a change.
      */
     private void updatePeers(Map<String, String> changes) {
         Map<String, String> addresses = new TreeMap<>(config.voterAddresses());
@@ -213,7 +244,7 @@
                 (name, address) ->
                         peers.computeIfAbsent(name, peerName -> new Peer(peerName, address)));
         for (Peer peer : List.copyOf(peers.values())) {
-            // The engine still speaks to one that is being taken out.
+            // The engine still sends to a member that is being removed.
             boolean member =
                     raftNode != null
                             && raftNode.getCommittedMembers().getMembers().stream()
@@ -251,6 +282,7 @@
         return new Endpoint(config.driver() + "/" + store.identity());
     }
 
+    /** Logs a state of this voter unless it was the last one logged. */
     private void logState(String state) {
         if (!state.equals(lastLoggedState)) {
             lastLoggedState = state;
@@ -258,7 +290,7 @@
         }
     }
 
-    // ---- how it comes to take part ----
+    // ---- startup and membership ----
 
     private void runChecks() {
         if (stopped) {
@@ -295,10 +327,11 @@
     }
 
     /**
-     * A voter that polled for an election and heard its old leader again, in the same term, takes
-     * no notice any more when that leader falls silent: the engine (0.7) thinks that its poll still
-     * runs. Where its log is the newest, nobody else can be elected. So it begins again with its
-     * state, as after a restart.
+     * Restarts the engine when its leader has been silent for too long. Engine version 0.7 does not
+     * notice the silence if it had started a pre-vote round and then heard the old leader again in
+     * the same term: it believes that the round is still running. If this voter has the newest log,
+     * nobody else can be elected. The restart continues from the stored state, as after a restart
+     * of the process.
      */
     private void checkLeaderTimeout() {
         RaftEndpoint leader = raftNode == null ? null : raftNode.getTerm().getLeaderEndpoint();
@@ -308,9 +341,10 @@
                 > LEADER_LOST_ENGINE_SECONDS * engineSecondLength() * 1e9) {
             leaderSeenAt = context.now();
             logState(
-                    "has not heard "
+                    "has not heard from leader "
                             + ((Endpoint) leader).name()
-                            + " and its engine misses nobody: begins again with its state");
+                            + " and its engine has started no election: restarting it from the"
+                            + " stored state");
             stopEngine();
             phase = Phase.BROKEN;
             try {
@@ -328,7 +362,9 @@
             lastLoggedLeader = leaderName;
             context.log(
                     "fleet: "
-                            + (leaderName.isEmpty() ? "no leader is known" : leaderName + " leads")
+                            + (leaderName.isEmpty()
+                                    ? "no known leader"
+                                    : leaderName + " is the leader")
                             + (raftNode == null ? "" : ", term " + raftNode.getTerm().getTerm())
                             + ", entries "
                             + stateMachine.revision()
@@ -350,28 +386,28 @@
     }
 
     /**
-     * The state can't be written: nothing is confirmed any more. What is on the disk counts once it
-     * can be.
+     * Stops the engine because the stored state cannot be written, so that nothing more is
+     * confirmed. Once it can be read again, the content on disk is authoritative.
      */
     private void enterBroken() {
         logState(
-                "can't write its state, and votes no more: "
+                "cannot write its state and no longer votes: "
                         + (store.writeFailure() == null ? "" : store.writeFailure().getMessage()));
         stopEngine();
         phase = Phase.BROKEN;
     }
 
-    /** Reads a voter's state. */
+    /** Opens a voter's stored state. */
     interface StoreReader {
         ConsensusStore read() throws IOException;
     }
 
-    /** The same voter goes on with state that is read again. */
+    /** Closes the store, reads the stored state again and continues from it. */
     void reloadState() throws IOException {
         store.close();
         store = storeReader.read();
         phase = store.groupId().isEmpty() ? Phase.FRESH : Phase.PROVING;
-        logState("has read its state again");
+        logState("has reloaded its stored state");
         advanceStartup();
     }
 
@@ -384,8 +420,9 @@
     }
 
     /**
-     * With no state of its own: begins a council with all that are named, unless one of them
-     * belongs to one.
+     * Without stored state: founds a consensus group with all configured voters, unless one of them
+     * already belongs to a group. The voter whose name sorts first proposes; the others
+     * acknowledge.
      */
     private void tryFoundGroup() throws IOException {
         if (!config.voterAddresses().containsKey(config.driver())) {
@@ -412,8 +449,8 @@
                 if (!peer.isPresent() || !peer.groupId.isEmpty()) {
                     logState(
                             peer.isPresent()
-                                    ? "has no state, and waits to be let in"
-                                    : "waits for " + name + " to found the council");
+                                    ? "has no state and waits to be added to the consensus group"
+                                    : "waits for " + name + " before founding the consensus group");
                     return;
                 }
                 members.add(peer.endpoint().id());
@@ -431,7 +468,7 @@
                 members.stream().filter(member -> !member.equals(self().id())).toList())) {
             store.saveGroup(store.proposedGroupId(), store.founders(), store.initialEpoch());
             logState(
-                    "founds council "
+                    "founds consensus group "
                             + store.groupId()
                             + " with "
                             + members.size()
@@ -454,7 +491,11 @@
                                                 store.initialEpoch())));
     }
 
-    /** With state: takes part once enough others say that they know of nothing newer from it. */
+    /**
+     * With stored state: starts the engine once enough other voters confirm that this voter has
+     * never confirmed anything newer than its stored state. If one knows of newer state, the local
+     * state is set aside and the voter rejoins as a new one.
+     */
     private void verifyStateIsCurrent() throws IOException {
         int confirmations = 0;
         for (Peer peer : peers.values()) {
@@ -464,15 +505,15 @@
                     context.log(
                             "fleet: "
                                     + peer.name
-                                    + " knows this voter to have confirmed term "
+                                    + " has seen this voter confirm term "
                                     + peer.ourConfirmedPosition.term()
                                     + ", entry "
                                     + peer.ourConfirmedPosition.index()
-                                    + ": the state here is older than it was");
-                    store.setAside("older than it was");
+                                    + ": the stored state here is older");
+                    store.setAside("older than the state that this voter has confirmed");
                     context.log("fleet: state set aside as " + store.setAsideNotice());
                     phase = Phase.FRESH;
-                    // Who it is is said at a connection's begin.
+                    // The identity is sent when a connection opens, so reconnect with the new one.
                     peers.values().forEach(Peer::disconnect);
                     return;
                 }
@@ -508,17 +549,18 @@
         phase = Phase.IN;
         raftNode.start();
         logState(
-                "takes part in council "
+                "joined consensus group "
                         + store.groupId()
                         + (restored == null
                                 ? ""
-                                : " with its state, term "
+                                : " with its stored state, term "
                                         + restored.getTermPersistentState().getTerm()));
     }
 
     /**
-     * One that is taken out is not sent the entry that says so: another voter's word, of a later
-     * entry than its own, does.
+     * Handles the members reported by another voter. The engine does not send a removed voter the
+     * log entry that removes it, so a report of a later log index that lacks this voter counts
+     * instead.
      */
     private void handleReportedMembers(List<String> reportedMembers, long reportedIndex) {
         RaftGroupMembers ownMembers = raftNode.getCommittedMembers();
@@ -530,14 +572,14 @@
     }
 
     /**
-     * The council has settled that this one votes no more: should it ever again, it comes as a
-     * newcomer.
+     * This voter has been removed from the group: stops the engine and sets the state aside. If it
+     * is added again, it joins as a new voter.
      */
     private void handleRemoval() {
-        logState("has been taken out of the council");
+        logState("has been removed from the consensus group");
         stopEngine();
         try {
-            store.setAside("taken out of the council");
+            store.setAside("removed from the consensus group");
             context.log("fleet: state set aside as " + store.setAsideNotice());
             phase = Phase.FRESH;
             peers.values().forEach(Peer::disconnect);
@@ -547,8 +589,8 @@
     }
 
     /**
-     * As the leader: a voter that lost its state gets the place of the one it was, one change at a
-     * time.
+     * As the leader: brings the members in line with the configured voters, one change at a time. A
+     * voter that lost its state replaces its former endpoint.
      */
     private void reconcileMembers() {
         RaftGroupMembers members = raftNode.getCommittedMembers();
@@ -620,7 +662,7 @@
         membershipChangePending = true;
         context.log(
                 "fleet: voters: "
-                        + (mode == MembershipChangeMode.REMOVE_MEMBER ? "takes out " : "lets in ")
+                        + (mode == MembershipChangeMode.REMOVE_MEMBER ? "removing " : "adding ")
                         + endpoint.getId());
         raftNode.changeMembership(endpoint, mode, members.getLogIndex())
                 .whenComplete(
@@ -630,14 +672,17 @@
                                     "fleet: voters: "
                                             + endpoint.getId()
                                             + (failure == null
-                                                    ? " settled"
-                                                    : " not settled: " + failure));
+                                                    ? " committed"
+                                                    : " not committed: " + failure));
                         });
     }
 
-    // ---- the log ----
+    // ---- replicated log ----
 
-    /** Has an op settled, here or by the leader; whoever asks repeats it until it is seen. */
+    /**
+     * Proposes a command, here or through the leader. Not reliable: the requester repeats it until
+     * it sees the effect.
+     */
     private void propose(Command command) {
         if (raftNode == null) {
             return;
@@ -646,14 +691,15 @@
             raftNode.replicate(command)
                     .whenComplete(
                             (done, failure) -> {
-                                // Not settled, or not known to be: whoever asked for it asks again.
+                                // The command may not have been committed; the requester repeats
+                                // it.
                             });
         } else {
             sendToLeader(MessageCodec.message("pass", "op", MessageCodec.encode(command)));
         }
     }
 
-    /** As if somebody attached here had asked for it, for plays. */
+    /** Proposes a command as if an attached driver had requested it; for simulations. */
     void proposeForTest(Command command) {
         propose(command);
     }
@@ -666,6 +712,10 @@
         }
     }
 
+    /**
+     * Proposes, or passes to the leader, the collected heartbeats and reports, and proposes the
+     * expiry of overdue sessions.
+     */
     private void tick() {
         if (stopped) {
             return;
@@ -709,8 +759,8 @@
                             MessageCodec.message(
                                     "beats", "beats", new TreeMap<>(pendingHeartbeats)));
                 }
-                // A leader that has started lately counts anew; one that has been here all along
-                // knows earlier.
+                // A new leader starts its timers anew, so a follower that has run longer may
+                // detect an expired session first.
                 sessionExpiry
                         .expireCommands(context.now().minus(config.lease().heartbeatInterval()))
                         .stream()
@@ -718,12 +768,13 @@
                         .forEach(command -> propose(command.withProposedAt(context.wallClockMs())));
             }
         }
-        // What did not get through comes again with the drivers' next beats.
+        // Lost heartbeats and reports are made up for by the drivers' next ones.
         pendingHeartbeats.clear();
         pendingReports.clear();
         context.schedule(config.lease().heartbeatInterval().dividedBy(2), this::tick);
     }
 
+    /** Notifies the attached drivers that wait for this command, and pushes the changed state. */
     private void commandApplied(Command command, String result) {
         observeSessions();
         if (!result.isEmpty() && command.kind() == Command.Kind.OPEN) {
@@ -759,6 +810,10 @@
         }
     }
 
+    /**
+     * Schedules one push of updates to all attached drivers, however many commands are applied
+     * before it runs.
+     */
     private void schedulePush() {
         if (!pushScheduled) {
             pushScheduled = true;
@@ -770,7 +825,7 @@
         }
     }
 
-    /** The state that follows from the log. */
+    /** Applies the engine's committed entries to the duty state machine. */
     private final class EngineStateMachine implements StateMachine {
         private final int generation;
 
@@ -809,6 +864,10 @@
         }
     }
 
+    /**
+     * Runs the engine's tasks on the context's thread, in engine time; drops those of an earlier
+     * engine.
+     */
     private final class EngineExecutor implements RaftNodeExecutor {
         private final int generation;
 
@@ -842,6 +901,7 @@
         }
     }
 
+    /** Sends the engine's messages over the peer connections. */
     private final class EngineTransport implements Transport {
         @Override
         public void send(RaftEndpoint target, RaftMessage message) {
@@ -858,12 +918,12 @@
         }
     }
 
-    /** How long one of the engine's seconds is, in seconds. */
+    /** Length of one engine second, in real seconds. */
     private double engineSecondLength() {
         return config.lease().duration().toNanos() / 1e9 / ENGINE_SECONDS_PER_LEASE;
     }
 
-    /** The host's monotone clock in the engine's time; the engine only ever takes differences. */
+    /** The monotonic clock scaled to engine time; the engine only uses differences. */
     private final class EngineClock extends Clock {
         @Override
         public ZoneId getZone() {
@@ -881,9 +941,12 @@
         }
     }
 
-    // ---- other voters ----
+    // ---- connections to other voters ----
 
-    /** What this voter says of itself to a caller. */
+    /**
+     * This voter's identity, membership, and the newest position that it knows the caller to have
+     * confirmed.
+     */
     private Map<String, Object> presenceMessage(String kind, String caller) {
         ConsensusStore.ConfirmedPosition confirmed = store.confirmedPosition(caller);
         RaftGroupMembers members = raftNode == null ? null : raftNode.getCommittedMembers();
@@ -916,8 +979,8 @@
     }
 
     /**
-     * The connection that this voter keeps to another one: what it sends goes there, what it gets
-     * comes by the other's.
+     * The outgoing connection to another voter. It carries what this voter sends; the messages of
+     * the other one arrive on the connection that the other one opened.
      */
     private final class Peer implements MessageTransport.ChannelHandler {
         private final String name;
@@ -1027,7 +1090,7 @@
                     reconnectAt = context.now().plus(REFUSED_RETRY_DELAY);
                 }
                 default -> {
-                    // of a later version
+                    // unknown message of a later version
                 }
             }
         }
@@ -1049,13 +1112,17 @@
         }
     }
 
-    // ---- who comes ----
+    // ---- connections from drivers and voters ----
 
-    /** A connection that another driver has opened to this one. */
+    /** Returns the handler for a new incoming connection. */
     MessageTransport.ChannelHandler newInboundHandler() {
         return new InboundConnection();
     }
 
+    /**
+     * A connection opened by another voter, a driver or the command line; the role is given by its
+     * hello.
+     */
     private final class InboundConnection implements MessageTransport.ChannelHandler {
         private Channel channel;
         private String role = "";
@@ -1194,7 +1261,7 @@
             }
         }
 
-        /** To all drivers that are attached here, but for the one that it came from. */
+        /** Forwards a message to all drivers attached here, except the sender. */
         private void forwardToDrivers(Map<String, Object> message) {
             inboundConnections.stream()
                     .filter(connection -> connection != this && !connection.sessionId.isEmpty())
@@ -1202,10 +1269,12 @@
                     .forEach(connection -> connection.channel.send(message));
         }
 
-        /** What a voter sends proves how far its own state has come. */
+        /**
+         * Records the newest term and log index that a voter's message proves it to have confirmed.
+         */
         private void recordConfirmed(RaftMessage raftMessage) {
             String sender = (String) raftMessage.getSender().getId();
-            // A poll before an election names a term that nobody has written down yet.
+            // A pre-vote carries a term that nobody has stored yet.
             boolean poll =
                     raftMessage instanceof PreVoteRequest || raftMessage instanceof PreVoteResponse;
             if (sender.equals(endpointId) && !poll) {
@@ -1281,7 +1350,7 @@
                     }
                 }
                 case "again" -> {
-                    // The same connection goes on under another session.
+                    // The driver opened another session on the same connection.
                     sessionId = name + "/" + MessageCodec.stringOrEmpty(message, "run");
                     updates = new SessionUpdates();
                     pushUpdates();
@@ -1291,7 +1360,7 @@
             }
         }
 
-        /** Why the voters can't be changed like that now, or empty. */
+        /** Returns why a voter change is refused now, or an empty string. */
         private String whyVoterChangeRefused(Command command) {
             if (raftNode == null) {
                 return "this voter takes no part now";
@@ -1325,7 +1394,7 @@
                     : "";
         }
 
-        /** Tells what is settled and not told yet. */
+        /** Sends the committed changes that the driver has not received yet. */
         private void pushUpdates() {
             if (!sessionId.isEmpty() && raftNode != null) {
                 updates.push(stateMachine, channel, sessionId);
@@ -1333,9 +1402,9 @@
         }
     }
 
-    // ---- for people ----
+    // ---- status ----
 
-    /** All that an operator may want to know, as plain values. */
+    /** Returns the status as plain values, for the command line. */
     Map<String, Object> status() {
         Map<String, Object> status = new HashMap<>();
         status.put("fleet", config.name());
--- a/src/main/java/wingroad/fleet/ConsensusStore.java
+++ b/src/main/java/wingroad/fleet/ConsensusStore.java
@@ -24,9 +24,9 @@
 import java.util.zip.CRC32C;
 
 /**
- * A voter's state: who it is, the council that it belongs to, the engine's term, log and snapshot,
- * and what it has seen the other voters confirm. Each row has a checksum, so that one that was
- * changed is not taken for a vote.
+ * A voter's durable state: its identity, its consensus group, the engine's term, log and snapshot,
+ * and the newest positions that it has seen the other voters confirm. Each row has a checksum, so
+ * that a corrupted row is not taken for a vote.
  */
 final class ConsensusStore implements RaftStore {
     private static final long IDENTITY_ROW = 0;
@@ -35,13 +35,21 @@
     private static final long TERM_ROW = 3;
     private static final long CONFIRMED_POSITIONS_ROW = 4;
     private static final long VOTER_CHANGES_ROW = 5;
+
+    /** Length of the CRC-32C in front of each row. */
     private static final int CHECKSUM_BYTES = 4;
 
     /**
-     * The newest that another voter is known to have confirmed: its term, and an entry's index in a
-     * term.
+     * The newest position that a voter is known to have confirmed.
+     *
+     * @param term its newest term
+     * @param entryTerm the term in which it confirmed its newest log entry
+     * @param index the index of that entry
      */
     record ConfirmedPosition(int term, int entryTerm, long index) {
+        /**
+         * Returns the later of this position and the given one; an index of 0 stands for no entry.
+         */
         ConfirmedPosition advancedTo(int newTerm, long newIndex) {
             if (newIndex > 0 && (newTerm > entryTerm || newTerm == entryTerm && newIndex > index)) {
                 return new ConfirmedPosition(Math.max(term, newTerm), newTerm, newIndex);
@@ -64,8 +72,10 @@
     private String setAsideNotice;
 
     /**
-     * Reads what is there; where that can't be read it is set aside, and told by {@link
-     * #setAsideNotice}.
+     * Reads the stored state. Malformed state is set aside, and {@link #setAsideNotice} then says
+     * so.
+     *
+     * @param idGenerator supplies the identity of a new voter
      */
     ConsensusStore(RowStore rowStore, Supplier<String> idGenerator) throws IOException {
         this.rowStore = rowStore;
@@ -189,12 +199,15 @@
         flush();
     }
 
-    /** Gives all up under the old identity; what was there is kept under another name. */
+    /**
+     * Sets the stored state aside under another file name and starts empty, with a new identity.
+     */
     void setAside(String reason) throws IOException {
         setAsideNotice = rowStore.setAside() + ": " + reason;
         initialize();
     }
 
+    /** Records that a database was set aside before this store was opened. */
     void recordSetAside(String notice) {
         setAsideNotice = notice;
     }
@@ -208,24 +221,27 @@
         return identity;
     }
 
-    /** The council that this voter belongs to, or empty. */
+    /** Id of the consensus group that this voter belongs to, or empty. */
     String groupId() {
         return groupId;
     }
 
-    /** A council that was proposed and is not known to have begun, or empty. */
+    /** Id of a proposed group that is not known to have been founded, or empty. */
     String proposedGroupId() {
         return proposedGroupId;
     }
 
+    /** Endpoint ids of the group's founding members. */
     List<String> founders() {
         return founders;
     }
 
+    /** The epoch from which the group's state machine starts. */
     long initialEpoch() {
         return initialEpoch;
     }
 
+    /** Saves a proposed group that is not yet founded. */
     void saveProposal(String name, List<String> members, long firstEpoch) throws IOException {
         proposedGroupId = name;
         founders = List.copyOf(members);
@@ -233,6 +249,7 @@
         saveIdentity();
     }
 
+    /** Saves the group that this voter belongs to from now on. */
     void saveGroup(String name, List<String> members, long firstEpoch) throws IOException {
         groupId = name;
         proposedGroupId = "";
@@ -241,15 +258,17 @@
         saveIdentity();
     }
 
+    /** The engine's stored state as read at startup, or null. */
     RestoredRaftState restored() {
         return restored;
     }
 
-    /** What went wrong with writing, or null; nothing is confirmed after that. */
+    /** The first write error, or null; nothing is written or confirmed after it. */
     IOException writeFailure() {
         return writeFailure;
     }
 
+    /** The newest position that the endpoint is known to have confirmed; zeros if none. */
     ConfirmedPosition confirmedPosition(String endpoint) {
         return confirmedPositions.getOrDefault(endpoint, new ConfirmedPosition(0, 0, 0));
     }
@@ -258,14 +277,12 @@
         confirmedPositions.put(endpoint, position);
     }
 
-    /**
-     * The changes of the voters, as they were known last: where to look for the others at a start.
-     */
+    /** The voter changes known last: addresses to find the other voters at on startup. */
     Map<String, String> voterChanges() {
         return voterChanges;
     }
 
-    /** Writes them down; durable with the next flush. */
+    /** Saves the voter changes; durable with the next flush. */
     void saveVoterChanges(Map<String, String> changes) {
         if (!voterChanges.equals(changes)) {
             voterChanges.clear();
@@ -273,12 +290,12 @@
             try {
                 put(RowStore.Table.META, VOTER_CHANGES_ROW, new LinkedHashMap<>(voterChanges));
             } catch (IOException e) {
-                // put has noted it
+                // kept by put as the write failure
             }
         }
     }
 
-    /** Writes down what was seen; durable with the next flush. */
+    /** Saves the confirmed positions; durable with the next flush. */
     void saveConfirmedPositions() {
         Map<String, Object> row = new LinkedHashMap<>();
         confirmedPositions.forEach(
@@ -292,11 +309,13 @@
         try {
             put(RowStore.Table.META, CONFIRMED_POSITIONS_ROW, row);
         } catch (IOException endpointId) {
-            // put has noted it
+            // kept by put as the write failure
         }
     }
 
-    /** Whether the restored state lies before what it is known to have confirmed. */
+    /**
+     * Whether the restored state is older than the given position, which this voter has confirmed.
+     */
     boolean isOlderThan(ConfirmedPosition known) {
         if (restored == null) {
             return known.term > 0;
@@ -311,7 +330,7 @@
                 log.isEmpty()
                         ? snapshot == null ? 0 : snapshot.getTerm()
                         : log.get(log.size() - 1).getTerm();
-        // A shorter log is right where a later leader cut it: then its last entry is of a later
+        // A shorter log is valid if a later leader truncated it: its last entry then has a later
         // term.
         return restored.getTermPersistentState().getTerm() < known.term
                 || index < known.index && term <= known.entryTerm;
@@ -321,7 +340,7 @@
         rowStore.close();
     }
 
-    // ---- for the engine ----
+    // ---- called by the engine ----
 
     @Override
     public void persistAndFlushLocalEndpoint(RaftEndpointPersistentState state) throws IOException {
@@ -398,7 +417,8 @@
     private void requireWritable() throws IOException {
         if (writeFailure != null) {
             throw new IOException(
-                    "nothing is written after: " + writeFailure.getMessage(), writeFailure);
+                    "not written after an earlier failure: " + writeFailure.getMessage(),
+                    writeFailure);
         }
     }
 
@@ -432,7 +452,7 @@
     private static Map<String, Object> decodeRow(byte[] row) {
         if (row.length < CHECKSUM_BYTES
                 || ByteBuffer.wrap(row).getInt() != checksum(row, CHECKSUM_BYTES)) {
-            throw new Json.Malformed("a row's checksum is wrong");
+            throw new Json.Malformed("checksum mismatch in a row");
         }
         return Cbor.decode(java.util.Arrays.copyOfRange(row, CHECKSUM_BYTES, row.length));
     }
--- a/src/main/java/wingroad/fleet/DriverSession.java
+++ b/src/main/java/wingroad/fleet/DriverSession.java
@@ -18,32 +18,35 @@
 import java.util.function.Supplier;
 
 /**
- * A driver's side of the fleet: its session with the council by way of one voter, and another one
- * when that falls silent. What it asks it asks again with each beat until it sees it settled. Free
- * of I/O; all calls on one thread.
+ * A driver's session with the consensus group, by way of one voter; switches to another voter when
+ * that one falls silent. Pending requests are repeated with each heartbeat until their effect is
+ * seen. Does no I/O itself; all calls must be made on one thread.
  */
 final class DriverSession implements MessageTransport.ChannelHandler {
+    /** Delay before connecting again after a voter refused this driver. */
     private static final Duration REFUSED_RETRY_DELAY = Duration.ofSeconds(2);
 
-    /** A word that it leaves goes out again so soon; after so many to one voter, to the next. */
+    /** Delay between repeated leave requests. */
     private static final Duration LEAVE_RETRY_DELAY = Duration.ofMillis(40);
 
+    /** Leave requests sent to one voter before switching to the next. */
     private static final int LEAVE_ATTEMPTS_PER_VOTER = 3;
 
-    /**
-     * A report is said again with each of so many beats: the one before may not have got through.
-     */
+    /** A report is repeated after so many heartbeats, since the previous one may have been lost. */
     private static final int REPORT_INTERVAL_HEARTBEATS = 4;
 
+    /** Idle reports sent at the short interval before the long one applies. */
     private static final int MAX_FREQUENT_IDLE_REPORTS = 3;
+
+    /** Interval of reports of a driver that has been idle for some reports. */
     private static final int IDLE_REPORT_INTERVAL_HEARTBEATS = 32;
 
-    /** Who does the duties. */
+    /** Carries out the duties that this driver owns. */
     interface DutyHandler {
-        /** Something is settled, or time has passed: a look at what is to be done. */
+        /** Called when committed state arrived or time has passed: starts what is due. */
         void checkDuties();
 
-        /** Whether work under this duty has begun and not ended. */
+        /** Whether a task under this duty has started and not ended. */
         boolean isBusy(String duty);
     }
 
@@ -64,8 +67,9 @@
     private boolean channelUp;
 
     /**
-     * The voter has been heard on this connection. Before that nothing is asked there: one that
-     * hears nothing but is heard would keep its session, and its duties, that it can't act under.
+     * Whether the voter has answered on this connection. Nothing is sent before that: a driver that
+     * is heard but hears nothing would keep its session and its duties without being able to act on
+     * them.
      */
     private boolean helloAnswered;
 
@@ -79,14 +83,16 @@
     private boolean stopped;
     private String lastRefusal = "";
     private boolean leaseWasValid;
+
+    /** Whether another voter was already tried since the last heartbeat. */
     private boolean reconnectedSinceHeartbeat;
 
-    /** Who acts on the plan of work, or null. */
+    /** Receives the maintenance plan, or null. */
     private MaintenancePlanListener planListener;
 
     /**
-     * The register's revision that the plan is known of; an older voter's word on it counts for
-     * nothing.
+     * State machine revision of the newest plan received; an older plan from a lagging voter is
+     * ignored.
      */
     private long planRevision = -1;
 
@@ -95,10 +101,10 @@
     private int sentReportCount;
 
     /**
-     * @param identity of the state folder
-     * @param runIdGenerator gives a new session's part behind the driver's name
-     * @param sessionLeaseFactory makes the driver's side of a session
-     * @param publicationListener hears what owners hand on, past the fence
+     * @param identity the driver's identity, from its state folder
+     * @param runIdGenerator supplies the part of a new session id after the driver's name
+     * @param sessionLeaseFactory creates the lease state of a session, from its id
+     * @param publicationListener receives publications of duty owners that pass the epoch fence
      */
     DriverSession(
             ExecutionContext context,
@@ -117,7 +123,7 @@
         this.publicationListener = publicationListener;
         voterAddresses.putAll(config.voterAddresses());
         voterOrder.addAll(voterAddresses.keySet());
-        // Its own voter first; else spread over the voters by name.
+        // Its own voter first; the others in an order that differs by driver, to spread the load.
         voterOrder.sort(
                 Comparator.<String>comparingInt(v -> v.equals(config.driver()) ? 0 : 1)
                         .thenComparing(v -> (v + '/' + config.driver()).hashCode()));
@@ -128,7 +134,7 @@
         planListener = listener;
     }
 
-    /** What this driver says of itself from now on: at once where it says more than new figures. */
+    /** Sets this driver's report; sent at once if more than its figures has changed. */
     void report(DriverReport newReport) {
         boolean changed = report == null || newReport.differsBeyondFigures(report);
         report = newReport;
@@ -140,7 +146,7 @@
 
     private void sendReport() {
         if (helloAnswered && sessionOpen && report != null) {
-            // At rest, with no machine asked for, it is heard often enough by far less.
+            // An idle driver with no requested machine reports less often.
             heartbeatsUntilReport =
                     report.busyMsByGroup().isEmpty()
                                     && ++sentReportCount > MAX_FREQUENT_IDLE_REPORTS
@@ -152,7 +158,10 @@
         }
     }
 
-    /** An order of the conductor's, if this driver conducts under this epoch now. */
+    /**
+     * Proposes a command of the maintenance controller, if this driver is the controller under this
+     * epoch now.
+     */
     void proposeAsConductor(long epoch, Function<String, Command> commandFactory) {
         if (sessionLease.mayAct(MaintenanceSettings.CONTROLLER_DUTY, epoch, context.now())) {
             send(commandFactory.apply(sessionLease.sessionId()));
@@ -184,7 +193,10 @@
         return sessionLease;
     }
 
-    /** Asks for this until it is withdrawn; at most one ask by a name. */
+    /**
+     * Repeats the command with each heartbeat until {@link #cancelRequest}. A later request of the
+     * same name replaces it.
+     */
     void request(String name, Command command) {
         if (!command.equals(pendingRequests.put(name, command))) {
             send(command);
@@ -196,7 +208,8 @@
     }
 
     /**
-     * Nothing is done under any duty from now on; {@code then} runs once that is settled, if it is.
+     * Stops acting on all duties and leaves the session; {@code then} runs once that is committed,
+     * which may be never.
      */
     void leave(Runnable then) {
         leaving = true;
@@ -208,8 +221,9 @@
     }
 
     /**
-     * Until it is settled, and more often than with each beat: the duties stand still meanwhile. A
-     * voter that can't get it settled may know of no leader, or be gone.
+     * Repeats the leave request until it is committed, more often than with heartbeats since the
+     * duties have no active owner meanwhile. After a few attempts it switches to another voter:
+     * this one may know of no leader, or be gone.
      */
     private void retryLeave(int attempts) {
         if (onLeft == null || stopped) {
@@ -228,7 +242,7 @@
         disconnect();
     }
 
-    /** Hands something on, if the duty is this driver's at this time. */
+    /** Publishes content to all drivers, if this driver owns the duty now. */
     void publish(String duty, Map<String, Object> content) {
         SessionLease.DutyState dutyState = sessionLease.current(duty);
         if (helloAnswered
@@ -255,7 +269,7 @@
         connect();
         if (channel != null
                 && now.minus(lastHeardAt).compareTo(config.lease().duration().dividedBy(3)) > 0) {
-            // Nothing is settled there: it may be cut off itself.
+            // Nothing is committed through this voter: it may itself be cut off.
             switchVoter();
         }
         resendAll();
@@ -272,7 +286,7 @@
         }
     }
 
-    /** All that is to be settled, once more. */
+    /** Sends the heartbeat and all pending requests again. */
     private void resendAll() {
         if (helloAnswered && leaving) {
             send(Command.leaveSession(sessionLease.sessionId()));
@@ -297,15 +311,15 @@
                     leaseIsValid
                             ? "fleet: lease of "
                                     + sessionLease.sessionId()
-                                    + " runs, by "
+                                    + " is valid, renewed through "
                                     + voterOrder.get(voterIndex)
                             : "fleet: lease of "
                                     + sessionLease.sessionId()
-                                    + " has run out; its duties stand still here");
+                                    + " has expired; its duties are suspended here");
         }
     }
 
-    /** What is asked back is given up as soon as nothing of it runs. */
+    /** Releases each duty whose release is requested, once nothing runs under it. */
     private void releaseRequestedDuties() {
         for (SessionLease.DutyState dutyState : sessionLease.releaseRequests()) {
             if (!dutyHandler.isBusy(dutyState.duty())) {
@@ -334,8 +348,8 @@
         voterIndex = (voterIndex + 1) % voterOrder.size();
         reconnectAt = context.now();
         if (!reconnectedSinceHeartbeat) {
-            // The next one at once, but no more than one between two beats: all of them may be
-            // gone.
+            // Connect to the next voter at once, but at most once between two heartbeats: all
+            // voters may be gone.
             reconnectedSinceHeartbeat = true;
             context.execute(this::connect);
         }
@@ -368,7 +382,7 @@
                         runId()));
     }
 
-    /** The voters as they are now: those of the file, and what was changed since. */
+    /** Applies the committed voter changes to the configured voters. */
     private void updateVoters(Object changes) {
         if (changes instanceof Map<?, ?> changeMap) {
             String attached = voterOrder.get(voterIndex);
@@ -429,7 +443,7 @@
             }
             case "not-opened" -> logRefusal(MessageCodec.stringOrEmpty(message, "why"));
             default -> {
-                // of no concern here
+                // not for a driver
             }
         }
     }
@@ -444,7 +458,7 @@
     private void handleUpdate(Map<String, Object> message) {
         long newRevision = MessageCodec.longOrZero(message, "rev");
         if (newRevision < lastRevision) {
-            // A voter that lags: what it knows has been overtaken.
+            // From a lagging voter: already superseded.
             return;
         }
         lastHeardAt = context.now();
@@ -464,7 +478,7 @@
         boolean open = Boolean.TRUE.equals(message.get("open"));
         if (open) {
             if (!sessionOpen) {
-                // Another session, which has said nothing yet.
+                // A new session has not reported yet.
                 heartbeatsUntilReport = 0;
                 sentReportCount = 0;
             }
@@ -489,8 +503,8 @@
     }
 
     /**
-     * The council has ended the session: another one is opened, and nothing is done under the old
-     * one.
+     * The consensus group has ended the session: opens another one, and nothing more is done under
+     * the old one.
      */
     private void openNewSession() {
         SessionLease oldLease = sessionLease;
@@ -501,9 +515,9 @@
         sessionLease = sessionLeaseFactory.apply(config.driver() + "/" + runIdGenerator.get());
         oldLease.current().forEach(sessionLease::updateDuty);
         context.log(
-                "fleet: the council has ended "
+                "fleet: the consensus group has ended session "
                         + oldLease.sessionId()
-                        + "; opens "
+                        + "; opening "
                         + sessionLease.sessionId());
         if (helloAnswered) {
             channel.send(MessageCodec.message("again", "run", runId()));
@@ -516,7 +530,7 @@
         switchVoter();
     }
 
-    /** Which voter it is attached to, for people. */
+    /** Name of the voter that it is connected to, for display; empty if none. */
     String attachedVoter() {
         return channelUp ? voterOrder.get(voterIndex) : "";
     }
--- a/src/test/java/wingroad/fleet/ConsensusStoreTest.java
+++ b/src/test/java/wingroad/fleet/ConsensusStoreTest.java
@@ -110,7 +110,7 @@
         rows.full = false;
         assertThatThrownBy(k::flush)
                 .isInstanceOf(IOException.class)
-                .hasMessageContaining("nothing is written after");
+                .hasMessageContaining("not written after an earlier failure");
     }
 
     @Test
--- a/src/test/java/wingroad/fleet/FleetIT.java
+++ b/src/test/java/wingroad/fleet/FleetIT.java
@@ -127,7 +127,8 @@
         FencedMember.Entry late =
                 member.await(seen, x -> x.chore().equals("a") && x.epoch() < next.epoch());
         assertThat(late.accepted()).isFalse();
-        owner.await(0, l -> l.contains("has run out") || l.contains("the council has ended"));
+        owner.await(
+                0, l -> l.contains("has expired") || l.contains("the consensus group has ended"));
         nothingWrong();
     }
 
@@ -138,7 +139,7 @@
         Rig.Driver owner = runner(e);
         int from = owner.lines();
         rig.cutFromCouncil(owner.name, true);
-        owner.await(from, l -> l.contains("has run out"));
+        owner.await(from, l -> l.contains("has expired"));
         FencedMember.Entry next = successor(e);
         assertThat(runner(next)).isNotSameAs(owner);
         try (Client c = new Client(owner.port())) {
@@ -146,7 +147,7 @@
             assertThat(c.ask(Fixtures.read("served")).heard()).containsExactly("row value");
         }
         rig.cutFromCouncil(owner.name, false);
-        owner.await(from, l -> l.contains("lease of") && l.contains("runs"));
+        owner.await(from, l -> l.contains("lease of") && l.contains("is valid"));
         nothingWrong();
     }
 
@@ -157,12 +158,12 @@
         Rig.Driver owner = runner(e);
         int from = owner.lines();
         rig.cutOneWay(owner.name, false, true);
-        owner.await(from, l -> l.contains("has run out"));
+        owner.await(from, l -> l.contains("has expired"));
         // Guards against a session that is renewed by an owner that does not hear of it: its duties
         // stood still meanwhile.
         assertThat(runner(successor(e))).isNotSameAs(owner);
         rig.cutOneWay(owner.name, false, false);
-        owner.await(from, l -> l.contains("lease of") && l.contains("runs"));
+        owner.await(from, l -> l.contains("lease of") && l.contains("is valid"));
         member.await(member.entries(), x -> x.chore().equals("a"));
         nothingWrong();
     }
@@ -194,8 +195,8 @@
         lost.kill();
         lost.loseState();
         lost.start();
-        lost.await("belongs to no council yet");
-        lost.await("takes part in council");
+        lost.await("is not in a consensus group yet");
+        lost.await("joined consensus group");
         awaitVoters(List.of("d1", "d2", "d3"), "d2");
         nothingWrong();
     }
@@ -227,7 +228,7 @@
         left.await("lease of d4/");
         rig.driver("d1").kill();
         rig.driver("d2").kill();
-        left.await("has run out");
+        left.await("has expired");
         int seen = member.entries();
         try (Client c = new Client(left.port())) {
             c.startup().heard();
@@ -357,7 +358,7 @@
         try (FleetClient c = new FleetClient(rules(), "d1")) {
             assertThat(c.changeVoter("d3", "", "q3")).isEmpty();
         }
-        rig.driver("d3").await("has been taken out of the council");
+        rig.driver("d3").await("has been removed from the consensus group");
         assertThat(rig.driver("d3").await("state set aside")).isNotNull();
         // The new one counts: with d1 away d2 and d4 are a majority of three.
         rig.driver("d1").kill();
@@ -376,7 +377,7 @@
         full.largestFileKb = 1500;
         rig.startAll();
         first("a");
-        full.await("can't write its state, and votes no more");
+        full.await("cannot write its state and no longer votes");
         try (Client c = new Client(full.port())) {
             c.startup().heard();
             assertThat(c.ask(Fixtures.read("served")).heard()).containsExactly("row value");
@@ -422,7 +423,7 @@
             member.await(seen + 8, FencedMember.Entry::accepted);
             // A write that does not come to an end within the store's patience is a broken disk.
             disk.hang();
-            leader.await("can't write its state, and votes no more");
+            leader.await("cannot write its state and no longer votes");
             try (Client c = new Client(leader.port())) {
                 c.startup().heard();
                 assertThat(c.ask(Fixtures.read("served")).heard()).containsExactly("row value");
@@ -430,7 +431,7 @@
             member.await(member.entries() + 4, FencedMember.Entry::accepted);
         }
         int from = leader.lines();
-        leader.await(from, l -> l.contains("takes part in council"));
+        leader.await(from, l -> l.contains("joined consensus group"));
         nothingWrong();
     }
 
@@ -476,14 +477,14 @@
         rig.driver("d3").kill();
         rig.driver("d3").loseState();
         rig.driver("d3").start();
-        rig.driver("d4").await("has run out");
-        rig.driver("d1").await("has run out");
-        assertThat(rig.driver("d3").log()).noneMatch(l -> l.contains("takes part in council"));
+        rig.driver("d4").await("has expired");
+        rig.driver("d1").await("has expired");
+        assertThat(rig.driver("d3").log()).noneMatch(l -> l.contains("joined consensus group"));
         int seen = member.entries();
         rig.driver("d2").start();
         FencedMember.Entry again = member.await(seen, x -> x.chore().equals("a") && x.accepted());
         assertThat(again.epoch()).isGreaterThanOrEqualTo(e.epoch());
-        rig.driver("d3").await("takes part in council");
+        rig.driver("d3").await("joined consensus group");
         awaitVoters(List.of("d1", "d2", "d3"), "d3");
         nothingWrong();
     }
@@ -605,7 +606,7 @@
                                     .anyMatch(
                                             l ->
                                                     l.contains("voters: " + newcomer + "/")
-                                                            && l.contains(" settled"))
+                                                            && l.contains(" committed"))
                             && status().get("voters").equals(voters)) {
                         return;
                     }
