--- a/src/main/java/wingroad/fleet/Cbor.java
+++ b/src/main/java/wingroad/fleet/Cbor.java
@@ -15,62 +15,67 @@
 import java.util.Map;
 
 /**
- * Values as CBOR (RFC 8949): maps with names, lists, strings, whole numbers, doubles, booleans and
- * null.
+ * Encodes and decodes plain values as CBOR (RFC 8949): maps with string keys, lists, strings,
+ * integers, doubles, booleans and null.
  */
 final class Cbor {
+    private static final int MAX_NESTING_DEPTH = 64;
+
+    /** Rejects deeply nested input, which would exhaust the stack. */
     private static final CBORFactory FACTORY =
             new CBORFactoryBuilder(new CBORFactory())
                     .streamReadConstraints(
-                            StreamReadConstraints.builder().maxNestingDepth(64).build())
+                            StreamReadConstraints.builder()
+                                    .maxNestingDepth(MAX_NESTING_DEPTH)
+                                    .build())
                     .build();
 
     private Cbor() {}
 
     static byte[] encode(Object value) {
-        ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-        try (JsonGenerator out = FACTORY.createGenerator(bytes)) {
-            encode(out, value);
+        ByteArrayOutputStream output = new ByteArrayOutputStream();
+        try (JsonGenerator generator = FACTORY.createGenerator(output)) {
+            encode(generator, value);
         } catch (IOException entry) {
             throw new UncheckedIOException(entry);
         }
-        return bytes.toByteArray();
+        return output.toByteArray();
     }
 
-    private static void encode(JsonGenerator out, Object value) throws IOException {
+    private static void encode(JsonGenerator generator, Object value) throws IOException {
         if (value == null) {
-            out.writeNull();
+            generator.writeNull();
         } else if (value instanceof String s) {
-            out.writeString(s);
+            generator.writeString(s);
         } else if (value instanceof Long || value instanceof Integer) {
-            out.writeNumber(((Number) value).longValue());
+            generator.writeNumber(((Number) value).longValue());
         } else if (value instanceof Double d) {
-            out.writeNumber(d);
+            generator.writeNumber(d);
         } else if (value instanceof Boolean b) {
-            out.writeBoolean(b);
+            generator.writeBoolean(b);
         } else if (value instanceof List<?> list) {
-            out.writeStartArray();
+            generator.writeStartArray();
             for (Object element : list) {
-                encode(out, element);
+                encode(generator, element);
             }
-            out.writeEndArray();
+            generator.writeEndArray();
         } else if (value instanceof Map<?, ?> map) {
-            out.writeStartObject();
+            generator.writeStartObject();
             for (Map.Entry<?, ?> entry : map.entrySet()) {
-                out.writeFieldName((String) entry.getKey());
-                encode(out, entry.getValue());
+                generator.writeFieldName((String) entry.getKey());
+                encode(generator, entry.getValue());
             }
-            out.writeEndObject();
+            generator.writeEndObject();
         } else {
-            throw new IllegalArgumentException("no form for " + value.getClass());
+            throw new IllegalArgumentException("cannot encode " + value.getClass());
         }
     }
 
-    /** The map that the bytes are; throws {@link Json.Malformed} where they are none. */
+    /** Decodes a map; throws {@link Json.Malformed} if the bytes are not the encoding of one. */
     static Map<String, Object> decode(byte[] bytes) {
-        try (JsonParser in = FACTORY.createParser(bytes)) {
-            in.nextToken();
-            return Json.object(Json.value(in), "a message");
+        try (JsonParser parser = FACTORY.createParser(bytes)) {
+            parser.nextToken();
+            return Json.object(Json.value(parser), "a message");
         } catch (IOException e) {
             throw new Json.Malformed("no CBOR: " + e.getMessage());
         }
--- a/src/main/java/wingroad/fleet/ChoreRunner.java
+++ b/src/main/java/wingroad/fleet/ChoreRunner.java
@@ -4,18 +4,22 @@
 
 import java.time.Duration;
 
-/** What runs a chore's statement at the primary of its group. */
+/** Runs a chore's statement on the primary of its group. */
 public interface ChoreRunner {
     /**
-     * Runs it once, if that may still be, and says how it ended on the fleet's thread.
+     * Runs the statement at most once, before the deadline.
      *
-     * @param until on the monotone clock, {@code System.nanoTime()}: from then on it may no more be
-     *     begun nor waited for
+     * @param epoch the duty's epoch under which it runs
+     * @param run the number of the run
+     * @param deadline in {@code System.nanoTime()}: from then on the statement is neither started
+     *     nor waited for
+     * @param completion called once, on the fleet's thread
      */
     void run(Chore chore, long epoch, long run, Duration deadline, Completion completion);
 
-    /** Hears how a statement ended, once. */
+    /** Called once when the statement has ended. */
     interface Completion {
+        /** Reports the outcome of the statement, in text. */
         void completed(String outcome);
     }
 }
--- a/src/main/java/wingroad/fleet/ChoreScheduler.java
+++ b/src/main/java/wingroad/fleet/ChoreScheduler.java
@@ -10,25 +10,32 @@
 import java.util.Map;
 
 /**
- * The chores' turns. A turn is settled in the log before its statement is sent, so that no other
- * turn has its number; the statement goes out once, under the epoch, if the lease still runs then.
+ * Schedules the runs of chores. The number of a run is committed to the log before its statement is
+ * sent, so that no other run gets the same number. The statement is sent once, under the duty's
+ * epoch, and only if the lease is still valid then.
  */
 final class ChoreScheduler implements DriverSession.DutyHandler {
-    /** A turn that is due is looked at again no sooner. */
+    /** Added to the time until the next run is due, so that the check happens after it. */
     private static final Duration WAKE_UP_MARGIN = Duration.ofMillis(20);
 
+    /** A chore's progress at this driver. */
     private static final class ChoreState {
         final Chore chore;
         final RunSchedule schedule;
 
-        /** The turn that was asked for, under which epoch. */
+        /** The last run number requested for commit. */
         long requestedRun;
 
+        /** The epoch under which that run was requested. */
         long requestedEpoch;
+
+        /** The last run whose statement was started. */
         long startedRun;
+
+        /** Whether a statement is running. */
         boolean running;
 
-        /** A look is under way for when the next turn is due. */
+        /** Whether a check is scheduled for when the next run is due. */
         boolean wakeUpScheduled;
 
         ChoreState(Chore chore) {
@@ -40,7 +47,7 @@
     private final ExecutionContext context;
     private final DriverSession driverSession;
     private final ChoreRunner choreRunner;
-    private final Map<String, ChoreState> states = new LinkedHashMap<>();
+    private final Map<String, ChoreState> choreStates = new LinkedHashMap<>();
 
     ChoreScheduler(
             ExecutionContext context,
@@ -50,19 +57,19 @@
         this.context = context;
         this.driverSession = driverSession;
         this.choreRunner = choreRunner;
-        config.chores().forEach(chore -> states.put(chore.duty(), new ChoreState(chore)));
+        config.chores().forEach(chore -> choreStates.put(chore.duty(), new ChoreState(chore)));
     }
 
     @Override
     public boolean isBusy(String duty) {
-        ChoreState state = states.get(duty);
+        ChoreState state = choreStates.get(duty);
         return state != null && state.running;
     }
 
     @Override
     public void checkDuties() {
         SessionLease sessionLease = driverSession.sessionLease();
-        states.forEach(
+        choreStates.forEach(
                 (duty, state) -> {
                     SessionLease.DutyState dutyState = sessionLease.current(duty);
                     if (dutyState != null) {
@@ -81,7 +88,7 @@
                             + dutyState.duty()
                             + ": "
                             + missedRuns
-                            + " turns missed before turn "
+                            + " runs missed before run "
                             + dutyState.run());
         }
         String outcomeRequest = "told " + dutyState.duty();
@@ -101,7 +108,7 @@
             startRun(state, dutyState, sessionLease);
         }
         if (!state.wakeUpScheduled) {
-            // Else the next turn would wait for a beat.
+            // Otherwise the next run would wait for a heartbeat.
             state.wakeUpScheduled = true;
             context.schedule(
                     state.schedule.timeUntilDue(now).plus(WAKE_UP_MARGIN),
--- a/src/main/java/wingroad/fleet/ConsensusNode.java
+++ b/src/main/java/wingroad/fleet/ConsensusNode.java
@@ -308,7 +308,7 @@
         }
         advanceStartup();
         if (phase == Phase.IN && store.writeFailure() != null) {
-            enterBroken();
+            stopAsBroken();
         }
         logLeaderChange();
         if (phase == Phase.IN) {
@@ -338,7 +338,7 @@
         if (leader == null || isLeader()) {
             leaderSeenAt = context.now();
         } else if (context.now().minus(leaderSeenAt).toNanos()
-                > LEADER_LOST_ENGINE_SECONDS * engineSecondLength() * 1e9) {
+                > LEADER_LOST_ENGINE_SECONDS * engineSecondInSeconds() * 1e9) {
             leaderSeenAt = context.now();
             logState(
                     "has not heard from leader "
@@ -350,7 +350,7 @@
             try {
                 reloadState();
             } catch (IOException e) {
-                enterBroken();
+                stopAsBroken();
             }
         }
     }
@@ -381,7 +381,7 @@
                 verifyStateIsCurrent();
             }
         } catch (IOException e) {
-            enterBroken();
+            stopAsBroken();
         }
     }
 
@@ -389,7 +389,7 @@
      * Stops the engine because the stored state cannot be written, so that nothing more is
      * confirmed. Once it can be read again, the content on disk is authoritative.
      */
-    private void enterBroken() {
+    private void stopAsBroken() {
         logState(
                 "cannot write its state and no longer votes: "
                         + (store.writeFailure() == null ? "" : store.writeFailure().getMessage()));
@@ -446,9 +446,9 @@
         for (String name : config.voterAddresses().keySet()) {
             Peer peer = peers.get(name);
             if (peer != null) {
-                if (!peer.isPresent() || !peer.groupId.isEmpty()) {
+                if (!peer.isIdentified() || !peer.groupId.isEmpty()) {
                     logState(
-                            peer.isPresent()
+                            peer.isIdentified()
                                     ? "has no state and waits to be added to the consensus group"
                                     : "waits for " + name + " before founding the consensus group");
                     return;
@@ -499,7 +499,7 @@
     private void verifyStateIsCurrent() throws IOException {
         int confirmations = 0;
         for (Peer peer : peers.values()) {
-            if (peer.isPresent() && peer.groupId.equals(store.groupId())) {
+            if (peer.isIdentified() && peer.groupId.equals(store.groupId())) {
                 confirmations++;
                 if (store.isOlderThan(peer.ourConfirmedPosition)) {
                     context.log(
@@ -584,7 +584,7 @@
             phase = Phase.FRESH;
             peers.values().forEach(Peer::disconnect);
         } catch (IOException e) {
-            enterBroken();
+            stopAsBroken();
         }
     }
 
@@ -611,7 +611,7 @@
                                             !other.equals(endpoint)
                                                     && peers.containsKey(((Endpoint) other).name())
                                                     && peers.get(((Endpoint) other).name())
-                                                            .isPresent())
+                                                            .isIdentified())
                             .findFirst()
                             .ifPresent(raftNode::transferLeadership);
                 }
@@ -619,7 +619,7 @@
             }
         }
         for (Peer peer : peers.values()) {
-            if (!peer.isPresent() || !isVoter(peer.name)) {
+            if (!peer.isIdentified() || !isVoter(peer.name)) {
                 continue;
             }
             RaftEndpoint oldEndpoint =
@@ -896,7 +896,7 @@
         @Override
         public void schedule(Runnable task, long delay, TimeUnit unit) {
             context.schedule(
-                    Duration.ofNanos((long) (unit.toNanos(delay) * engineSecondLength())),
+                    Duration.ofNanos((long) (unit.toNanos(delay) * engineSecondInSeconds())),
                     ifCurrent(task));
         }
     }
@@ -906,7 +906,7 @@
         @Override
         public void send(RaftEndpoint target, RaftMessage message) {
             Peer peer = peers.get(((Endpoint) target).name());
-            if (peer != null && peer.isPresent() && peer.endpoint().equals(target)) {
+            if (peer != null && peer.isIdentified() && peer.endpoint().equals(target)) {
                 peer.send(MessageCodec.message("raft", "m", MessageCodec.encode(message)));
             }
         }
@@ -914,12 +914,12 @@
         @Override
         public boolean isReachable(RaftEndpoint target) {
             Peer peer = peers.get(((Endpoint) target).name());
-            return peer != null && peer.isPresent() && peer.endpoint().equals(target);
+            return peer != null && peer.isIdentified() && peer.endpoint().equals(target);
         }
     }
 
     /** Length of one engine second, in real seconds. */
-    private double engineSecondLength() {
+    private double engineSecondInSeconds() {
         return config.lease().duration().toNanos() / 1e9 / ENGINE_SECONDS_PER_LEASE;
     }
 
@@ -937,7 +937,8 @@
 
         @Override
         public Instant instant() {
-            return Instant.EPOCH.plusNanos((long) (context.now().toNanos() / engineSecondLength()));
+            return Instant.EPOCH.plusNanos(
+                    (long) (context.now().toNanos() / engineSecondInSeconds()));
         }
     }
 
@@ -986,7 +987,7 @@
         private final String name;
         private final String address;
         private Channel channel;
-        private boolean channelUp;
+        private boolean isConnected;
         private String identity = "";
         private String groupId = "";
         private ConsensusStore.ConfirmedPosition ourConfirmedPosition =
@@ -1005,12 +1006,12 @@
             return new Endpoint(name + "/" + identity);
         }
 
-        boolean isPresent() {
-            return channelUp && !identity.isEmpty();
+        boolean isIdentified() {
+            return isConnected && !identity.isEmpty();
         }
 
         void send(Map<String, Object> message) {
-            if (channelUp) {
+            if (isConnected) {
                 channel.send(message);
             }
         }
@@ -1024,7 +1025,7 @@
                 }
             } else if (now.minus(lastHeardAt).compareTo(PEER_SILENCE_TIMEOUT) > 0) {
                 disconnect();
-            } else if (channelUp && now.minus(lastPingAt).compareTo(PING_INTERVAL) >= 0) {
+            } else if (isConnected && now.minus(lastPingAt).compareTo(PING_INTERVAL) >= 0) {
                 lastPingAt = now;
                 channel.send(MessageCodec.message("ping"));
             }
@@ -1032,7 +1033,7 @@
 
         @Override
         public void connected(Channel opened) {
-            channelUp = true;
+            isConnected = true;
             opened.send(
                     MessageCodec.message(
                             "hello",
@@ -1070,7 +1071,7 @@
                 }
                 case "founding" -> {
                     if (MessageCodec.stringOrEmpty(message, "group").equals(store.proposedGroupId())
-                            && isPresent()) {
+                            && isIdentified()) {
                         foundingAcks.add(endpoint().id());
                         advanceStartup();
                     }
@@ -1105,7 +1106,7 @@
                 channel.close();
             }
             channel = null;
-            channelUp = false;
+            isConnected = false;
             identity = "";
             groupId = "";
             reconnectAt = context.now().plus(CHECK_INTERVAL);
@@ -1165,7 +1166,7 @@
             } catch (Json.Malformed | IllegalArgumentException | ClassCastException e) {
                 refuse("broken message: " + e.getMessage());
             } catch (IOException e) {
-                enterBroken();
+                stopAsBroken();
             }
         }
 
--- a/src/main/java/wingroad/fleet/ConsensusStatus.java
+++ b/src/main/java/wingroad/fleet/ConsensusStatus.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** What an operator may want to know of what is settled, as plain values. */
+/** Adds the committed state to a voter's status, as plain values for the command line. */
 final class ConsensusStatus {
     private ConsensusStatus() {}
 
--- a/src/main/java/wingroad/fleet/ConsensusStore.java
+++ b/src/main/java/wingroad/fleet/ConsensusStore.java
@@ -39,6 +39,9 @@
     /** Length of the CRC-32C in front of each row. */
     private static final int CHECKSUM_BYTES = 4;
 
+    /** A chunk's row number is its snapshot's index, shifted by this, and the chunk's number. */
+    private static final int CHUNK_INDEX_BITS = 10;
+
     /**
      * The newest position that a voter is known to have confirmed.
      *
@@ -242,16 +245,16 @@
     }
 
     /** Saves a proposed group that is not yet founded. */
-    void saveProposal(String name, List<String> members, long firstEpoch) throws IOException {
-        proposedGroupId = name;
+    void saveProposal(String newGroupId, List<String> members, long firstEpoch) throws IOException {
+        proposedGroupId = newGroupId;
         founders = List.copyOf(members);
         initialEpoch = firstEpoch;
         saveIdentity();
     }
 
     /** Saves the group that this voter belongs to from now on. */
-    void saveGroup(String name, List<String> members, long firstEpoch) throws IOException {
-        groupId = name;
+    void saveGroup(String newGroupId, List<String> members, long firstEpoch) throws IOException {
+        groupId = newGroupId;
         proposedGroupId = "";
         founders = List.copyOf(members);
         initialEpoch = firstEpoch;
@@ -269,12 +272,12 @@
     }
 
     /** The newest position that the endpoint is known to have confirmed; zeros if none. */
-    ConfirmedPosition confirmedPosition(String endpoint) {
-        return confirmedPositions.getOrDefault(endpoint, new ConfirmedPosition(0, 0, 0));
+    ConfirmedPosition confirmedPosition(String endpointId) {
+        return confirmedPositions.getOrDefault(endpointId, new ConfirmedPosition(0, 0, 0));
     }
 
-    void recordConfirmed(String endpoint, ConfirmedPosition position) {
-        confirmedPositions.put(endpoint, position);
+    void recordConfirmed(String endpointId, ConfirmedPosition position) {
+        confirmedPositions.put(endpointId, position);
     }
 
     /** The voter changes known last: addresses to find the other voters at on startup. */
@@ -316,9 +319,9 @@
     /**
      * Whether the restored state is older than the given position, which this voter has confirmed.
      */
-    boolean isOlderThan(ConfirmedPosition known) {
+    boolean isOlderThan(ConfirmedPosition confirmed) {
         if (restored == null) {
-            return known.term > 0;
+            return confirmed.term > 0;
         }
         List<LogEntry> log = restored.getLogEntries();
         SnapshotEntry snapshot = restored.getSnapshotEntry();
@@ -332,8 +335,8 @@
                         : log.get(log.size() - 1).getTerm();
         // A shorter log is valid if a later leader truncated it: its last entry then has a later
         // term.
-        return restored.getTermPersistentState().getTerm() < known.term
-                || index < known.index && term <= known.entryTerm;
+        return restored.getTermPersistentState().getTerm() < confirmed.term
+                || index < confirmed.index && term <= confirmed.entryTerm;
     }
 
     void close() {
@@ -384,7 +387,7 @@
     public void persistSnapshotChunk(SnapshotChunk chunk) throws IOException {
         put(
                 RowStore.Table.CHUNKS,
-                chunk.getIndex() << 10 | chunk.getSnapshotChunkIndex(),
+                chunk.getIndex() << CHUNK_INDEX_BITS | chunk.getSnapshotChunkIndex(),
                 MessageCodec.encode(chunk));
     }
 
@@ -400,7 +403,10 @@
 
     @Override
     public void deleteSnapshotChunks(long index, int count) throws IOException {
-        deleteRange(RowStore.Table.CHUNKS, index << 10, (index << 10) + count - 1);
+        deleteRange(
+                RowStore.Table.CHUNKS,
+                index << CHUNK_INDEX_BITS,
+                (index << CHUNK_INDEX_BITS) + count - 1);
     }
 
     @Override
--- a/src/main/java/wingroad/fleet/DriverSession.java
+++ b/src/main/java/wingroad/fleet/DriverSession.java
@@ -64,7 +64,7 @@
     private DutyHandler dutyHandler;
     private SessionLease sessionLease;
     private Channel channel;
-    private boolean channelUp;
+    private boolean isConnected;
 
     /**
      * Whether the voter has answered on this connection. Nothing is sent before that: a driver that
@@ -360,13 +360,13 @@
             channel.close();
         }
         channel = null;
-        channelUp = false;
+        isConnected = false;
         helloAnswered = false;
     }
 
     @Override
     public void connected(Channel opened) {
-        channelUp = true;
+        isConnected = true;
         opened.send(
                 MessageCodec.message(
                         "hello",
@@ -532,6 +532,6 @@
 
     /** Name of the voter that it is connected to, for display; empty if none. */
     String attachedVoter() {
-        return channelUp ? voterOrder.get(voterIndex) : "";
+        return isConnected ? voterOrder.get(voterIndex) : "";
     }
 }
--- a/src/main/java/wingroad/fleet/ExecutionContext.java
+++ b/src/main/java/wingroad/fleet/ExecutionContext.java
@@ -3,20 +3,22 @@
 import java.time.Duration;
 
 /**
- * What the fleet's parts stand on: a thread's tasks and timers and its clock. Real, or played in
- * virtual time.
+ * Clock, timers and task queue of the single thread that the fleet's components run on. Implemented
+ * by an event loop, and by simulations in virtual time.
  */
 public interface ExecutionContext {
-    /** The monotone clock, since some start. */
+    /** Monotonic time since an arbitrary start. */
     Duration now();
 
-    /** The wall clock in Unix milliseconds, for people alone. */
+    /** Wall clock time in milliseconds since the Unix epoch; for display only. */
     long wallClockMs();
 
-    /** Runs the task on the same thread, later. */
+    /** Queues the task to run on the same thread. */
     void execute(Runnable task);
 
-    void schedule(Duration wait, Runnable task);
+    /** Runs the task on the same thread after the delay. */
+    void schedule(Duration delay, Runnable task);
 
+    /** Writes a line to the log of the process. */
     void log(String line);
 }
--- a/src/main/java/wingroad/fleet/FleetClient.java
+++ b/src/main/java/wingroad/fleet/FleetClient.java
@@ -9,26 +9,29 @@
 import java.net.Socket;
 import java.util.Map;
 
-/**
- * A caller of the command line's: asks voters, one after the other, on a blocking socket of its
- * own.
- */
+/** Client for the command line: sends requests to one voter over a blocking socket. */
 public final class FleetClient implements AutoCloseable {
     private static final int CONNECT_TIMEOUT_MS = 1000;
     private static final int READ_TIMEOUT_MS = 2000;
+
+    /** Longest accepted answer, without its length. */
     private static final int MAX_MESSAGE_BYTES = 4 << 20;
 
+    private static final int LENGTH_PREFIX_BYTES = 4;
+
     private final Socket socket = new Socket();
-    private final DataInputStream in;
+    private final DataInputStream input;
 
-    /** Connects to a voter and says hello; fails where it does not answer or refuses. */
+    /**
+     * Connects to a voter and exchanges the hello; fails if the voter does not answer or refuses.
+     */
     public FleetClient(FleetConfig config, String voter) throws IOException {
         InetSocketAddress address =
                 TcpMessageTransport.parseAddress(config.voterAddresses().get(voter));
         try {
             socket.connect(address, CONNECT_TIMEOUT_MS);
             socket.setSoTimeout(READ_TIMEOUT_MS);
-            in = new DataInputStream(socket.getInputStream());
+            input = new DataInputStream(socket.getInputStream());
             send(
                     MessageCodec.message(
                             "hello", "fleet", config.name(), "name", "guest", "role", "guest"));
@@ -42,18 +45,21 @@
     private void send(Map<String, Object> message) throws IOException {
         byte[] body = Cbor.encode(message);
         byte[] frame =
-                java.nio.ByteBuffer.allocate(4 + body.length).putInt(body.length).put(body).array();
+                java.nio.ByteBuffer.allocate(LENGTH_PREFIX_BYTES + body.length)
+                        .putInt(body.length)
+                        .put(body)
+                        .array();
         socket.getOutputStream().write(frame);
     }
 
     private Map<String, Object> await(String kind) throws IOException {
         while (true) {
-            int length = in.readInt();
+            int length = input.readInt();
             if (length < 0 || length > MAX_MESSAGE_BYTES) {
-                throw new IOException("a message of " + length + " bytes");
+                throw new IOException("invalid message length: " + length + " bytes");
             }
             try {
-                Map<String, Object> message = Cbor.decode(in.readNBytes(length));
+                Map<String, Object> message = Cbor.decode(input.readNBytes(length));
                 String receivedKind = MessageCodec.stringOrEmpty(message, "k");
                 if (receivedKind.equals(kind)) {
                     return message;
@@ -61,20 +67,22 @@
                     throw new IOException("refused: " + MessageCodec.stringOrEmpty(message, "why"));
                 }
             } catch (Json.Malformed e) {
-                throw new IOException("a broken message: " + e.getMessage());
+                throw new IOException("malformed message: " + e.getMessage());
             }
         }
     }
 
-    /** All that the voter knows. */
+    /** Returns the voter's status. */
     public Map<String, Object> status() throws IOException {
         send(MessageCodec.message("status"));
         return Json.object(Json.need(await("status"), "status"), "the status");
     }
 
     /**
-     * Asks for a duty's hand-over; the answer once it is settled: empty, or why it is not done.
-     * Safe to repeat.
+     * Requests the hand-over of a duty to a driver.
+     *
+     * @param requestId identifies the request; safe to repeat under the same id
+     * @return empty once committed, or why it was refused
      */
     public String handOver(String duty, String newOwner, String requestId) throws IOException {
         send(
@@ -86,8 +94,10 @@
     }
 
     /**
-     * Asks for a voter to be let in at an address, or with none taken out; the answer as for a
-     * hand-over.
+     * Requests that a voter be added.
+     *
+     * @param address the voter's address, or empty to remove the voter
+     * @return as for {@link #handOver}
      */
     public String changeVoter(String name, String address, String requestId) throws IOException {
         send(
@@ -99,15 +109,19 @@
     }
 
     /**
-     * Asks for a machine; the answer once it is settled: empty, or why it can't be had. Safe to
-     * repeat under the same name.
+     * Requests a machine for maintenance. Safe to repeat under the same request id.
+     *
+     * @param durationMs the requested duration
+     * @param deadlineMs the latest time, in Unix milliseconds, or 0
+     * @param afterMachines machines whose maintenance comes first
+     * @return empty once committed, or why it was refused
      */
     public String requestMaintenance(
             String machine,
             String reason,
             long durationMs,
-            long before,
-            java.util.List<String> after,
+            long deadlineMs,
+            java.util.List<String> afterMachines,
             String requestId)
             throws IOException {
         send(
@@ -116,11 +130,20 @@
                         "op",
                         MessageCodec.encode(
                                 Command.requestMaintenance(
-                                        machine, reason, durationMs, before, after, requestId))));
+                                        machine,
+                                        reason,
+                                        durationMs,
+                                        deadlineMs,
+                                        afterMachines,
+                                        requestId))));
         return MessageCodec.stringOrEmpty(await("answer"), "result");
     }
 
-    /** Says a word on a machine, or on all as "*"; the answer as for an ask. */
+    /**
+     * Sends an operator's command on a machine, or on all machines as "*".
+     *
+     * @return as for {@link #handOver}
+     */
     public String sendOperatorCommand(String command, String machine, String requestId)
             throws IOException {
         send(
--- a/src/main/java/wingroad/fleet/FleetConfig.java
+++ b/src/main/java/wingroad/fleet/FleetConfig.java
@@ -10,18 +10,20 @@
 import java.util.Map;
 
 /**
- * What the operator's file says of the fleet.
+ * The fleet's configuration from the operator's file.
  *
- * @param name the fleet's; another fleet's drivers are refused
- * @param driver this driver's name in it
- * @param listenAddress where it listens for others, or null: it never votes
- * @param voterAddresses those that found the council, by name, each with the address at which this
- *     driver reaches it
- * @param stateFolder the folder for what must outlive the process
- * @param chores statements that one driver runs for all
- * @param listCheckInterval how often a driver asks discovery that goes by the list's owner, or
- *     null: each asks for itself
- * @param maintenance machines that may be taken out for work, or null: none are
+ * @param name the fleet's name; drivers of another fleet are refused
+ * @param driver this driver's name in the fleet; empty: to be set by {@link #withDefaultDriver}
+ * @param listenAddress address to listen on for other drivers, or null: this driver is never a
+ *     voter
+ * @param voterAddresses the founding voters by name, each with the address at which this driver
+ *     reaches it
+ * @param stateFolder folder for durable state
+ * @param lease timing of sessions and their leases
+ * @param chores periodic statements that one driver runs for all
+ * @param listCheckInterval how often a driver that uses the list owner's member list asks discovery
+ *     itself, or null: each driver asks discovery on its own
+ * @param maintenance settings for taking machines out for maintenance, or null: none
  */
 public record FleetConfig(
         String name,
@@ -33,10 +35,10 @@
         List<Chore> chores,
         Duration listCheckInterval,
         MaintenanceSettings maintenance) {
-    /** The duty of asking discovery for all. */
+    /** The duty of reading the member list from discovery for all drivers. */
     public static final String LIST_DUTY = "list";
 
-    /** The same without work on machines. */
+    /** Creates a configuration without maintenance. */
     public FleetConfig(
             String name,
             String driver,
@@ -58,15 +60,15 @@
                 null);
     }
 
-    /** A statement for the primary of a group, once in each span. */
+    /** A statement that is run periodically on the primary of a group. */
     public record Chore(String name, Duration interval, int group, String statement) {
-        /** The duty that stands for it. */
+        /** The name of the chore's duty. */
         public String duty() {
             return "chore " + name;
         }
     }
 
-    /** The duties that this driver would do. */
+    /** The duties that this driver is willing to own. */
     public List<String> duties() {
         List<String> duties = new ArrayList<>(chores.stream().map(Chore::duty).toList());
         if (listCheckInterval != null) {
@@ -78,7 +80,7 @@
         return duties;
     }
 
-    /** The same for a driver of this name where the file gives it none. */
+    /** Returns this configuration with the given driver name if it has none. */
     public FleetConfig withDefaultDriver(String defaultDriver) {
         return driver.isEmpty()
                 ? new FleetConfig(
@@ -94,7 +96,7 @@
                 : this;
     }
 
-    /** The same with these rules of work. */
+    /** Returns this configuration with the given maintenance settings. */
     public FleetConfig withMaintenance(MaintenanceSettings newMaintenance) {
         return new FleetConfig(
                 name,
--- a/src/main/java/wingroad/fleet/FleetNode.java
+++ b/src/main/java/wingroad/fleet/FleetNode.java
@@ -16,14 +16,20 @@
 import java.util.function.Supplier;
 
 /**
- * A driver's part in the fleet, on a thread of its own: the voter's consensus node where it has
- * one, its session, its duties. What goes wrong here is told and tried again; serving clients never
- * waits for it.
+ * This driver's participation in a fleet, on a thread of its own: the consensus node if it is a
+ * voter, its session and its duties. Failures are logged and retried; serving clients never waits
+ * for the fleet.
  */
 public final class FleetNode {
+    /** Delay before startup, or the reload of unreadable state, is tried again. */
     private static final Duration RETRY_DELAY = Duration.ofSeconds(2);
+
+    /** Longest wait for the release of duties when the process stops. */
     private static final Duration LEAVE_TIMEOUT = Duration.ofMillis(1500);
+
     private static final int MAX_CHANNELS = 1200;
+
+    /** Memory limit of the fleet's connections. */
     private static final long MAX_BUFFERED_BYTES = 32L << 20;
 
     private final FleetConfig config;
@@ -43,7 +49,7 @@
     private boolean leaving;
     private String lastFailure = "";
 
-    /** The thread with its clocks. */
+    /** The execution context of the fleet's event loop. */
     private final class EventLoopContext implements ExecutionContext {
         @Override
         public Duration now() {
@@ -89,8 +95,8 @@
     }
 
     /**
-     * Begins on a thread of its own; {@code choreRunner}, {@code publicationListener} and {@code
-     * planListener} (or null) are called on that thread.
+     * Starts on a thread of its own; the listeners and {@code choreRunner} are called on that
+     * thread. {@code planListener} may be null.
      */
     public static FleetNode start(
             FleetConfig config,
@@ -107,12 +113,12 @@
         return fleetNode;
     }
 
-    /** Hears what the owner of the list hands on, past the fence. */
+    /** Receives what the owner of the member list publishes, after the epoch fence. */
     public interface PublicationListener {
         void published(long epoch, Map<String, Object> content);
     }
 
-    /** Hands something on to all drivers, if this one owns the duty now. */
+    /** Publishes content to all drivers, if this driver owns the duty now. */
     public void publish(String duty, Map<String, Object> content) {
         loop.run(
                 () -> {
@@ -122,7 +128,7 @@
                 });
     }
 
-    /** What this driver says of itself to whoever plans work. */
+    /** Sets this driver's report to the maintenance controller. */
     public void report(DriverReport report) {
         loop.run(
                 () -> {
@@ -132,7 +138,10 @@
                 });
     }
 
-    /** Proposes the conductor's steps, if this driver still conducts under this epoch. */
+    /**
+     * Proposes maintenance steps, if this driver is still the maintenance controller under this
+     * epoch.
+     */
     public void proposeSteps(long epoch, List<MaintenanceController.Step> steps) {
         loop.run(
                 () -> {
@@ -153,7 +162,10 @@
                 });
     }
 
-    /** Proposes the machines that there are, likewise. */
+    /**
+     * Proposes the machine inventory, if this driver is still the maintenance controller under this
+     * epoch.
+     */
     public void proposeMachines(long epoch, List<String> lines) {
         loop.run(
                 () -> {
@@ -169,6 +181,7 @@
         loop.run(task);
     }
 
+    /** Starts the voter and the session; retried after a delay if this fails. */
     private void startParts() {
         if (leaving) {
             return;
@@ -211,7 +224,7 @@
                             + config.name()
                             + ", "
                             + (config.listenAddress() == null
-                                    ? "no voter"
+                                    ? "not a voter"
                                     : "listens at "
                                             + listener.at().getHostString()
                                             + ":"
@@ -224,7 +237,7 @@
         } catch (IOException | RuntimeException e) {
             if (!e.toString().equals(lastFailure)) {
                 lastFailure = e.toString();
-                log.accept("fleet: can't begin, tries again: " + e.getMessage());
+                log.accept("fleet: start failed, retrying: " + e.getMessage());
             }
             if (consensusNode != null) {
                 consensusNode.stop();
@@ -238,7 +251,7 @@
         }
     }
 
-    /** A voter whose state could not be written reads it again, once that works. */
+    /** Periodically tries to reload the state of a voter whose state could not be written. */
     private void retryReload() {
         if (consensusNode != null
                 && consensusNode.phase() == ConsensusNode.Phase.BROKEN
@@ -246,15 +259,14 @@
             try {
                 consensusNode.reloadState();
             } catch (IOException e) {
-                // Still not: it goes on being no voter.
+                // The state still cannot be read: it remains no voter.
             }
         }
         loop.after(RETRY_DELAY, this::retryReload);
     }
 
     /**
-     * Gives all duties back and goes; {@code then} runs once that is settled, or after a while all
-     * the same.
+     * Releases all duties and leaves; {@code then} runs once that is committed, or after a timeout.
      */
     public void leave(Runnable then) {
         loop.run(
@@ -283,7 +295,7 @@
                 });
     }
 
-    /** Closes the voter's state; for the end of the process. */
+    /** Closes the voter's state, at the end of the process. */
     public void close() {
         loop.run(
                 () -> {
--- a/src/main/java/wingroad/fleet/MaintenancePlanListener.java
+++ b/src/main/java/wingroad/fleet/MaintenancePlanListener.java
@@ -4,23 +4,23 @@
 import java.util.List;
 import java.util.Map;
 
-/** Who acts on the plan of work on machines at a driver. Called on the fleet's thread, in order. */
+/** Receives the maintenance plan at a driver. Called on the fleet's thread, in order. */
 public interface MaintenancePlanListener {
     /**
-     * Something of the plan is settled.
+     * The committed plan has changed.
      *
-     * @param news for {@link wingroad.work.PlanCopy#applyChanges}
-     * @param sums the fleet's figures where this driver conducts, else null
-     * @param live the drivers with a session, likewise
+     * @param changes for {@link wingroad.work.PlanCopy#applyChanges}
+     * @param totals the fleet's figures if this driver is the maintenance controller, else null
+     * @param liveDrivers the drivers with a session if this driver is the controller, else null
      */
     void planUpdated(Map<String, Object> changes, List<?> totals, List<?> liveDrivers);
 
     /**
-     * How long what was told last holds.
+     * The period for which the last received plan is valid has changed.
      *
-     * @param until on the monotone clock
-     * @param over the session has ended: nothing holds any more
-     * @param conducts the epoch under which this driver conducts the work, or 0
+     * @param until monotonic time at which it ends
+     * @param sessionEnded the session has ended: the plan is no longer valid
+     * @param controllerEpoch the epoch under which this driver is the maintenance controller, or 0
      */
-    void leaseUpdated(Duration until, boolean sessionEnded, long conductorEpoch);
+    void leaseUpdated(Duration until, boolean sessionEnded, long controllerEpoch);
 }
--- a/src/main/java/wingroad/fleet/MessageCodec.java
+++ b/src/main/java/wingroad/fleet/MessageCodec.java
@@ -32,13 +32,16 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The consensus engine's models and our own ops as plain values, for the wire and the disk. */
+/**
+ * Converts the consensus engine's models and the duty state machine's commands to plain values and
+ * back, for the wire and the disk.
+ */
 final class MessageCodec {
     static final RaftModelFactory MODEL_FACTORY = new DefaultRaftModelFactory();
 
     private MessageCodec() {}
 
-    /** A voter in the engine's eyes: "name/identity". */
+    /** A voter's identity for the engine, "name/identity". */
     record Endpoint(String id) implements RaftEndpoint {
         @Override
         public Object getId() {
@@ -61,6 +64,7 @@
         }
     }
 
+    /** Builds a message of a kind from alternating keys and values. */
     static Map<String, Object> message(String kind, Object... fields) {
         Map<String, Object> message = new LinkedHashMap<>();
         message.put("k", kind);
@@ -70,14 +74,17 @@
         return message;
     }
 
+    /** Returns the string under this key, or an empty one if there is none. */
     static String stringOrEmpty(Map<String, Object> message, String name) {
         return message.get(name) instanceof String s ? s : "";
     }
 
+    /** Returns the number under this key, or 0 if there is none. */
     static long longOrZero(Map<String, Object> message, String name) {
         return message.get(name) instanceof Number n ? n.longValue() : 0;
     }
 
+    /** Returns the elements as strings; an empty list if the value is not a list. */
     static List<String> stringList(Object list) {
         List<String> strings = new ArrayList<>();
         if (list instanceof List<?> values) {
@@ -86,8 +93,9 @@
         return strings;
     }
 
-    // ---- ops ----
+    // ---- commands ----
 
+    /** Encodes a command; empty and zero fields are left out. */
     static Map<String, Object> encode(Command command) {
         Map<String, Object> message = message(command.kind().name());
         putIfNotEmpty(message, "by", command.sessionId());
@@ -138,6 +146,7 @@
                 longOrZero(message, "wall"));
     }
 
+    /** Decodes heartbeat numbers by session id. */
     static Map<String, Long> decodeHeartbeats(Object value) {
         Map<String, Long> beats = new java.util.TreeMap<>();
         if (value instanceof Map<?, ?> entries) {
@@ -148,7 +157,7 @@
         return beats;
     }
 
-    // ---- the log ----
+    // ---- log entries and snapshots ----
 
     static List<String> endpointIds(Collection<RaftEndpoint> endpoints) {
         return endpoints.stream().map(endpoint -> (String) endpoint.getId()).toList();
@@ -380,7 +389,7 @@
                     "li",
                     request.getLastLogIndex());
         }
-        throw new IllegalArgumentException("no form for " + raftMessage.getClass());
+        throw new IllegalArgumentException("cannot encode " + raftMessage.getClass());
     }
 
     private static Map<String, Object> addFields(
@@ -389,6 +398,7 @@
         return message;
     }
 
+    /** Decodes a message between voters; throws {@link Json.Malformed} for an unknown kind. */
     static RaftMessage message(Map<String, Object> message) {
         Object groupId = message.get("g");
         Endpoint sender = Endpoint.of(stringOrEmpty(message, "s"));
--- a/src/main/java/wingroad/fleet/MessageTransport.java
+++ b/src/main/java/wingroad/fleet/MessageTransport.java
@@ -2,28 +2,35 @@
 
 import java.util.Map;
 
-/** Connections that carry messages, each whole and in order, or break. */
+/** Connections that deliver messages whole and in order, until they fail. */
 public interface MessageTransport {
     /**
-     * Opens a connection; its owner hears {@code up} or {@code ended} later, never within this
-     * call.
+     * Opens a connection. The handler is told of the outcome by {@link ChannelHandler#connected} or
+     * {@link ChannelHandler#closed}, never within this call.
      */
-    Channel open(String address, ChannelHandler owner);
+    Channel open(String address, ChannelHandler handler);
 
-    /** One connection. */
+    /** One open connection. */
     interface Channel {
+        /** Sends a message; dropped if the connection is closed. */
         void send(Map<String, Object> message);
 
-        /** Ends it from here; the owner hears nothing more. */
+        /** Closes the connection; its handler is not called any more. */
         void close();
     }
 
-    /** Whose connection it is. */
+    /** Receives the events of a connection. */
     interface ChannelHandler {
-        default void connected(Channel wire) {}
+        /** The connection is established. */
+        default void connected(Channel channel) {}
 
-        void received(Channel wire, Map<String, Object> message);
+        /** A message has arrived. */
+        void received(Channel channel, Map<String, Object> message);
 
-        void closed(Channel wire, String how);
+        /**
+         * The connection failed or was closed by the other side; not called after {@link
+         * Channel#close}.
+         */
+        void closed(Channel channel, String reason);
     }
 }
--- a/src/main/java/wingroad/fleet/SessionUpdates.java
+++ b/src/main/java/wingroad/fleet/SessionUpdates.java
@@ -10,24 +10,27 @@
 import java.util.Map;
 
 /**
- * What one driver's session has been told by the voter that it is attached to, so that it is told
- * the rest: the plan, the duties that have changed, the last renewal that is settled. A new one
- * tells everything.
+ * Tracks what one driver session has been sent by the voter that it is attached to, so that only
+ * changes are sent: the maintenance plan, the changed duties, the last committed heartbeat. A new
+ * instance sends everything.
  */
 final class SessionUpdates {
     private long sentRevision = -1;
     private long sentHeartbeat = -1;
     private boolean sentOpen;
 
-    /** Up to which change of the plan it has been told; whether it has been told at all. */
+    /** Number of the last plan change sent. */
     private long sentPlanChange;
 
+    /** Whether the plan has been sent at all. */
     private boolean planSent;
+
     private List<Object> sentTotals = List.of();
 
-    /** Tells what is settled and not told yet. */
+    /** Sends the committed changes that have not been sent yet. */
     void push(DutyStateMachine stateMachine, Channel channel, String sessionId) {
-        // The plan goes before the beat that renews the lease on it: both come in one order.
+        // The plan is sent before the heartbeat that renews the lease on it; messages arrive in
+        // order.
         pushPlan(stateMachine, channel, sessionId);
         List<Object> duties = new ArrayList<>();
         for (DutyStateMachine.Duty duty : stateMachine.duties()) {
@@ -69,7 +72,7 @@
         MaintenancePlan plan = stateMachine.plan();
         DutyStateMachine.Duty controller = stateMachine.duty(MaintenanceSettings.CONTROLLER_DUTY);
         if (controller == null) {
-            // Nobody's file says anything of work.
+            // Maintenance is not configured on any driver.
             return;
         }
         boolean isController = controller.owner().equals(sessionId);
--- a/src/main/java/wingroad/fleet/SqliteRowStore.java
+++ b/src/main/java/wingroad/fleet/SqliteRowStore.java
@@ -13,10 +13,11 @@
 import java.util.TreeMap;
 
 /**
- * RowStore in an SQLite file, by its write-ahead log: what was flushed survives the end of the
- * process at any byte.
+ * A {@link RowStore} in an SQLite file with a write-ahead log: flushed rows survive a crash of the
+ * process at any point.
  */
 final class SqliteRowStore implements RowStore {
+    /** Suffixes of the database's files. */
     private static final String[] FILE_SUFFIXES = {"", "-wal", "-shm"};
 
     private final Path file;
@@ -27,7 +28,7 @@
         try {
             open();
         } catch (SQLException e) {
-            // What can't be opened as a database is set aside by whoever reads it: nothing is
+            // A file that cannot be opened as a database is moved aside instead of being
             // overwritten.
             closeConnection();
             String name = setAside();
@@ -35,7 +36,7 @@
         }
     }
 
-    /** The file was none, and has been set aside under another name. */
+    /** The file was not a readable database and has been moved aside. */
     static final class UnreadableDatabaseException extends IOException {
         private static final long serialVersionUID = 1L;
 
@@ -51,7 +52,7 @@
             statement.execute("PRAGMA synchronous=FULL");
             try (ResultSet check = statement.executeQuery("PRAGMA quick_check(1)")) {
                 if (!check.next() || !"ok".equals(check.getString(1))) {
-                    throw new SQLException("not whole: " + check.getString(1));
+                    throw new SQLException("integrity check failed: " + check.getString(1));
                 }
             }
             for (Table table : Table.values()) {
@@ -142,7 +143,7 @@
                 connection.close();
             }
         } catch (SQLException e) {
-            // it is not used any more
+            // the connection is not used any more
         }
         connection = null;
     }
--- a/src/main/java/wingroad/fleet/StateFolder.java
+++ b/src/main/java/wingroad/fleet/StateFolder.java
@@ -13,8 +13,8 @@
 import java.util.function.Supplier;
 
 /**
- * A driver's folder for what must outlive it. One process has it at a time, by a lock that ends
- * with the process.
+ * A driver's folder for durable state. One process uses it at a time, guarded by a file lock that
+ * ends with the process.
  */
 final class StateFolder implements AutoCloseable {
     private final Path folder;
@@ -43,7 +43,10 @@
         }
     }
 
-    /** Who this driver is to the council; drawn when the folder is first used. */
+    /**
+     * Returns the driver's identity towards the consensus group; generated at the first use of the
+     * folder.
+     */
     String identity() throws IOException {
         Path file = folder.resolve("identity");
         if (Files.exists(file)) {
@@ -68,22 +71,23 @@
         return generated;
     }
 
-    /** The voter's state; what is no database is set aside under another name. */
+    /** Opens the voter's state; a file that is not a readable database is moved aside. */
     ConsensusStore openStore() throws IOException {
         prepareUnpackFolder();
         Path file = folder.resolve("council.db");
         try {
             return new ConsensusStore(new SqliteRowStore(file), idGenerator);
         } catch (SqliteRowStore.UnreadableDatabaseException e) {
-            ConsensusStore fresh = new ConsensusStore(new SqliteRowStore(file), idGenerator);
-            fresh.recordSetAside(e.getMessage());
-            return fresh;
+            ConsensusStore newStore = new ConsensusStore(new SqliteRowStore(file), idGenerator);
+            newStore.recordSetAside(e.getMessage());
+            return newStore;
         }
     }
 
     /**
-     * The database's own library is unpacked into a file at each start, and one that was killed
-     * leaves it behind. In here, under the folder's lock, what is found is nobody's any more.
+     * Directs the native library that SQLite unpacks at each start into this folder. A killed
+     * process leaves its copy behind; under the folder's lock, any copy found here is unused and
+     * can be deleted.
      */
     private void prepareUnpackFolder() throws IOException {
         Path unpacked = Files.createDirectories(folder.resolve("unpacked"));
--- a/src/main/java/wingroad/fleet/TcpMessageTransport.java
+++ b/src/main/java/wingroad/fleet/TcpMessageTransport.java
@@ -11,17 +11,23 @@
 import java.util.Map;
 import java.util.function.Supplier;
 
-/** Messages over TCP: each as its length in four bytes and its CBOR. */
+/** Messages over TCP: each as its length in four bytes, followed by its CBOR encoding. */
 final class TcpMessageTransport implements MessageTransport {
+    /** Longest message, without its length. */
     private static final int MAX_MESSAGE_BYTES = 4 << 20;
+
+    /** Most bytes that may wait to be sent on one connection. */
     private static final long MAX_UNSENT_BYTES = 8L << 20;
 
+    private static final int LENGTH_PREFIX_BYTES = 4;
+
     private final EventLoop loop;
 
     TcpMessageTransport(EventLoop loop) {
         this.loop = loop;
     }
 
+    /** Parses {@code HOST:PORT}. */
     static InetSocketAddress parseAddress(String text) {
         int colon = text.lastIndexOf(':');
         return new InetSocketAddress(
@@ -33,21 +39,25 @@
         TcpChannel channel = new TcpChannel(handler);
         try {
             channel.connection =
-                    Connection.open(loop, parseAddress(address), channel, MAX_MESSAGE_BYTES + 4);
+                    Connection.open(
+                            loop,
+                            parseAddress(address),
+                            channel,
+                            MAX_MESSAGE_BYTES + LENGTH_PREFIX_BYTES);
         } catch (IOException | RuntimeException e) {
             loop.run(() -> channel.ended(0, false, "cannot open: " + e.getMessage()));
         }
         return channel;
     }
 
-    /** Listens; each guest gets an owner of its own. */
+    /** Listens on an address; each accepted connection gets a handler of its own. */
     Listener listen(InetSocketAddress address, Supplier<ChannelHandler> handlerFactory)
             throws IOException {
         Listener listener =
                 new Listener(
                         loop,
                         address,
-                        MAX_MESSAGE_BYTES + 4,
+                        MAX_MESSAGE_BYTES + LENGTH_PREFIX_BYTES,
                         () -> loop.channelsLeft() > 0,
                         accepted -> {
                             ChannelHandler handler = handlerFactory.get();
@@ -64,7 +74,7 @@
         private final ChannelHandler handler;
         private Connection connection;
         private long sentBytes;
-        private boolean closed;
+        private boolean isClosed;
 
         TcpChannel(ChannelHandler handler) {
             this.handler = handler;
@@ -72,23 +82,28 @@
 
         @Override
         public void send(Map<String, Object> message) {
-            if (closed || connection == null) {
+            if (isClosed || connection == null) {
                 return;
             }
             byte[] body = Cbor.encode(message);
-            sentBytes += body.length + 4;
+            sentBytes += body.length + LENGTH_PREFIX_BYTES;
             if (sentBytes - connection.wrote() > MAX_UNSENT_BYTES) {
-                // Whoever does not read gets no more: what waits for it must not fill the memory.
-                closeWith("does not read");
+                // A peer that does not read is disconnected, so that unsent messages do not
+                // exhaust the memory.
+                fail("peer does not read its messages");
                 return;
             }
             connection.send(
-                    ByteBuffer.allocate(4 + body.length).putInt(body.length).put(body).flip());
+                    ByteBuffer.allocate(LENGTH_PREFIX_BYTES + body.length)
+                            .putInt(body.length)
+                            .put(body)
+                            .flip());
         }
 
-        private void closeWith(String reason) {
-            if (!closed) {
-                closed = true;
+        /** Closes the connection after an error and tells the handler. */
+        private void fail(String reason) {
+            if (!isClosed) {
+                isClosed = true;
                 if (connection != null) {
                     connection.close();
                 }
@@ -98,20 +113,20 @@
 
         @Override
         public void up() {
-            if (!closed) {
+            if (!isClosed) {
                 handler.connected(this);
             }
         }
 
         @Override
         public void bytes(ByteBuffer in) {
-            while (!closed && in.remaining() >= 4) {
+            while (!isClosed && in.remaining() >= LENGTH_PREFIX_BYTES) {
                 int length = in.getInt(in.position());
                 if (length < 0 || length > MAX_MESSAGE_BYTES) {
-                    closeWith("a message of " + length + " bytes");
+                    fail("invalid message length: " + length + " bytes");
                     return;
                 }
-                if (in.remaining() < 4 + length) {
+                if (in.remaining() < LENGTH_PREFIX_BYTES + length) {
                     return;
                 }
                 byte[] body = new byte[length];
@@ -120,24 +135,24 @@
                 try {
                     handler.received(this, Cbor.decode(body));
                 } catch (Json.Malformed | ClassCastException e) {
-                    closeWith("a broken message: " + e.getMessage());
+                    fail("malformed message: " + e.getMessage());
                 }
             }
         }
 
         @Override
         public void full() {
-            closeWith("no memory for its messages");
+            fail("no memory left for received messages");
         }
 
         @Override
         public void ended(int unwritten, boolean orderly, String reason) {
-            closeWith(reason);
+            fail(reason);
         }
 
         @Override
         public void close() {
-            closed = true;
+            isClosed = true;
             if (connection != null) {
                 connection.close();
             }
--- a/src/test/java/wingroad/fleet/FleetIT.java
+++ b/src/test/java/wingroad/fleet/FleetIT.java
@@ -442,7 +442,7 @@
         Rig.Driver without = rig.driver("d4");
         Files.writeString(without.state(), "a file");
         rig.startAll();
-        without.await("can't begin, tries again");
+        without.await("start failed, retrying");
         try (Client c = new Client(without.port())) {
             c.startup().heard();
             assertThat(c.ask(Fixtures.read("served")).heard()).containsExactly("row value");
