--- /dev/null
+++ b/src/main/java/wingroad/driver/FleetAgent.java
@@ -0,0 +1,96 @@
+package wingroad.driver;
+
+import wingroad.fleet.FleetConfig;
+import wingroad.fleet.FleetNode;
+import wingroad.protocol.MemberList;
+import wingroad.terms.RouterSettings;
+import wingroad.transport.EventLoop;
+
+import java.io.IOException;
+import java.util.function.Consumer;
+
+/**
+ * Connects the driver to its fleet: owns the parts that carry out the driver's duties on the event
+ * loop's thread. A driver without a fleet does not load this class.
+ */
+final class FleetAgent {
+    private final FleetNode fleet;
+
+    /** Null if each driver requests the member list itself. */
+    private final MemberListRelay listRelay;
+
+    private FleetAgent(FleetNode fleet, MemberListRelay listRelay) {
+        this.fleet = fleet;
+        this.listRelay = listRelay;
+    }
+
+    /**
+     * Joins the fleet. Called once clients are served, on the loop's thread.
+     *
+     * @param watchesDiscovery whether discovery is watched for changes; in pull mode each driver
+     *     requests the list itself
+     */
+    static FleetAgent start(
+            FleetConfig rules,
+            EventLoop loop,
+            Clock clock,
+            TxnDispatcher dispatcher,
+            DiscoveryClient discoveryClient,
+            Configuration configuration,
+            boolean watchesDiscovery,
+            Consumer<MemberList> onList,
+            WorkAgent workAgent,
+            Log log)
+            throws IOException {
+        MemberListRelay listRelay =
+                rules.listCheckInterval() == null || !watchesDiscovery
+                        ? null
+                        : new MemberListRelay(
+                                loop,
+                                clock,
+                                discoveryClient,
+                                rules,
+                                discoveryClient.heldVersion(),
+                                onList,
+                                log::info);
+        ChoreExecutor choreExecutor =
+                new ChoreExecutor(
+                        loop, dispatcher, RouterSettings.fromWire(configuration.settings()));
+        FleetNode fleet =
+                FleetNode.start(
+                        rules.withDefaultDriver(configuration.name()),
+                        log::info,
+                        log::error,
+                        choreExecutor,
+                        (epoch, message) -> {
+                            if (listRelay != null) {
+                                listRelay.messageReceived(epoch, message);
+                            }
+                        },
+                        workAgent);
+        choreExecutor.setFleetThread(fleet::execute);
+        if (listRelay != null) {
+            listRelay.start(fleet);
+        }
+        if (workAgent != null) {
+            workAgent.start(fleet);
+        }
+        return new FleetAgent(fleet, listRelay);
+    }
+
+    /** Passes on a list that this driver has received from discovery. */
+    void listFound(MemberList list) {
+        if (listRelay != null) {
+            listRelay.listFound(list);
+        }
+    }
+
+    /** Returns all duties; {@code onLeft} runs on the fleet's thread. */
+    void leave(Runnable onLeft) {
+        fleet.leave(onLeft);
+    }
+
+    void close() {
+        fleet.close();
+    }
+}
