--- a/src/main/java/wingroad/fleet/Cbor.java
+++ b/src/main/java/wingroad/fleet/Cbor.java
@@ -21,7 +21,7 @@
 final class Cbor {
     private static final int MAX_NESTING_DEPTH = 64;
 
-    /** Rejects deeply nested input, which would exhaust the stack. */
+    /** Rejects input that is nested more deeply than {@link #MAX_NESTING_DEPTH}. */
     private static final CBORFactory FACTORY =
             new CBORFactoryBuilder(new CBORFactory())
                     .streamReadConstraints(
@@ -36,8 +36,8 @@
         ByteArrayOutputStream output = new ByteArrayOutputStream();
         try (JsonGenerator generator = FACTORY.createGenerator(output)) {
             encode(generator, value);
-        } catch (IOException entry) {
-            throw new UncheckedIOException(entry);
+        } catch (IOException e) {
+            throw new UncheckedIOException(e);
         }
         return output.toByteArray();
     }
--- a/src/main/java/wingroad/fleet/ChoreScheduler.java
+++ b/src/main/java/wingroad/fleet/ChoreScheduler.java
@@ -18,6 +18,12 @@
     /** Added to the time until the next run is due, so that the check happens after it. */
     private static final Duration WAKE_UP_MARGIN = Duration.ofMillis(20);
 
+    /** Start of the name of a pending request to commit the next run. */
+    private static final String RUN_REQUEST_PREFIX = "turn ";
+
+    /** Start of the name of a pending request to commit the outcome of a run. */
+    private static final String OUTCOME_REQUEST_PREFIX = "told ";
+
     /** A chore's progress at this driver. */
     private static final class ChoreState {
         final Chore chore;
@@ -91,12 +97,12 @@
                             + " runs missed before run "
                             + dutyState.run());
         }
-        String outcomeRequest = "told " + dutyState.duty();
+        String outcomeRequest = OUTCOME_REQUEST_PREFIX + dutyState.duty();
         if (!dutyState.outcome().isEmpty() || !dutyState.owner().equals(sessionLease.sessionId())) {
             driverSession.cancelRequest(outcomeRequest);
         }
         if (!sessionLease.mayAct(dutyState.duty(), dutyState.epoch(), now)) {
-            driverSession.cancelRequest("turn " + dutyState.duty());
+            driverSession.cancelRequest(RUN_REQUEST_PREFIX + dutyState.duty());
             state.requestedRun = 0;
             return;
         }
@@ -104,7 +110,7 @@
                 && state.requestedEpoch == dutyState.epoch()
                 && dutyState.run() == state.requestedRun
                 && state.startedRun < state.requestedRun) {
-            driverSession.cancelRequest("turn " + dutyState.duty());
+            driverSession.cancelRequest(RUN_REQUEST_PREFIX + dutyState.duty());
             startRun(state, dutyState, sessionLease);
         }
         if (!state.wakeUpScheduled) {
@@ -122,7 +128,7 @@
             state.requestedRun = dueRun;
             state.requestedEpoch = dutyState.epoch();
             driverSession.request(
-                    "turn " + dutyState.duty(),
+                    RUN_REQUEST_PREFIX + dutyState.duty(),
                     Command.startRun(
                             sessionLease.sessionId(), dutyState.duty(), dutyState.epoch(), dueRun));
         }
@@ -151,7 +157,7 @@
                                     + ": "
                                     + outcome);
                     driverSession.request(
-                            "told " + dutyState.duty(),
+                            OUTCOME_REQUEST_PREFIX + dutyState.duty(),
                             Command.reportRunOutcome(
                                     session, dutyState.duty(), dutyState.epoch(), run, outcome));
                     checkDuties();
--- a/src/main/java/wingroad/fleet/ConsensusNode.java
+++ b/src/main/java/wingroad/fleet/ConsensusNode.java
@@ -245,13 +245,13 @@
                         peers.computeIfAbsent(name, peerName -> new Peer(peerName, address)));
         for (Peer peer : List.copyOf(peers.values())) {
             // The engine still sends to a member that is being removed.
-            boolean member =
+            boolean stillMember =
                     raftNode != null
                             && raftNode.getCommittedMembers().getMembers().stream()
                                     .anyMatch(
                                             endpoint ->
                                                     ((Endpoint) endpoint).name().equals(peer.name));
-            if (!addresses.containsKey(peer.name) && !member) {
+            if (!addresses.containsKey(peer.name) && !stillMember) {
                 peer.disconnect();
                 peers.remove(peer.name);
             }
@@ -442,7 +442,7 @@
         if (!proposerName.equals(config.driver())) {
             return;
         }
-        List<String> members = new ArrayList<>(List.of(self().id()));
+        List<String> memberIds = new ArrayList<>(List.of(self().id()));
         for (String name : config.voterAddresses().keySet()) {
             Peer peer = peers.get(name);
             if (peer != null) {
@@ -453,25 +453,25 @@
                                     : "waits for " + name + " before founding the consensus group");
                     return;
                 }
-                members.add(peer.endpoint().id());
+                memberIds.add(peer.endpoint().id());
             }
         }
-        members.sort(null);
-        if (!members.equals(store.founders()) || store.proposedGroupId().isEmpty()) {
+        memberIds.sort(null);
+        if (!memberIds.equals(store.founders()) || store.proposedGroupId().isEmpty()) {
             foundingAcks.clear();
             store.saveProposal(
                     Long.toHexString(random.nextLong()),
-                    members,
+                    memberIds,
                     context.wallClockMs() / 1000 * 1000);
         }
         if (foundingAcks.containsAll(
-                members.stream().filter(member -> !member.equals(self().id())).toList())) {
+                memberIds.stream().filter(memberId -> !memberId.equals(self().id())).toList())) {
             store.saveGroup(store.proposedGroupId(), store.founders(), store.initialEpoch());
             logState(
                     "founds consensus group "
                             + store.groupId()
                             + " with "
-                            + members.size()
+                            + memberIds.size()
                             + " voters, epochs from "
                             + store.initialEpoch());
             startEngine();
@@ -1201,7 +1201,7 @@
                 case "ping" -> channel.send(presenceMessage("here", endpointId));
                 case "raft" -> {
                     RaftMessage raftMessage =
-                            MessageCodec.message(Json.object(message.get("m"), "a message"));
+                            MessageCodec.decodeMessage(Json.object(message.get("m"), "a message"));
                     recordConfirmed(raftMessage);
                     if (raftMessage instanceof AppendEntriesRequest
                             || raftMessage instanceof InstallSnapshotRequest) {
@@ -1276,9 +1276,9 @@
         private void recordConfirmed(RaftMessage raftMessage) {
             String sender = (String) raftMessage.getSender().getId();
             // A pre-vote carries a term that nobody has stored yet.
-            boolean poll =
+            boolean preVote =
                     raftMessage instanceof PreVoteRequest || raftMessage instanceof PreVoteResponse;
-            if (sender.equals(endpointId) && !poll) {
+            if (sender.equals(endpointId) && !preVote) {
                 long index =
                         raftMessage instanceof AppendEntriesSuccessResponse response
                                 ? response.getLastLogIndex()
@@ -1370,7 +1370,7 @@
                     raftNode.getCommittedMembers().getMembers().stream()
                             .map(endpoint -> ((Endpoint) endpoint).name())
                             .toList();
-            boolean settled =
+            boolean previousCommitted =
                     currentVoters.stream().allMatch(ConsensusNode.this::isVoter)
                             && stateMachine.voterChanges().entrySet().stream()
                                     .allMatch(
@@ -1380,7 +1380,7 @@
                                                                     change.getKey()))
                             && raftNode.getEffectiveMembers().getLogIndex()
                                     == raftNode.getCommittedMembers().getLogIndex();
-            if (!settled
+            if (!previousCommitted
                     && !stateMachine
                             .voterChanges()
                             .getOrDefault(command.argument(), "-")
--- a/src/main/java/wingroad/fleet/ConsensusStatus.java
+++ b/src/main/java/wingroad/fleet/ConsensusStatus.java
@@ -67,13 +67,13 @@
         }
     }
 
-    private static Map<String, Object> planStatus(MaintenancePlan plan, long lateOrders) {
+    private static Map<String, Object> planStatus(MaintenancePlan plan, long staleCommands) {
         return MessageCodec.message(
                 "work",
                 "held",
                 plan.held(),
                 "late-orders",
-                lateOrders,
+                staleCommands,
                 "machines",
                 plan.machines().values().stream()
                         .map(
--- a/src/main/java/wingroad/fleet/ConsensusStore.java
+++ b/src/main/java/wingroad/fleet/ConsensusStore.java
@@ -245,18 +245,20 @@
     }
 
     /** Saves a proposed group that is not yet founded. */
-    void saveProposal(String newGroupId, List<String> members, long firstEpoch) throws IOException {
+    void saveProposal(String newGroupId, List<String> newFounders, long firstEpoch)
+            throws IOException {
         proposedGroupId = newGroupId;
-        founders = List.copyOf(members);
+        founders = List.copyOf(newFounders);
         initialEpoch = firstEpoch;
         saveIdentity();
     }
 
     /** Saves the group that this voter belongs to from now on. */
-    void saveGroup(String newGroupId, List<String> members, long firstEpoch) throws IOException {
+    void saveGroup(String newGroupId, List<String> newFounders, long firstEpoch)
+            throws IOException {
         groupId = newGroupId;
         proposedGroupId = "";
-        founders = List.copyOf(members);
+        founders = List.copyOf(newFounders);
         initialEpoch = firstEpoch;
         saveIdentity();
     }
@@ -311,7 +313,7 @@
                                         position.index)));
         try {
             put(RowStore.Table.META, CONFIRMED_POSITIONS_ROW, row);
-        } catch (IOException endpointId) {
+        } catch (IOException e) {
             // kept by put as the write failure
         }
     }
--- a/src/main/java/wingroad/fleet/DriverSession.java
+++ b/src/main/java/wingroad/fleet/DriverSession.java
@@ -41,6 +41,9 @@
     /** Interval of reports of a driver that has been idle for some reports. */
     private static final int IDLE_REPORT_INTERVAL_HEARTBEATS = 32;
 
+    /** Start of the name of a pending request to release a duty. */
+    private static final String RELEASE_REQUEST_PREFIX = "give ";
+
     /** Carries out the duties that this driver owns. */
     interface DutyHandler {
         /** Called when committed state arrived or time has passed: starts what is due. */
@@ -125,8 +128,8 @@
         voterOrder.addAll(voterAddresses.keySet());
         // Its own voter first; the others in an order that differs by driver, to spread the load.
         voterOrder.sort(
-                Comparator.<String>comparingInt(v -> v.equals(config.driver()) ? 0 : 1)
-                        .thenComparing(v -> (v + '/' + config.driver()).hashCode()));
+                Comparator.<String>comparingInt(voter -> voter.equals(config.driver()) ? 0 : 1)
+                        .thenComparing(voter -> (voter + '/' + config.driver()).hashCode()));
         sessionLease = sessionLeaseFactory.apply(config.driver() + "/" + runIdGenerator.get());
     }
 
@@ -162,7 +165,7 @@
      * Proposes a command of the maintenance controller, if this driver is the controller under this
      * epoch now.
      */
-    void proposeAsConductor(long epoch, Function<String, Command> commandFactory) {
+    void proposeAsController(long epoch, Function<String, Command> commandFactory) {
         if (sessionLease.mayAct(MaintenanceSettings.CONTROLLER_DUTY, epoch, context.now())) {
             send(commandFactory.apply(sessionLease.sessionId()));
         }
@@ -324,7 +327,7 @@
         for (SessionLease.DutyState dutyState : sessionLease.releaseRequests()) {
             if (!dutyHandler.isBusy(dutyState.duty())) {
                 request(
-                        "give " + dutyState.duty(),
+                        RELEASE_REQUEST_PREFIX + dutyState.duty(),
                         Command.releaseDuty(
                                 sessionLease.sessionId(), dutyState.duty(), dutyState.epoch()));
             }
@@ -333,12 +336,12 @@
                 .keySet()
                 .removeIf(
                         name ->
-                                name.startsWith("give ")
+                                name.startsWith(RELEASE_REQUEST_PREFIX)
                                         && sessionLease.releaseRequests().stream()
                                                 .noneMatch(
                                                         dutyState ->
                                                                 name.equals(
-                                                                        "give "
+                                                                        RELEASE_REQUEST_PREFIX
                                                                                 + dutyState
                                                                                         .duty())));
     }
--- a/src/main/java/wingroad/fleet/FleetNode.java
+++ b/src/main/java/wingroad/fleet/FleetNode.java
@@ -148,7 +148,7 @@
                     if (driverSession != null) {
                         steps.forEach(
                                 step ->
-                                        driverSession.proposeAsConductor(
+                                        driverSession.proposeAsController(
                                                 epoch,
                                                 sessionId ->
                                                         Command.maintenanceStep(
@@ -170,7 +170,7 @@
         loop.run(
                 () -> {
                     if (driverSession != null) {
-                        driverSession.proposeAsConductor(
+                        driverSession.proposeAsController(
                                 epoch, sessionId -> Command.setMachines(sessionId, epoch, lines));
                     }
                 });
--- a/src/main/java/wingroad/fleet/MessageCodec.java
+++ b/src/main/java/wingroad/fleet/MessageCodec.java
@@ -148,13 +148,13 @@
 
     /** Decodes heartbeat numbers by session id. */
     static Map<String, Long> decodeHeartbeats(Object value) {
-        Map<String, Long> beats = new java.util.TreeMap<>();
+        Map<String, Long> heartbeats = new java.util.TreeMap<>();
         if (value instanceof Map<?, ?> entries) {
             entries.forEach(
                     (sessionId, number) ->
-                            beats.put((String) sessionId, ((Number) number).longValue()));
+                            heartbeats.put((String) sessionId, ((Number) number).longValue()));
         }
-        return beats;
+        return heartbeats;
     }
 
     // ---- log entries and snapshots ----
@@ -399,7 +399,7 @@
     }
 
     /** Decodes a message between voters; throws {@link Json.Malformed} for an unknown kind. */
-    static RaftMessage message(Map<String, Object> message) {
+    static RaftMessage decodeMessage(Map<String, Object> message) {
         Object groupId = message.get("g");
         Endpoint sender = Endpoint.of(stringOrEmpty(message, "s"));
         int term = (int) longOrZero(message, "t");
--- a/src/test/java/wingroad/fleet/SimFleet.java
+++ b/src/test/java/wingroad/fleet/SimFleet.java
@@ -598,7 +598,7 @@
     /** No endpoint may vote for two in one term. */
     private void watch(Map<String, Object> message, String to) {
         if (MessageCodec.stringOrEmpty(message, "k").equals("raft")) {
-            Object m = MessageCodec.message(cast(message.get("m")));
+            Object m = MessageCodec.decodeMessage(cast(message.get("m")));
             if (m instanceof VoteRequest r) {
                 vote(
                         (String) r.getSender().getId(),
--- a/src/test/java/wingroad/fleet/SimWork.java
+++ b/src/test/java/wingroad/fleet/SimWork.java
@@ -333,7 +333,7 @@
                     conducts = epoch;
                 }
                 if (!planCopy.inventoryLines().equals(rules.toLines())) {
-                    proc.councilSession.proposeAsConductor(
+                    proc.councilSession.proposeAsController(
                             epoch, s -> Command.setMachines(s, epoch, rules.toLines()));
                 } else {
                     members.values()
@@ -351,7 +351,7 @@
                             conductor.nextSteps(planCopy, observations, proc.wallClockMs(), now)) {
                         Runnable order =
                                 () ->
-                                        proc.councilSession.proposeAsConductor(
+                                        proc.councilSession.proposeAsController(
                                                 mine,
                                                 s ->
                                                         Command.maintenanceStep(
