--- a/src/main/java/wingroad/state/TxnType.java
+++ b/src/main/java/wingroad/state/TxnType.java
@@ -4,7 +4,18 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** One kind of txn as the deployment describes it. */
+/**
+ * A txn type of the deployment.
+ *
+ * @param index number of the type in the settings, from 0
+ * @param slaTime time within which an answer has its full value
+ * @param expiry time after which clients of this type give up
+ * @param value what a timely answer is worth
+ * @param lateShare share of the value that an answer after the SLA time still has, from 0 to 1
+ * @param maxDataAge greatest age of the data for {@link Freshness#RECENT}, else zero
+ * @param repeatWindow time in which a repeat is recognized, for {@link Repeatability#REFERENCED}
+ * @param everyMemberDropsRepeats whether repeats are recognized at every member
+ */
 public record TxnType(
         int index,
         Duration slaTime,
@@ -17,72 +28,89 @@
         Duration repeatWindow,
         boolean everyMemberDropsRepeats) {
 
-    /** What running a txn twice would do. */
+    /** Whether a txn may be submitted again after it may have run. */
     public enum Repeatability {
+        /** Running it twice does no harm. */
         REPEATABLE,
+
+        /** Members recognize a repeat by its reference for the repeat window. */
         REFERENCED,
+
+        /** It must never run twice. */
         ONCE_ONLY;
 
-        /** The kind that the word names; one that is not known must never run twice. */
-        public static Repeatability fromSetting(Object word) {
-            return "repeatable".equals(word)
+        /** Converts the setting; an unknown value counts as {@link #ONCE_ONLY}. */
+        public static Repeatability fromSetting(Object value) {
+            return "repeatable".equals(value)
                     ? REPEATABLE
-                    : "referenced".equals(word) ? REFERENCED : ONCE_ONLY;
+                    : "referenced".equals(value) ? REFERENCED : ONCE_ONLY;
         }
     }
 
-    /** What the data that a txn works on must reflect. */
+    /** What the data that a txn works on must reflect at least. */
     public enum Freshness {
+        /** Not a read: it changes data at the primary. */
         UPDATE,
+
+        /** All committed writes. */
         LATEST,
+
+        /** The writes of the client's own session. */
         OWN_WRITES,
+
+        /** All writes older than {@link TxnType#maxDataAge}. */
         RECENT,
+
+        /** Nothing in particular. */
         LOOSE;
 
-        public static Freshness fromSetting(Object word) {
-            for (Freshness f : values()) {
-                if (f.name().toLowerCase(Locale.ROOT).replace('_', '-').equals(word)) {
-                    return f;
+        /** Converts the setting; an unknown value counts as {@link #LOOSE}. */
+        public static Freshness fromSetting(Object value) {
+            for (Freshness freshness : values()) {
+                if (freshness.name().toLowerCase(Locale.ROOT).replace('_', '-').equals(value)) {
+                    return freshness;
                 }
             }
             return LOOSE;
         }
     }
 
-    /** The types that the terms describe, by their numbers. */
-    public static TxnType[] fromSettings(Map<String, Object> terms) {
-        TxnType[] all = new TxnType[terms.get("txn-types") instanceof Double n ? n.intValue() : 0];
-        for (int i = 0; i < all.length; i++) {
-            String t = "txn-type." + i + ".";
-            all[i] =
+    /** The txn types in the settings, ordered by their index. */
+    public static TxnType[] fromSettings(Map<String, Object> settings) {
+        TxnType[] types =
+                new TxnType
+                        [settings.get("txn-types") instanceof Double count ? count.intValue() : 0];
+        for (int i = 0; i < types.length; i++) {
+            String prefix = "txn-type." + i + ".";
+            types[i] =
                     new TxnType(
                             i,
-                            time(terms, t + "sla-time"),
-                            time(terms, t + "expiry"),
-                            number(terms, t + "value"),
-                            number(terms, t + "late-share"),
-                            Repeatability.fromSetting(terms.get(t + "repeat")),
-                            Freshness.fromSetting(terms.get(t + "reads")),
-                            time(terms, t + "oldest-data"),
-                            time(terms, t + "window"),
-                            "all".equals(terms.get(t + "repeats-dropped-by")));
+                            durationSetting(settings, prefix + "sla-time"),
+                            durationSetting(settings, prefix + "expiry"),
+                            numberSetting(settings, prefix + "value"),
+                            numberSetting(settings, prefix + "late-share"),
+                            Repeatability.fromSetting(settings.get(prefix + "repeat")),
+                            Freshness.fromSetting(settings.get(prefix + "reads")),
+                            durationSetting(settings, prefix + "oldest-data"),
+                            durationSetting(settings, prefix + "window"),
+                            "all".equals(settings.get(prefix + "repeats-dropped-by")));
         }
-        return all;
+        return types;
     }
 
-    private static double number(Map<String, Object> terms, String name) {
-        return terms.get(name) instanceof Double d ? d : 0;
+    private static double numberSetting(Map<String, Object> settings, String name) {
+        return settings.get(name) instanceof Double d ? d : 0;
     }
 
-    private static Duration time(Map<String, Object> terms, String name) {
-        return terms.get(name) instanceof Duration d ? d : Duration.ZERO;
+    private static Duration durationSetting(Map<String, Object> settings, String name) {
+        return settings.get(name) instanceof Duration d ? d : Duration.ZERO;
     }
 
     public boolean isUpdate() {
         return freshness == Freshness.UPDATE;
     }
 
-    /** Only the primary can serve it. */
+    /** Whether only the primary can serve it. */
     public boolean requiresPrimary() {
         return isUpdate() || freshness == Freshness.LATEST;
     }
