--- a/src/main/java/wingroad/fleet/FleetNode.java
+++ b/src/main/java/wingroad/fleet/FleetNode.java
@@ -109,7 +109,7 @@
         FleetNode fleetNode =
                 new FleetNode(
                         config, log, faultHandler, choreRunner, publicationListener, planListener);
-        fleetNode.loop.run(fleetNode::startParts);
+        fleetNode.loop.run(fleetNode::startComponents);
         return fleetNode;
     }
 
@@ -182,7 +182,7 @@
     }
 
     /** Starts the voter and the session; retried after a delay if this fails. */
-    private void startParts() {
+    private void startComponents() {
         if (leaving) {
             return;
         }
@@ -247,7 +247,7 @@
                 listener.close();
                 listener = null;
             }
-            loop.after(RETRY_DELAY, this::startParts);
+            loop.after(RETRY_DELAY, this::startComponents);
         }
     }
 
