--- a/src/main/java/wingroad/duty/Command.java
+++ b/src/main/java/wingroad/duty/Command.java
@@ -5,10 +5,21 @@
 import java.util.TreeMap;
 
 /**
- * One entry of the agreed log; which fields count follows from its kind, the others are empty. All
- * kinds may be applied twice without harm. {@code sessionId} is the session that asks, {@code
- * requestId} a name by which whoever asks knows the result, {@code proposedAtMs} the proposer's
- * wall clock in Unix milliseconds, for people alone.
+ * One entry of the replicated log. Which components are used depends on the kind; the others are
+ * empty. Commands of every kind are idempotent: applying one twice has no further effect.
+ *
+ * @param sessionId the session that proposes the command
+ * @param subject name of the duty or machine concerned, or a voter's address
+ * @param epoch the epoch under which the sender owns the duty; a deadline in Unix milliseconds for
+ *     {@link Kind#WORK_ASK}; a stopped level for {@link Kind#WORK_STOPPED}
+ * @param number a heartbeat, run, revision or loss number, or milliseconds, depending on the kind
+ * @param argument an identity, driver name, outcome, reason, operator's command or stage, depending
+ *     on the kind
+ * @param items duties, machines, reasons or lines, depending on the kind
+ * @param heartbeats newest heartbeat number by session
+ * @param requestId id by which the sender recognizes the result; the result of a repeated request
+ *     is returned again. Empty if nobody waits for it
+ * @param proposedAtMs wall clock of the proposer in Unix milliseconds
  */
 public record Command(
         Kind kind,
@@ -21,143 +32,167 @@
         Map<String, Long> heartbeats,
         String requestId,
         long proposedAtMs) {
-    /** What is asked to be settled. */
+    /** The kinds of commands. They are written by name to messages and to the log. */
     public enum Kind {
-        /** A leader's first entry; settles nothing. */
+        /** No-op with which a new leader commits the entries of earlier terms. */
         TERM,
         /**
-         * A session begins: {@code argument} its driver's identity, {@code items} those that it
-         * would do.
+         * Opens a session: {@code argument} is the driver's identity, {@code items} the duties that
+         * it accepts.
          */
         OPEN,
-        /** Sessions are renewed: for each the number of its beat. */
+        /** Renews sessions: {@code heartbeats} holds the newest heartbeat number of each. */
         BEAT,
-        /** A session's lease has run out since its beat {@code number}. */
+        /** Expires a session unless it was renewed after heartbeat {@code number}. */
         EXPIRE,
-        /** A session ends by itself. */
+        /** Closes a session at its driver's own request. */
         LEAVE,
-        /** An owner lets go of a duty that it holds under {@code epoch}. */
+        /** The owner releases a duty that it holds under {@code epoch}. */
         GIVE_UP,
         /**
-         * A duty is to go to the driver named {@code argument}, or where that is empty to any
-         * other.
+         * Requests that a duty move to the driver named {@code argument}, or to any other if that
+         * is empty.
          */
         HAND_OVER,
-        /** An owner begins turn {@code number} of a duty. */
+        /** The owner starts run {@code number} of a duty. */
         TURN,
-        /** How turn {@code number} ended, in {@code argument}. */
+        /** Reports the outcome of run {@code number} in {@code argument}. */
         TOLD,
         /**
-         * The driver {@code argument} is to vote, at the address in {@code subject}; with none it
-         * is to vote no more.
+         * Makes the driver {@code argument} a voter at the address {@code subject}; an empty
+         * address removes it from the voters.
          */
         VOTER,
         /**
-         * Work: the machines that there are and the limits, in {@code items}, by the conductor
-         * under {@code epoch}.
+         * Maintenance: the controller under {@code epoch} sets limits and machines, as the lines in
+         * {@code items}.
          */
         WORK_MACHINES,
         /**
-         * Work: the machine {@code subject} is wanted for {@code number} ms, before {@code epoch},
-         * after {@code items}; why in {@code argument}.
+         * Maintenance: requests the machine {@code subject} for {@code number} ms, before the Unix
+         * time {@code epoch} in ms, after the machines in {@code items}; the reason is in {@code
+         * argument}.
          */
         WORK_ASK,
-        /** Work: an operator's word {@code argument} on the machine {@code subject}. */
+        /** Maintenance: an operator's command {@code argument} for the machine {@code subject}. */
         WORK_WORD,
         /**
-         * Work: the conductor's step to {@code argument} for a machine that it knew at {@code
-         * number}; why in {@code items}.
+         * Maintenance: the controller's step to {@code argument} for a machine whose stage was set
+         * at revision {@code number}; the reason is in {@code items}.
          */
         WORK_STEP,
-        /** Work: what drivers say of themselves, a line each in {@code items}. */
+        /** Maintenance: reports of drivers, one line each in {@code items}. */
         WORK_REPORTS,
         /**
-         * Work: the driver of the identity {@code argument}, lost as {@code number}, has stopped by
-         * itself, to the level {@code epoch}.
+         * Maintenance: the driver with the identity {@code argument}, lost as number {@code
+         * number}, is known to have stopped, to the level {@code epoch}.
          */
         WORK_STOPPED
     }
 
-    private static final Command NOTHING =
+    private static final Command NO_OP =
             new Command(Kind.TERM, "", "", 0, 0, "", List.of(), Map.of(), "", 0);
 
     public static Command noOp() {
-        return NOTHING;
+        return NO_OP;
     }
 
-    public static Command openSession(String session, String identity, List<String> duties) {
+    public static Command openSession(String sessionId, String identity, List<String> duties) {
         return new Command(
-                Kind.OPEN, session, "", 0, 0, identity, List.copyOf(duties), Map.of(), "", 0);
+                Kind.OPEN, sessionId, "", 0, 0, identity, List.copyOf(duties), Map.of(), "", 0);
     }
 
-    public static Command heartbeat(Map<String, Long> beats) {
-        return new Command(Kind.BEAT, "", "", 0, 0, "", List.of(), new TreeMap<>(beats), "", 0);
+    public static Command heartbeat(Map<String, Long> heartbeats) {
+        return new Command(
+                Kind.BEAT, "", "", 0, 0, "", List.of(), new TreeMap<>(heartbeats), "", 0);
     }
 
-    public static Command expireSession(String session, long beat) {
-        return new Command(Kind.EXPIRE, session, "", 0, beat, "", List.of(), Map.of(), "", 0);
+    public static Command expireSession(String sessionId, long heartbeat) {
+        return new Command(
+                Kind.EXPIRE, sessionId, "", 0, heartbeat, "", List.of(), Map.of(), "", 0);
     }
 
-    public static Command leaveSession(String session) {
-        return new Command(Kind.LEAVE, session, "", 0, 0, "", List.of(), Map.of(), "", 0);
+    public static Command leaveSession(String sessionId) {
+        return new Command(Kind.LEAVE, sessionId, "", 0, 0, "", List.of(), Map.of(), "", 0);
     }
 
-    public static Command releaseDuty(String session, String duty, long epoch) {
-        return new Command(Kind.GIVE_UP, session, duty, epoch, 0, "", List.of(), Map.of(), "", 0);
+    public static Command releaseDuty(String sessionId, String duty, long epoch) {
+        return new Command(Kind.GIVE_UP, sessionId, duty, epoch, 0, "", List.of(), Map.of(), "", 0);
     }
 
-    public static Command handOver(String duty, String to, String ask) {
-        return new Command(Kind.HAND_OVER, "", duty, 0, 0, to, List.of(), Map.of(), ask, 0);
+    public static Command handOver(String duty, String driverName, String requestId) {
+        return new Command(
+                Kind.HAND_OVER, "", duty, 0, 0, driverName, List.of(), Map.of(), requestId, 0);
     }
 
-    public static Command startRun(String session, String duty, long epoch, long turn) {
-        return new Command(Kind.TURN, session, duty, epoch, turn, "", List.of(), Map.of(), "", 0);
+    public static Command startRun(String sessionId, String duty, long epoch, long run) {
+        return new Command(Kind.TURN, sessionId, duty, epoch, run, "", List.of(), Map.of(), "", 0);
     }
 
     public static Command reportRunOutcome(
-            String session, String duty, long epoch, long turn, String outcome) {
+            String sessionId, String duty, long epoch, long run, String outcome) {
         return new Command(
-                Kind.TOLD, session, duty, epoch, turn, outcome, List.of(), Map.of(), "", 0);
+                Kind.TOLD, sessionId, duty, epoch, run, outcome, List.of(), Map.of(), "", 0);
     }
 
-    public static Command changeVoter(String name, String address, String ask) {
-        return new Command(Kind.VOTER, "", address, 0, 0, name, List.of(), Map.of(), ask, 0);
+    public static Command changeVoter(String name, String address, String requestId) {
+        return new Command(Kind.VOTER, "", address, 0, 0, name, List.of(), Map.of(), requestId, 0);
     }
 
-    public static Command setMachines(String session, long epoch, List<String> lines) {
+    public static Command setMachines(String sessionId, long epoch, List<String> lines) {
         return new Command(
-                Kind.WORK_MACHINES, session, "", epoch, 0, "", List.copyOf(lines), Map.of(), "", 0);
+                Kind.WORK_MACHINES,
+                sessionId,
+                "",
+                epoch,
+                0,
+                "",
+                List.copyOf(lines),
+                Map.of(),
+                "",
+                0);
     }
 
     public static Command requestMaintenance(
-            String machine, String why, long forMs, long before, List<String> after, String ask) {
+            String machine,
+            String reason,
+            long durationMs,
+            long deadlineMs,
+            List<String> afterMachines,
+            String requestId) {
         return new Command(
                 Kind.WORK_ASK,
                 "",
                 machine,
-                before,
-                forMs,
-                why,
-                List.copyOf(after),
+                deadlineMs,
+                durationMs,
+                reason,
+                List.copyOf(afterMachines),
                 Map.of(),
-                ask,
+                requestId,
                 0);
     }
 
-    public static Command operatorCommand(String word, String machine, String ask) {
-        return new Command(Kind.WORK_WORD, "", machine, 0, 0, word, List.of(), Map.of(), ask, 0);
+    public static Command operatorCommand(String word, String machine, String requestId) {
+        return new Command(
+                Kind.WORK_WORD, "", machine, 0, 0, word, List.of(), Map.of(), requestId, 0);
     }
 
     public static Command maintenanceStep(
-            String session, long epoch, String machine, String to, long stageAt, String why) {
+            String sessionId,
+            long epoch,
+            String machine,
+            String target,
+            long stageRevision,
+            String reason) {
         return new Command(
                 Kind.WORK_STEP,
-                session,
+                sessionId,
                 machine,
                 epoch,
-                stageAt,
-                to,
-                List.of(why),
+                stageRevision,
+                target,
+                List.of(reason),
                 Map.of(),
                 "",
                 0);
@@ -168,12 +203,22 @@
                 Kind.WORK_REPORTS, "", "", 0, 0, "", List.copyOf(lines), Map.of(), "", 0);
     }
 
-    public static Command driverStopped(String identity, long number, long level) {
+    public static Command driverStopped(String identity, long lossNumber, long stoppedLevel) {
         return new Command(
-                Kind.WORK_STOPPED, "", "", level, number, identity, List.of(), Map.of(), "", 0);
+                Kind.WORK_STOPPED,
+                "",
+                "",
+                stoppedLevel,
+                lossNumber,
+                identity,
+                List.of(),
+                Map.of(),
+                "",
+                0);
     }
 
-    public Command withProposedAt(long unixMs) {
+    /** Returns this command with the proposer's wall clock in Unix milliseconds. */
+    public Command withProposedAt(long proposedAtMs) {
         return new Command(
                 kind,
                 sessionId,
@@ -184,6 +229,6 @@
                 items,
                 heartbeats,
                 requestId,
-                unixMs);
+                proposedAtMs);
     }
 }
--- a/src/main/java/wingroad/duty/RendezvousHashing.java
+++ b/src/main/java/wingroad/duty/RendezvousHashing.java
@@ -7,30 +7,33 @@
 import java.util.Comparator;
 
 /**
- * Who gets a duty: rendezvous hashing, so that a driver's death moves its own duties and no others.
- * The hash has a fixed seed, since all voters must come to the same end.
+ * Chooses owners of duties by rendezvous hashing, so that the loss of a driver moves its own duties
+ * and no others. The hash has a fixed seed, since all voters must compute the same result.
  */
 final class RendezvousHashing {
     private static final Hasher64 HASH = Hashing.komihash5_0(0x77696e67726f6164L);
 
     private RendezvousHashing() {}
 
-    /** How much this driver is meant for this duty. */
+    /** Returns the weight of this driver for this duty; the highest one gets it. */
     static long weight(String duty, String driver) {
         return HASH.hashCharsToLong(duty + '\0' + driver);
     }
 
-    /** The one most meant for the duty, or null where there is none. */
-    static String most(String duty, Collection<String> drivers) {
+    /** Returns the driver with the highest weight for the duty, or null if there is none. */
+    static String select(String duty, Collection<String> drivers) {
         return drivers.stream()
                 .max(
-                        Comparator.<String>comparingLong(d -> weight(duty, d))
+                        Comparator.<String>comparingLong(driver -> weight(duty, driver))
                                 .thenComparing(Comparator.naturalOrder()))
                 .orElse(null);
     }
 
-    /** How many duties one driver may have at most. */
-    static int cap(int duties, int drivers) {
-        return drivers == 0 ? 0 : (duties + drivers - 1) / drivers + 1;
+    /**
+     * Returns the largest number of duties that one driver should own: an even share, rounded up,
+     * and one more.
+     */
+    static int maxDutiesPerDriver(int dutyCount, int driverCount) {
+        return driverCount == 0 ? 0 : (dutyCount + driverCount - 1) / driverCount + 1;
     }
 }
--- a/src/main/java/wingroad/work/DriverReport.java
+++ b/src/main/java/wingroad/work/DriverReport.java
@@ -8,15 +8,15 @@
 import java.util.TreeSet;
 
 /**
- * What a driver says of itself under a session.
+ * A driver's report under its session.
  *
- * @param planRevision the plan's revision that its module has been told of
- * @param drainedMachines machines that drain or are out where nothing new of its own goes and
- *     nothing of its own is
- * @param primaries whom it takes for the primary, by group, of groups that the plan touches
+ * @param planRevision the plan's revision that its router has taken over
+ * @param drainedMachines draining or out machines that the driver sends nothing new to and has
+ *     nothing left on
+ * @param primaries member taken for the primary, by group, for the groups that the plan affects
  * @param servedCount txns committed in time since its start
  * @param harmedCount txns declined, rolled back or late since its start
- * @param busyMsByGroup by group: milliseconds that its txns have been at members, all together
+ * @param busyMsByGroup total time of its txns at members in milliseconds, by group
  */
 public record DriverReport(
         long planRevision,
@@ -25,64 +25,66 @@
         long servedCount,
         long harmedCount,
         Map<Integer, Long> busyMsByGroup) {
-    static final DriverReport NONE = new DriverReport(0, Set.of(), Map.of(), 0, 0, Map.of());
+    static final DriverReport EMPTY = new DriverReport(0, Set.of(), Map.of(), 0, 0, Map.of());
 
-    /** Whether the other one says more than new figures. */
+    /** Returns whether the other report differs in more than its counters. */
     public boolean differsBeyondFigures(DriverReport other) {
         return planRevision != other.planRevision
                 || !drainedMachines.equals(other.drainedMachines)
                 || !primaries.equals(other.primaries);
     }
 
-    /** As a line behind its session. */
-    public String toLine(String session) {
-        List<String> b = new ArrayList<>();
-        primaries.forEach((g, uid) -> b.add(g + "=" + uid));
-        List<String> u = new ArrayList<>();
-        busyMsByGroup.forEach((g, ms) -> u.add(g + "=" + ms));
-        return session
+    /** Returns the report as one line that starts with the session's id. */
+    public String toLine(String sessionId) {
+        List<String> primaryPairs = new ArrayList<>();
+        primaries.forEach((group, uid) -> primaryPairs.add(group + "=" + uid));
+        List<String> busyPairs = new ArrayList<>();
+        busyMsByGroup.forEach((group, busyMs) -> busyPairs.add(group + "=" + busyMs));
+        return sessionId
                 + " "
                 + planRevision
                 + " "
                 + String.join(",", drainedMachines)
                 + " "
-                + String.join(",", b)
+                + String.join(",", primaryPairs)
                 + " "
                 + servedCount
                 + " "
                 + harmedCount
                 + " "
-                + String.join(",", u);
+                + String.join(",", busyPairs);
     }
 
     static String sessionOf(String line) {
         return line.substring(0, Math.max(0, line.indexOf(' ')));
     }
 
-    /** Reads such a line; throws {@link IllegalArgumentException} where it is none. */
-    static DriverReport of(String line) {
-        String[] w = line.split(" ", -1);
-        if (w.length != 7) {
+    /**
+     * Reads a line of {@link #toLine}; throws {@link IllegalArgumentException} if it is malformed.
+     */
+    static DriverReport parse(String line) {
+        String[] fields = line.split(" ", -1);
+        if (fields.length != 7) {
             throw new IllegalArgumentException("no report: " + line);
         }
-        Map<Integer, String> b = new TreeMap<>();
-        for (String p : Machine.split(w[3])) {
-            b.put(
-                    Integer.parseInt(p.substring(0, p.indexOf('='))),
-                    p.substring(p.indexOf('=') + 1));
+        Map<Integer, String> primaries = new TreeMap<>();
+        for (String pair : Machine.splitList(fields[3])) {
+            primaries.put(
+                    Integer.parseInt(pair.substring(0, pair.indexOf('='))),
+                    pair.substring(pair.indexOf('=') + 1));
         }
-        Map<Integer, Long> u = new TreeMap<>();
-        for (String p : Machine.split(w[6])) {
-            u.put(
-                    Integer.parseInt(p.substring(0, p.indexOf('='))),
-                    Long.parseLong(p.substring(p.indexOf('=') + 1)));
+        Map<Integer, Long> busyMsByGroup = new TreeMap<>();
+        for (String pair : Machine.splitList(fields[6])) {
+            busyMsByGroup.put(
+                    Integer.parseInt(pair.substring(0, pair.indexOf('='))),
+                    Long.parseLong(pair.substring(pair.indexOf('=') + 1)));
         }
         return new DriverReport(
-                Long.parseLong(w[1]),
-                new TreeSet<>(Machine.split(w[2])),
-                b,
-                Long.parseLong(w[4]),
-                Long.parseLong(w[5]),
-                u);
+                Long.parseLong(fields[1]),
+                new TreeSet<>(Machine.splitList(fields[2])),
+                primaries,
+                Long.parseLong(fields[4]),
+                Long.parseLong(fields[5]),
+                busyMsByGroup);
     }
 }
--- a/src/main/java/wingroad/work/MemberAvailability.java
+++ b/src/main/java/wingroad/work/MemberAvailability.java
@@ -7,167 +7,182 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * What the plan makes of the members that discovery lists, at one driver: the list that the module
- * is told. It holds only as long as the driver's lease runs: the plan may have gone on since. The
- * table is in docs/notes/work.md. No I/O; the clock is handed in.
+ * Derives at one driver what the maintenance plan means for the members that discovery lists; the
+ * router is given the result. It is valid only as long as the driver's lease, since the plan may
+ * have changed unseen after that. docs/notes/work.md has the table. No I/O; the clock is passed in.
  */
 public final class MemberAvailability {
     /** What a member counts as. */
     public enum State {
+        /** As discovery lists it. */
         AS_LISTED,
+        /** Finishes what it has and gets nothing new. */
         DRAINING,
+        /** Not used at all. */
         GONE,
+        /** Used, but its caches are cold. */
         COLD
     }
 
-    private final MaintenanceSettings rules;
-    private final Duration began;
-    private final Duration patience;
-    private final Holders own;
+    private final MaintenanceSettings settings;
+    private final Duration startedAt;
+    private final Duration startupTimeout;
+    private final MachineIndex configuredMachines;
     private PlanCopy planCopy;
-    private Duration until = Duration.ZERO;
-    private boolean over = true;
+    private Duration leaseUntil = Duration.ZERO;
+    private boolean leaseEnded = true;
 
     /**
-     * The plan has been known under a lease. Before that, what a voter tells may be old: one that
-     * has just started tells what its own state says, and nobody waits for what this driver makes
-     * of it.
+     * Whether the plan has been known under a lease. Before that, what a voter sends may be old: a
+     * voter that has just started sends its own state, and nobody waits for what this driver
+     * derives from it.
      */
-    private boolean learned;
+    private boolean planKnown;
 
-    /** Machines that return, and since when this driver has known. */
-    private final Map<String, Duration> returning = new TreeMap<>();
+    /** Returning machines, and since when this driver has known of their return. */
+    private final Map<String, Duration> returningMachines = new TreeMap<>();
 
     /**
-     * @param began when the driver started
-     * @param patience with {@link MaintenanceSettings.LostViewPolicy#SERVE}: how long after a start
-     *     the plan is waited for
+     * Creates the state of a driver that does not know the plan yet.
+     *
+     * @param startedAt when the driver started
+     * @param startupTimeout with {@link MaintenanceSettings.LostViewPolicy#SERVE}: how long after a
+     *     start the plan is waited for
      */
-    public MemberAvailability(MaintenanceSettings rules, Duration began, Duration patience) {
-        this.rules = rules;
-        this.own = new Holders(rules.machines().values());
-        this.began = began;
-        this.patience = patience;
+    public MemberAvailability(
+            MaintenanceSettings settings, Duration startedAt, Duration startupTimeout) {
+        this.settings = settings;
+        this.configuredMachines = new MachineIndex(settings.machines().values());
+        this.startedAt = startedAt;
+        this.startupTimeout = startupTimeout;
     }
 
-    /** The plan as it is settled. */
+    /** Takes over the committed plan. */
     public void updatePlan(PlanCopy plan, Duration now) {
         planCopy = plan;
-        returning
+        returningMachines
                 .keySet()
                 .removeIf(
-                        m ->
-                                plan.entry(m) == null
-                                        || plan.entry(m).stage != MaintenanceStage.RETURNING);
+                        machine ->
+                                plan.entry(machine) == null
+                                        || plan.entry(machine).stage != MaintenanceStage.RETURNING);
         plan.entries().stream()
-                .filter(e -> e.stage == MaintenanceStage.RETURNING)
-                .forEach(e -> returning.putIfAbsent(e.machine, now));
+                .filter(entry -> entry.stage == MaintenanceStage.RETURNING)
+                .forEach(entry -> returningMachines.putIfAbsent(entry.machine, now));
     }
 
     /**
-     * What was told last holds so long. Only a lease makes a view that has ended hold again, not
-     * what is told.
+     * Makes the known plan valid up to this time. After {@link #endLease} only a new lease makes it
+     * valid again, not an update of the plan.
      */
-    public void extendLease(Duration ends) {
-        until = ends;
-        over = false;
-        learned |= planCopy != null;
+    public void extendLease(Duration expiresAt) {
+        leaseUntil = expiresAt;
+        leaseEnded = false;
+        planKnown |= planCopy != null;
     }
 
-    /** Nothing is renewed any more: the session is left or has been ended. */
+    /** Ends the lease at once, since the session has ended or the driver leaves it. */
     public void endLease() {
-        over = true;
+        leaseEnded = true;
     }
 
     public boolean isKnown() {
-        return learned;
+        return planKnown;
     }
 
-    /** Whether the plan is known and has not gone on unseen. */
+    /**
+     * Returns whether the plan is known and the lease holds, so that the plan cannot have changed
+     * unseen.
+     */
     public boolean isCurrent(Duration now) {
-        return learned && !over && now.compareTo(until) < 0;
+        return planKnown && !leaseEnded && now.compareTo(leaseUntil) < 0;
     }
 
-    /** When this driver's lists have to be looked at again though nothing is heard, or null. */
+    /** Returns when a member's state may change though nothing is received, or null. */
     public Duration nextChangeAt(Duration now) {
-        if (!learned) {
-            return rules.lostViewPolicy() == MaintenanceSettings.LostViewPolicy.SERVE
-                    ? began.plus(patience)
+        if (!planKnown) {
+            return settings.lostViewPolicy() == MaintenanceSettings.LostViewPolicy.SERVE
+                    ? startedAt.plus(startupTimeout)
                     : null;
         }
         return isCurrent(now)
-                ? until
-                : rules.lostViewPolicy() == MaintenanceSettings.LostViewPolicy.STRICT
-                        ? until.plus(rules.strictHorizon())
+                ? leaseUntil
+                : settings.lostViewPolicy() == MaintenanceSettings.LostViewPolicy.STRICT
+                        ? leaseUntil.plus(settings.strictHorizon())
                         : null;
     }
 
     /**
-     * What a member counts as.
+     * Returns what a member counts as.
      *
-     * @param others whether its group has another member that is listed as fit and may be sent to
+     * @param hasOtherMember whether its group has another member that is listed as healthy and may
+     *     be sent to
      */
-    public State state(String uid, BooleanSupplier others, Duration now) {
-        if (!learned) {
-            boolean planned = own.of(uid) != null;
+    public State state(String uid, BooleanSupplier hasOtherMember, Duration now) {
+        if (!planKnown) {
+            boolean configured = configuredMachines.find(uid) != null;
             boolean waits =
-                    rules.lostViewPolicy() != MaintenanceSettings.LostViewPolicy.SERVE
-                            || now.compareTo(began.plus(patience)) < 0;
-            return planned && waits ? State.GONE : State.AS_LISTED;
+                    settings.lostViewPolicy() != MaintenanceSettings.LostViewPolicy.SERVE
+                            || now.compareTo(startedAt.plus(startupTimeout)) < 0;
+            return configured && waits ? State.GONE : State.AS_LISTED;
         }
-        Machine m = planCopy.machineOf(uid);
-        MaintenancePlan.Entry e = m == null ? null : planCopy.entry(m.name());
-        if (m == null) {
+        Machine machine = planCopy.machineOf(uid);
+        MaintenancePlan.Entry entry = machine == null ? null : planCopy.entry(machine.name());
+        if (machine == null) {
             return State.AS_LISTED;
         }
         if (isCurrent(now)) {
-            return e == null
+            return entry == null
                     ? State.AS_LISTED
-                    : switch (e.stage) {
+                    : switch (entry.stage) {
                         case ASKED, PLANNED -> State.AS_LISTED;
                         case DRAINING -> State.DRAINING;
                         case OUT -> State.GONE;
                         case RETURNING -> State.COLD;
                     };
         }
-        if (e != null && e.stage.announced()) {
+        if (entry != null && entry.stage.announced()) {
             boolean serves =
-                    rules.lostViewPolicy() == MaintenanceSettings.LostViewPolicy.SERVE
-                            && e.stage != MaintenanceStage.OUT
-                            && !others.getAsBoolean();
+                    settings.lostViewPolicy() == MaintenanceSettings.LostViewPolicy.SERVE
+                            && entry.stage != MaintenanceStage.OUT
+                            && !hasOtherMember.getAsBoolean();
             return !serves
                     ? State.GONE
-                    : e.stage == MaintenanceStage.RETURNING ? State.COLD : State.AS_LISTED;
+                    : entry.stage == MaintenanceStage.RETURNING ? State.COLD : State.AS_LISTED;
         }
-        boolean past =
-                rules.lostViewPolicy() == MaintenanceSettings.LostViewPolicy.STRICT
-                        && now.compareTo(until.plus(rules.strictHorizon())) >= 0;
-        return past ? State.GONE : State.AS_LISTED;
+        boolean horizonPassed =
+                settings.lostViewPolicy() == MaintenanceSettings.LostViewPolicy.STRICT
+                        && now.compareTo(leaseUntil.plus(settings.strictHorizon())) >= 0;
+        return horizonPassed ? State.GONE : State.AS_LISTED;
     }
 
-    /** Since when a machine that returns has been known to; for a member that counts as cold. */
+    /**
+     * Returns since when this driver has known that the member's machine returns, or null; used for
+     * members that count as cold.
+     */
     public Duration returningSince(String uid) {
-        Machine m = planCopy == null ? null : planCopy.machineOf(uid);
-        return m == null ? null : returning.get(m.name());
+        Machine machine = planCopy == null ? null : planCopy.machineOf(uid);
+        return machine == null ? null : returningMachines.get(machine.name());
     }
 
-    /** The machines at which this driver must have nothing. */
+    /** Returns the entries of machines that this driver must leave. */
     public Collection<MaintenancePlan.Entry> drainingEntries() {
         return planCopy == null
                 ? java.util.List.of()
                 : planCopy.entries().stream()
                         .filter(
-                                e ->
-                                        e.stage == MaintenanceStage.DRAINING
-                                                || e.stage == MaintenanceStage.OUT)
+                                entry ->
+                                        entry.stage == MaintenanceStage.DRAINING
+                                                || entry.stage == MaintenanceStage.OUT)
                         .toList();
     }
 
-    /** The plan's revision that counts here, or 0. */
+    /** Returns the revision of the plan that is in effect here, or 0. */
     public long revision() {
-        return !learned ? 0 : Math.max(0, planCopy.revision());
+        return !planKnown ? 0 : Math.max(0, planCopy.revision());
     }
 
+    /** Returns the newest copy of the plan, or null. */
     public PlanCopy planCopy() {
         return planCopy;
     }
