--- a/src/bench/java/wingroad/fleet/OwnerBench.java
+++ b/src/bench/java/wingroad/fleet/OwnerBench.java
@@ -1,13 +1,5 @@
 package wingroad.fleet;
 
-import wingroad.Fixtures;
-import wingroad.Fixtures.Client;
-import wingroad.operator.OperatorFile;
-import wingroad.protocol.Json;
-import wingroad.rig.FencedMember;
-import wingroad.rig.Relays;
-import wingroad.rig.Rig;
-
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.file.Files;
@@ -26,6 +18,13 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicLong;
+import wingroad.Fixtures;
+import wingroad.Fixtures.Client;
+import wingroad.operator.OperatorFile;
+import wingroad.protocol.Json;
+import wingroad.rig.FencedMember;
+import wingroad.rig.Relays;
+import wingroad.rig.Rig;
 
 /**
  * Twenty and more real processes with faults: the same load and faults without a fleet and with
--- a/src/bench/java/wingroad/fleet/WorkSim.java
+++ b/src/bench/java/wingroad/fleet/WorkSim.java
@@ -1,10 +1,9 @@
 package wingroad.fleet;
 
-import wingroad.fleet.SimFleet.Wrong;
-
 import java.util.ArrayList;
 import java.util.List;
 import java.util.stream.LongStream;
+import wingroad.fleet.SimFleet.Wrong;
 
 /**
  * Short histories of work on machines in virtual time by the thousand; one seed with its lines for
@@ -156,8 +155,8 @@
         return String.format(
                 java.util.Locale.ROOT,
                 "drivers %d, machines %d, at once %d: plan_ms %d (all asks settled), out %d after"
-                    + " %.1f s, rounds %d (looks of the conductor), messages_per_machine %.0f (of"
-                    + " %.0f a second, %d at rest), broken %d, played in %d s",
+                        + " %.1f s, rounds %d (looks of the conductor), messages_per_machine %.0f (of"
+                        + " %.0f a second, %d at rest), broken %d, played in %d s",
                 drivers,
                 machines,
                 atOnce,
--- a/src/main/java/wingroad/fleet/ChoreRunner.java
+++ b/src/main/java/wingroad/fleet/ChoreRunner.java
@@ -1,8 +1,7 @@
 package wingroad.fleet;
 
-import wingroad.fleet.FleetConfig.Chore;
-
 import java.time.Duration;
+import wingroad.fleet.FleetConfig.Chore;
 
 /** Runs a chore's statement on the primary of its group. */
 public interface ChoreRunner {
--- a/src/test/java/wingroad/fleet/FleetIT.java
+++ b/src/test/java/wingroad/fleet/FleetIT.java
@@ -3,13 +3,22 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
+import java.io.IOException;
+import java.nio.ByteBuffer;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.List;
+import java.util.Map;
+import java.util.concurrent.BlockingQueue;
+import java.util.concurrent.LinkedBlockingQueue;
+import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.CleanupMode;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.api.parallel.Execution;
 import org.junit.jupiter.api.parallel.ExecutionMode;
-
 import wingroad.Fixtures;
 import wingroad.Fixtures.Client;
 import wingroad.operator.OperatorFile;
@@ -18,17 +27,6 @@
 import wingroad.rig.Rig;
 import wingroad.rig.SlowDisk;
 
-import java.io.IOException;
-import java.nio.ByteBuffer;
-import java.nio.charset.StandardCharsets;
-import java.nio.file.Files;
-import java.nio.file.Path;
-import java.util.List;
-import java.util.Map;
-import java.util.concurrent.BlockingQueue;
-import java.util.concurrent.LinkedBlockingQueue;
-import java.util.concurrent.TimeUnit;
-
 /** Several real processes of the packaged program, with faults between them. */
 @Execution(ExecutionMode.CONCURRENT)
 class FleetIT {
@@ -128,7 +126,10 @@
                 member.await(seen, x -> x.chore().equals("a") && x.epoch() < next.epoch());
         assertThat(late.accepted()).isFalse();
         owner.await(
-                0, l -> l.contains("has expired") || l.contains("the consensus group has ended"));
+                0,
+                l ->
+                        l.contains("has expired; its duties are suspended")
+                                || l.contains("the consensus group has ended"));
         nothingWrong();
     }
 
@@ -139,7 +140,7 @@
         Rig.Driver owner = runner(e);
         int from = owner.lines();
         rig.cutFromCouncil(owner.name, true);
-        owner.await(from, l -> l.contains("has expired"));
+        owner.await(from, l -> l.contains("has expired; its duties are suspended"));
         FencedMember.Entry next = successor(e);
         assertThat(runner(next)).isNotSameAs(owner);
         try (Client c = new Client(owner.port())) {
@@ -158,7 +159,7 @@
         Rig.Driver owner = runner(e);
         int from = owner.lines();
         rig.cutOneWay(owner.name, false, true);
-        owner.await(from, l -> l.contains("has expired"));
+        owner.await(from, l -> l.contains("has expired; its duties are suspended"));
         // Guards against a session that is renewed by an owner that does not hear of it: its duties
         // stood still meanwhile.
         assertThat(runner(successor(e))).isNotSameAs(owner);
@@ -228,7 +229,7 @@
         left.await("lease of d4/");
         rig.driver("d1").kill();
         rig.driver("d2").kill();
-        left.await("has expired");
+        left.await("has expired; its duties are suspended");
         int seen = member.entries();
         try (Client c = new Client(left.port())) {
             c.startup().heard();
@@ -477,8 +478,8 @@
         rig.driver("d3").kill();
         rig.driver("d3").loseState();
         rig.driver("d3").start();
-        rig.driver("d4").await("has expired");
-        rig.driver("d1").await("has expired");
+        rig.driver("d4").await("has expired; its duties are suspended");
+        rig.driver("d1").await("has expired; its duties are suspended");
         assertThat(rig.driver("d3").log()).noneMatch(l -> l.contains("joined consensus group"));
         int seen = member.entries();
         rig.driver("d2").start();
--- a/src/test/java/wingroad/fleet/SimFleet.java
+++ b/src/test/java/wingroad/fleet/SimFleet.java
@@ -2,11 +2,6 @@
 
 import io.microraft.model.message.VoteRequest;
 import io.microraft.model.message.VoteResponse;
-
-import wingroad.duty.EpochFence;
-import wingroad.duty.Lease;
-import wingroad.duty.SessionLease;
-
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.nio.file.Path;
@@ -24,6 +19,9 @@
 import java.util.TreeMap;
 import java.util.function.BiConsumer;
 import java.util.function.Function;
+import wingroad.duty.EpochFence;
+import wingroad.duty.Lease;
+import wingroad.duty.SessionLease;
 
 /**
  * A fleet in virtual time: the program's own code on played clocks, links and disks, with faults
--- a/src/test/java/wingroad/fleet/SimWork.java
+++ b/src/test/java/wingroad/fleet/SimWork.java
@@ -1,5 +1,15 @@
 package wingroad.fleet;
 
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Random;
+import java.util.Set;
+import java.util.TreeMap;
+import java.util.TreeSet;
 import wingroad.duty.Command;
 import wingroad.duty.DutyStateMachine;
 import wingroad.fleet.SimFleet.Proc;
@@ -14,17 +24,6 @@
 import wingroad.work.MemberObservations;
 import wingroad.work.PlanCopy;
 
-import java.time.Duration;
-import java.util.ArrayList;
-import java.util.HashMap;
-import java.util.HashSet;
-import java.util.List;
-import java.util.Map;
-import java.util.Random;
-import java.util.Set;
-import java.util.TreeMap;
-import java.util.TreeSet;
-
 /**
  * Work on machines in virtual time: the program's plan, view and conductor on the played fleet,
  * played members with a ledger, operators that ask at random times, and a checker that knows the
