--- a/src/main/java/wingroad/driver/ClientConnection.java
+++ b/src/main/java/wingroad/driver/ClientConnection.java
@@ -1,14 +1,13 @@
 package wingroad.driver;
 
+import java.nio.ByteBuffer;
+import java.time.Duration;
 import wingroad.door.ClientContext;
 import wingroad.protocol.ClientInput;
 import wingroad.protocol.ClientOutput;
 import wingroad.protocol.Statement;
 import wingroad.transport.Connection;
 
-import java.nio.ByteBuffer;
-import java.time.Duration;
-
 /**
  * One client's connection. Its commands are processed one after the other, each once the previous
  * one is answered. Its use of memory and time is bounded; {@link #checkTimeouts} enforces the time
@@ -33,7 +32,10 @@
      */
     private static final Duration IDLE_TIMEOUT = Duration.ofMillis(2200);
 
-    /** How long a client may read nothing at all; one that reads slowly is not limited. */
+    /**
+     * How long a client may read nothing at all before it is taken as gone; one that reads slowly
+     * is not limited.
+     */
     private static final Duration WRITE_TIMEOUT = Duration.ofSeconds(3);
 
     /** How long a client has to end its side after the output was shut down. */
@@ -70,7 +72,7 @@
     private boolean hasQueried;
 
     /** Null if tenants are not told apart. */
-    private ClientContext caller;
+    private ClientContext clientContext;
 
     /** The dispatcher's name of the txn that waits for its final answer, or null. */
     private String txn;
@@ -168,7 +170,7 @@
         switch (message.kind()) {
             case STARTUP, NEWER_STARTUP -> {
                 started = true;
-                caller = frontend.caller(connection.from(), message.bytes());
+                clientContext = frontend.clientContext(connection.from(), message.bytes());
                 send(
                         new ClientOutput()
                                 .welcome(
@@ -394,8 +396,8 @@
         return hasQueried;
     }
 
-    ClientContext caller() {
-        return caller;
+    ClientContext clientContext() {
+        return clientContext;
     }
 
     boolean finishing() {
--- a/src/main/java/wingroad/driver/MemberConnection.java
+++ b/src/main/java/wingroad/driver/MemberConnection.java
@@ -1,5 +1,9 @@
 package wingroad.driver;
 
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.nio.ByteBuffer;
+import java.time.Duration;
 import wingroad.driver.TxnDispatcher.MemberRequest;
 import wingroad.protocol.MemberInput;
 import wingroad.protocol.MemberOutput;
@@ -7,11 +11,6 @@
 import wingroad.transport.Connection;
 import wingroad.transport.EventLoop;
 
-import java.io.IOException;
-import java.net.InetSocketAddress;
-import java.nio.ByteBuffer;
-import java.time.Duration;
-
 /**
  * One connection to a member. It carries one request at a time, and is closed whenever the state of
  * its stream is in doubt.
@@ -101,7 +100,7 @@
         requestTimer =
                 loop.after(
                         newRequest.deadline().minus(requestOrIdleSince),
-                        () -> abandonRequest("response timed out", progress().endIfTimedOut()));
+                        () -> abandonRequest("response timed out", progress().outcomeIfTimedOut()));
     }
 
     /** Sends a request on an idle connection, at once or after the reuse delay. */
@@ -303,13 +302,13 @@
                     lostRequest,
                     rejectedAsFull
                             ? Outcome.FULL
-                            : memberMoved(stateBefore) ? Outcome.MOOT : progress.endIfLost(),
+                            : memberMoved(stateBefore) ? Outcome.MOOT : progress.outcomeIfLost(),
                     pools.now().minus(requestOrIdleSince),
                     reason);
         }
     }
 
-    private void abandonRequest(String reason, Outcome end) {
+    private void abandonRequest(String reason, Outcome outcome) {
         if (state != State.CLOSED) {
             MemberRequest abandoned = request;
             State stateBefore = state;
@@ -317,7 +316,7 @@
             if (abandoned != null) {
                 pools.requestFailed(
                         abandoned,
-                        memberMoved(stateBefore) ? Outcome.MOOT : end,
+                        memberMoved(stateBefore) ? Outcome.MOOT : outcome,
                         pools.now().minus(requestOrIdleSince),
                         reason);
             }
@@ -340,10 +339,10 @@
 
     /** Stops waiting for the response to the request. */
     void cancel() {
-        abandonRequest("cancelled", progress().endIfCancelled());
+        abandonRequest("cancelled", progress().outcomeIfCancelled());
     }
 
-    /** Closes the connection; the member is told first if it is idle. */
+    /** Closes the connection, with a Terminate message if it is idle. */
     void close() {
         if (state == State.IDLE || state == State.REUSE_DELAYED) {
             connection.send(MemberOutput.terminate());
--- a/src/main/java/wingroad/duty/RelayHealth.java
+++ b/src/main/java/wingroad/duty/RelayHealth.java
@@ -3,104 +3,111 @@
 import java.time.Duration;
 
 /**
- * Whether a driver asks discovery itself or goes by what the owner of that duty hands on. It goes
- * by the owner only while that one is heard often, under an epoch that is not below any seen, and
- * is not contradicted by what it finds in a slow call of its own. Asking itself is always safe; it
- * only costs more.
+ * Decides whether a driver polls discovery itself or relies on the lists that the owner of the list
+ * duty relays. It relies on the owner only while the owner is heard regularly, under an epoch that
+ * is not below any seen, and is not contradicted by the driver's own infrequent checks. Polling is
+ * always safe; it only costs more.
  */
 public final class RelayHealth {
-    private final Duration silentAfter;
-    private final Duration staleAfter;
-    private final Duration checkEvery;
-    private long epoch;
-    private long heard = -1;
-    private Duration heardAt;
-    private long held;
+    private final Duration ownerTimeout;
+    private final Duration staleTimeout;
+    private final Duration checkInterval;
+    private long ownerEpoch;
+    private long announcedRevision = -1;
+    private Duration lastHeardAt;
+    private long localRevision;
 
-    /** Since when something newer is held than the owner tells, or null. */
+    /** Since when the local revision has been newer than the owner's, or null. */
     private Duration aheadSince;
 
-    private Duration checkedAt = Duration.ZERO;
+    private Duration lastCheckAt = Duration.ZERO;
 
     /**
-     * @param silentAfter an owner that is not heard for so long is not gone by any more
-     * @param staleAfter so long may it tell of something older than what is held
-     * @param checkEvery how often discovery is asked all the same
+     * Creates the state of a driver that has not heard an owner yet.
+     *
+     * @param ownerTimeout an owner that has not been heard for so long is no longer relied on
+     * @param staleTimeout how long the owner may announce a revision older than the local one
+     * @param checkInterval how often discovery is polled although the owner is relied on
      */
-    public RelayHealth(Duration silentAfter, Duration staleAfter, Duration checkEvery) {
-        this.silentAfter = silentAfter;
-        this.staleAfter = staleAfter;
-        this.checkEvery = checkEvery;
+    public RelayHealth(Duration ownerTimeout, Duration staleTimeout, Duration checkInterval) {
+        this.ownerTimeout = ownerTimeout;
+        this.staleTimeout = staleTimeout;
+        this.checkInterval = checkInterval;
     }
 
-    /** What is to be done with what the owner has handed on. */
+    /** What to do with an update from the owner. */
     public enum Action {
-        /** It is of an older epoch or an older revision: nothing. */
+        /** The update is of an older epoch or not of a newer revision. */
         IGNORE,
-        /** It goes on from what is held. */
+        /** The update continues from the local revision, or is complete. */
         APPLY,
-        /** What lies between is missing: discovery is to be asked. */
+        /** Revisions in between are missing: poll discovery. */
         FETCH
     }
 
     /**
-     * The owner under this epoch tells that the newest is this revision, with what is new since
-     * another one.
+     * Handles an update from the owner.
+     *
+     * @param epoch the owner's epoch
+     * @param baseRevision the revision that the changes start from
+     * @param revision the owner's newest revision
+     * @param complete whether the update holds the whole list rather than changes
+     * @param hasChanges whether the update holds a list or changes at all
      */
     public Action onOwnerUpdate(
-            long underEpoch,
-            long since,
+            long epoch,
+            long baseRevision,
             long revision,
-            boolean whole,
-            boolean withNews,
+            boolean complete,
+            boolean hasChanges,
             Duration now) {
-        if (underEpoch < epoch) {
+        if (epoch < ownerEpoch) {
             return Action.IGNORE;
         }
-        if (underEpoch > epoch) {
-            epoch = underEpoch;
-            heard = -1;
+        if (epoch > ownerEpoch) {
+            ownerEpoch = epoch;
+            announcedRevision = -1;
         }
-        heardAt = now;
-        heard = Math.max(heard, revision);
-        if (heard >= held) {
+        lastHeardAt = now;
+        announcedRevision = Math.max(announcedRevision, revision);
+        if (announcedRevision >= localRevision) {
             aheadSince = null;
         } else if (aheadSince == null) {
             aheadSince = now;
         }
-        if (revision <= held) {
+        if (revision <= localRevision) {
             return Action.IGNORE;
         }
-        if (withNews && (whole || since <= held)) {
-            held = revision;
+        if (hasChanges && (complete || baseRevision <= localRevision)) {
+            localRevision = revision;
             return Action.APPLY;
         }
         return Action.FETCH;
     }
 
-    /** The driver has found this revision by itself. */
+    /** Records a revision that the driver has fetched from discovery itself. */
     public void onDirectFetch(long revision, Duration now) {
-        checkedAt = now;
-        held = Math.max(held, revision);
-        if (held > heard && aheadSince == null) {
+        lastCheckAt = now;
+        localRevision = Math.max(localRevision, revision);
+        if (localRevision > announcedRevision && aheadSince == null) {
             aheadSince = now;
         }
     }
 
-    /** Whether the owner is gone by. */
+    /** Returns whether the owner's lists are relied on. */
     public boolean trustsOwner(Duration now) {
-        return heardAt != null
-                && now.minus(heardAt).compareTo(silentAfter) < 0
-                && (aheadSince == null || now.minus(aheadSince).compareTo(staleAfter) < 0);
+        return lastHeardAt != null
+                && now.minus(lastHeardAt).compareTo(ownerTimeout) < 0
+                && (aheadSince == null || now.minus(aheadSince).compareTo(staleTimeout) < 0);
     }
 
-    /** Whether the slow call is due. */
+    /** Returns whether the driver's own check of discovery is due. */
     public boolean isCheckDue(Duration now) {
-        return now.minus(checkedAt).compareTo(checkEvery) >= 0;
+        return now.minus(lastCheckAt).compareTo(checkInterval) >= 0;
     }
 
-    /** The slow call goes out. */
+    /** Records that the driver's own check has been sent. */
     public void onCheckStarted(Duration now) {
-        checkedAt = now;
+        lastCheckAt = now;
     }
 }
