--- a/src/main/java/wingroad/driver/ClientConnection.java
+++ b/src/main/java/wingroad/driver/ClientConnection.java
@@ -1,19 +1,20 @@
 package wingroad.driver;
 
-import java.nio.ByteBuffer;
-import java.time.Duration;
 import wingroad.door.ClientContext;
-import wingroad.protocol.ClientInput;
-import wingroad.protocol.ClientOutput;
+import wingroad.protocol.ClientMessageDecoder;
+import wingroad.protocol.ClientMessageEncoder;
 import wingroad.protocol.Statement;
 import wingroad.transport.Connection;
 
+import java.nio.ByteBuffer;
+import java.time.Duration;
+
 /**
  * One client's connection. Its commands are processed one after the other, each once the previous
  * one is answered. Its use of memory and time is bounded; {@link #checkTimeouts} enforces the time
  * limits.
  */
-final class ClientConnection implements Connection.Owner, TxnDispatcher.TxnCallback {
+final class ClientConnection implements Connection.Handler, TxnDispatcher.TxnCallback {
     /**
      * How long the startup message may take. A client must be told of the end within 3 s of its
      * connect; this leaves time for {@link #LINGER_TIMEOUT}.
@@ -57,7 +58,7 @@
     private static final int MAX_REJECTED_COMMAND_COUNT = 8;
 
     private final ClientFrontend frontend;
-    private final ClientInput input = new ClientInput();
+    private final ClientMessageDecoder input = new ClientMessageDecoder();
     private Connection connection;
     private final int connectionNumber;
     private final Duration connectedAt;
@@ -114,15 +115,18 @@
 
     void begin(Connection connection) {
         this.connection = connection;
-        connection.begin();
+        connection.startReading();
     }
 
     /** Whether it has a txn, unwritten output, or an unprocessed command. */
     boolean busy() {
         return txn != null
                 || submitting
-                || connection.unsent()
-                || connection.unread() && partialCommandSince == null && !delayed && !finishing;
+                || connection.hasUnsentBytes()
+                || connection.hasUnreadBytes()
+                        && partialCommandSince == null
+                        && !delayed
+                        && !finishing;
     }
 
     /**
@@ -130,27 +134,27 @@
      * could not tell whether its command was processed.
      */
     boolean inCommand() {
-        return partialCommandSince != null && connection.unread() && !finishing;
+        return partialCommandSince != null && connection.hasUnreadBytes() && !finishing;
     }
 
     @Override
-    public boolean takes() {
-        return finishing || txn == null && !delayed && !connection.unsent();
+    public boolean acceptsInput() {
+        return finishing || txn == null && !delayed && !connection.hasUnsentBytes();
     }
 
     @Override
-    public void bytes(ByteBuffer in) {
+    public void onBytes(ByteBuffer in) {
         if (finishing) {
             discardedBytes += in.remaining();
             in.position(in.limit());
             if (discardedBytes > MAX_DISCARDED_BYTES) {
-                connection.readNoMore();
+                connection.stopReading();
             }
             return;
         }
         // At most one answer waits to be written: a client that does not read gets no further ones.
-        while (txn == null && !finishing && !delayed && !connection.unsent()) {
-            ClientInput.Message message = input.next(in);
+        while (txn == null && !finishing && !delayed && !connection.hasUnsentBytes()) {
+            ClientMessageDecoder.Message message = input.next(in);
             if (message == null) {
                 boolean isPartial = in.hasRemaining();
                 partialCommandSince =
@@ -166,29 +170,30 @@
         }
     }
 
-    private void handle(ClientInput.Message message) {
+    private void handle(ClientMessageDecoder.Message message) {
         switch (message.kind()) {
-            case STARTUP, NEWER_STARTUP -> {
+            case STARTUP, STARTUP_NEWER_MINOR -> {
                 started = true;
-                clientContext = frontend.clientContext(connection.from(), message.bytes());
+                clientContext = frontend.clientContext(connection.remoteHost(), message.body());
                 send(
-                        new ClientOutput()
-                                .welcome(
-                                        message.kind() == ClientInput.Kind.NEWER_STARTUP,
+                        new ClientMessageEncoder()
+                                .startupComplete(
+                                        message.kind()
+                                                == ClientMessageDecoder.Kind.STARTUP_NEWER_MINOR,
                                         connectionNumber));
             }
-            case ENCRYPTION -> send(new ClientOutput().noEncryption());
+            case ENCRYPTION_REQUEST -> send(new ClientMessageEncoder().encryptionRefused());
             case QUERY -> {
                 if (!skippingToSync) {
-                    handleQuery(message.bytes());
+                    handleQuery(message.body());
                 }
             }
-            case EXTENDED -> {
+            case EXTENDED_QUERY -> {
                 if (!skippingToSync) {
                     skippingToSync = true;
                     rejectCommand(
                             "extended query",
-                            ClientOutput.UNSUPPORTED,
+                            ClientMessageEncoder.FEATURE_NOT_SUPPORTED,
                             "only simple queries",
                             false);
                 } else {
@@ -196,19 +201,22 @@
                 }
             }
             case SYNC -> {
-                if (message.why() == null) {
+                if (message.reason() == null) {
                     skippingToSync = false;
-                    send(new ClientOutput().ready());
+                    send(new ClientMessageEncoder().readyForQuery());
                 } else if (!skippingToSync) {
                     rejectCommand(
-                            "function call", ClientOutput.UNSUPPORTED, "no function calls", true);
+                            "function call",
+                            ClientMessageEncoder.FEATURE_NOT_SUPPORTED,
+                            "no function calls",
+                            true);
                 }
             }
             // CopyData and the like without a copy in progress
-            case SKIP -> skipMessage();
-            case BROKEN -> {
-                frontend.count("client " + message.why());
-                sendFatalError(ClientOutput.MALFORMED, message.why());
+            case IGNORED -> skipMessage();
+            case MALFORMED -> {
+                frontend.count("client " + message.reason());
+                sendFatalError(ClientMessageEncoder.PROTOCOL_VIOLATION, message.reason());
             }
             default -> {
                 finishing = true;
@@ -221,7 +229,7 @@
     private void skipMessage() {
         if (++skippedMessageCount > MAX_SKIPPED_MESSAGE_COUNT) {
             frontend.count("client sent too many ignored messages");
-            sendFatalError(ClientOutput.MALFORMED, "too much that is no query");
+            sendFatalError(ClientMessageEncoder.PROTOCOL_VIOLATION, "too much that is no query");
         }
     }
 
@@ -229,15 +237,15 @@
         hasQueried = true;
         skippedMessageCount = 0;
         if (isBlank(text)) {
-            send(new ClientOutput().emptyQuery());
+            send(new ClientMessageEncoder().emptyQueryResponse());
             return;
         }
         Statement.Parsed parsed = Statement.parse(text);
-        String reason = parsed.why();
-        String sqlState = ClientOutput.MALFORMED;
+        String reason = parsed.error();
+        String sqlState = ClientMessageEncoder.PROTOCOL_VIOLATION;
         Statement statement = parsed.statement();
         if (statement != null) {
-            sqlState = ClientOutput.UNKNOWN_NAME;
+            sqlState = ClientMessageEncoder.UNDEFINED_OBJECT;
             reason = frontend.rejectionReason(statement);
         }
         if (reason != null) {
@@ -274,10 +282,11 @@
                 FIRST_ERROR_DELAY.multipliedBy(1L << rejectedCommandCount - 1),
                 () -> {
                     delayed = false;
-                    connection.offerAgain();
+                    connection.redeliver();
                 });
-        ClientOutput output = new ClientOutput().error(false, sqlState, text, null);
-        send(withReady ? output.ready() : output);
+        ClientMessageEncoder output =
+                new ClientMessageEncoder().errorResponse(false, sqlState, text, null);
+        send(withReady ? output.readyForQuery() : output);
     }
 
     private static boolean isBlank(byte[] text) {
@@ -292,7 +301,7 @@
     @Override
     public void committed(byte[] row) {
         txnEnded();
-        connection.send(ClientOutput.row(row));
+        connection.send(ClientMessageEncoder.rowResponse(row));
     }
 
     @Override
@@ -301,21 +310,22 @@
         String retryAfterMs =
                 retryAfter == null ? null : Long.toString(Math.max(1, retryAfter.toMillis()));
         sendFinalAnswer(
-                new ClientOutput()
-                        .error(false, ClientOutput.DECLINED, "declined", retryAfterMs)
-                        .ready());
+                new ClientMessageEncoder()
+                        .errorResponse(
+                                false, ClientMessageEncoder.DECLINED, "declined", retryAfterMs)
+                        .readyForQuery());
     }
 
     @Override
     public void rolledBack() {
         frontend.count("ROLLED BACK");
         sendFinalAnswer(
-                new ClientOutput()
-                        .error(false, ClientOutput.ROLLED_BACK, "rolled back", null)
-                        .ready());
+                new ClientMessageEncoder()
+                        .errorResponse(false, ClientMessageEncoder.ROLLED_BACK, "rolled back", null)
+                        .readyForQuery());
     }
 
-    private void sendFinalAnswer(ClientOutput output) {
+    private void sendFinalAnswer(ClientMessageEncoder output) {
         txnEnded();
         send(output);
     }
@@ -327,18 +337,18 @@
         reservedBytes = 0;
     }
 
-    private void send(ClientOutput output) {
+    private void send(ClientMessageEncoder output) {
         lastProgressAt = frontend.now();
-        connection.send(output.bytes());
+        connection.send(output.toByteBuffer());
     }
 
     @Override
-    public void written() {
+    public void onAllWritten() {
         if (finishing) {
             return;
         }
-        if (connection.unread()) {
-            connection.offerAgain();
+        if (connection.hasUnreadBytes()) {
+            connection.redeliver();
         } else if (txn == null && hasQueried) {
             frontend.becameIdle(this);
             if (frontend.closing()) {
@@ -349,7 +359,7 @@
 
     /** Sends a fatal error and finishes the connection. */
     private void sendFatalError(String sqlState, String text) {
-        send(new ClientOutput().error(true, sqlState, text, null));
+        send(new ClientMessageEncoder().errorResponse(true, sqlState, text, null));
         finish();
     }
 
@@ -357,7 +367,7 @@
     void finish() {
         finishing = true;
         lastProgressAt = frontend.now();
-        connection.finish();
+        connection.shutdownOutput();
     }
 
     /**
@@ -365,11 +375,11 @@
      * is kept by the router.
      */
     void checkTimeouts(Duration now) {
-        if (writtenBytesAtLastCheck != connection.wrote()) {
-            writtenBytesAtLastCheck = connection.wrote();
+        if (writtenBytesAtLastCheck != connection.writtenBytes()) {
+            writtenBytesAtLastCheck = connection.writtenBytes();
             lastProgressAt = now;
         }
-        if (connection.unsent()
+        if (connection.hasUnsentBytes()
                 ? hasElapsed(lastProgressAt, WRITE_TIMEOUT, now)
                 : finishing && hasElapsed(lastProgressAt, LINGER_TIMEOUT, now)) {
             close();
@@ -377,11 +387,11 @@
             return;
         } else if (!started && hasElapsed(connectedAt, STARTUP_TIMEOUT, now)) {
             frontend.count("client startup timed out");
-            sendFatalError(ClientOutput.MALFORMED, "no startup message in time");
+            sendFatalError(ClientMessageEncoder.PROTOCOL_VIOLATION, "no startup message in time");
         } else if (partialCommandSince != null
                 && hasElapsed(partialCommandSince, COMMAND_TIMEOUT, now)) {
             frontend.count("client command timed out");
-            sendFatalError(ClientOutput.MALFORMED, "no whole command in time");
+            sendFatalError(ClientMessageEncoder.PROTOCOL_VIOLATION, "no whole command in time");
         } else if (hasElapsed(lastProgressAt, IDLE_TIMEOUT, now) && !frontend.mayStayIdle()) {
             finish();
         }
@@ -406,26 +416,26 @@
 
     /** Whether its output was shut down, or it sent no startup message within the limit. */
     boolean isDispensable(Duration now, Duration silentLimit) {
-        return finishing && !connection.unsent()
+        return finishing && !connection.hasUnsentBytes()
                 || !started && hasElapsed(connectedAt, silentLimit, now);
     }
 
     void close() {
         connection.close();
-        ended(0, false, null);
+        onClosed(0, false, null);
     }
 
     @Override
-    public void full() {
+    public void onInputMemoryExhausted() {
         if (txn == null && !finishing) {
             // Nothing was submitted, so a retry is safe.
             frontend.count("client declined for lack of memory");
-            sendFatalError(ClientOutput.DECLINED, "no memory for this now");
+            sendFatalError(ClientMessageEncoder.DECLINED, "no memory for this now");
         }
     }
 
     @Override
-    public void ended(int unwritten, boolean orderly, String reason) {
+    public void onClosed(int unwritten, boolean orderly, String reason) {
         if (txn != null) {
             frontend.abandon(txn, statementId);
             txnEnded();
--- a/src/main/java/wingroad/driver/ClientFrontend.java
+++ b/src/main/java/wingroad/driver/ClientFrontend.java
@@ -2,6 +2,13 @@
 
 import static wingroad.state.Durations.min;
 
+import wingroad.door.ClientContext;
+import wingroad.door.FairQueueSettings;
+import wingroad.protocol.ClientMessageDecoder;
+import wingroad.protocol.Statement;
+import wingroad.transport.EventLoop;
+import wingroad.transport.Listener;
+
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.time.Duration;
@@ -12,12 +19,6 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.IntPredicate;
-import wingroad.door.ClientContext;
-import wingroad.door.FairQueueSettings;
-import wingroad.protocol.ClientInput;
-import wingroad.protocol.Statement;
-import wingroad.transport.EventLoop;
-import wingroad.transport.Listener;
 
 /**
  * Accepts client connections, bounds their number, and hands their txns to the dispatcher with the
@@ -120,7 +121,7 @@
                 new Listener(
                         loop,
                         address,
-                        ClientInput.MOST + BUFFER_MARGIN_BYTES,
+                        ClientMessageDecoder.MAX_MESSAGE_BYTES + BUFFER_MARGIN_BYTES,
                         this::mayAccept,
                         accepted -> {
                             ClientConnection connection =
@@ -136,7 +137,7 @@
     }
 
     void startAccepting() {
-        listener.again();
+        listener.acceptNext();
         checkTimeouts();
     }
 
@@ -153,7 +154,7 @@
         if (fairQueueSettings == null) {
             return null;
         }
-        Map<String, String> parameters = ClientInput.parameters(startup);
+        Map<String, String> parameters = ClientMessageDecoder.parseStartupParameters(startup);
         parameters.keySet().retainAll(TENANT_PARAMETERS);
         parameters.replaceAll(
                 (name, value) -> value.substring(0, Math.min(value.length(), MAX_NAME_CHARS)));
@@ -165,7 +166,7 @@
         for (FairQueueSettings.TenantNameSource source : fairQueueSettings.tenantNameSources()) {
             String name =
                     switch (source.type()) {
-                        case COMMENT -> statement.named(source.parameterName());
+                        case COMMENT -> statement.commentValue(source.parameterName());
                         case STARTUP -> clientContext.startupParameter(source.parameterName());
                         case ADDRESS -> null;
                     };
@@ -182,11 +183,11 @@
             connection.checkTimeouts(now);
         }
         idsInUse.values().removeIf(expiresAt -> expiresAt.compareTo(now) <= 0);
-        loop.after(TIMEOUT_CHECK_INTERVAL, this::checkTimeouts);
+        loop.schedule(TIMEOUT_CHECK_INTERVAL, this::checkTimeouts);
     }
 
     void after(Duration delay, Runnable task) {
-        loop.after(delay, task);
+        loop.schedule(delay, task);
     }
 
     Duration now() {
@@ -194,7 +195,7 @@
     }
 
     InetSocketAddress localAddress() throws IOException {
-        return listener.at();
+        return listener.localAddress();
     }
 
     /**
@@ -203,12 +204,12 @@
      * neither, clients are accepted from half of that reserve, but only to be declined.
      */
     private boolean mayAccept() {
-        return !isOutOfChannels() || loop.channelsLeft() > 0;
+        return !isOutOfChannels() || loop.availableChannels() > 0;
     }
 
     /** Whether only the members' reserve of descriptors is left and no connection is idle. */
     private boolean isOutOfChannels() {
-        while (loop.channelsLeft() <= loop.mostChannels() / MEMBER_RESERVE_DIVISOR) {
+        while (loop.availableChannels() <= loop.maxChannels() / MEMBER_RESERVE_DIVISOR) {
             if (!closeIdleConnection() && !dispatcher.closeSpareMemberConnection()) {
                 return true;
             }
@@ -249,12 +250,12 @@
      * Why a statement does not fit this deployment, as the text for the client; null if it does.
      */
     String rejectionReason(Statement statement) {
-        int typeIndex = typeNames.indexOf(statement.type());
+        int typeIndex = typeNames.indexOf(statement.txnType());
         return typeIndex < 0
                 ? "unknown c"
                 : !isKnownGroup.test(statement.group())
                         ? "unknown cluster"
-                        : statement.writes() && !isUpdateType[typeIndex]
+                        : statement.write() && !isUpdateType[typeIndex]
                                 ? "a write as a type that reads"
                                 : idsInUse.containsKey(statement.id()) ? "an id in use" : null;
     }
@@ -267,13 +268,15 @@
         if (isOutOfChannels()) {
             return null;
         }
-        int typeIndex = typeNames.indexOf(statement.type());
+        int typeIndex = typeNames.indexOf(statement.txnType());
         idsInUse.put(
                 statement.id(),
-                dispatcher.now().plus(min(Duration.ofMillis(statement.left()), longestExpiry)));
+                dispatcher
+                        .now()
+                        .plus(min(Duration.ofMillis(statement.timeLeftMs()), longestExpiry)));
         long sessionId =
                 tracksSessions && (isUpdateType[typeIndex] || readsOwnWrites[typeIndex])
-                        ? statement.session()
+                        ? statement.keyHash()
                         : TxnDispatcher.NO_SESSION;
         ClientContext clientContext = connection.clientContext();
         return clientContext == null || fairQueueSettings == null
@@ -301,7 +304,7 @@
         connections.remove(connection);
         connections.add(connection);
         limitIdleConnections();
-        listener.again();
+        listener.acceptNext();
     }
 
     /**
@@ -313,7 +316,7 @@
         int queriedCount = 0;
         ClientConnection longestIdle = null;
         for (ClientConnection connection :
-                connections.size() > loop.mostChannels() / CLIENT_CHANNELS_DIVISOR
+                connections.size() > loop.maxChannels() / CLIENT_CHANNELS_DIVISOR
                         ? connections
                         : List.<ClientConnection>of()) {
             queriedCount += connection.hasQueried() && !connection.finishing() ? 1 : 0;
@@ -326,7 +329,7 @@
                             ? connection
                             : longestIdle;
         }
-        if (longestIdle != null && queriedCount > loop.mostChannels() / CLIENT_CHANNELS_DIVISOR) {
+        if (longestIdle != null && queriedCount > loop.maxChannels() / CLIENT_CHANNELS_DIVISOR) {
             counters.count("idle client connection closed over the limit");
             longestIdle.finish();
         }
@@ -335,13 +338,13 @@
     void connectionClosed(ClientConnection connection) {
         connections.remove(connection);
         if (listener != null) {
-            listener.again();
+            listener.acceptNext();
         }
     }
 
     /** Counts bytes against the driver's memory limit; a negative count releases them. */
     void reserveBytes(int byteCount) {
-        loop.hold(byteCount);
+        loop.addBufferedBytes(byteCount);
     }
 
     void count(String name) {
--- a/src/main/java/wingroad/driver/Configuration.java
+++ b/src/main/java/wingroad/driver/Configuration.java
@@ -1,5 +1,9 @@
 package wingroad.driver;
 
+import wingroad.protocol.Json;
+import wingroad.protocol.MemberList;
+import wingroad.terms.SettingsValidator;
+
 import java.io.IOException;
 import java.io.InputStream;
 import java.net.InetSocketAddress;
@@ -8,9 +12,6 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import wingroad.protocol.Json;
-import wingroad.protocol.MemberList;
-import wingroad.terms.SettingsValidator;
 
 /**
  * A driver's configuration.
@@ -70,7 +71,8 @@
                             : Json.object(root.get("limits"), "'limits'");
             int descriptorLimit = (int) limit(limits, "sockets", DEFAULT_DESCRIPTOR_LIMIT);
             long memoryMb = limit(limits, "memory_mb", DEFAULT_MEMORY_MB);
-            Map<String, Object> settings = Json.object(Json.need(root, "settings"), "'settings'");
+            Map<String, Object> settings =
+                    Json.object(Json.required(root, "settings"), "'settings'");
             List<String> problems = SettingsValidator.problems(settings);
             if (!problems.isEmpty()) {
                 throw new InvalidConfigurationException(
@@ -85,11 +87,11 @@
                     memoryMb << 20,
                     root.get("known") == null
                             ? new MemberList(0, true, List.of())
-                            : MemberList.of(Json.object(root.get("known"), "'known'")),
+                            : MemberList.fromJson(Json.object(root.get("known"), "'known'")),
                     settings);
         } catch (IOException e) {
             throw new InvalidConfigurationException("the configuration is not JSON: " + file);
-        } catch (Json.Malformed e) {
+        } catch (Json.MalformedJsonException e) {
             throw new InvalidConfigurationException("invalid configuration: " + e.getMessage());
         }
     }
@@ -140,7 +142,7 @@
         if (colon <= 0
                 || !text.substring(colon + 1).matches("[0-9]{1,5}")
                 || Integer.parseInt(text.substring(colon + 1)) > 0xffff
-                || !MemberList.isLiteral(text.substring(0, colon))) {
+                || !MemberList.isIpLiteral(text.substring(0, colon))) {
             throw new InvalidConfigurationException("'" + key + "' is not an address: " + text);
         }
         return new InetSocketAddress(
--- a/src/main/java/wingroad/driver/DiscoveryClient.java
+++ b/src/main/java/wingroad/driver/DiscoveryClient.java
@@ -1,14 +1,15 @@
 package wingroad.driver;
 
+import wingroad.protocol.HttpResponseDecoder;
+import wingroad.protocol.MemberList;
+import wingroad.transport.Connection;
+import wingroad.transport.EventLoop;
+
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
 import java.time.Duration;
 import java.util.function.Consumer;
-import wingroad.protocol.HttpReply;
-import wingroad.protocol.MemberList;
-import wingroad.transport.Connection;
-import wingroad.transport.EventLoop;
 
 /**
  * Requests the member list from discovery over HTTP: changes by a long poll that is repeated (the
@@ -104,7 +105,7 @@
 
     private void watchAfter(Duration delay) {
         cancelWatchTimer();
-        watchTimer = loop.after(delay, this::watch);
+        watchTimer = loop.schedule(delay, this::watch);
     }
 
     private void cancelWatchTimer() {
@@ -176,10 +177,10 @@
     }
 
     /** A watch, whose connection carries one request after the other, or a fetch. */
-    private final class Request implements Connection.Owner {
+    private final class Request implements Connection.Handler {
         private final boolean isWatch;
         private Connection connection;
-        private HttpReply reply = new HttpReply();
+        private HttpResponseDecoder reply = new HttpResponseDecoder();
         private EventLoop.Timer timer;
         private long sentAtNanos;
         private boolean closed;
@@ -192,27 +193,27 @@
         }
 
         void connect() {
-            sentAtNanos = loop.now();
+            sentAtNanos = loop.nanoTime();
             try {
                 connection = Connection.open(loop, address, this, MAX_BUFFERED_BYTES);
             } catch (IOException | RuntimeException failure) {
-                loop.run(() -> fail("cannot open connection: " + failure.getMessage()));
+                loop.execute(() -> fail("cannot open connection: " + failure.getMessage()));
                 return;
             }
             startTimer(RESPONSE_GRACE);
         }
 
         private void startTimer(Duration limit) {
-            timer = loop.after(limit, this::timedOut);
+            timer = loop.schedule(limit, this::timedOut);
         }
 
         @Override
-        public void up() {
+        public void onConnected() {
             send();
         }
 
         private void send() {
-            sentAtNanos = loop.now();
+            sentAtNanos = loop.nanoTime();
             timer.cancel();
             startTimer(isWatch ? longPollTimeout.plus(RESPONSE_GRACE) : RESPONSE_GRACE);
             String path =
@@ -224,18 +225,19 @@
                                             + longPollTimeout.toMillis()
                                     : "");
             connection.send(
-                    HttpReply.request(address.getHostString() + ":" + address.getPort(), path));
+                    HttpResponseDecoder.encodeGetRequest(
+                            address.getHostString() + ":" + address.getPort(), path));
         }
 
         @Override
-        public void bytes(ByteBuffer in) {
-            HttpReply.State state = reply.take(in);
-            if (state == HttpReply.State.WHOLE) {
+        public void onBytes(ByteBuffer in) {
+            HttpResponseDecoder.State state = reply.decode(in);
+            if (state == HttpResponseDecoder.State.COMPLETE) {
                 // Guards against a duplicated response: the second one would be taken for the
                 // response to the next request.
-                responseReceived(reply.closes() || in.hasRemaining());
-            } else if (state == HttpReply.State.BROKEN) {
-                fail(reply.why());
+                responseReceived(reply.connectionCloses() || in.hasRemaining());
+            } else if (state == HttpResponseDecoder.State.MALFORMED) {
+                fail(reply.malformedReason());
             }
         }
 
@@ -250,7 +252,7 @@
                             : new MemberList.Parsed(null, "status " + reply.status());
             MemberList list = parsed.list();
             if (list == null) {
-                fail(parsed.why());
+                fail(parsed.error());
                 return;
             }
             if (list.version() < version && !isWatch && watch != null) {
@@ -259,7 +261,7 @@
                 fetchDone();
                 return;
             }
-            if (list.version() < version && !list.whole()) {
+            if (list.version() < version && !list.complete()) {
                 // A service that counts anew from a lower version knows nothing of the held list,
                 // so only a whole list can follow.
                 version = 0;
@@ -277,11 +279,11 @@
             } else {
                 // The next request is sent before the list is delivered, so that no change falls
                 // between two requests.
-                reply = new HttpReply();
+                reply = new HttpResponseDecoder();
                 if (isNewer || !answeredImmediately()) {
                     send();
                 } else {
-                    timer = loop.after(MIN_WATCH_INTERVAL, this::send);
+                    timer = loop.schedule(MIN_WATCH_INTERVAL, this::send);
                 }
             }
             DiscoveryClient.this.onList.accept(list);
@@ -295,7 +297,7 @@
          * that does not wait would be polled without a pause.
          */
         private boolean answeredImmediately() {
-            return loop.now() - sentAtNanos < MIN_WATCH_INTERVAL.toNanos();
+            return loop.nanoTime() - sentAtNanos < MIN_WATCH_INTERVAL.toNanos();
         }
 
         private void watchAgain(boolean immediately) {
@@ -338,15 +340,15 @@
         }
 
         @Override
-        public void full() {
+        public void onInputMemoryExhausted() {
             fail("no memory for the response");
         }
 
         @Override
-        public void ended(int unwritten, boolean orderly, String reason) {
+        public void onClosed(int unwritten, boolean orderly, String reason) {
             // Only an orderly close ends a response without a length: what precedes a reset may be
             // a truncated list that looks whole.
-            if (orderly && reply.end() == HttpReply.State.WHOLE) {
+            if (orderly && reply.endOfStream() == HttpResponseDecoder.State.COMPLETE) {
                 responseReceived(true);
             } else {
                 fail(reason);
--- a/src/main/java/wingroad/driver/Driver.java
+++ b/src/main/java/wingroad/driver/Driver.java
@@ -2,6 +2,18 @@
 
 import static wingroad.state.Durations.min;
 
+import sun.misc.Signal;
+
+import wingroad.door.FairQueues;
+import wingroad.fleet.FleetConfig;
+import wingroad.operator.OperatorFile;
+import wingroad.protocol.MemberList;
+import wingroad.routing.Router;
+import wingroad.routing.TxnRouter;
+import wingroad.state.TxnType;
+import wingroad.terms.RouterSettings;
+import wingroad.transport.EventLoop;
+
 import java.io.IOException;
 import java.io.PrintStream;
 import java.net.InetSocketAddress;
@@ -17,16 +29,6 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.concurrent.atomic.AtomicReference;
-import sun.misc.Signal;
-import wingroad.door.FairQueues;
-import wingroad.fleet.FleetConfig;
-import wingroad.operator.OperatorFile;
-import wingroad.protocol.MemberList;
-import wingroad.routing.Router;
-import wingroad.routing.TxnRouter;
-import wingroad.state.TxnType;
-import wingroad.terms.RouterSettings;
-import wingroad.transport.EventLoop;
 
 /**
  * The server process: starts its parts, reloads its configuration on SIGHUP, and shuts down
@@ -225,7 +227,7 @@
                     signal -> {
                         reloadBeforeStart.set(true);
                         if (started.get() != null) {
-                            started.get().loop.run(started.get()::reload);
+                            started.get().loop.execute(started.get()::reload);
                         }
                     });
             Configuration configuration = Configuration.read(env);
@@ -235,7 +237,7 @@
             // In this order a signal between the two causes two reloads, and none is missed.
             started.set(driver);
             if (reloadBeforeStart.get()) {
-                driver.loop.run(driver::reload);
+                driver.loop.execute(driver::reload);
             }
             driver.start();
             return 0;
@@ -298,7 +300,7 @@
         CompletableFuture<Void> ready = new CompletableFuture<>();
         // What discovery's agent holds counts as known from the start of the process, so the list
         // is fetched before any client is accepted.
-        loop.run(
+        loop.execute(
                 () -> {
                     applyList(
                             maintenanceAgent == null
@@ -329,9 +331,9 @@
             stopped.countDown();
             throw new IOException(configuration.listen() + ": " + e.getCause().getMessage());
         }
-        loop.after(COUNTERS_LOG_INTERVAL, this::logCounters);
+        loop.schedule(COUNTERS_LOG_INTERVAL, this::logCounters);
         if (operatorFile != null && operatorFile.fleet() != null) {
-            loop.run(this::joinFleet);
+            loop.execute(this::joinFleet);
         }
     }
 
@@ -370,7 +372,7 @@
                         + ", members "
                         + memberPools.memberCount()
                         + ", descriptor limit "
-                        + loop.mostChannels());
+                        + loop.maxChannels());
         serving = true;
         if (reloadRequested) {
             reload();
@@ -439,7 +441,7 @@
             log.info(
                     "list "
                             + list.version()
-                            + (list.whole() ? " whole, " : " changes ")
+                            + (list.complete() ? " whole, " : " changes ")
                             + list.entries().size());
         }
     }
@@ -448,7 +450,7 @@
     private void applyList(MemberList list) {
         Duration now = clock.now();
         Router router = dispatcher.router();
-        router.memberListStarted(now, list.whole());
+        router.memberListStarted(now, list.complete());
         for (MemberList.Entry entry : list.entries()) {
             groups.add(entry.group());
             router.memberListed(
@@ -456,12 +458,12 @@
                     memberPools.updateMember(entry),
                     entry.group(),
                     Math.max(0, zoneNames.indexOf(entry.zone())),
-                    Math.max(0, kindNames.indexOf(entry.kind())),
+                    Math.max(0, kindNames.indexOf(entry.model())),
                     entry.weight(),
                     entry.primary(),
-                    entry.draining(),
-                    entry.gone(),
-                    entry.startedAt() > 0 ? clock.fromUnixMs(entry.startedAt()) : null);
+                    entry.isDraining(),
+                    entry.isGone(),
+                    entry.startedAtMs() > 0 ? clock.fromUnixMs(entry.startedAtMs()) : null);
         }
         router.memberListEnded(now);
         memberPools.removeUnknown(router::knowsMember);
@@ -553,13 +555,13 @@
         if (queueReport != null) {
             log.info(queueReport);
         }
-        loop.after(COUNTERS_LOG_INTERVAL, this::logCounters);
+        loop.schedule(COUNTERS_LOG_INTERVAL, this::logCounters);
     }
 
     /** Shuts down gracefully; runs as the shutdown hook, so the process exits when it returns. */
     private void stop() {
         if (stopped.getCount() > 0) {
-            loop.run(
+            loop.execute(
                     () -> {
                         stopRequestedAt = clock.now();
                         log.info("told to stop, open txns " + dispatcher.openTxnCount());
@@ -579,7 +581,7 @@
                         if (fleetAgent != null) {
                             fleetAgent.leave(
                                     () ->
-                                            loop.run(
+                                            loop.execute(
                                                     () ->
                                                             log.info(
                                                                     "fleet: left after "
@@ -589,7 +591,7 @@
                                                                                     .toMillis()
                                                                             + " ms")));
                         }
-                        loop.after(
+                        loop.schedule(
                                 serveTime.plus(ACCEPT_AFTER_STOP.dividedBy(2)),
                                 clientFrontend::beginClosing);
                         exitWhenDone();
@@ -628,7 +630,7 @@
             }
             stopped.countDown();
         } else {
-            loop.after(SHUTDOWN_CHECK_INTERVAL, this::exitWhenDone);
+            loop.schedule(SHUTDOWN_CHECK_INTERVAL, this::exitWhenDone);
         }
     }
 }
--- a/src/main/java/wingroad/driver/MaintenanceAgent.java
+++ b/src/main/java/wingroad/driver/MaintenanceAgent.java
@@ -1,16 +1,5 @@
 package wingroad.driver;
 
-import java.time.Duration;
-import java.util.ArrayList;
-import java.util.Collection;
-import java.util.LinkedHashMap;
-import java.util.List;
-import java.util.Map;
-import java.util.Objects;
-import java.util.Set;
-import java.util.TreeMap;
-import java.util.TreeSet;
-import java.util.function.Consumer;
 import wingroad.fleet.FleetConfig;
 import wingroad.fleet.FleetNode;
 import wingroad.fleet.MaintenancePlanListener;
@@ -29,6 +18,18 @@
 import wingroad.work.MemberObservations;
 import wingroad.work.PlanCopy;
 
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Objects;
+import java.util.Set;
+import java.util.TreeMap;
+import java.util.TreeSet;
+import java.util.function.Consumer;
+
 /**
  * Applies the plan of maintenance work at this driver: combines discovery's member lists with the
  * plan into the lists that the router is given, reports which draining machines have no txns of
@@ -142,7 +143,7 @@
     /** Runs the task once the plan is known, but after the duration of a lease at the latest. */
     void whenKnown(Runnable task) {
         onPlanKnown = task;
-        loop.after(leaseDuration, this::planKnown);
+        loop.schedule(leaseDuration, this::planKnown);
     }
 
     private void planKnown() {
@@ -162,7 +163,7 @@
 
     /** Applies the plan to a list received from discovery or the list's owner, for the router. */
     MemberList effective(MemberList list) {
-        if (list.whole()) {
+        if (list.complete()) {
             Set<String> listedUids = new TreeSet<>();
             list.entries().forEach(entry -> listedUids.add(entry.uid()));
             for (String uid : List.copyOf(discoveredEntries.keySet())) {
@@ -174,8 +175,9 @@
             }
         }
         for (Entry entry : list.entries()) {
-            observations.updateListing(entry.uid(), entry.group(), entry.gone(), !entry.draining());
-            if (entry.gone()) {
+            observations.updateListing(
+                    entry.uid(), entry.group(), entry.isGone(), !entry.isDraining());
+            if (entry.isGone()) {
                 discoveredEntries.remove(entry.uid());
             } else {
                 discoveredEntries.put(entry.uid(), entry);
@@ -184,15 +186,15 @@
         List<Entry> entries = new ArrayList<>();
         Duration now = now();
         for (Entry entry : list.entries()) {
-            Entry effectiveEntry = entry.gone() ? entry : effective(entry, now);
+            Entry effectiveEntry = entry.isGone() ? entry : effective(entry, now);
             entries.add(effectiveEntry);
-            if (entry.gone()) {
+            if (entry.isGone()) {
                 effectiveEntries.remove(entry.uid());
             } else {
                 effectiveEntries.put(entry.uid(), effectiveEntry);
             }
         }
-        return new MemberList(list.version(), list.whole(), entries);
+        return new MemberList(list.version(), list.complete(), entries);
     }
 
     private Entry effective(Entry entry, Duration now) {
@@ -200,26 +202,26 @@
                 availability.state(entry.uid(), () -> groupHasOtherMember(entry), now);
         return switch (state) {
             case AS_LISTED -> entry;
-            case DRAINING -> withState(entry, "draining", entry.startedAt());
-            case GONE -> withState(entry, "gone", entry.startedAt());
+            case DRAINING -> withState(entry, "draining", entry.startedAtMs());
+            case GONE -> withState(entry, "gone", entry.startedAtMs());
             case COLD -> {
                 Duration returnedAt = availability.returningSince(entry.uid());
                 double startedAtUnixMs =
                         returnedAt == null
-                                ? entry.startedAt()
+                                ? entry.startedAtMs()
                                 : System.currentTimeMillis() - now.minus(returnedAt).toMillis();
                 // What the router knows of the member should not change from list to list.
                 Entry previous = effectiveEntries.get(entry.uid());
                 boolean isSteady =
                         previous != null
-                                && Math.abs(previous.startedAt() - startedAtUnixMs)
+                                && Math.abs(previous.startedAtMs() - startedAtUnixMs)
                                         < START_TIME_TOLERANCE_MS;
                 yield withState(
                         entry,
                         entry.state(),
                         Math.max(
-                                entry.startedAt(),
-                                isSteady ? previous.startedAt() : startedAtUnixMs));
+                                entry.startedAtMs(),
+                                isSteady ? previous.startedAtMs() : startedAtUnixMs));
             }
         };
     }
@@ -230,7 +232,7 @@
                 entry.host(),
                 entry.port(),
                 entry.zone(),
-                entry.kind(),
+                entry.model(),
                 entry.group(),
                 state,
                 entry.weight(),
@@ -245,7 +247,7 @@
                         other ->
                                 other.group() == entry.group()
                                         && !other.uid().equals(entry.uid())
-                                        && !other.draining()
+                                        && !other.isDraining()
                                         && (availability.planCopy() == null
                                                 || availability.planCopy().machineOf(other.uid())
                                                         == null
@@ -362,7 +364,7 @@
 
     @Override
     public void planUpdated(Map<String, Object> changes, List<?> figures, List<?> liveDrivers) {
-        loop.run(
+        loop.execute(
                 () -> {
                     boolean isNewer = planCopy.applyChanges(changes);
                     if (figures != null) {
@@ -409,7 +411,7 @@
 
     @Override
     public void leaseUpdated(Duration leaseEnd, boolean sessionEnded, long conductorEpoch) {
-        loop.run(
+        loop.execute(
                 () -> {
                     dutyEpoch = sessionEnded ? 0 : conductorEpoch;
                     if (sessionEnded) {
@@ -430,7 +432,7 @@
         beforeRouting();
         sendReport();
         controlMaintenance();
-        loop.after(checkInterval, this::checkPeriodically);
+        loop.schedule(checkInterval, this::checkPeriodically);
     }
 
     /** Sends the fleet this driver's state with regard to the plan. */
@@ -529,8 +531,8 @@
             Entry effectiveEntry = effectiveEntries.get(entry.uid());
             if (groups.contains(entry.group())
                     && effectiveEntry != null
-                    && !effectiveEntry.gone()
-                    && !effectiveEntry.draining()
+                    && !effectiveEntry.isGone()
+                    && !effectiveEntry.isDraining()
                     && (lastProbeAt == null
                             || now.minus(lastProbeAt).compareTo(probeInterval) >= 0)) {
                 probedAt.put(entry.uid(), now);
--- a/src/main/java/wingroad/driver/MemberConnection.java
+++ b/src/main/java/wingroad/driver/MemberConnection.java
@@ -1,21 +1,22 @@
 package wingroad.driver;
 
-import java.io.IOException;
-import java.net.InetSocketAddress;
-import java.nio.ByteBuffer;
-import java.time.Duration;
 import wingroad.driver.TxnDispatcher.MemberRequest;
-import wingroad.protocol.MemberInput;
-import wingroad.protocol.MemberOutput;
+import wingroad.protocol.MemberMessageEncoder;
+import wingroad.protocol.MemberResponseDecoder;
 import wingroad.state.Submission.Outcome;
 import wingroad.transport.Connection;
 import wingroad.transport.EventLoop;
 
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.nio.ByteBuffer;
+import java.time.Duration;
+
 /**
  * One connection to a member. It carries one request at a time, and is closed whenever the state of
  * its stream is in doubt.
  */
-final class MemberConnection implements Connection.Owner {
+final class MemberConnection implements Connection.Handler {
     private enum State {
         CONNECTING,
         /** The startup message is sent and not answered yet. */
@@ -36,7 +37,7 @@
     private final MemberPools.MemberPool pool;
     private final InetSocketAddress address;
     private final EventLoop loop;
-    private final MemberInput input = new MemberInput();
+    private final MemberResponseDecoder input = new MemberResponseDecoder();
     private Connection connection;
     private State state = State.CONNECTING;
     private MemberRequest request;
@@ -76,9 +77,13 @@
             throws IOException {
         MemberConnection opened = new MemberConnection(pools, pool, address, loop);
         opened.connection =
-                Connection.open(loop, address, opened, MemberInput.MOST + BUFFER_MARGIN_BYTES);
+                Connection.open(
+                        loop,
+                        address,
+                        opened,
+                        MemberResponseDecoder.MAX_MESSAGE_BYTES + BUFFER_MARGIN_BYTES);
         opened.connectTimer =
-                loop.after(
+                loop.schedule(
                         connectTimeout,
                         () -> opened.abandonRequest("connect timed out", Outcome.UNREACHABLE));
         opened.assign(firstRequest);
@@ -98,7 +103,7 @@
         cancelled = false;
         requestOrIdleSince = pools.now();
         requestTimer =
-                loop.after(
+                loop.schedule(
                         newRequest.deadline().minus(requestOrIdleSince),
                         () -> abandonRequest("response timed out", progress().outcomeIfTimedOut()));
     }
@@ -135,23 +140,23 @@
         long timeLeftMs = Math.max(1, request.deadline().minus(pools.now()).toMillis());
         connection.send(
                 request.isProbe()
-                        ? MemberOutput.gauges()
-                        : MemberOutput.query(request.statement().withLeft(timeLeftMs)));
+                        ? MemberMessageEncoder.gaugesQuery()
+                        : MemberMessageEncoder.query(request.statement().withTimeLeft(timeLeftMs)));
     }
 
     @Override
-    public void up() {
+    public void onConnected() {
         state = State.STARTING_UP;
-        connection.send(MemberOutput.startup());
+        connection.send(MemberMessageEncoder.startup());
     }
 
     @Override
-    public void written() {
+    public void onAllWritten() {
         written = state == State.AWAITING_RESPONSE;
     }
 
     @Override
-    public void bytes(ByteBuffer in) {
+    public void onBytes(ByteBuffer in) {
         while (state != State.CLOSED) {
             if (state == State.IDLE || state == State.REUSE_DELAYED) {
                 if (in.hasRemaining()) {
@@ -161,13 +166,13 @@
                 }
                 return;
             }
-            switch (input.take(in)) {
-                case WAITING -> {
+            switch (input.decode(in)) {
+                case INCOMPLETE -> {
                     return;
                 }
-                case WHOLE -> responseReceived();
+                case COMPLETE -> responseReceived();
                 default -> {
-                    failProtocol(input.why());
+                    failProtocol(input.malformedReason());
                     return;
                 }
             }
@@ -176,9 +181,9 @@
 
     private void responseReceived() {
         boolean fatal = input.fatal();
-        if (state == State.STARTING_UP && input.error() == null) {
+        if (state == State.STARTING_UP && input.errorSqlState() == null) {
             connectTimer.cancel();
-            input.clear();
+            input.reset();
             sendIfStillWanted();
             return;
         }
@@ -191,7 +196,7 @@
         requestTimer.cancel();
         request = null;
         MemberResponse response = parseResponse(answeredRequest);
-        input.clear();
+        input.reset();
         // A member that responds has read the query, even if the write's completion is not handled
         // yet: on one core the response may well be handled first.
         if (fatal) {
@@ -234,7 +239,7 @@
             return;
         }
         requestOrIdleSince = pools.now();
-        idleTimer = loop.after(pools.idleTimeout(), this::close);
+        idleTimer = loop.schedule(pools.idleTimeout(), this::close);
         pool.addIdle(this);
         pools.delayReuse(this);
     }
@@ -243,18 +248,18 @@
         if (state != State.AWAITING_RESPONSE) {
             return AttemptProgress.NOT_CONNECTED;
         }
-        return input.begun()
+        return input.responseStarted()
                 ? AttemptProgress.ANSWERING
                 : written ? AttemptProgress.WRITTEN : AttemptProgress.PARTLY_WRITTEN;
     }
 
     @Override
-    public void full() {
+    public void onInputMemoryExhausted() {
         failProtocol("no memory for the response");
     }
 
     @Override
-    public void ended(int unwritten, boolean orderly, String reason) {
+    public void onClosed(int unwritten, boolean orderly, String reason) {
         AttemptProgress progress = progress();
         if (progress == AttemptProgress.PARTLY_WRITTEN && unwritten == 0) {
             progress = AttemptProgress.WRITTEN;
@@ -284,20 +289,21 @@
             // Nothing of the request was sent, and the member was reachable: this is no failure of
             // the submission.
             pools.requestFailed(lostRequest, Outcome.MOOT, Duration.ZERO, reason);
-        } else if (stateBefore == State.AWAITING_RESPONSE && input.why() != null) {
+        } else if (stateBefore == State.AWAITING_RESPONSE && input.malformedReason() != null) {
             // The member violated the protocol: an error of the member, whose statement may have
             // run, and not a lost connection.
             pools.requestFailed(
                     lostRequest, Outcome.ERROR, pools.now().minus(requestOrIdleSince), reason);
         } else if (stateBefore == State.AWAITING_RESPONSE
-                && (input.served() || input.error() != null)) {
+                && (input.rowComplete() || input.errorSqlState() != null)) {
             // The response is complete; only ReadyForQuery is missing.
             pools.requestAnswered(
                     lostRequest, parseResponse(lostRequest), pools.now().minus(requestOrIdleSince));
         } else if (lostRequest != null) {
             boolean rejectedAsFull =
                     stateBefore == State.STARTING_UP
-                            && MemberResponse.SQLSTATE_TOO_MANY_CONNECTIONS.equals(input.error());
+                            && MemberResponse.SQLSTATE_TOO_MANY_CONNECTIONS.equals(
+                                    input.errorSqlState());
             pools.requestFailed(
                     lostRequest,
                     rejectedAsFull
@@ -345,7 +351,7 @@
     /** Closes the connection, with a Terminate message if it is idle. */
     void close() {
         if (state == State.IDLE || state == State.REUSE_DELAYED) {
-            connection.send(MemberOutput.terminate());
+            connection.send(MemberMessageEncoder.terminate());
         }
         closeConnection();
     }
--- a/src/main/java/wingroad/driver/MemberListRelay.java
+++ b/src/main/java/wingroad/driver/MemberListRelay.java
@@ -1,10 +1,5 @@
 package wingroad.driver;
 
-import java.time.Duration;
-import java.util.ArrayList;
-import java.util.List;
-import java.util.Map;
-import java.util.function.Consumer;
 import wingroad.duty.RelayHealth;
 import wingroad.fleet.FleetConfig;
 import wingroad.fleet.FleetNode;
@@ -13,6 +8,12 @@
 import wingroad.protocol.MemberList.Entry;
 import wingroad.transport.EventLoop;
 
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.function.Consumer;
+
 /**
  * Distributes member lists within the fleet, so that only one driver, the owner of the list duty,
  * watches discovery. Publishes the lists that this driver finds, applies those that the owner
@@ -90,11 +91,11 @@
                                 entry.host(),
                                 entry.port(),
                                 entry.zone(),
-                                entry.kind(),
+                                entry.model(),
                                 entry.group(),
                                 entry.state(),
                                 entry.weight(),
-                                entry.startedAt(),
+                                entry.startedAtMs(),
                                 entry.primary()));
             }
             fleet.publish(
@@ -105,7 +106,7 @@
                             "rev",
                             list.version(),
                             "whole",
-                            list.whole(),
+                            list.complete(),
                             "news",
                             entries));
         }
@@ -138,16 +139,18 @@
                     FleetConfig.LIST_DUTY,
                     Map.of("since", version, "rev", version, "whole", false));
         }
-        loop.after(checkInterval, this::check);
+        loop.schedule(checkInterval, this::check);
     }
 
     /** Takes a message of the list's owner; called on the fleet's thread. */
     void messageReceived(long epoch, Map<String, Object> message) {
-        loop.run(
+        loop.execute(
                 () -> {
                     try {
                         ownerMessage(epoch, message);
-                    } catch (Json.Malformed | ClassCastException | IndexOutOfBoundsException e) {
+                    } catch (Json.MalformedJsonException
+                            | ClassCastException
+                            | IndexOutOfBoundsException e) {
                         log.accept("list: invalid message of the owner: " + e.getMessage());
                     }
                 });
--- a/src/main/java/wingroad/driver/MemberPools.java
+++ b/src/main/java/wingroad/driver/MemberPools.java
@@ -2,6 +2,11 @@
 
 import static wingroad.state.Durations.max;
 
+import wingroad.driver.TxnDispatcher.MemberRequest;
+import wingroad.protocol.MemberList;
+import wingroad.state.Submission.Outcome;
+import wingroad.transport.EventLoop;
+
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.time.Duration;
@@ -16,10 +21,6 @@
 import java.util.Set;
 import java.util.function.LongPredicate;
 import java.util.function.Predicate;
-import wingroad.driver.TxnDispatcher.MemberRequest;
-import wingroad.protocol.MemberList;
-import wingroad.state.Submission.Outcome;
-import wingroad.transport.EventLoop;
 
 /**
  * The connection pools to all members, by the id under which discovery lists a member and by the
@@ -165,8 +166,8 @@
             pool.address = new InetSocketAddress(entry.host(), entry.port());
             pool.closeIdleConnections();
         }
-        pool.removed = entry.gone();
-        if (entry.gone()) {
+        pool.removed = entry.isGone();
+        if (entry.isGone()) {
             pool.closeIdleConnections();
         }
         return pool.id;
@@ -199,9 +200,9 @@
             connection.dispatch(request);
             return;
         }
-        while (loop.channelsLeft() <= loop.mostChannels() / DECLINED_CLIENTS_RESERVE_DIVISOR) {
+        while (loop.availableChannels() <= loop.maxChannels() / DECLINED_CLIENTS_RESERVE_DIVISOR) {
             if (!closeOldestIdle() && !listener.closeIdleClient()) {
-                loop.run(
+                loop.execute(
                         () ->
                                 requestFailed(
                                         request,
@@ -215,7 +216,7 @@
             pool.connections.add(
                     MemberConnection.open(this, pool, pool.address, loop, connectTimeout, request));
         } catch (IOException | RuntimeException cause) {
-            loop.run(
+            loop.execute(
                     () ->
                             requestFailed(
                                     request,
@@ -273,8 +274,7 @@
 
     @Override
     public boolean closeSpareConnection() {
-        return connectionCount() > loop.mostChannels() / MEMBER_RESERVE_DIVISOR
-                && closeOldestIdle();
+        return connectionCount() > loop.maxChannels() / MEMBER_RESERVE_DIVISOR && closeOldestIdle();
     }
 
     private boolean closeOldestIdle() {
@@ -304,7 +304,7 @@
                     // The end is an input to the router, which is being asked for decisions: it is
                     // reported in a later task.
                     connection.markCancelled();
-                    loop.run(
+                    loop.execute(
                             () -> {
                                 if (connection.request() == request) {
                                     connection.cancel();
@@ -324,7 +324,7 @@
         delayedSinceTick.add(connection);
         if (!tickScheduled) {
             tickScheduled = true;
-            loop.after(REUSE_DELAY, this::reuseTick);
+            loop.schedule(REUSE_DELAY, this::reuseTick);
         }
     }
 
@@ -334,13 +334,13 @@
         delayedSinceTick = new ArrayList<>();
         tickScheduled = !delayedBeforeTick.isEmpty();
         if (tickScheduled) {
-            loop.after(REUSE_DELAY, this::reuseTick);
+            loop.schedule(REUSE_DELAY, this::reuseTick);
         }
         reusable.forEach(MemberConnection::reuseDelayElapsed);
     }
 
     void reportError(Throwable error) {
-        loop.bug(error);
+        loop.reportUnexpectedError(error);
     }
 
     boolean mayDispatch(MemberRequest request) {
--- a/src/main/java/wingroad/driver/MemberResponse.java
+++ b/src/main/java/wingroad/driver/MemberResponse.java
@@ -1,15 +1,16 @@
 package wingroad.driver;
 
-import java.time.Duration;
-import java.util.Map;
 import wingroad.driver.TxnDispatcher.MemberReport;
 import wingroad.driver.TxnDispatcher.MemberStatus;
 import wingroad.protocol.Gauges;
-import wingroad.protocol.MemberInput;
+import wingroad.protocol.MemberResponseDecoder;
 import wingroad.state.Member.Role;
 import wingroad.state.Submission.Outcome;
 import wingroad.terms.RouterSettings;
 
+import java.time.Duration;
+import java.util.Map;
+
 /** A member's response to a request, in the router's terms. */
 final class MemberResponse {
     static final String SQLSTATE_TOO_MANY_CONNECTIONS = "53300";
@@ -35,27 +36,27 @@
         probeReport = null;
     }
 
-    MemberResponse(MemberInput input, Clock clock, boolean probe) {
+    MemberResponse(MemberResponseDecoder input, Clock clock, boolean probe) {
         outcome = outcome(input);
-        Double position = Gauges.number(input.parameter("caught_up_to"));
+        Double position = Gauges.parseNumber(input.parameter("caught_up_to"));
         String gauges = input.parameter("gauges");
         status =
                 new MemberStatus(
                         role(input.parameter("part")),
                         position == null ? null : clock.pastFromUnixMs(position),
                         gauges == null ? null : report(gauges, clock));
-        row = input.served() && !probe ? input.row() : null;
+        row = input.rowComplete() && !probe ? input.rowMessages() : null;
         probeReport =
-                input.served() && probe && input.value() != null
+                input.rowComplete() && probe && input.value() != null
                         ? report(input.value(), clock)
                         : null;
     }
 
-    private static Outcome outcome(MemberInput input) {
-        if (input.served()) {
+    private static Outcome outcome(MemberResponseDecoder input) {
+        if (input.rowComplete()) {
             return Outcome.COMMITTED;
         }
-        String code = input.error() == null ? "" : input.error();
+        String code = input.errorSqlState() == null ? "" : input.errorSqlState();
         return switch (code) {
             case SQLSTATE_READ_ONLY_TRANSACTION, SQLSTATE_SNAPSHOT_TOO_OLD -> Outcome.MISSED;
             case SQLSTATE_TOO_MANY_CONNECTIONS -> Outcome.FULL;
--- a/src/main/java/wingroad/driver/TxnDispatcher.java
+++ b/src/main/java/wingroad/driver/TxnDispatcher.java
@@ -2,11 +2,6 @@
 
 import static wingroad.state.Durations.min;
 
-import java.time.Duration;
-import java.util.HashMap;
-import java.util.Map;
-import java.util.function.BooleanSupplier;
-import java.util.function.Consumer;
 import wingroad.door.AdmissionDecision;
 import wingroad.door.ClientContext;
 import wingroad.door.FairQueues;
@@ -18,6 +13,12 @@
 import wingroad.state.Submission;
 import wingroad.transport.EventLoop;
 
+import java.time.Duration;
+import java.util.HashMap;
+import java.util.Map;
+import java.util.function.BooleanSupplier;
+import java.util.function.Consumer;
+
 /**
  * Connects clients, members and discovery to the router. It reports every event to the router,
  * executes the router's decisions, and makes none of its own. All calls are made on the event
@@ -314,7 +315,7 @@
             boolean throughFairQueues) {
         Duration now = clock.now();
         String txn = "t" + nextTxnNumber++;
-        Duration timeLeft = Duration.ofMillis(statement.left());
+        Duration timeLeft = Duration.ofMillis(statement.timeLeftMs());
         if (answerDeadline != null && now.plus(timeLeft).compareTo(answerDeadline) > 0) {
             timeLeft = answerDeadline.minus(now);
         }
@@ -346,7 +347,7 @@
     }
 
     private void passToRouter(Duration now, String txn, OpenTxn openTxn, Duration waited) {
-        Double lastWriteUnixMs = openTxn.statement.after();
+        Double lastWriteUnixMs = openTxn.statement.afterPositionMs();
         router().txnArrived(
                         now,
                         txn,
@@ -503,7 +504,7 @@
     private void scheduleRouting() {
         if (!routingScheduled) {
             routingScheduled = true;
-            loop.run(() -> loop.run(this::runRouting));
+            loop.execute(() -> loop.execute(this::runRouting));
         }
     }
 
@@ -538,7 +539,7 @@
             }
             wakeUpAt = nextWakeUp;
             wakeUpTimer =
-                    loop.after(
+                    loop.schedule(
                             nextWakeUp.minus(clock.now()),
                             () -> {
                                 wakeUpAt = null;
@@ -607,7 +608,7 @@
                                     decision.member(),
                                     null,
                                     now);
-                    loop.run(
+                    loop.execute(
                             () ->
                                     submissionEnded(
                                             unsent,
--- a/src/main/java/wingroad/driver/WarmUp.java
+++ b/src/main/java/wingroad/driver/WarmUp.java
@@ -1,19 +1,20 @@
 package wingroad.driver;
 
+import wingroad.protocol.ClientMessageDecoder;
+import wingroad.protocol.ClientMessageEncoder;
+import wingroad.protocol.MemberMessageEncoder;
+import wingroad.protocol.MemberResponseDecoder;
+import wingroad.protocol.Statement;
+import wingroad.routing.TxnRouter;
+import wingroad.state.Submission.Outcome;
+import wingroad.transport.EventLoop;
+
 import java.io.ByteArrayOutputStream;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
 import java.util.List;
 import java.util.Map;
-import wingroad.protocol.ClientInput;
-import wingroad.protocol.ClientOutput;
-import wingroad.protocol.MemberInput;
-import wingroad.protocol.MemberOutput;
-import wingroad.protocol.Statement;
-import wingroad.routing.TxnRouter;
-import wingroad.state.Submission.Outcome;
-import wingroad.transport.EventLoop;
 
 /**
  * Runs synthetic txns through the parsers, a dispatcher and a router of its own before clients are
@@ -52,7 +53,7 @@
             Map<String, Object> routerSettings,
             Runnable onDone) {
         WarmUp warmUp = new WarmUp(loop, typeNames, routerSettings, onDone);
-        loop.run(warmUp::start);
+        loop.execute(warmUp::start);
     }
 
     private WarmUp(
@@ -76,7 +77,7 @@
                 new TxnDispatcher.MemberTransport() {
                     @Override
                     public void dispatch(TxnDispatcher.MemberRequest request) {
-                        loop.run(() -> respond(request));
+                        loop.execute(() -> respond(request));
                     }
 
                     @Override
@@ -162,16 +163,16 @@
                         + typeNames.get(typeIndex)
                         + ",d=3000,cluster=0 */ ";
         ByteBuffer encodedQuery =
-                MemberOutput.query(
+                MemberMessageEncoder.query(
                         (comment
                                         + (writes
                                                 ? "INSERT INTO records (k, v) VALUES ('ab',"
                                                         + " '\\x00') RETURNING v"
                                                 : "SELECT v FROM records WHERE k = 'ab'"))
                                 .getBytes(StandardCharsets.ISO_8859_1));
-        ClientInput input = new ClientInput();
-        input.next(MemberOutput.startup());
-        Statement statement = Statement.parse(input.next(encodedQuery).bytes()).statement();
+        ClientMessageDecoder input = new ClientMessageDecoder();
+        input.next(MemberMessageEncoder.startup());
+        Statement statement = Statement.parse(input.next(encodedQuery).body()).statement();
         dispatcher.txnArrived(
                 statement,
                 typeIndex,
@@ -179,7 +180,7 @@
                 new TxnDispatcher.TxnCallback() {
                     @Override
                     public void committed(byte[] row) {
-                        ClientOutput.row(row);
+                        ClientMessageEncoder.rowResponse(row);
                         txnEnded();
                     }
 
@@ -197,13 +198,13 @@
 
     private void txnEnded() {
         endedTxnCount++;
-        loop.run(this::startNextTxn);
+        loop.execute(this::startNextTxn);
     }
 
     private void respond(TxnDispatcher.MemberRequest request) {
-        MemberInput input = new MemberInput();
-        input.clear();
-        input.take(ByteBuffer.wrap(memberResponse));
+        MemberResponseDecoder input = new MemberResponseDecoder();
+        input.reset();
+        input.decode(ByteBuffer.wrap(memberResponse));
         MemberResponse response = new MemberResponse(input, clock, false);
         TxnDispatcher.MemberStatus status =
                 new TxnDispatcher.MemberStatus(
@@ -219,7 +220,7 @@
                     Duration.ofMillis(PROBE_RESPONSE_TIME_MS),
                     new TxnDispatcher.MemberReport(status.role(), clock.now(), 1, 0, 0));
         } else {
-            MemberOutput.query(request.statement().withLeft(2000));
+            MemberMessageEncoder.query(request.statement().withTimeLeft(2000));
             dispatcher.submissionEnded(
                     request,
                     Outcome.COMMITTED,
@@ -231,10 +232,10 @@
 
     /** Ends the warm-up: an error in it must not keep the driver from serving. */
     private void failed(Throwable error) {
-        loop.bug(error);
+        loop.reportUnexpectedError(error);
         if (!finished) {
             finished = true;
-            loop.run(onDone);
+            loop.execute(onDone);
         }
     }
 }
--- a/src/main/java/wingroad/fleet/Cbor.java
+++ b/src/main/java/wingroad/fleet/Cbor.java
@@ -5,12 +5,14 @@
 import com.fasterxml.jackson.core.StreamReadConstraints;
 import com.fasterxml.jackson.dataformat.cbor.CBORFactory;
 import com.fasterxml.jackson.dataformat.cbor.CBORFactoryBuilder;
+
+import wingroad.protocol.Json;
+
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.util.List;
 import java.util.Map;
-import wingroad.protocol.Json;
 
 /**
  * Encodes and decodes plain values as CBOR (RFC 8949): maps with string keys, lists, strings,
@@ -69,13 +71,16 @@
         }
     }
 
-    /** Decodes a map; throws {@link Json.Malformed} if the bytes are not the encoding of one. */
+    /**
+     * Decodes a map; throws {@link Json.MalformedJsonException} if the bytes are not the encoding
+     * of one.
+     */
     static Map<String, Object> decode(byte[] bytes) {
         try (JsonParser parser = FACTORY.createParser(bytes)) {
             parser.nextToken();
-            return Json.object(Json.value(parser), "a message");
+            return Json.object(Json.readValue(parser), "a message");
         } catch (IOException e) {
-            throw new Json.Malformed("no CBOR: " + e.getMessage());
+            throw new Json.MalformedJsonException("no CBOR: " + e.getMessage());
         }
     }
 }
--- a/src/main/java/wingroad/fleet/ConsensusStore.java
+++ b/src/main/java/wingroad/fleet/ConsensusStore.java
@@ -9,6 +9,10 @@
 import io.microraft.model.persistence.RaftTermPersistentState;
 import io.microraft.persistence.RaftStore;
 import io.microraft.persistence.RestoredRaftState;
+
+import wingroad.fleet.MessageCodec.Endpoint;
+import wingroad.protocol.Json;
+
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
@@ -18,8 +22,6 @@
 import java.util.TreeMap;
 import java.util.function.Supplier;
 import java.util.zip.CRC32C;
-import wingroad.fleet.MessageCodec.Endpoint;
-import wingroad.protocol.Json;
 
 /**
  * A voter's durable state: its identity, its consensus group, the engine's term, log and snapshot,
@@ -83,7 +85,7 @@
         this.idGenerator = idGenerator;
         try {
             load();
-        } catch (Json.Malformed e) {
+        } catch (Json.MalformedJsonException e) {
             setAside(e.getMessage());
         }
     }
@@ -95,7 +97,7 @@
             return;
         }
         Map<String, Object> identityRow = decodeRow(meta.get(IDENTITY_ROW));
-        identity = Json.text(identityRow, "identity");
+        identity = Json.string(identityRow, "identity");
         groupId = MessageCodec.stringOrEmpty(identityRow, "group");
         proposedGroupId = MessageCodec.stringOrEmpty(identityRow, "proposed");
         founders = MessageCodec.stringList(identityRow.get("founders"));
@@ -127,7 +129,7 @@
         RaftEndpointPersistentState localEndpoint =
                 MessageCodec.MODEL_FACTORY
                         .createRaftEndpointPersistentStateBuilder()
-                        .setLocalEndpoint(Endpoint.of(Json.text(endpointRow, "e")))
+                        .setLocalEndpoint(Endpoint.of(Json.string(endpointRow, "e")))
                         .setVoting(Boolean.TRUE.equals(endpointRow.get("vote")))
                         .build();
         Map<String, Object> termRow =
@@ -458,7 +460,7 @@
     private static Map<String, Object> decodeRow(byte[] row) {
         if (row.length < CHECKSUM_BYTES
                 || ByteBuffer.wrap(row).getInt() != checksum(row, CHECKSUM_BYTES)) {
-            throw new Json.Malformed("checksum mismatch in a row");
+            throw new Json.MalformedJsonException("checksum mismatch in a row");
         }
         return Cbor.decode(java.util.Arrays.copyOfRange(row, CHECKSUM_BYTES, row.length));
     }
--- a/src/main/java/wingroad/fleet/FleetClient.java
+++ b/src/main/java/wingroad/fleet/FleetClient.java
@@ -1,12 +1,13 @@
 package wingroad.fleet;
 
+import wingroad.duty.Command;
+import wingroad.protocol.Json;
+
 import java.io.DataInputStream;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.net.Socket;
 import java.util.Map;
-import wingroad.duty.Command;
-import wingroad.protocol.Json;
 
 /** Client for the command line: sends requests to one voter over a blocking socket. */
 public final class FleetClient implements AutoCloseable {
@@ -65,7 +66,7 @@
                 } else if (receivedKind.equals("refused")) {
                     throw new IOException("refused: " + MessageCodec.stringOrEmpty(message, "why"));
                 }
-            } catch (Json.Malformed e) {
+            } catch (Json.MalformedJsonException e) {
                 throw new IOException("malformed message: " + e.getMessage());
             }
         }
@@ -74,7 +75,7 @@
     /** Returns the voter's status. */
     public Map<String, Object> status() throws IOException {
         send(MessageCodec.message("status"));
-        return Json.object(Json.need(await("status"), "status"), "the status");
+        return Json.object(Json.required(await("status"), "status"), "the status");
     }
 
     /**
--- a/src/main/java/wingroad/fleet/FleetNode.java
+++ b/src/main/java/wingroad/fleet/FleetNode.java
@@ -1,5 +1,12 @@
 package wingroad.fleet;
 
+import wingroad.duty.Command;
+import wingroad.duty.SessionLease;
+import wingroad.transport.EventLoop;
+import wingroad.transport.Listener;
+import wingroad.work.DriverReport;
+import wingroad.work.MaintenanceController;
+
 import java.io.IOException;
 import java.security.SecureRandom;
 import java.time.Duration;
@@ -7,12 +14,6 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import wingroad.duty.Command;
-import wingroad.duty.SessionLease;
-import wingroad.transport.EventLoop;
-import wingroad.transport.Listener;
-import wingroad.work.DriverReport;
-import wingroad.work.MaintenanceController;
 
 /**
  * This driver's participation in a fleet, on a thread of its own: the consensus node if it is a
@@ -62,12 +63,12 @@
 
         @Override
         public void execute(Runnable task) {
-            loop.run(task);
+            loop.execute(task);
         }
 
         @Override
         public void schedule(Duration delay, Runnable task) {
-            loop.after(delay, task);
+            loop.schedule(delay, task);
         }
 
         @Override
@@ -108,7 +109,7 @@
         FleetNode fleetNode =
                 new FleetNode(
                         config, log, faultHandler, choreRunner, publicationListener, planListener);
-        fleetNode.loop.run(fleetNode::startComponents);
+        fleetNode.loop.execute(fleetNode::startComponents);
         return fleetNode;
     }
 
@@ -119,7 +120,7 @@
 
     /** Publishes content to all drivers, if this driver owns the duty now. */
     public void publish(String duty, Map<String, Object> content) {
-        loop.run(
+        loop.execute(
                 () -> {
                     if (driverSession != null) {
                         driverSession.publish(duty, content);
@@ -129,7 +130,7 @@
 
     /** Sets this driver's report to the maintenance controller. */
     public void report(DriverReport report) {
-        loop.run(
+        loop.execute(
                 () -> {
                     if (driverSession != null) {
                         driverSession.report(report);
@@ -142,7 +143,7 @@
      * epoch.
      */
     public void proposeSteps(long epoch, List<MaintenanceController.Step> steps) {
-        loop.run(
+        loop.execute(
                 () -> {
                     if (driverSession != null) {
                         steps.forEach(
@@ -166,7 +167,7 @@
      * epoch.
      */
     public void proposeMachines(long epoch, List<String> lines) {
-        loop.run(
+        loop.execute(
                 () -> {
                     if (driverSession != null) {
                         driverSession.proposeAsController(
@@ -177,7 +178,7 @@
 
     /** Runs a task on the fleet's thread. */
     public void execute(Runnable task) {
-        loop.run(task);
+        loop.execute(task);
     }
 
     /** Starts the voter and the session; retried after a delay if this fails. */
@@ -225,9 +226,9 @@
                             + (config.listenAddress() == null
                                     ? "not a voter"
                                     : "listens at "
-                                            + listener.at().getHostString()
+                                            + listener.localAddress().getHostString()
                                             + ":"
-                                            + listener.at().getPort())
+                                            + listener.localAddress().getPort())
                             + ", lease "
                             + config.lease().duration().toMillis()
                             + " ms, "
@@ -246,7 +247,7 @@
                 listener.close();
                 listener = null;
             }
-            loop.after(RETRY_DELAY, this::startComponents);
+            loop.schedule(RETRY_DELAY, this::startComponents);
         }
     }
 
@@ -261,14 +262,14 @@
                 // The state still cannot be read: it remains no voter.
             }
         }
-        loop.after(RETRY_DELAY, this::retryReload);
+        loop.schedule(RETRY_DELAY, this::retryReload);
     }
 
     /**
      * Releases all duties and leaves; {@code then} runs once that is committed, or after a timeout.
      */
     public void leave(Runnable then) {
-        loop.run(
+        loop.execute(
                 () -> {
                     if (leaving) {
                         return;
@@ -289,14 +290,14 @@
                         finishOnce.run();
                     } else {
                         driverSession.leave(finishOnce);
-                        loop.after(LEAVE_TIMEOUT, finishOnce);
+                        loop.schedule(LEAVE_TIMEOUT, finishOnce);
                     }
                 });
     }
 
     /** Closes the voter's state, at the end of the process. */
     public void close() {
-        loop.run(
+        loop.execute(
                 () -> {
                     if (listener != null) {
                         listener.close();
--- a/src/main/java/wingroad/fleet/MessageCodec.java
+++ b/src/main/java/wingroad/fleet/MessageCodec.java
@@ -19,6 +19,10 @@
 import io.microraft.model.message.TriggerLeaderElectionRequest;
 import io.microraft.model.message.VoteRequest;
 import io.microraft.model.message.VoteResponse;
+
+import wingroad.duty.Command;
+import wingroad.protocol.Json;
+
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.HashMap;
@@ -27,8 +31,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import wingroad.duty.Command;
-import wingroad.protocol.Json;
 
 /**
  * Converts the consensus engine's models and the duty state machine's commands to plain values and
@@ -56,7 +58,7 @@
 
         static Endpoint of(String id) {
             if (id.indexOf('/') <= 0) {
-                throw new Json.Malformed("no voter: " + id);
+                throw new Json.MalformedJsonException("no voter: " + id);
             }
             return new Endpoint(id);
         }
@@ -129,7 +131,7 @@
         try {
             kind = Command.Kind.valueOf(stringOrEmpty(message, "k"));
         } catch (IllegalArgumentException e) {
-            throw new Json.Malformed("no op: " + message.get("k"));
+            throw new Json.MalformedJsonException("no op: " + message.get("k"));
         }
         return new Command(
                 kind,
@@ -396,7 +398,10 @@
         return message;
     }
 
-    /** Decodes a message between voters; throws {@link Json.Malformed} for an unknown kind. */
+    /**
+     * Decodes a message between voters; throws {@link Json.MalformedJsonException} for an unknown
+     * kind.
+     */
     static RaftMessage decodeMessage(Map<String, Object> message) {
         Object groupId = message.get("g");
         Endpoint sender = Endpoint.of(stringOrEmpty(message, "s"));
@@ -517,7 +522,7 @@
                             .setLastLogTerm(lastLogTerm)
                             .setLastLogIndex(lastLogIndex)
                             .build();
-            default -> throw new Json.Malformed("no message: " + message.get("k"));
+            default -> throw new Json.MalformedJsonException("no message: " + message.get("k"));
         };
     }
 
--- a/src/main/java/wingroad/fleet/TcpMessageTransport.java
+++ b/src/main/java/wingroad/fleet/TcpMessageTransport.java
@@ -1,14 +1,15 @@
 package wingroad.fleet;
 
+import wingroad.protocol.Json;
+import wingroad.transport.Connection;
+import wingroad.transport.EventLoop;
+import wingroad.transport.Listener;
+
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
 import java.util.Map;
 import java.util.function.Supplier;
-import wingroad.protocol.Json;
-import wingroad.transport.Connection;
-import wingroad.transport.EventLoop;
-import wingroad.transport.Listener;
 
 /** Messages over TCP: each as its length in four bytes, followed by its CBOR encoding. */
 final class TcpMessageTransport implements MessageTransport {
@@ -44,7 +45,7 @@
                             channel,
                             MAX_MESSAGE_BYTES + LENGTH_PREFIX_BYTES);
         } catch (IOException | RuntimeException e) {
-            loop.run(() -> channel.ended(0, false, "cannot open: " + e.getMessage()));
+            loop.execute(() -> channel.onClosed(0, false, "cannot open: " + e.getMessage()));
         }
         return channel;
     }
@@ -57,19 +58,19 @@
                         loop,
                         address,
                         MAX_MESSAGE_BYTES + LENGTH_PREFIX_BYTES,
-                        () -> loop.channelsLeft() > 0,
+                        () -> loop.availableChannels() > 0,
                         accepted -> {
                             ChannelHandler handler = handlerFactory.get();
                             TcpChannel channel = new TcpChannel(handler);
                             channel.connection = accepted.apply(channel);
                             handler.connected(channel);
-                            channel.connection.begin();
+                            channel.connection.startReading();
                         });
-        listener.again();
+        listener.acceptNext();
         return listener;
     }
 
-    private static final class TcpChannel implements Channel, Connection.Owner {
+    private static final class TcpChannel implements Channel, Connection.Handler {
         private final ChannelHandler handler;
         private Connection connection;
         private long sentBytes;
@@ -86,7 +87,7 @@
             }
             byte[] body = Cbor.encode(message);
             sentBytes += body.length + LENGTH_PREFIX_BYTES;
-            if (sentBytes - connection.wrote() > MAX_UNSENT_BYTES) {
+            if (sentBytes - connection.writtenBytes() > MAX_UNSENT_BYTES) {
                 // A peer that does not read is disconnected, so that unsent messages do not
                 // exhaust the memory.
                 fail("peer does not read its messages");
@@ -111,14 +112,14 @@
         }
 
         @Override
-        public void up() {
+        public void onConnected() {
             if (!isClosed) {
                 handler.connected(this);
             }
         }
 
         @Override
-        public void bytes(ByteBuffer in) {
+        public void onBytes(ByteBuffer in) {
             while (!isClosed && in.remaining() >= LENGTH_PREFIX_BYTES) {
                 int length = in.getInt(in.position());
                 if (length < 0 || length > MAX_MESSAGE_BYTES) {
@@ -133,19 +134,19 @@
                 in.get(body);
                 try {
                     handler.received(this, Cbor.decode(body));
-                } catch (Json.Malformed | ClassCastException e) {
+                } catch (Json.MalformedJsonException | ClassCastException e) {
                     fail("malformed message: " + e.getMessage());
                 }
             }
         }
 
         @Override
-        public void full() {
+        public void onInputMemoryExhausted() {
             fail("no memory left for received messages");
         }
 
         @Override
-        public void ended(int unwritten, boolean orderly, String reason) {
+        public void onClosed(int unwritten, boolean orderly, String reason) {
             fail(reason);
         }
 
--- a/src/main/java/wingroad/operator/FleetSection.java
+++ b/src/main/java/wingroad/operator/FleetSection.java
@@ -162,7 +162,7 @@
         if (colon <= 0
                 || !a.substring(colon + 1).matches("[0-9]{1,5}")
                 || Integer.parseInt(a.substring(colon + 1)) > 0xffff
-                || !MemberList.isLiteral(a.substring(0, colon))) {
+                || !MemberList.isIpLiteral(a.substring(0, colon))) {
             s.problem("'" + a + "' is no address, such as 127.0.0.1:7400");
             return null;
         }
--- /dev/null
+++ b/src/main/java/wingroad/protocol/ClientMessageDecoder.java
@@ -0,0 +1,146 @@
+package wingroad.protocol;
+
+import wingroad.protocol.FrameDecoder.Frame;
+
+import java.nio.ByteBuffer;
+import java.nio.charset.StandardCharsets;
+import java.util.HashMap;
+import java.util.Map;
+
+/** What a client sends, cut out of the bytes as they come. */
+public final class ClientMessageDecoder {
+    /**
+     * A value of 64 KiB is twice as long when it is written in hex; the rest is for the statement
+     * around it.
+     */
+    public static final int MAX_MESSAGE_BYTES = 2 * 64 * 1024 + 4096;
+
+    private static final int MAX_STARTUP_MESSAGE_BYTES = 10_000;
+    private static final int PROTOCOL_VERSION_3_0 = 3 << 16;
+    private static final int CANCEL_REQUEST_CODE = 80877102;
+    private static final int SSL_REQUEST_CODE = 80877103;
+    private static final int GSSENC_REQUEST_CODE = 80877104;
+
+    /** What a message asks for. */
+    public enum Kind {
+        STARTUP,
+        STARTUP_NEWER_MINOR,
+        ENCRYPTION_REQUEST,
+        CANCEL_REQUEST,
+        QUERY,
+        EXTENDED_QUERY,
+        SYNC,
+        IGNORED,
+        TERMINATE,
+        MALFORMED
+    }
+
+    /**
+     * One message: {@code bytes} is a query's or startup's text, {@code why} tells what broke the
+     * stream.
+     */
+    public record Message(Kind kind, byte[] body, String reason) {
+        private static Message of(Kind kind) {
+            return new Message(kind, null, null);
+        }
+    }
+
+    private boolean startupReceived;
+
+    /** The next message, or null until it is whole. After BROKEN there is nothing more to read. */
+    public Message next(ByteBuffer in) {
+        return startupReceived ? decodeMessage(in) : decodeStartup(in);
+    }
+
+    private Message decodeStartup(ByteBuffer in) {
+        if (in.remaining() < 4) {
+            return null;
+        }
+        int length = in.getInt(in.position());
+        if (length < 8 || length > MAX_STARTUP_MESSAGE_BYTES) {
+            return malformed("startup message of a wrong length");
+        }
+        if (in.remaining() < 8) {
+            return null;
+        }
+        int requestCode = in.getInt(in.position() + 4);
+        if (requestCode != SSL_REQUEST_CODE
+                && requestCode != GSSENC_REQUEST_CODE
+                && requestCode != CANCEL_REQUEST_CODE
+                && requestCode >>> 16 != PROTOCOL_VERSION_3_0 >>> 16) {
+            return malformed("unsupported protocol");
+        }
+        if (in.remaining() < length) {
+            return null;
+        }
+        int parametersStart = in.position() + 8;
+        in.position(in.position() + length);
+        if (requestCode == SSL_REQUEST_CODE || requestCode == GSSENC_REQUEST_CODE) {
+            return Message.of(Kind.ENCRYPTION_REQUEST);
+        }
+        if (requestCode == CANCEL_REQUEST_CODE) {
+            return Message.of(Kind.CANCEL_REQUEST);
+        }
+        startupReceived = true;
+        byte[] body = new byte[length - 8];
+        in.get(parametersStart, body);
+        return new Message(
+                requestCode == PROTOCOL_VERSION_3_0 ? Kind.STARTUP : Kind.STARTUP_NEWER_MINOR,
+                body,
+                null);
+    }
+
+    /** The names and values that a startup message holds, as far as they are whole. */
+    public static Map<String, String> parseStartupParameters(byte[] startupBody) {
+        Map<String, String> parameters = new HashMap<>();
+        String[] fields = new String(startupBody, StandardCharsets.UTF_8).split("\0", -1);
+        for (int i = 0; i + 1 < fields.length && !fields[i].isEmpty(); i += 2) {
+            parameters.putIfAbsent(fields[i], fields[i + 1]);
+        }
+        return parameters;
+    }
+
+    private static Message decodeMessage(ByteBuffer in) {
+        // A length without a known type is no message: garbage is told at its first byte.
+        if (in.hasRemaining() && "QXPBDECHSFpdcf".indexOf(in.get(in.position())) < 0) {
+            return malformed("unknown message type");
+        }
+        Frame frame = FrameDecoder.next(in, MAX_MESSAGE_BYTES);
+        if (frame == null) {
+            return null;
+        }
+        if (frame.error() != null) {
+            return malformed(frame.error());
+        }
+        switch (frame.type()) {
+            case 'Q':
+                {
+                    ByteBuffer body = frame.body();
+                    int terminatorIndex = body.limit() - 1;
+                    if (terminatorIndex < 0 || body.get(terminatorIndex) != 0) {
+                        return malformed("query without its end");
+                    }
+                    byte[] text = new byte[terminatorIndex];
+                    body.get(text);
+                    return new Message(Kind.QUERY, text, null);
+                }
+            case 'X':
+                return Message.of(Kind.TERMINATE);
+            case 'S':
+                return Message.of(Kind.SYNC);
+            case 'd', 'c', 'f':
+                return Message.of(Kind.IGNORED);
+            case 'p':
+                return malformed("no password was asked for");
+            default:
+                return new Message(
+                        frame.type() == 'F' ? Kind.SYNC : Kind.EXTENDED_QUERY,
+                        null,
+                        "function call");
+        }
+    }
+
+    private static Message malformed(String reason) {
+        return new Message(Kind.MALFORMED, null, reason);
+    }
+}
--- /dev/null
+++ b/src/main/java/wingroad/protocol/ClientMessageEncoder.java
@@ -0,0 +1,102 @@
+package wingroad.protocol;
+
+import java.io.ByteArrayOutputStream;
+import java.nio.ByteBuffer;
+import java.nio.charset.StandardCharsets;
+
+/** What a client is told, as the bytes of PostgreSQL's protocol. */
+public final class ClientMessageEncoder {
+    /** Codes that tell a client that trying again is harmless. */
+    public static final String DECLINED = "53300";
+
+    /** The outcome of the txn is not known: no promise. */
+    public static final String ROLLED_BACK = "08007";
+
+    public static final String PROTOCOL_VIOLATION = "08P01";
+    public static final String FEATURE_NOT_SUPPORTED = "0A000";
+    public static final String UNDEFINED_OBJECT = "42704";
+
+    private static final byte[] READY_FOR_QUERY = {'Z', 0, 0, 0, 5, 'I'};
+    private static final byte[] EMPTY_QUERY_RESPONSE = {'I', 0, 0, 0, 4};
+
+    private final ByteArrayOutputStream buffer = new ByteArrayOutputStream(128);
+
+    public ByteBuffer toByteBuffer() {
+        return ByteBuffer.wrap(buffer.toByteArray());
+    }
+
+    public ClientMessageEncoder encryptionRefused() {
+        buffer.write('N');
+        return this;
+    }
+
+    /**
+     * The session is open. {@code newer}: the client asked for a later minor version than there is.
+     */
+    public ClientMessageEncoder startupComplete(boolean negotiateVersion, int backendId) {
+        if (negotiateVersion) {
+            writeMessage('v', ByteBuffer.allocate(8).array());
+        }
+        writeMessage('R', new byte[4]);
+        parameterStatus("server_version", "15.0");
+        parameterStatus("client_encoding", "UTF8");
+        parameterStatus("server_encoding", "UTF8");
+        parameterStatus("standard_conforming_strings", "on");
+        parameterStatus("integer_datetimes", "on");
+        writeMessage('K', ByteBuffer.allocate(8).putInt(backendId).array());
+        return readyForQuery();
+    }
+
+    private void parameterStatus(String name, String value) {
+        writeMessage('S', (name + '\0' + value + '\0').getBytes(StandardCharsets.UTF_8));
+    }
+
+    public ClientMessageEncoder readyForQuery() {
+        buffer.writeBytes(READY_FOR_QUERY);
+        return this;
+    }
+
+    public ClientMessageEncoder emptyQueryResponse() {
+        buffer.writeBytes(EMPTY_QUERY_RESPONSE);
+        return readyForQuery();
+    }
+
+    /** Messages that a member sent, unchanged, and that this side is ready. */
+    public static ByteBuffer rowResponse(byte[] messages) {
+        return ByteBuffer.allocate(messages.length + READY_FOR_QUERY.length)
+                .put(messages)
+                .put(READY_FOR_QUERY)
+                .flip();
+    }
+
+    public ClientMessageEncoder commandComplete(String tag) {
+        writeMessage('C', (tag + '\0').getBytes(StandardCharsets.UTF_8));
+        return readyForQuery();
+    }
+
+    /** An error; {@code detail} may be null. Not followed by ready: a fatal one needs none. */
+    public ClientMessageEncoder errorResponse(
+            boolean fatal, String sqlState, String text, String detail) {
+        String severity = fatal ? "FATAL" : "ERROR";
+        String fields =
+                "S"
+                        + severity
+                        + "\0V"
+                        + severity
+                        + "\0C"
+                        + sqlState
+                        + "\0M"
+                        + text
+                        + '\0'
+                        + (detail == null ? "" : "D" + detail + '\0')
+                        + '\0';
+        writeMessage('E', fields.getBytes(StandardCharsets.UTF_8));
+        return this;
+    }
+
+    private void writeMessage(char type, byte[] body) {
+        buffer.write(type);
+        buffer.writeBytes(ByteBuffer.allocate(4).putInt(4 + body.length).array());
+        buffer.writeBytes(body);
+    }
+}
--- a/src/main/java/wingroad/protocol/Gauges.java
+++ b/src/main/java/wingroad/protocol/Gauges.java
@@ -14,19 +14,19 @@
     private Gauges() {}
 
     public static Map<String, Double> parse(String text) {
-        Map<String, Double> figures = new HashMap<>();
-        for (String part : text.split(",")) {
-            int equals = part.indexOf('=');
-            Double v = equals <= 0 ? null : number(part.substring(equals + 1));
-            if (v != null) {
-                figures.put(part.substring(0, equals).strip(), v);
+        Map<String, Double> gauges = new HashMap<>();
+        for (String gauge : text.split(",")) {
+            int equals = gauge.indexOf('=');
+            Double value = equals <= 0 ? null : parseNumber(gauge.substring(equals + 1));
+            if (value != null) {
+                gauges.put(gauge.substring(0, equals).strip(), value);
             }
         }
-        return figures;
+        return gauges;
     }
 
     /** A finite number, or null. */
-    public static Double number(String text) {
+    public static Double parseNumber(String text) {
         return text != null && NUMBER.matcher(text.strip()).matches()
                 ? Double.valueOf(text.strip())
                 : null;
--- a/src/main/java/wingroad/protocol/Json.java
+++ b/src/main/java/wingroad/protocol/Json.java
@@ -4,6 +4,7 @@
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
 import com.fasterxml.jackson.core.StreamReadConstraints;
+
 import java.io.IOException;
 import java.time.Duration;
 import java.util.ArrayList;
@@ -23,46 +24,46 @@
     private Json() {}
 
     /** The object that the text is. */
-    public static Map<String, Object> object(byte[] text, String what) throws IOException {
-        try (JsonParser in = FACTORY.createParser(text)) {
-            in.nextToken();
-            return object(value(in), what);
+    public static Map<String, Object> object(byte[] text, String description) throws IOException {
+        try (JsonParser parser = FACTORY.createParser(text)) {
+            parser.nextToken();
+            return object(readValue(parser), description);
         }
     }
 
     /** The value that the parser stands on: Map, List, String, Long, Double, Boolean or null. */
-    public static Object value(JsonParser in) throws IOException {
-        JsonToken t = in.currentToken();
-        if (t == null) {
-            throw new Malformed("the line ends early");
+    public static Object readValue(JsonParser parser) throws IOException {
+        JsonToken token = parser.currentToken();
+        if (token == null) {
+            throw new MalformedJsonException("the line ends early");
         }
-        switch (t) {
+        switch (token) {
             case START_OBJECT:
                 {
                     Map<String, Object> object = new HashMap<>();
-                    while (in.nextToken() != JsonToken.END_OBJECT) {
-                        String name = in.currentName();
-                        in.nextToken();
-                        object.put(name, value(in));
+                    while (parser.nextToken() != JsonToken.END_OBJECT) {
+                        String name = parser.currentName();
+                        parser.nextToken();
+                        object.put(name, readValue(parser));
                     }
                     return object;
                 }
             case START_ARRAY:
                 {
                     List<Object> list = new ArrayList<>();
-                    while (in.nextToken() != JsonToken.END_ARRAY) {
-                        list.add(value(in));
+                    while (parser.nextToken() != JsonToken.END_ARRAY) {
+                        list.add(readValue(parser));
                     }
                     return list;
                 }
             case VALUE_STRING:
-                return in.getText();
+                return parser.getText();
             case VALUE_NUMBER_INT:
-                return in.getNumberType() == JsonParser.NumberType.BIG_INTEGER
-                        ? (Object) in.getDoubleValue()
-                        : (Object) in.getLongValue();
+                return parser.getNumberType() == JsonParser.NumberType.BIG_INTEGER
+                        ? (Object) parser.getDoubleValue()
+                        : (Object) parser.getLongValue();
             case VALUE_NUMBER_FLOAT:
-                return in.getDoubleValue();
+                return parser.getDoubleValue();
             case VALUE_TRUE:
                 return Boolean.TRUE;
             case VALUE_FALSE:
@@ -70,65 +71,65 @@
             case VALUE_NULL:
                 return null;
             default:
-                throw new Malformed("no value where one belongs");
+                throw new MalformedJsonException("no value where one belongs");
         }
     }
 
     /** Milliseconds as a Duration, to the microsecond. */
-    public static Duration span(Number ms) {
-        return Duration.ofNanos(Math.round(ms.doubleValue() * 1000) * 1000);
+    public static Duration durationOfMillis(Number millis) {
+        return Duration.ofNanos(Math.round(millis.doubleValue() * 1000) * 1000);
     }
 
-    public static double ms(Duration d) {
-        return Math.round(d.toNanos() / 1000.0) / 1000.0;
+    public static double toMillis(Duration duration) {
+        return Math.round(duration.toNanos() / 1000.0) / 1000.0;
     }
 
-    public static Object need(Map<String, Object> m, String name) {
-        Object v = m.get(name);
-        if (v == null) {
-            throw new Malformed("no '" + name + "'");
+    public static Object required(Map<String, Object> object, String name) {
+        Object value = object.get(name);
+        if (value == null) {
+            throw new MalformedJsonException("no '" + name + "'");
         }
-        return v;
+        return value;
     }
 
-    public static String text(Map<String, Object> m, String name) {
-        if (need(m, name) instanceof String s) {
+    public static String string(Map<String, Object> object, String name) {
+        if (required(object, name) instanceof String s) {
             return s;
         }
-        throw new Malformed("'" + name + "' is no text");
+        throw new MalformedJsonException("'" + name + "' is no text");
     }
 
-    public static Number number(Map<String, Object> m, String name) {
-        if (need(m, name) instanceof Number n) {
+    public static Number number(Map<String, Object> object, String name) {
+        if (required(object, name) instanceof Number n) {
             return n;
         }
-        throw new Malformed("'" + name + "' is no number");
+        throw new MalformedJsonException("'" + name + "' is no number");
     }
 
-    public static Number number(Map<String, Object> m, String name, Number absent) {
-        return m.get(name) == null ? absent : number(m, name);
+    public static Number number(Map<String, Object> object, String name, Number defaultValue) {
+        return object.get(name) == null ? defaultValue : number(object, name);
     }
 
     @SuppressWarnings("unchecked")
-    public static Map<String, Object> object(Object v, String what) {
-        if (v instanceof Map<?, ?> m) {
+    public static Map<String, Object> object(Object value, String description) {
+        if (value instanceof Map<?, ?> m) {
             return (Map<String, Object>) m;
         }
-        throw new Malformed(what + " is no object");
+        throw new MalformedJsonException(description + " is no object");
     }
 
-    public static List<?> list(Map<String, Object> m, String name) {
-        if (need(m, name) instanceof List<?> l) {
+    public static List<?> list(Map<String, Object> object, String name) {
+        if (required(object, name) instanceof List<?> l) {
             return l;
         }
-        throw new Malformed("'" + name + "' is no list");
+        throw new MalformedJsonException("'" + name + "' is no list");
     }
 
     /** The text is not of the shape that was agreed. */
-    public static final class Malformed extends RuntimeException {
+    public static final class MalformedJsonException extends RuntimeException {
         private static final long serialVersionUID = 1L;
 
-        public Malformed(String what) {
+        public MalformedJsonException(String what) {
             super(what);
         }
     }
--- a/src/main/java/wingroad/protocol/MemberList.java
+++ b/src/main/java/wingroad/protocol/MemberList.java
@@ -6,11 +6,11 @@
 import java.util.Map;
 
 /** Discovery's list: whole, or the entries that changed since an earlier version. */
-public record MemberList(long version, boolean whole, List<Entry> entries) {
+public record MemberList(long version, boolean complete, List<Entry> entries) {
     /** Numbers only: to look a name up would hold up everything else. */
     private static final String OCTET = "(25[0-5]|2[0-4][0-9]|1?[0-9]?[0-9])";
 
-    private static final String LITERAL =
+    private static final String IP_LITERAL =
             OCTET + "(\\." + OCTET + "){3}|\\[[0-9a-fA-F:.]*:[0-9a-fA-F:.]*\\]";
 
     /** One member; {@code startedAt} is in Unix milliseconds, 0 for long ago. */
@@ -19,76 +19,76 @@
             String host,
             int port,
             String zone,
-            String kind,
+            String model,
             int group,
             String state,
             double weight,
-            double startedAt,
+            double startedAtMs,
             boolean primary) {
-        public boolean draining() {
+        public boolean isDraining() {
             return state.equals("draining");
         }
 
-        public boolean gone() {
+        public boolean isGone() {
             return state.equals("gone");
         }
     }
 
     /** A list, or why there is none. */
-    public record Parsed(MemberList list, String why) {}
+    public record Parsed(MemberList list, String error) {}
 
     public static Parsed parse(byte[] text) {
         try {
-            return new Parsed(of(Json.object(text, "the list")), null);
+            return new Parsed(fromJson(Json.object(text, "the list")), null);
         } catch (IOException e) {
             return new Parsed(null, "no JSON");
-        } catch (Json.Malformed e) {
+        } catch (Json.MalformedJsonException e) {
             return new Parsed(null, e.getMessage());
         }
     }
 
     /** Whether this names a host by its number. */
-    public static boolean isLiteral(String host) {
-        return host.matches(LITERAL);
+    public static boolean isIpLiteral(String host) {
+        return host.matches(IP_LITERAL);
     }
 
     /** The list in an object that has been read already. */
-    public static MemberList of(Map<String, Object> all) {
+    public static MemberList fromJson(Map<String, Object> root) {
         List<Entry> entries = new ArrayList<>();
-        for (Object o : Json.list(all, "targets")) {
-            Map<String, Object> e = Json.object(o, "an entry");
-            String address = Json.text(e, "endpoint");
-            int colon = address.lastIndexOf(':');
+        for (Object target : Json.list(root, "targets")) {
+            Map<String, Object> entry = Json.object(target, "an entry");
+            String endpoint = Json.string(entry, "endpoint");
+            int colon = endpoint.lastIndexOf(':');
             if (colon <= 0
-                    || !address.substring(colon + 1).matches("[0-9]{1,5}")
-                    || Integer.parseInt(address.substring(colon + 1)) > 0xffff) {
-                throw new Json.Malformed("an endpoint is no address");
+                    || !endpoint.substring(colon + 1).matches("[0-9]{1,5}")
+                    || Integer.parseInt(endpoint.substring(colon + 1)) > 0xffff) {
+                throw new Json.MalformedJsonException("an endpoint is no address");
             }
-            if (!isLiteral(address.substring(0, colon))) {
-                throw new Json.Malformed("an endpoint has no address but a name");
+            if (!isIpLiteral(endpoint.substring(0, colon))) {
+                throw new Json.MalformedJsonException("an endpoint has no address but a name");
             }
-            Object role = e.get("part");
+            Object role = entry.get("part");
             entries.add(
                     new Entry(
-                            Json.text(e, "uid"),
-                            address.substring(0, colon),
-                            Integer.parseInt(address.substring(colon + 1)),
-                            word(e, "az"),
-                            word(e, "model"),
-                            Json.number(e, "pod_group", 0).intValue(),
-                            word(e, "state"),
-                            Json.number(e, "capacity_hint", 1).doubleValue(),
-                            Json.number(e, "boot_ms", 0).doubleValue(),
+                            Json.string(entry, "uid"),
+                            endpoint.substring(0, colon),
+                            Integer.parseInt(endpoint.substring(colon + 1)),
+                            stringOrEmpty(entry, "az"),
+                            stringOrEmpty(entry, "model"),
+                            Json.number(entry, "pod_group", 0).intValue(),
+                            stringOrEmpty(entry, "state"),
+                            Json.number(entry, "capacity_hint", 1).doubleValue(),
+                            Json.number(entry, "boot_ms", 0).doubleValue(),
                             "master".equals(role)
                                     || role instanceof Number n && n.doubleValue() == 1));
         }
         return new MemberList(
-                Json.number(all, "rev", 0).longValue(),
-                Boolean.TRUE.equals(all.get("all")),
+                Json.number(root, "rev", 0).longValue(),
+                Boolean.TRUE.equals(root.get("all")),
                 entries);
     }
 
-    private static String word(Map<String, Object> e, String name) {
-        return e.get(name) instanceof String s ? s : "";
+    private static String stringOrEmpty(Map<String, Object> object, String name) {
+        return object.get(name) instanceof String s ? s : "";
     }
 }
--- a/src/main/java/wingroad/protocol/MemberOutput.java
+++ b/src/main/java/wingroad/protocol/MemberMessageEncoder.java
@@ -4,17 +4,17 @@
 import java.nio.charset.StandardCharsets;
 
 /** What a member is sent. */
-public final class MemberOutput {
-    private static final byte[] STARTUP =
+public final class MemberMessageEncoder {
+    private static final byte[] STARTUP_PARAMETERS =
             "user\0svc\0database\0main\0\0".getBytes(StandardCharsets.UTF_8);
 
-    private MemberOutput() {}
+    private MemberMessageEncoder() {}
 
     public static ByteBuffer startup() {
-        return ByteBuffer.allocate(8 + STARTUP.length)
-                .putInt(8 + STARTUP.length)
+        return ByteBuffer.allocate(8 + STARTUP_PARAMETERS.length)
+                .putInt(8 + STARTUP_PARAMETERS.length)
                 .putInt(3 << 16)
-                .put(STARTUP)
+                .put(STARTUP_PARAMETERS)
                 .flip();
     }
 
@@ -28,7 +28,7 @@
     }
 
     /** Asks for the member's own report. */
-    public static ByteBuffer gauges() {
+    public static ByteBuffer gaugesQuery() {
         return query("SHOW gauges".getBytes(StandardCharsets.UTF_8));
     }
 
--- a/src/main/java/wingroad/protocol/Statement.java
+++ b/src/main/java/wingroad/protocol/Statement.java
@@ -12,121 +12,121 @@
  */
 public record Statement(
         String id,
-        String type,
-        long left,
+        String txnType,
+        long timeLeftMs,
         int group,
-        Double after,
+        Double afterPositionMs,
         boolean retry,
-        boolean writes,
+        boolean write,
         String key,
         byte[] text,
-        int leftFrom,
-        int leftTo) {
+        int timeLeftStart,
+        int timeLeftEnd) {
 
     /** A statement, or why there is none. */
-    public record Parsed(Statement statement, String why) {}
+    public record Parsed(Statement statement, String error) {}
 
     /** A comment's names beyond this are not looked for. */
-    private static final int LONGEST_COMMENT = 2048;
+    private static final int MAX_SEARCHED_COMMENT_BYTES = 2048;
 
-    private static final int LONGEST_WAIT_MS = 24 * 3600 * 1000;
-    private static final Pattern READ =
+    private static final int MAX_TIME_LEFT_MS = 24 * 3600 * 1000;
+    private static final Pattern READ_STATEMENT =
             Pattern.compile(" SELECT v FROM records WHERE k = '([^'\\\\]{1,256})'");
-    private static final String WRITE = " INSERT INTO records (k, v) VALUES ('";
-    private static final String RETURNS = "') RETURNING v";
+    private static final String WRITE_PREFIX = " INSERT INTO records (k, v) VALUES ('";
+    private static final String WRITE_SUFFIX = "') RETURNING v";
 
     /**
      * Reads a query's text. Whatever is not of the one agreed form is turned away, with the reason.
      */
-    public static Parsed parse(byte[] bytes) {
+    public static Parsed parse(byte[] text) {
         // One byte, one char: positions in the text are positions in the bytes.
-        String s = new String(bytes, StandardCharsets.ISO_8859_1);
-        int end = s.indexOf("*/");
-        if (!s.startsWith("/*") || end < 0 || s.indexOf('\0') >= 0) {
-            return wrong("no comment before the statement");
-        }
-        Map<String, String> names = new HashMap<>();
-        int leftFrom = -1;
-        int leftTo = -1;
-        for (int at = 2; at < end; ) {
-            int comma = s.indexOf(',', at);
-            int to = comma < 0 || comma > end ? end : comma;
-            int equals = s.indexOf('=', at);
-            if (equals < 0 || equals > to) {
-                return wrong("a part of the comment is no name=value");
+        String query = new String(text, StandardCharsets.ISO_8859_1);
+        int commentEnd = query.indexOf("*/");
+        if (!query.startsWith("/*") || commentEnd < 0 || query.indexOf('\0') >= 0) {
+            return invalid("no comment before the statement");
+        }
+        Map<String, String> parameters = new HashMap<>();
+        int timeLeftStart = -1;
+        int timeLeftEnd = -1;
+        for (int pairStart = 2; pairStart < commentEnd; ) {
+            int comma = query.indexOf(',', pairStart);
+            int pairEnd = comma < 0 || comma > commentEnd ? commentEnd : comma;
+            int equals = query.indexOf('=', pairStart);
+            if (equals < 0 || equals > pairEnd) {
+                return invalid("a part of the comment is no name=value");
             }
-            String name = s.substring(at, equals).strip();
-            String value = s.substring(equals + 1, to).strip();
-            if (names.put(name, value) != null) {
-                return wrong("the comment repeats a name");
+            String name = query.substring(pairStart, equals).strip();
+            String value = query.substring(equals + 1, pairEnd).strip();
+            if (parameters.put(name, value) != null) {
+                return invalid("the comment repeats a name");
             }
             if (name.equals("d")) {
-                leftFrom = s.indexOf(value, equals + 1);
-                leftTo = leftFrom + value.length();
+                timeLeftStart = query.indexOf(value, equals + 1);
+                timeLeftEnd = timeLeftStart + value.length();
             }
-            at = to + 1;
-        }
-        String id = names.get("id");
-        String type = names.get("c");
-        Long left = whole(names.get("d"));
-        Long group = whole(names.get("cluster"));
-        String marked = names.get("r");
-        Double after = null;
+            pairStart = pairEnd + 1;
+        }
+        String id = parameters.get("id");
+        String txnType = parameters.get("c");
+        Long timeLeftMs = parseUnsigned(parameters.get("d"));
+        Long group = parseUnsigned(parameters.get("cluster"));
+        String retryFlag = parameters.get("r");
+        Double afterPositionMs = null;
         if (id == null || id.isEmpty() || id.length() > 64) {
-            return wrong("the comment has no id");
+            return invalid("the comment has no id");
         }
-        if (type == null) {
-            return wrong("the comment has no c");
+        if (txnType == null) {
+            return invalid("the comment has no c");
         }
-        if (left == null || left <= 0) {
-            return wrong("the comment's d is no time");
+        if (timeLeftMs == null || timeLeftMs <= 0) {
+            return invalid("the comment's d is no time");
         }
         if (group == null || group > Integer.MAX_VALUE) {
-            return wrong("the comment's cluster is no number");
+            return invalid("the comment's cluster is no number");
         }
-        if (names.containsKey("after")) {
-            Long position = whole(names.get("after"));
+        if (parameters.containsKey("after")) {
+            Long position = parseUnsigned(parameters.get("after"));
             if (position == null) {
-                return wrong("the comment's after is no position");
+                return invalid("the comment's after is no position");
             }
-            after = position == 0 ? null : (double) position;
+            afterPositionMs = position == 0 ? null : (double) position;
         }
-        if (marked != null && !marked.equals("1") && !marked.equals("0")) {
-            return wrong("the comment's r is neither 0 nor 1");
+        if (retryFlag != null && !retryFlag.equals("1") && !retryFlag.equals("0")) {
+            return invalid("the comment's r is neither 0 nor 1");
         }
-        int body = end + 2;
-        Matcher read = READ.matcher(s).region(body, s.length());
-        String key = read.matches() ? read.group(1) : null;
-        boolean writes = key == null;
-        if (writes) {
-            key = written(s, body);
+        int bodyStart = commentEnd + 2;
+        Matcher readMatcher = READ_STATEMENT.matcher(query).region(bodyStart, query.length());
+        String key = readMatcher.matches() ? readMatcher.group(1) : null;
+        boolean write = key == null;
+        if (write) {
+            key = parseWriteKey(query, bodyStart);
             if (key == null) {
-                return wrong("not the one statement that is served here");
+                return invalid("not the one statement that is served here");
             }
         }
         return new Parsed(
                 new Statement(
                         id,
-                        type,
-                        Math.min(left, LONGEST_WAIT_MS),
+                        txnType,
+                        Math.min(timeLeftMs, MAX_TIME_LEFT_MS),
                         group.intValue(),
-                        after,
-                        "1".equals(marked),
-                        writes,
+                        afterPositionMs,
+                        "1".equals(retryFlag),
+                        write,
                         key,
-                        bytes,
-                        leftFrom,
-                        leftTo),
+                        text,
+                        timeLeftStart,
+                        timeLeftEnd),
                 null);
     }
 
     /** The value that the comment gives to a name, or null. */
-    public String named(String name) {
+    public String commentValue(String name) {
         String comment =
                 new String(
                         text,
                         2,
-                        Math.min(text.length - 2, LONGEST_COMMENT),
+                        Math.min(text.length - 2, MAX_SEARCHED_COMMENT_BYTES),
                         StandardCharsets.UTF_8);
         int end = comment.indexOf("*/");
         for (String part : end < 0 ? new String[0] : comment.substring(0, end).split(",")) {
@@ -140,44 +140,51 @@
     }
 
     /** The key of a write whose text is whole and of the agreed form, or null. */
-    private static String written(String s, int from) {
-        if (!s.startsWith(WRITE, from) || !s.endsWith(RETURNS)) {
+    private static String parseWriteKey(String query, int bodyStart) {
+        if (!query.startsWith(WRITE_PREFIX, bodyStart) || !query.endsWith(WRITE_SUFFIX)) {
             return null;
         }
-        int key = from + WRITE.length();
-        int quote = s.indexOf('\'', key);
-        String between = "', '\\x";
-        int last = s.length() - RETURNS.length();
-        if (quote <= key
-                || quote - key > 256
-                || !s.startsWith(between, quote)
-                || s.lastIndexOf('\\', quote) >= key) {
+        int keyStart = bodyStart + WRITE_PREFIX.length();
+        int keyEnd = query.indexOf('\'', keyStart);
+        String separator = "', '\\x";
+        int valueEnd = query.length() - WRITE_SUFFIX.length();
+        if (keyEnd <= keyStart
+                || keyEnd - keyStart > 256
+                || !query.startsWith(separator, keyEnd)
+                || query.lastIndexOf('\\', keyEnd) >= keyStart) {
             return null;
         }
-        int value = quote + between.length();
-        if (value > last || (last - value) % 2 != 0 || last - value > 2 * 64 * 1024) {
+        int valueStart = keyEnd + separator.length();
+        if (valueStart > valueEnd
+                || (valueEnd - valueStart) % 2 != 0
+                || valueEnd - valueStart > 2 * 64 * 1024) {
             return null;
         }
-        for (int i = value; i < last; i++) {
-            if (Character.digit(s.charAt(i), 16) < 0) {
+        for (int i = valueStart; i < valueEnd; i++) {
+            if (Character.digit(query.charAt(i), 16) < 0) {
                 return null;
             }
         }
-        return s.substring(key, quote);
+        return query.substring(keyStart, keyEnd);
     }
 
     /** The text for a member: as it came, but for the time that is left. */
-    public byte[] withLeft(long ms) {
-        byte[] number = Long.toString(ms).getBytes(StandardCharsets.ISO_8859_1);
-        byte[] all = new byte[leftFrom + number.length + text.length - leftTo];
-        System.arraycopy(text, 0, all, 0, leftFrom);
-        System.arraycopy(number, 0, all, leftFrom, number.length);
-        System.arraycopy(text, leftTo, all, leftFrom + number.length, text.length - leftTo);
-        return all;
+    public byte[] withTimeLeft(long timeLeftMs) {
+        byte[] digits = Long.toString(timeLeftMs).getBytes(StandardCharsets.ISO_8859_1);
+        byte[] rewritten = new byte[timeLeftStart + digits.length + text.length - timeLeftEnd];
+        System.arraycopy(text, 0, rewritten, 0, timeLeftStart);
+        System.arraycopy(digits, 0, rewritten, timeLeftStart, digits.length);
+        System.arraycopy(
+                text,
+                timeLeftEnd,
+                rewritten,
+                timeLeftStart + digits.length,
+                text.length - timeLeftEnd);
+        return rewritten;
     }
 
     /** A number that stands for the quoted key, never negative. */
-    public long session() {
+    public long keyHash() {
         long hash = 0xcbf29ce484222325L;
         for (int i = 0; i < key.length(); i++) {
             hash = (hash ^ key.charAt(i)) * 0x100000001b3L;
@@ -185,22 +192,22 @@
         return hash & Long.MAX_VALUE;
     }
 
-    private static Long whole(String digits) {
+    private static Long parseUnsigned(String digits) {
         if (digits == null || digits.isEmpty() || digits.length() > 15) {
             return null;
         }
-        long n = 0;
+        long number = 0;
         for (int i = 0; i < digits.length(); i++) {
             char c = digits.charAt(i);
             if (c < '0' || c > '9') {
                 return null;
             }
-            n = n * 10 + c - '0';
+            number = number * 10 + c - '0';
         }
-        return n;
+        return number;
     }
 
-    private static Parsed wrong(String why) {
-        return new Parsed(null, why);
+    private static Parsed invalid(String reason) {
+        return new Parsed(null, reason);
     }
 }
--- a/src/main/java/wingroad/simhost/DriverInstance.java
+++ b/src/main/java/wingroad/simhost/DriverInstance.java
@@ -68,12 +68,12 @@
 
     /** Converts the simulator's time to the time since the start of this instance. */
     private Duration sinceStart(double wallMs) {
-        return Json.span(wallMs - startWallMs);
+        return Json.durationOfMillis(wallMs - startWallMs);
     }
 
     /** Converts a time since the start of this instance to the simulator's time. */
     private double toWallMs(Duration at) {
-        return Json.ms(at.plusNanos(Math.round(startWallMs * 1000) * 1000));
+        return Json.toMillis(at.plusNanos(Math.round(startWallMs * 1000) * 1000));
     }
 
     /** Passes one event to the router; events of unknown names are ignored. */
@@ -92,10 +92,10 @@
                 case "new-request" ->
                         router.txnArrived(
                                 now,
-                                Json.text(event, "op-id"),
+                                Json.string(event, "op-id"),
                                 Json.number(event, "band", 0).intValue(),
                                 Json.number(event, "shard", 0).intValue(),
-                                Json.span(Json.number(event, "ttl")),
+                                Json.durationOfMillis(Json.number(event, "ttl")),
                                 Json.number(event, "user", -1).longValue(),
                                 sinceLastWrite(event),
                                 (Json.number(event, "marks", 0).intValue() & RETRY_MARK) != 0,
@@ -111,7 +111,7 @@
                                     || "full".equals(event.get("state-code"));
                     router.probeEnded(now, memberId, running, duration(event));
                 }
-                case "lapsed" -> router.txnAbandoned(now, Json.text(event, "op-id"));
+                case "lapsed" -> router.txnAbandoned(now, Json.string(event, "op-id"));
                 case "fired" -> {
                     if (Long.toString(wakeUpNumber).equals(event.get("token"))) {
                         armedWakeUpAt = null;
@@ -121,7 +121,7 @@
                     // an event of a newer protocol version
                 }
             }
-        } catch (Json.Malformed malformed) {
+        } catch (Json.MalformedJsonException malformed) {
             throw malformed;
         } catch (RuntimeException exception) {
             writeCrash(output, exception);
@@ -130,23 +130,23 @@
 
     private static Duration sinceLastWrite(Map<String, Object> event) {
         double ageMs = Json.number(event, "token-age-ms", 0).doubleValue();
-        return ageMs > 0 ? Json.span(ageMs) : null;
+        return ageMs > 0 ? Json.durationOfMillis(ageMs) : null;
     }
 
     private static Duration duration(Map<String, Object> event) {
-        return Json.span(Json.number(event, "duration", 0));
+        return Json.durationOfMillis(Json.number(event, "duration", 0));
     }
 
     private void handleMemberList(
             Duration now, Map<String, Object> event, Map<Long, List<?>> memberLists) {
-        String kind = Json.text(event, "kind");
+        String kind = Json.string(event, "kind");
         if (kind.equals("broken")) {
             router.memberListFailed(now);
             return;
         }
         List<?> entries = memberLists.get(Json.number(event, "buffer").longValue());
         if (entries == null) {
-            throw new Json.Malformed("unknown member list number");
+            throw new Json.MalformedJsonException("unknown member list number");
         }
         router.memberListStarted(now, !kind.equals("patch"));
         for (Object element : entries) {
@@ -172,7 +172,7 @@
         long memberId = Json.number(event, "member").longValue();
         handleReport(now, memberId, event);
         Submission.Outcome outcome =
-                switch (Json.text(event, "state-code")) {
+                switch (Json.string(event, "state-code")) {
                     case "ok" -> Submission.Outcome.COMMITTED;
                     case "full" -> Submission.Outcome.FULL;
                     case "timeout" -> Submission.Outcome.TIMED_OUT;
@@ -190,7 +190,7 @@
                         : sinceStart(positionZeroWallMs + (positionAndRole >> ROLE_BITS));
         router.submissionEnded(
                 now,
-                Json.text(event, "op-id"),
+                Json.string(event, "op-id"),
                 Json.number(event, "round-no", 0).intValue(),
                 memberId,
                 outcome,
@@ -252,7 +252,7 @@
                 Duration delay = wakeUpAt.minus(now);
                 output.writeStartObject();
                 output.writeStringField("msg", "arm");
-                output.writeNumberField("wait", delay.isNegative() ? 0.0 : Json.ms(delay));
+                output.writeNumberField("wait", delay.isNegative() ? 0.0 : Json.toMillis(delay));
                 output.writeStringField("token", Long.toString(wakeUpNumber));
                 output.writeEndObject();
             }
@@ -276,7 +276,8 @@
                 output.writeStringField("msg", "refuse");
                 output.writeStringField("op-id", decision.txn());
                 if (decision.deadlineOrRetryDelay() != null) {
-                    output.writeNumberField("come-back", Json.ms(decision.deadlineOrRetryDelay()));
+                    output.writeNumberField(
+                            "come-back", Json.toMillis(decision.deadlineOrRetryDelay()));
                 }
             }
             case ROLL_BACK -> {
--- a/src/main/java/wingroad/simhost/SimHost.java
+++ b/src/main/java/wingroad/simhost/SimHost.java
@@ -54,7 +54,7 @@
             } catch (JsonProcessingException e) {
                 err.println("simhost: invalid input line: " + e.getOriginalMessage());
                 return 1;
-            } catch (Json.Malformed e) {
+            } catch (Json.MalformedJsonException e) {
                 err.println("simhost: invalid input line: " + e.getMessage());
                 return 1;
             }
@@ -69,11 +69,11 @@
         Map<String, Object> batch;
         try (JsonParser parser = jsonFactory.createParser(line)) {
             if (parser.nextToken() != JsonToken.START_OBJECT) {
-                throw new Json.Malformed("a JSON object is expected");
+                throw new Json.MalformedJsonException("a JSON object is expected");
             }
-            batch = Json.object(Json.value(parser), "the line");
+            batch = Json.object(Json.readValue(parser), "the line");
             if (parser.nextToken() != null) {
-                throw new Json.Malformed("more than one value in the line");
+                throw new Json.MalformedJsonException("more than one value in the line");
             }
         }
         double wallMs = Json.number(batch, "wall").doubleValue();
@@ -100,7 +100,7 @@
             throws IOException {
         for (Object element : events) {
             Map<String, Object> event = Json.object(element, "an event");
-            String eventName = Json.text(event, "msg");
+            String eventName = Json.string(event, "msg");
             switch (eventName) {
                 case "inventory" ->
                         memberLists.put(
@@ -115,9 +115,10 @@
                                         wallMs,
                                         Json.number(event, "salt").longValue(),
                                         Json.object(
-                                                Json.need(event, "profile-data"), "'profile-data'"),
+                                                Json.required(event, "profile-data"),
+                                                "'profile-data'"),
                                         output));
-                    } catch (Json.Malformed malformed) {
+                    } catch (Json.MalformedJsonException malformed) {
                         throw malformed;
                     } catch (RuntimeException exception) {
                         DriverInstance.writeCrash(output, exception);
--- a/src/main/java/wingroad/terms/RouterSettings.java
+++ b/src/main/java/wingroad/terms/RouterSettings.java
@@ -139,7 +139,7 @@
             settings.put(
                     prefix + "oldest-data",
                     elementAt(valueAt(wire, "family-info.oldest-data"), i) instanceof Number n
-                            ? Json.span(n)
+                            ? Json.durationOfMillis(n)
                             : Duration.ZERO);
         }
         return settings;
@@ -170,7 +170,8 @@
         return switch (setting.type) {
             case NUMBER ->
                     value instanceof Number n ? (Object) n.doubleValue() : setting.defaultValue;
-            case DURATION_MS -> value instanceof Number n ? Json.span(n) : setting.defaultValue;
+            case DURATION_MS ->
+                    value instanceof Number n ? Json.durationOfMillis(n) : setting.defaultValue;
             case WORD -> valueName(value instanceof String s ? s : (String) setting.defaultValue);
             default -> value instanceof Boolean b ? b : setting.defaultValue;
         };
--- a/src/main/java/wingroad/transport/Connection.java
+++ b/src/main/java/wingroad/transport/Connection.java
@@ -15,97 +15,101 @@
  * the loop's thread.
  */
 public final class Connection {
-    private static final int FIRST_SIZE = 1024;
+    private static final int INITIAL_BUFFER_BYTES = 1024;
 
     /**
      * Read ahead in any case for an owner that does not take it yet. The other side's end stands
      * behind all that it has sent: as long as there is memory to spare, all of it is read, up to
      * the bound, so that the end is seen.
      */
-    private static final int AHEAD = 4096;
+    private static final int READ_AHEAD_BYTES = 4096;
 
     /**
      * One call reads or writes no more: the system's side copies all that it is given, each time.
      */
-    private static final int PIECE = 64 * 1024;
+    private static final int MAX_BYTES_PER_CALL = 64 * 1024;
 
     /** Who a connection belongs to. */
-    public interface Owner {
+    public interface Handler {
         /** The connection is up; only where it was opened from here. */
-        default void up() {}
+        default void onConnected() {}
 
         /**
          * Bytes are there; the owner takes from the front what it can use, and the rest is offered
          * again.
          */
-        void bytes(ByteBuffer in);
+        void onBytes(ByteBuffer in);
 
         /**
          * Whether it takes what comes now; while it does not, what is read ahead gives way to
          * others' bytes.
          */
-        default boolean takes() {
+        default boolean acceptsInput() {
             return true;
         }
 
         /** All that was handed over has been written. */
-        default void written() {}
+        default void onAllWritten() {}
 
         /** There is no memory for more of what comes in; nothing more is read. */
-        void full();
+        void onInputMemoryExhausted();
 
         /**
          * The connection is no more, and not by the owner's own closing. {@code unwritten}: how
-         * many of the bytes handed over were certainly not written. {@code orderly}: the other side
-         * said that no more comes; where it did not, as at a reset, what has come may be a part of
-         * it.
+         * many of the bytes handed over were certainly not written. {@code endOfStream}: the other
+         * side said that no more comes; where it did not, as at a reset, what has come may be a
+         * part of it.
          */
-        void ended(int unwritten, boolean orderly, String how);
+        void onClosed(int unwrittenBytes, boolean endOfStream, String reason);
     }
 
     private final EventLoop loop;
     private final AsynchronousSocketChannel channel;
-    private final Owner owner;
-    private final int bound;
-    private final byte[] none = new byte[0];
+    private final Handler handler;
+    private final int maxBufferBytes;
+    private final byte[] emptyBuffer = new byte[0];
 
     /** What has come in is from start to end; a read that is out fills what is behind it. */
-    private byte[] data = none;
+    private byte[] buffer = emptyBuffer;
 
-    private int start;
-    private int end;
+    private int unreadStart;
+    private int unreadEnd;
     private boolean reading;
-    private boolean inCall;
-    private boolean offering;
-    private final ArrayDeque<ByteBuffer> out = new ArrayDeque<>();
+    private boolean inChannelCall;
+    private boolean delivering;
+    private final ArrayDeque<ByteBuffer> writeQueue = new ArrayDeque<>();
     private boolean writing;
-    private long wrote;
+    private long writtenBytes;
     private boolean connecting;
-    private boolean finishing;
-    private boolean deaf;
+    private boolean outputShutdownRequested;
+    private boolean readingStopped;
     private boolean closed;
 
     /** Why it broke, while a write that is out must still tell how far it came. */
-    private String broken;
+    private String failure;
 
-    private boolean orderly;
-    private boolean told;
+    private boolean endOfStream;
+    private boolean closeReported;
 
-    private Connection(EventLoop loop, AsynchronousSocketChannel channel, Owner owner, int bound) {
+    private Connection(
+            EventLoop loop,
+            AsynchronousSocketChannel channel,
+            Handler handler,
+            int maxBufferBytes) {
         this.loop = loop;
         this.channel = channel;
-        this.owner = owner;
-        this.bound = bound;
-        loop.opened();
+        this.handler = handler;
+        this.maxBufferBytes = maxBufferBytes;
+        loop.channelOpened();
         try {
             channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
         } catch (IOException e) {
-            breaks("no options: " + e.getMessage());
+            fail("no options: " + e.getMessage());
         }
     }
 
     /** The other side's address, without its port; empty where it has gone already. */
-    public String from() {
+    public String remoteHost() {
         try {
             return channel.getRemoteAddress() instanceof InetSocketAddress a
                     ? a.getAddress().getHostAddress()
@@ -115,156 +119,169 @@
         }
     }
 
-    /** Takes over an accepted channel; reading begins with {@link #begin}. */
+    /** Takes over an accepted channel; reading begins with {@link #startReading}. */
     static Connection accepted(
-            EventLoop loop, AsynchronousSocketChannel channel, Owner owner, int bound) {
-        return new Connection(loop, channel, owner, bound);
+            EventLoop loop,
+            AsynchronousSocketChannel channel,
+            Handler handler,
+            int maxBufferBytes) {
+        return new Connection(loop, channel, handler, maxBufferBytes);
     }
 
     /**
      * Opens a connection; the owner hears {@code up} or {@code ended} later, never within this
      * call.
      */
-    public static Connection open(EventLoop loop, InetSocketAddress to, Owner owner, int bound)
+    public static Connection open(
+            EventLoop loop, InetSocketAddress remoteAddress, Handler handler, int maxBufferBytes)
             throws IOException {
-        Connection link =
-                new Connection(loop, AsynchronousSocketChannel.open(loop.group), owner, bound);
-        link.connect(to);
-        return link;
+        Connection connection =
+                new Connection(
+                        loop, AsynchronousSocketChannel.open(loop.group), handler, maxBufferBytes);
+        connection.connect(remoteAddress);
+        return connection;
     }
 
-    private void connect(InetSocketAddress to) {
+    private void connect(InetSocketAddress remoteAddress) {
         connecting = true;
         try {
             channel.connect(
-                    to,
+                    remoteAddress,
                     null,
                     new CompletionHandler<Void, Void>() {
                         @Override
                         public void completed(Void nothing, Void n) {
-                            loop.run(Connection.this::connected);
+                            loop.execute(Connection.this::connected);
                         }
 
                         @Override
                         public void failed(Throwable cause, Void n) {
-                            loop.run(() -> notConnected(cause));
+                            loop.execute(() -> connectFailed(cause));
                         }
                     });
         } catch (RuntimeException e) {
-            loop.run(() -> notConnected(e));
+            loop.execute(() -> connectFailed(e));
         }
     }
 
     private void connected() {
         connecting = false;
         if (!closed) {
-            guarded(owner::up);
-            begin();
+            runGuarded(handler::onConnected);
+            startReading();
         }
     }
 
-    private void notConnected(Throwable cause) {
+    private void connectFailed(Throwable cause) {
         connecting = false;
-        breaks("not connected: " + cause.getMessage());
+        fail("not connected: " + cause.getMessage());
     }
 
-    public void begin() {
+    public void startReading() {
         read();
     }
 
     /** Offers again what is still in the buffer, after the owner has become able to take it. */
-    public void offerAgain() {
-        loop.run(
+    public void redeliver() {
+        loop.execute(
                 () -> {
-                    offer();
+                    deliver();
                     read();
                 });
     }
 
-    private void offer() {
-        if (closed || offering || start == end) {
+    private void deliver() {
+        if (closed || delivering || unreadStart == unreadEnd) {
             return;
         }
-        offering = true;
-        ByteBuffer in = ByteBuffer.wrap(data, start, end - start);
-        guarded(() -> owner.bytes(in));
-        start = in.position();
-        offering = false;
+        delivering = true;
+        ByteBuffer in = ByteBuffer.wrap(buffer, unreadStart, unreadEnd - unreadStart);
+        runGuarded(() -> handler.onBytes(in));
+        unreadStart = in.position();
+        delivering = false;
     }
 
     private void read() {
-        if (reading || closed || connecting || deaf) {
+        if (reading || closed || connecting || readingStopped) {
             return;
         }
-        if (start == end) {
-            start = 0;
-            end = 0;
-            if (data.length > FIRST_SIZE) {
-                loop.hold(-data.length);
-                data = none;
+        if (unreadStart == unreadEnd) {
+            unreadStart = 0;
+            unreadEnd = 0;
+            if (buffer.length > INITIAL_BUFFER_BYTES) {
+                loop.addBufferedBytes(-buffer.length);
+                buffer = emptyBuffer;
             }
-        } else if (end == data.length) {
-            System.arraycopy(data, start, data, 0, end - start);
-            end -= start;
-            start = 0;
+        } else if (unreadEnd == buffer.length) {
+            System.arraycopy(buffer, unreadStart, buffer, 0, unreadEnd - unreadStart);
+            unreadEnd -= unreadStart;
+            unreadStart = 0;
         }
-        if (end == data.length) {
-            int size = Math.min(bound, Math.max(FIRST_SIZE, data.length * 2));
-            if (end >= bound
-                    || end >= AHEAD && !owner.takes() && !loop.maySpare(size - data.length)) {
+        if (unreadEnd == buffer.length) {
+            int newSize =
+                    Math.min(maxBufferBytes, Math.max(INITIAL_BUFFER_BYTES, buffer.length * 2));
+            if (unreadEnd >= maxBufferBytes
+                    || unreadEnd >= READ_AHEAD_BYTES
+                            && !handler.acceptsInput()
+                            && !loop.canReadAhead(newSize - buffer.length)) {
                 return;
             }
-            if (size > FIRST_SIZE && !loop.mayHold(size - data.length)) {
-                guarded(owner::full);
+            if (newSize > INITIAL_BUFFER_BYTES && !loop.canBuffer(newSize - buffer.length)) {
+                runGuarded(handler::onInputMemoryExhausted);
                 return;
             }
-            loop.hold(size - data.length);
-            data = Arrays.copyOf(data, size);
+            loop.addBufferedBytes(newSize - buffer.length);
+            buffer = Arrays.copyOf(buffer, newSize);
         }
         reading = true;
-        inCall = true;
+        inChannelCall = true;
         try {
             channel.read(
-                    ByteBuffer.wrap(data, end, Math.min(PIECE, data.length - end)), null, reads);
+                    ByteBuffer.wrap(
+                            buffer,
+                            unreadEnd,
+                            Math.min(MAX_BYTES_PER_CALL, buffer.length - unreadEnd)),
+                    null,
+                    readHandler);
         } catch (RuntimeException e) {
             reading = false;
-            loop.run(() -> breaks("cannot read: " + e.getMessage()));
+            loop.execute(() -> fail("cannot read: " + e.getMessage()));
         }
-        inCall = false;
+        inChannelCall = false;
     }
 
     // A completion can come within the call that asked for it, so neither handler goes on from
     // there.
-    private final CompletionHandler<Integer, Void> reads =
+    private final CompletionHandler<Integer, Void> readHandler =
             new CompletionHandler<>() {
                 @Override
                 public void completed(Integer count, Void nothing) {
-                    if (inCall) {
-                        loop.run(() -> haveRead(count));
+                    if (inChannelCall) {
+                        loop.execute(() -> readCompleted(count));
                     } else {
-                        guarded(() -> haveRead(count));
+                        runGuarded(() -> readCompleted(count));
                     }
                 }
 
                 @Override
                 public void failed(Throwable cause, Void nothing) {
-                    loop.run(
+                    loop.execute(
                             () -> {
                                 reading = false;
-                                breaks("read: " + cause.getMessage());
+                                fail("read: " + cause.getMessage());
                             });
                 }
             };
 
-    private void haveRead(int count) {
+    private void readCompleted(int count) {
         reading = false;
         if (count < 0) {
-            orderly = !closed;
-            breaks("ended by the other side");
+            endOfStream = !closed;
+            fail("ended by the other side");
             return;
         }
-        end += count;
-        offer();
+        unreadEnd += count;
+        deliver();
         read();
     }
 
@@ -273,113 +290,114 @@
         if (closed) {
             return;
         }
-        out.add(bytes);
-        loop.hold(bytes.remaining());
+        writeQueue.add(bytes);
+        loop.addBufferedBytes(bytes.remaining());
         write();
     }
 
     private void write() {
-        if (writing || closed || out.isEmpty()) {
+        if (writing || closed || writeQueue.isEmpty()) {
             return;
         }
         writing = true;
-        inCall = true;
+        inChannelCall = true;
         try {
-            ByteBuffer first = out.peek();
-            ByteBuffer piece = first.slice(first.position(), Math.min(PIECE, first.remaining()));
-            channel.write(piece, null, writes);
+            ByteBuffer first = writeQueue.peek();
+            ByteBuffer chunk =
+                    first.slice(first.position(), Math.min(MAX_BYTES_PER_CALL, first.remaining()));
+            channel.write(chunk, null, writeHandler);
         } catch (RuntimeException e) {
             writing = false;
-            loop.run(() -> breaks("cannot write: " + e.getMessage()));
+            loop.execute(() -> fail("cannot write: " + e.getMessage()));
         }
-        inCall = false;
+        inChannelCall = false;
     }
 
-    private final CompletionHandler<Integer, Void> writes =
+    private final CompletionHandler<Integer, Void> writeHandler =
             new CompletionHandler<>() {
                 @Override
                 public void completed(Integer count, Void nothing) {
                     // No longer a way than a read's: an answer must not seem to come before its
                     // query was written.
-                    if (inCall) {
-                        loop.run(() -> haveWritten(count));
+                    if (inChannelCall) {
+                        loop.execute(() -> writeCompleted(count));
                     } else {
-                        guarded(() -> haveWritten(count));
+                        runGuarded(() -> writeCompleted(count));
                     }
                 }
 
                 @Override
                 public void failed(Throwable cause, Void nothing) {
-                    loop.run(
+                    loop.execute(
                             () -> {
                                 writing = false;
-                                breaks("write: " + cause.getMessage());
+                                fail("write: " + cause.getMessage());
                             });
                 }
             };
 
-    private void haveWritten(int count) {
+    private void writeCompleted(int count) {
         writing = false;
-        wrote += count;
-        out.peek().position(out.peek().position() + count);
-        if (!out.peek().hasRemaining()) {
-            int gone = out.poll().limit();
-            loop.hold(closed ? 0 : -gone);
+        writtenBytes += count;
+        writeQueue.peek().position(writeQueue.peek().position() + count);
+        if (!writeQueue.peek().hasRemaining()) {
+            int releasedBytes = writeQueue.poll().limit();
+            loop.addBufferedBytes(closed ? 0 : -releasedBytes);
         }
-        if (broken != null) {
-            tellEnded();
-        } else if (!out.isEmpty()) {
+        if (failure != null) {
+            reportClosed();
+        } else if (!writeQueue.isEmpty()) {
             write();
         } else if (!closed) {
-            if (finishing) {
-                finish();
+            if (outputShutdownRequested) {
+                shutdownOutput();
             }
-            guarded(owner::written);
+            runGuarded(handler::onAllWritten);
         }
     }
 
     /** How many bytes have been written so far. */
-    public long wrote() {
-        return wrote;
+    public long writtenBytes() {
+        return writtenBytes;
     }
 
     /** True while bytes that were handed over have not been written. */
-    public boolean unsent() {
-        return !out.isEmpty();
+    public boolean hasUnsentBytes() {
+        return !writeQueue.isEmpty();
     }
 
     /** True while bytes that came in have not been taken. */
-    public boolean unread() {
-        return start != end;
+    public boolean hasUnreadBytes() {
+        return unreadStart != unreadEnd;
     }
 
     public boolean isClosed() {
         return closed;
     }
 
-    private void breaks(String how) {
+    private void fail(String reason) {
         if (!closed) {
-            broken = how;
-            shut();
+            failure = reason;
+            closeChannel();
             // Only the write that is out knows whether its last byte went: its handler comes now
             // for certain.
             if (!writing) {
-                tellEnded();
+                reportClosed();
             }
-        } else if (broken != null && !writing) {
-            tellEnded();
+        } else if (failure != null && !writing) {
+            reportClosed();
         }
     }
 
-    private void tellEnded() {
-        if (!told) {
-            told = true;
-            int unwritten = 0;
-            for (ByteBuffer b : out) {
-                unwritten += b.remaining();
+    private void reportClosed() {
+        if (!closeReported) {
+            closeReported = true;
+            int sum = 0;
+            for (ByteBuffer b : writeQueue) {
+                sum += b.remaining();
             }
-            int left = unwritten;
-            guarded(() -> owner.ended(left, orderly, broken));
+            int unwrittenBytes = sum;
+            runGuarded(() -> handler.onClosed(unwrittenBytes, endOfStream, failure));
         }
     }
 
@@ -387,13 +405,13 @@
      * Writes what was handed over, then tells the other side that no more comes; its own end ends
      * it all.
      */
-    public void finish() {
-        finishing = true;
-        if (out.isEmpty() && !closed) {
+    public void shutdownOutput() {
+        outputShutdownRequested = true;
+        if (writeQueue.isEmpty() && !closed) {
             try {
                 channel.shutdownOutput();
             } catch (IOException e) {
-                breaks("cannot end: " + e.getMessage());
+                fail("cannot end: " + e.getMessage());
             }
         }
     }
@@ -402,23 +420,23 @@
      * Reads nothing more: what still comes is held up at the other side until the connection is
      * closed.
      */
-    public void readNoMore() {
-        deaf = true;
+    public void stopReading() {
+        readingStopped = true;
     }
 
     /** Ends it from here; the owner hears nothing more. */
     public void close() {
-        told = true;
-        shut();
+        closeReported = true;
+        closeChannel();
     }
 
-    private void shut() {
+    private void closeChannel() {
         if (!closed) {
             closed = true;
-            loop.closed();
-            loop.hold(-data.length);
-            for (ByteBuffer b : out) {
-                loop.hold(-b.limit());
+            loop.channelClosed();
+            loop.addBufferedBytes(-buffer.length);
+            for (ByteBuffer b : writeQueue) {
+                loop.addBufferedBytes(-b.limit());
             }
             try {
                 channel.close();
@@ -429,13 +447,13 @@
     }
 
     /** An exception in the owner's code ends this connection and nothing else. */
-    private void guarded(Runnable call) {
+    private void runGuarded(Runnable call) {
         try {
             call.run();
-        } catch (RuntimeException | StackOverflowError | OutOfMemoryError bug) {
-            loop.bug(bug);
+        } catch (RuntimeException | StackOverflowError | OutOfMemoryError error) {
+            loop.reportUnexpectedError(error);
             if (!closed) {
-                breaks("fault of its own");
+                fail("fault of its own");
             }
         }
     }
--- a/src/main/java/wingroad/transport/EventLoop.java
+++ b/src/main/java/wingroad/transport/EventLoop.java
@@ -14,106 +14,111 @@
  * that its channels hold.
  */
 public final class EventLoop {
-    private final ScheduledThreadPoolExecutor thread;
-    private final Consumer<Throwable> onBug;
-    private final int mostChannels;
-    private int channels;
-    private final long mostHeld;
-    private long held;
+    private final ScheduledThreadPoolExecutor executor;
+    private final Consumer<Throwable> onUnexpectedError;
+    private final int maxChannels;
+    private int openChannels;
+    private final long maxBufferedBytes;
+    private long bufferedBytes;
     final AsynchronousChannelGroup group;
 
     /**
-     * @param mostChannels how many channels may be open at once
-     * @param mostHeld how many bytes all connections may hold that came in or wait to go out
-     * @param onBug hears of what escapes a task
+     * @param maxChannels how many channels may be open at once
+     * @param maxBufferedBytes how many bytes all connections may hold that came in or wait to go
+     *     out
+     * @param onUnexpectedError hears of what escapes a task
      */
-    public EventLoop(int mostChannels, long mostHeld, Consumer<Throwable> onBug)
+    public EventLoop(int maxChannels, long maxBufferedBytes, Consumer<Throwable> onUnexpectedError)
             throws IOException {
-        this("wingroad", mostChannels, mostHeld, onBug);
+        this("wingroad", maxChannels, maxBufferedBytes, onUnexpectedError);
     }
 
     /** The same with the thread's name, for a part that has a thread of its own. */
-    public EventLoop(String name, int mostChannels, long mostHeld, Consumer<Throwable> onBug)
+    public EventLoop(
+            String name,
+            int maxChannels,
+            long maxBufferedBytes,
+            Consumer<Throwable> onUnexpectedError)
             throws IOException {
-        thread = new ScheduledThreadPoolExecutor(1, r -> new Thread(r, name));
-        this.mostChannels = mostChannels;
-        this.mostHeld = mostHeld;
-        this.onBug = onBug;
-        thread.setRemoveOnCancelPolicy(true);
+        executor = new ScheduledThreadPoolExecutor(1, r -> new Thread(r, name));
+        this.maxChannels = maxChannels;
+        this.maxBufferedBytes = maxBufferedBytes;
+        this.onUnexpectedError = onUnexpectedError;
+        executor.setRemoveOnCancelPolicy(true);
         // Not a fixed pool: its own threads poll in here, and no task of ours could run on them.
         // With this one
         // the channels poll on a thread of theirs and hand every completion to ours.
-        group = AsynchronousChannelGroup.withThreadPool(thread);
+        group = AsynchronousChannelGroup.withThreadPool(executor);
     }
 
     /** Runs the task on the loop's thread, after what waits there already. From any thread. */
-    public void run(Runnable task) {
-        thread.execute(() -> guarded(task));
+    public void execute(Runnable task) {
+        executor.execute(() -> runGuarded(task));
     }
 
     /** Runs the task after the wait, unless the timer is cancelled first. */
-    public Timer after(Duration wait, Runnable task) {
-        ScheduledFuture<?> f =
-                thread.schedule(
-                        () -> guarded(task), Math.max(0, wait.toNanos()), TimeUnit.NANOSECONDS);
-        return () -> f.cancel(false);
+    public Timer schedule(Duration delay, Runnable task) {
+        ScheduledFuture<?> future =
+                executor.schedule(
+                        () -> runGuarded(task), Math.max(0, delay.toNanos()), TimeUnit.NANOSECONDS);
+        return () -> future.cancel(false);
     }
 
     /** Nanoseconds of the monotonic clock. */
-    public long now() {
+    public long nanoTime() {
         return System.nanoTime();
     }
 
-    private void guarded(Runnable task) {
+    private void runGuarded(Runnable task) {
         try {
             task.run();
-        } catch (RuntimeException | Error bug) {
-            onBug.accept(bug);
+        } catch (RuntimeException | Error error) {
+            onUnexpectedError.accept(error);
         }
     }
 
     /** Something went wrong that a caller has dealt with. */
-    public void bug(Throwable bug) {
-        onBug.accept(bug);
+    public void reportUnexpectedError(Throwable error) {
+        onUnexpectedError.accept(error);
     }
 
     /** How many more channels may be opened. */
-    public int channelsLeft() {
-        return mostChannels - channels;
+    public int availableChannels() {
+        return maxChannels - openChannels;
     }
 
-    public int channels() {
-        return channels;
+    public int openChannels() {
+        return openChannels;
     }
 
-    public int mostChannels() {
-        return mostChannels;
+    public int maxChannels() {
+        return maxChannels;
     }
 
     /** Counts bytes that are held from now on, or with a negative number no more. */
-    public void hold(long bytes) {
-        held += bytes;
+    public void addBufferedBytes(long bytes) {
+        bufferedBytes += bytes;
     }
 
-    boolean mayHold(long bytes) {
-        return held + bytes <= mostHeld;
+    boolean canBuffer(long bytes) {
+        return bufferedBytes + bytes <= maxBufferedBytes;
     }
 
     /** Whether so many may be held for later: half of the room is kept for what is under way. */
-    boolean maySpare(long bytes) {
-        return held + bytes <= mostHeld / 2;
+    boolean canReadAhead(long bytes) {
+        return bufferedBytes + bytes <= maxBufferedBytes / 2;
     }
 
-    public long held() {
-        return held;
+    public long bufferedBytes() {
+        return bufferedBytes;
     }
 
-    void opened() {
-        channels++;
+    void channelOpened() {
+        openChannels++;
     }
 
-    void closed() {
-        channels--;
+    void channelClosed() {
+        openChannels--;
     }
 
     /** A task that has not run yet. */
--- a/src/main/java/wingroad/transport/Listener.java
+++ b/src/main/java/wingroad/transport/Listener.java
@@ -17,51 +17,51 @@
 
     private final EventLoop loop;
     private final AsynchronousServerSocketChannel channel;
-    private final BooleanSupplier room;
-    private final Consumer<Function<Connection.Owner, Connection>> guest;
-    private final int bound;
+    private final BooleanSupplier canAccept;
+    private final Consumer<Function<Connection.Handler, Connection>> onAccepted;
+    private final int maxBufferBytes;
     private boolean accepting;
     private boolean closed;
-    private int refusals;
+    private int consecutiveFailures;
 
     /**
-     * @param room asked before each accept; when it says no, {@link #again} goes on later
-     * @param guest gets each accepted connection, as a function from its owner to its link
+     * @param canAccept asked before each accept; when it says no, {@link #acceptNext} goes on later
+     * @param onAccepted gets each accepted connection, as a function from its owner to its link
      */
     public Listener(
             EventLoop loop,
-            InetSocketAddress at,
-            int bound,
-            BooleanSupplier room,
-            Consumer<Function<Connection.Owner, Connection>> guest)
+            InetSocketAddress address,
+            int maxBufferBytes,
+            BooleanSupplier canAccept,
+            Consumer<Function<Connection.Handler, Connection>> onAccepted)
             throws IOException {
         this.loop = loop;
-        this.bound = bound;
-        this.room = room;
-        this.guest = guest;
+        this.maxBufferBytes = maxBufferBytes;
+        this.canAccept = canAccept;
+        this.onAccepted = onAccepted;
         channel = AsynchronousServerSocketChannel.open(loop.group);
         try {
             channel.setOption(StandardSocketOptions.SO_REUSEADDR, true);
-            channel.bind(at, BACKLOG);
+            channel.bind(address, BACKLOG);
         } catch (IOException | RuntimeException e) {
             channel.close();
             throw e;
         }
-        loop.opened();
+        loop.channelOpened();
     }
 
-    public InetSocketAddress at() throws IOException {
+    public InetSocketAddress localAddress() throws IOException {
         return (InetSocketAddress) channel.getLocalAddress();
     }
 
     /** Accepts the next connection, when there is room and none is being accepted. */
-    public void again() {
+    public void acceptNext() {
         if (accepting || closed) {
             return;
         }
         // Making room closes a connection, and its end asks for the next accept: that is this one.
         accepting = true;
-        if (!room.getAsBoolean()) {
+        if (!canAccept.getAsBoolean()) {
             accepting = false;
             return;
         }
@@ -70,29 +70,33 @@
                 new CompletionHandler<AsynchronousSocketChannel, Void>() {
                     @Override
                     public void completed(AsynchronousSocketChannel guestChannel, Void nothing) {
-                        loop.run(
+                        loop.execute(
                                 () -> {
                                     accepting = false;
-                                    refusals = 0;
-                                    guest.accept(
+                                    consecutiveFailures = 0;
+                                    onAccepted.accept(
                                             owner ->
                                                     Connection.accepted(
-                                                            loop, guestChannel, owner, bound));
-                                    again();
+                                                            loop,
+                                                            guestChannel,
+                                                            owner,
+                                                            maxBufferBytes));
+                                    acceptNext();
                                 });
                     }
 
                     @Override
                     public void failed(Throwable cause, Void nothing) {
-                        loop.run(
+                        loop.execute(
                                 () -> {
                                     accepting = false;
-                                    refusals++;
+                                    consecutiveFailures++;
                                     // Guards against spinning where the system has no descriptor
                                     // left: a longer wait each time.
-                                    loop.after(
-                                            Duration.ofMillis(1L << Math.min(refusals, 8)),
-                                            Listener.this::again);
+                                    loop.schedule(
+                                            Duration.ofMillis(
+                                                    1L << Math.min(consecutiveFailures, 8)),
+                                            Listener.this::acceptNext);
                                 });
                     }
                 });
@@ -101,7 +105,7 @@
     public void close() {
         if (!closed) {
             closed = true;
-            loop.closed();
+            loop.channelClosed();
             try {
                 channel.close();
             } catch (IOException e) {
--- a/src/test/java/wingroad/driver/ClientFrontendTest.java
+++ b/src/test/java/wingroad/driver/ClientFrontendTest.java
@@ -1,11 +1,22 @@
 package wingroad.driver;
 
 import static org.assertj.core.api.Assertions.assertThat;
+
 import static wingroad.Fixtures.message;
 import static wingroad.Fixtures.read;
 import static wingroad.Fixtures.text;
 import static wingroad.Fixtures.write;
 
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+
+import wingroad.Fixtures;
+import wingroad.rig.Peer;
+import wingroad.routing.TxnRouter;
+import wingroad.state.Member.Role;
+import wingroad.state.Submission.Outcome;
+import wingroad.transport.EventLoop;
+
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -17,14 +28,6 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
-import org.junit.jupiter.api.BeforeEach;
-import org.junit.jupiter.api.Test;
-import wingroad.Fixtures;
-import wingroad.rig.Peer;
-import wingroad.routing.TxnRouter;
-import wingroad.state.Member.Role;
-import wingroad.state.Submission.Outcome;
-import wingroad.transport.EventLoop;
 
 /**
  * Clients that leave, send, and are told the end, at moments that the test chooses; the members are
@@ -95,7 +98,7 @@
                 },
                 () -> false);
         BlockingQueue<Integer> at = new LinkedBlockingQueue<>();
-        loop.run(
+        loop.execute(
                 () -> {
                     try {
                         clients.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
@@ -114,7 +117,7 @@
 
     /** The member says that it is the primary: writes that were held are sent on. */
     private void primaryFound() {
-        loop.run(
+        loop.execute(
                 () ->
                         exchange.router()
                                 .memberReported(
@@ -146,7 +149,7 @@
         BlockingQueue<Boolean> was = new LinkedBlockingQueue<>();
         do {
             assertThat(System.nanoTime()).as("it never came to be").isLessThan(end);
-            loop.run(() -> was.add(is.getAsBoolean()));
+            loop.execute(() -> was.add(is.getAsBoolean()));
         } while (!was.take());
     }
 
@@ -156,7 +159,7 @@
                         message('T', Fixtures.DESCRIPTION),
                         message('D', Fixtures.column("done")),
                         message('C', text("SELECT 1")));
-        loop.run(
+        loop.execute(
                 () ->
                         exchange.submissionEnded(
                                 e,
@@ -188,7 +191,7 @@
             primaryFound();
             until(() -> clients.connectionCount() == 0);
             assertThat(dispatched).isEmpty();
-            loop.run(
+            loop.execute(
                     () ->
                             exchange.router()
                                     .memberReported(
@@ -212,7 +215,7 @@
         Peer c = client();
         c.send(ask(write("w").replace("d=4000", "d=60000")));
         until(() -> exchange.openTxnCount() == 1);
-        loop.run(() -> loop.hold((1 << 23) - loop.held()));
+        loop.execute(() -> loop.addBufferedBytes((1 << 23) - loop.bufferedBytes()));
         for (int i = 0; i < 1000; i++) {
             c.send(ask(read("r" + i)));
         }
@@ -220,7 +223,7 @@
         commit(dispatched.poll(20, TimeUnit.SECONDS));
         assertThat(c.until("Z\0\0\0\5I")).contains("done");
         BlockingQueue<Long> held = new LinkedBlockingQueue<>();
-        loop.run(() -> held.add(loop.held()));
+        loop.execute(() -> held.add(loop.bufferedBytes()));
         assertThat(held.poll(20, TimeUnit.SECONDS)).isLessThan((1 << 23) + 64 * 1024);
         assertThat(dispatched.poll(20, TimeUnit.SECONDS).statement().id()).isEqualTo("r0");
     }
@@ -239,7 +242,7 @@
             byte[] whole = ask(write("half" + (c == asked)));
             c.send(java.util.Arrays.copyOf(whole, 60));
             until(() -> !clients.isIdle());
-            loop.run(clients::beginClosing);
+            loop.execute(clients::beginClosing);
             c.send(java.util.Arrays.copyOfRange(whole, 60, whole.length));
             commit(dispatched.poll(20, TimeUnit.SECONDS));
             assertThat(c.until("Z\0\0\0\5I")).contains("done");
@@ -262,7 +265,7 @@
         // end, the client sends elsewhere.
         c.send(Fixtures.joined(ask(write("w")), ask(read("r")), ask("")));
         TxnDispatcher.MemberRequest w = dispatched.poll(20, TimeUnit.SECONDS);
-        loop.run(clients::beginClosing);
+        loop.execute(clients::beginClosing);
         commit(w);
         assertThat(c.until("Z\0\0\0\5I")).contains("done");
         TxnDispatcher.MemberRequest r = dispatched.poll(20, TimeUnit.SECONDS);
@@ -286,7 +289,7 @@
         c.send(ask(""));
         c.until("Z\0\0\0\5I");
         Peer fresh = client();
-        loop.run(clients::finishAll);
+        loop.execute(clients::finishAll);
         // Taken from the listener's queue behind all others: told the same.
         Peer last = Peer.to(port);
         assertThat(last.rest()).isEmpty();
@@ -317,7 +320,7 @@
         c.send(ask(write("large")));
         TxnDispatcher.MemberRequest e = dispatched.poll(20, TimeUnit.SECONDS);
         byte[] row = new byte[32 << 20];
-        loop.run(
+        loop.execute(
                 () -> {
                     exchange.submissionEnded(
                             e,
@@ -389,11 +392,11 @@
         c.send(ask(write("w")));
         TxnDispatcher.MemberRequest e = dispatched.poll(20, TimeUnit.SECONDS);
         BlockingQueue<Boolean> may = new LinkedBlockingQueue<>();
-        loop.run(() -> may.add(exchange.mayDispatch(e)));
+        loop.execute(() -> may.add(exchange.mayDispatch(e)));
         assertThat(may.poll(20, TimeUnit.SECONDS)).isTrue();
         c.endOutput();
         until(() -> exchange.openTxnCount() == 0);
-        loop.run(() -> may.add(exchange.mayDispatch(e)));
+        loop.execute(() -> may.add(exchange.mayDispatch(e)));
         assertThat(may.poll(20, TimeUnit.SECONDS)).isFalse();
         c.close();
     }
@@ -409,7 +412,7 @@
             Peer c = client();
             CountDownLatch standing = new CountDownLatch(1);
             CountDownLatch goes = new CountDownLatch(1);
-            loop.run(
+            loop.execute(
                     () -> {
                         standing.countDown();
                         try {
--- a/src/test/java/wingroad/driver/DiscoveryClientTest.java
+++ b/src/test/java/wingroad/driver/DiscoveryClientTest.java
@@ -1,8 +1,18 @@
 package wingroad.driver;
 
 import static org.assertj.core.api.Assertions.assertThat;
+
 import static wingroad.Fixtures.entry;
 
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
+
+import wingroad.protocol.MemberList;
+import wingroad.rig.Peer;
+import wingroad.transport.EventLoop;
+
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -11,13 +21,6 @@
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
-import org.junit.jupiter.api.AfterEach;
-import org.junit.jupiter.api.Test;
-import org.junit.jupiter.params.ParameterizedTest;
-import org.junit.jupiter.params.provider.ValueSource;
-import wingroad.protocol.MemberList;
-import wingroad.rig.Peer;
-import wingroad.transport.EventLoop;
 
 /** The list's watch, with answers, ends and silence put between any two of its lines. */
 class DiscoveryClientTest {
@@ -92,7 +95,7 @@
     /** Guards rule 3: half a list taken for a whole one would leave out who drains. */
     @Test
     void anAnswerWithoutALengthThatIsResetIsNotTaken() throws Exception {
-        loop.run(discovery::watch);
+        loop.execute(discovery::watch);
         Peer first = agent.accept();
         assertThat(since(first)).isEqualTo(5);
         first.send(HEAD + "\r\n" + list(6, true, "ready"));
@@ -101,7 +104,7 @@
         assertThat(since(second)).isEqualTo(5);
         assertThat(heard).isEmpty();
         second.send(HEAD + "\r\n" + list(6, true, "draining")).close();
-        assertThat(news().entries().get(0).draining()).isTrue();
+        assertThat(news().entries().get(0).isDraining()).isTrue();
         assertThat(since(agent.accept())).isEqualTo(6);
     }
 
@@ -109,7 +112,7 @@
     @ValueSource(booleans = {true, false})
     void brokenOffAtAnyByteItIsAskedAgainFromTheVersionHeld(boolean reset) throws Exception {
         String whole = sized(list(6, true, "ready"));
-        loop.run(discovery::watch);
+        loop.execute(discovery::watch);
         for (int at = 0; at < whole.length(); at += 7) {
             Peer call = agent.accept();
             assertThat(since(call)).isEqualTo(5);
@@ -131,7 +134,7 @@
     /** Guards rule 3: what the agent has counts as told whether or not a watch is open. */
     @Test
     void whereListsArePushedALostWatchIsOpenWithinTheShortestGrace() throws Exception {
-        loop.run(discovery::watch);
+        loop.execute(discovery::watch);
         for (int i = 0; i < 6; i++) {
             Peer call = agent.accept();
             since(call);
@@ -162,8 +165,8 @@
                         heard::add,
                         () -> heard.add("failed"));
         BlockingQueue<String> counted = new LinkedBlockingQueue<>();
-        loop.run(d::watch);
-        loop.after(Duration.ofMillis(600), () -> counted.add(tally.takeSummary()));
+        loop.execute(d::watch);
+        loop.schedule(Duration.ofMillis(600), () -> counted.add(tally.takeSummary()));
         String refused = counted.poll(20, TimeUnit.SECONDS);
         assertThat(Integer.parseInt(refused.replaceAll(".* ", ""))).isBetween(1, 7);
         assertThat(heard).isEmpty();
@@ -172,7 +175,7 @@
     @Test
     void whereTheListMustBeAskedForTheModuleSaysWhenToAskAgain() throws Exception {
         DiscoveryClient d = discovery(true);
-        loop.run(d::watch);
+        loop.execute(d::watch);
         Peer call = agent.accept();
         assertThat(call.until("\r\n\r\n")).contains("timeout_ms=20000");
         call.reset();
@@ -186,7 +189,7 @@
      */
     @Test
     void aWatchThatFallsSilentIsOpenedAnewInTime() throws Exception {
-        loop.run(discovery::watch);
+        loop.execute(discovery::watch);
         Peer first = agent.accept();
         since(first);
         first.send(sized(list(6, true, "ready")));
@@ -199,7 +202,7 @@
         assertThat(System.nanoTime() - from).isLessThan(TimeUnit.SECONDS.toNanos(5));
         assertThat(since(second)).isEqualTo(6);
         second.send(sized(list(7, false, "draining")));
-        assertThat(news().entries().get(0).draining()).isTrue();
+        assertThat(news().entries().get(0).isDraining()).isTrue();
         first.awaitEnd();
     }
 
@@ -209,7 +212,7 @@
      */
     @Test
     void whatComesBehindAnAnswerEndsItsConnection() throws Exception {
-        loop.run(discovery::watch);
+        loop.execute(discovery::watch);
         Peer first = agent.accept();
         since(first);
         first.send(sized(list(6, true, "ready")) + sized(list(6, true, "ready")));
@@ -224,7 +227,7 @@
 
     @Test
     void anIndentedListIsRead() throws Exception {
-        loop.run(discovery::watch);
+        loop.execute(discovery::watch);
         Peer call = agent.accept();
         since(call);
         String indented =
@@ -239,7 +242,7 @@
                         + "\r\n"
                         + indented
                         + "\r\n0\r\n\r\n");
-        assertThat(news().entries().get(0).draining()).isTrue();
+        assertThat(news().entries().get(0).isDraining()).isTrue();
     }
 
     /**
@@ -248,7 +251,7 @@
      */
     @Test
     void versionsMayGoBackWithAWholeListOnly() throws Exception {
-        loop.run(discovery::watch);
+        loop.execute(discovery::watch);
         Peer call = agent.accept();
         assertThat(since(call)).isEqualTo(5);
         call.send(sized(list(3, false, "ready")));
@@ -263,10 +266,10 @@
     /** A whole list that was fetched beside the watch may be overtaken by what the watch brings. */
     @Test
     void aFetchedListThatIsOlderThanTheWatchIsNotTaken() throws Exception {
-        loop.run(discovery::watch);
+        loop.execute(discovery::watch);
         Peer watch = agent.accept();
         since(watch);
-        loop.run(discovery::fetch);
+        loop.execute(discovery::fetch);
         Peer fetch = agent.accept();
         assertThat(since(fetch)).isEqualTo(-1);
         watch.send(sized(list(7, false, "draining")));
@@ -285,7 +288,7 @@
      */
     @Test
     void whoeverWaitsForTheWholeListHearsOfItHoweverTheCallEnds() throws Exception {
-        loop.run(discovery::watch);
+        loop.execute(discovery::watch);
         Peer watch = agent.accept();
         since(watch);
         watch.send(sized(list(9, true, "ready")));
@@ -300,7 +303,7 @@
                     "reset",
                     "silent"
                 }) {
-            loop.run(() -> discovery.fetch(() -> heard.add("tried")));
+            loop.execute(() -> discovery.fetch(() -> heard.add("tried")));
             Peer call = agent.accept();
             assertThat(since(call)).isEqualTo(-1);
             if (answer.equals("reset")) {
@@ -325,20 +328,20 @@
      */
     @Test
     void movedInTheMiddleOfAnAnswerTheWatchGoesOnElsewhere() throws Exception {
-        loop.run(discovery::watch);
+        loop.execute(discovery::watch);
         Peer old = agent.accept();
         since(old);
         String answer = sized(list(6, true, "ready"));
         old.send(answer.substring(0, answer.length() - 10));
         try (Peer.Listener next = new Peer.Listener()) {
-            loop.run(() -> discovery.setAddress(at(next)));
+            loop.execute(() -> discovery.setAddress(at(next)));
             Peer moved = next.accept();
             assertThat(since(moved)).isEqualTo(5);
             old.awaitEnd();
             moved.send(sized(list(6, true, "draining")));
-            assertThat(news().entries().get(0).draining()).isTrue();
+            assertThat(news().entries().get(0).isDraining()).isTrue();
             // And moved again while the news is told.
-            loop.run(() -> discovery.setAddress(at(agent)));
+            loop.execute(() -> discovery.setAddress(at(agent)));
             assertThat(since(agent.accept())).isEqualTo(6);
         }
         assertThat(heard).isEmpty();
@@ -347,13 +350,13 @@
     /** Moved while it waits to ask again: it asks at the new address, and there once. */
     @Test
     void movedBetweenTwoCallsItAsksAtTheNewAddress() throws Exception {
-        loop.run(discovery::watch);
+        loop.execute(discovery::watch);
         Peer call = agent.accept();
         since(call);
         try (Peer.Listener next = new Peer.Listener()) {
             call.reset();
             since(agent.accept());
-            loop.run(() -> discovery.setAddress(at(next)));
+            loop.execute(() -> discovery.setAddress(at(next)));
             assertThat(since(next.accept())).isEqualTo(5);
             assertThat(next.nobodyFor(300)).isTrue();
         }
--- a/src/test/java/wingroad/driver/MemberPoolsTest.java
+++ b/src/test/java/wingroad/driver/MemberPoolsTest.java
@@ -1,6 +1,7 @@
 package wingroad.driver;
 
 import static org.assertj.core.api.Assertions.assertThat;
+
 import static wingroad.Fixtures.DESCRIPTION;
 import static wingroad.Fixtures.READY;
 import static wingroad.Fixtures.column;
@@ -8,6 +9,16 @@
 import static wingroad.Fixtures.message;
 import static wingroad.Fixtures.text;
 
+import org.junit.jupiter.api.Test;
+
+import wingroad.Fixtures.Script;
+import wingroad.Fixtures.StandInMember;
+import wingroad.protocol.MemberList;
+import wingroad.protocol.Statement;
+import wingroad.rig.Peer;
+import wingroad.state.Submission.Outcome;
+import wingroad.transport.EventLoop;
+
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.ServerSocket;
@@ -19,14 +30,6 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
-import org.junit.jupiter.api.Test;
-import wingroad.Fixtures.Script;
-import wingroad.Fixtures.StandInMember;
-import wingroad.protocol.MemberList;
-import wingroad.protocol.Statement;
-import wingroad.rig.Peer;
-import wingroad.state.Submission.Outcome;
-import wingroad.transport.EventLoop;
 
 /** How each way in which a member can answer, or not answer, ends a submission. */
 class MemberPoolsTest {
@@ -123,7 +126,7 @@
     }
 
     private void dispatch(int port, Duration wait) {
-        loop.run(
+        loop.execute(
                 () -> {
                     long id =
                             members.updateMember(
@@ -266,7 +269,7 @@
         // Asked on the loop's own thread, behind the task that the answer came with: that one gives
         // its buffer back at its end.
         CompletableFuture<Long> held = new CompletableFuture<>();
-        loop.run(() -> held.complete(loop.held()));
+        loop.execute(() -> held.complete(loop.bufferedBytes()));
         assertThat(held.get(20, TimeUnit.SECONDS)).isLessThanOrEqualTo(1024);
     }
 
@@ -276,7 +279,7 @@
             dispatch(m.port(), LONG);
             assertThat(next().end()).isEqualTo(Outcome.COMMITTED);
             BlockingQueue<Integer> left = new LinkedBlockingQueue<>();
-            loop.run(
+            loop.execute(
                     () -> {
                         members.removeUnknown(id -> false);
                         left.add(members.connectionCount());
@@ -384,7 +387,7 @@
                         })) {
             dispatch(m.port(), LONG);
             m.await();
-            loop.run(() -> members.cancel("t", 0));
+            loop.execute(() -> members.cancel("t", 0));
             assertThat(next().end()).isEqualTo(Outcome.CANCELLED);
             assertThat(closed.poll(20, TimeUnit.SECONDS)).contains("id=r0");
         }
@@ -441,7 +444,7 @@
             dispatch(m.port(), LONG);
             assertThat(next().end()).isEqualTo(Outcome.COMMITTED);
             CompletableFuture<Integer> left = new CompletableFuture<>();
-            loop.run(
+            loop.execute(
                     () -> {
                         members.closeIdleConnections(1);
                         left.complete(members.connectionCount());
@@ -455,7 +458,7 @@
 
     /** A list names the member at this port. */
     private void listed(int port) {
-        loop.run(
+        loop.execute(
                 () ->
                         members.updateMember(
                                 MemberList.parse(
@@ -469,7 +472,7 @@
     }
 
     private void carryToTheOne() {
-        loop.run(
+        loop.execute(
                 () ->
                         members.dispatch(
                                 new TxnDispatcher.MemberRequest(
@@ -553,7 +556,7 @@
             at.read(startupLength(at) - 4);
             at.send(message('R', new byte[4]), READY);
             at.until("'\0");
-            loop.run(() -> members.removeUnknown(id -> false));
+            loop.execute(() -> members.removeUnknown(id -> false));
             at.send(
                     message('T', DESCRIPTION),
                     message('D', column("x")),
@@ -574,7 +577,7 @@
             at.read(startupLength(at) - 4);
             CountDownLatch standing = new CountDownLatch(1);
             CountDownLatch goes = new CountDownLatch(1);
-            loop.run(
+            loop.execute(
                     () -> {
                         standing.countDown();
                         try {
@@ -588,7 +591,7 @@
             at.send(message('R', new byte[4]), READY);
             goes.countDown();
             assertThat(next().end()).isEqualTo(Outcome.MOOT);
-            loop.run(() -> members.removeUnknown(id -> false));
+            loop.execute(() -> members.removeUnknown(id -> false));
             assertThat(at.awaitEnd()).doesNotContain("Q");
         }
     }
@@ -714,7 +717,7 @@
             Peer before = letIn(member.accept());
             answer(before);
             assertThat(next().end()).isEqualTo(Outcome.COMMITTED);
-            loop.run(
+            loop.execute(
                     () ->
                             members.updateMember(
                                     MemberList.parse(
--- a/src/test/java/wingroad/protocol/ClientInputTest.java
+++ b/src/test/java/wingroad/protocol/ClientInputTest.java
@@ -1,33 +1,36 @@
 package wingroad.protocol;
 
 import static org.assertj.core.api.Assertions.assertThat;
+
 import static wingroad.Fixtures.STARTUP;
 import static wingroad.Fixtures.joined;
 import static wingroad.Fixtures.message;
 import static wingroad.Fixtures.read;
 import static wingroad.Fixtures.text;
 
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
+
+import wingroad.protocol.ClientMessageDecoder.Kind;
+
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
-import org.junit.jupiter.api.Test;
-import org.junit.jupiter.params.ParameterizedTest;
-import org.junit.jupiter.params.provider.ValueSource;
-import wingroad.protocol.ClientInput.Kind;
 
 class ClientInputTest {
 
     /** The messages in the bytes when they come in pieces of the size. */
-    private static List<ClientInput.Message> in(byte[] bytes, int piece) {
-        ClientInput input = new ClientInput();
-        List<ClientInput.Message> all = new ArrayList<>();
+    private static List<ClientMessageDecoder.Message> in(byte[] bytes, int piece) {
+        ClientMessageDecoder input = new ClientMessageDecoder();
+        List<ClientMessageDecoder.Message> all = new ArrayList<>();
         ByteBuffer seen = ByteBuffer.wrap(bytes);
         for (int end = Math.min(piece, bytes.length); ; end = Math.min(end + piece, bytes.length)) {
             seen.limit(end);
             for (var m = input.next(seen); m != null; m = input.next(seen)) {
                 all.add(m);
-                if (m.kind() == Kind.BROKEN) {
+                if (m.kind() == Kind.MALFORMED) {
                     return all;
                 }
             }
@@ -50,32 +53,32 @@
                         message('P', text("s")),
                         message('S'),
                         message('X'));
-        List<ClientInput.Message> all = in(bytes, piece);
+        List<ClientMessageDecoder.Message> all = in(bytes, piece);
         assertThat(all)
-                .extracting(ClientInput.Message::kind)
+                .extracting(ClientMessageDecoder.Message::kind)
                 .containsExactly(
-                        Kind.ENCRYPTION,
+                        Kind.ENCRYPTION_REQUEST,
                         Kind.STARTUP,
                         Kind.QUERY,
                         Kind.QUERY,
-                        Kind.EXTENDED,
+                        Kind.EXTENDED_QUERY,
                         Kind.SYNC,
                         Kind.TERMINATE);
-        assertThat(new String(all.get(2).bytes(), StandardCharsets.UTF_8)).isEqualTo(read("x1"));
+        assertThat(new String(all.get(2).body(), StandardCharsets.UTF_8)).isEqualTo(read("x1"));
     }
 
     @Test
     void startupsThatMakeNoSenseBreakTheStreamAtOnce() {
-        assertThat(in(new byte[] {0, 0, 0, 3, 0, 0}, 1).get(0).kind()).isEqualTo(Kind.BROKEN);
+        assertThat(in(new byte[] {0, 0, 0, 3, 0, 0}, 1).get(0).kind()).isEqualTo(Kind.MALFORMED);
         assertThat(in(new byte[] {'G', 'E', 'T', ' ', '/', 0, 0, 0}, 1).get(0).kind())
-                .isEqualTo(Kind.BROKEN);
+                .isEqualTo(Kind.MALFORMED);
         byte[] old = ByteBuffer.allocate(8).putInt(100).putInt(2 << 16).array();
-        assertThat(in(old, 8).get(0).why()).isEqualTo("unsupported protocol");
+        assertThat(in(old, 8).get(0).reason()).isEqualTo("unsupported protocol");
         byte[] cancel = ByteBuffer.allocate(16).putInt(16).putInt(80877102).array();
-        assertThat(in(cancel, 5).get(0).kind()).isEqualTo(Kind.CANCEL);
+        assertThat(in(cancel, 5).get(0).kind()).isEqualTo(Kind.CANCEL_REQUEST);
         byte[] newer = STARTUP.clone();
         newer[7] = 2;
-        assertThat(in(newer, 5).get(0).kind()).isEqualTo(Kind.NEWER_STARTUP);
+        assertThat(in(newer, 5).get(0).kind()).isEqualTo(Kind.STARTUP_NEWER_MINOR);
     }
 
     @Test
@@ -91,8 +94,8 @@
                     {'p', 0, 0, 0, 4}
                 }) {
             assertThat(in(joined(STARTUP, bad), 1))
-                    .extracting(ClientInput.Message::kind)
-                    .containsExactly(Kind.STARTUP, Kind.BROKEN);
+                    .extracting(ClientMessageDecoder.Message::kind)
+                    .containsExactly(Kind.STARTUP, Kind.MALFORMED);
         }
     }
 }
--- a/src/test/java/wingroad/protocol/HttpReplyTest.java
+++ b/src/test/java/wingroad/protocol/HttpReplyTest.java
@@ -1,25 +1,28 @@
 package wingroad.protocol;
 
 import static org.assertj.core.api.Assertions.assertThat;
+
 import static wingroad.Fixtures.entry;
 
-import java.nio.ByteBuffer;
-import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import wingroad.protocol.HttpReply.State;
+
+import wingroad.protocol.HttpResponseDecoder.State;
+
+import java.nio.ByteBuffer;
+import java.nio.charset.StandardCharsets;
 
 class HttpReplyTest {
-    private final HttpReply reply = new HttpReply();
+    private final HttpResponseDecoder reply = new HttpResponseDecoder();
 
     private State take(String text, int piece) {
         ByteBuffer all = ByteBuffer.wrap(text.getBytes(StandardCharsets.UTF_8));
-        State state = State.WAITING;
-        for (int end = 0; end < all.capacity() && state == State.WAITING; ) {
+        State state = State.INCOMPLETE;
+        for (int end = 0; end < all.capacity() && state == State.INCOMPLETE; ) {
             end = Math.min(end + piece, all.capacity());
             all.limit(end);
-            state = reply.take(all);
+            state = reply.decode(all);
         }
         return state;
     }
@@ -32,10 +35,10 @@
     @ValueSource(ints = {1, 3, 1000})
     void aBodyOfStatedLengthIsTakenWhole(int piece) {
         assertThat(take("HTTP/1.1 200 OK\r\nContent-Length: 5\r\nX: y\r\n\r\nhello", piece))
-                .isEqualTo(State.WHOLE);
+                .isEqualTo(State.COMPLETE);
         assertThat(reply.status()).isEqualTo(200);
         assertThat(body()).isEqualTo("hello");
-        assertThat(reply.closes()).isFalse();
+        assertThat(reply.connectionCloses()).isFalse();
     }
 
     @ParameterizedTest
@@ -43,23 +46,30 @@
     void aBodyInChunksIsTakenWhole(int piece) {
         assertThat(
                         take(
-                                "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3;x=y\r\nhel\r\n2\r\nlo\r\n0\r\nT: x\r\n\r\n",
+                                "HTTP/1.1 200 OK\r\n"
+                                    + "Transfer-Encoding: chunked\r\n\r\n"
+                                    + "3;x=y\r\n"
+                                    + "hel\r\n"
+                                    + "2\r\n"
+                                    + "lo\r\n"
+                                    + "0\r\n"
+                                    + "T: x\r\n\r\n",
                                 piece))
-                .isEqualTo(State.WHOLE);
+                .isEqualTo(State.COMPLETE);
         assertThat(body()).isEqualTo("hello");
     }
 
     @Test
     void aBodyWithoutLengthEndsWithItsConnectionAndAnotherMayNot() {
-        assertThat(take("HTTP/1.1 200 OK\r\n\r\nhello", 4)).isEqualTo(State.WAITING);
-        assertThat(reply.end()).isEqualTo(State.WHOLE);
+        assertThat(take("HTTP/1.1 200 OK\r\n\r\nhello", 4)).isEqualTo(State.INCOMPLETE);
+        assertThat(reply.endOfStream()).isEqualTo(State.COMPLETE);
         assertThat(body()).isEqualTo("hello");
-        HttpReply cut = new HttpReply();
-        cut.take(
+        HttpResponseDecoder cut = new HttpResponseDecoder();
+        cut.decode(
                 ByteBuffer.wrap(
                         "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhello"
                                 .getBytes(StandardCharsets.UTF_8)));
-        assertThat(cut.end()).isEqualTo(State.BROKEN);
+        assertThat(cut.endOfStream()).isEqualTo(State.MALFORMED);
     }
 
     @ParameterizedTest
@@ -74,22 +84,22 @@
                 "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nabc\r\n"
             })
     void whatMakesNoSenseIsBroken(String text) {
-        assertThat(take(text, 1)).isEqualTo(State.BROKEN);
-        assertThat(reply.why()).isNotEmpty();
+        assertThat(take(text, 1)).isEqualTo(State.MALFORMED);
+        assertThat(reply.malformedReason()).isNotEmpty();
     }
 
     @Test
     void linesAndBodiesWithoutEndAreBroken() {
-        assertThat(take("HTTP/1.1 200 " + "x".repeat(100_000), 1000)).isEqualTo(State.BROKEN);
-        HttpReply long1 = new HttpReply();
+        assertThat(take("HTTP/1.1 200 " + "x".repeat(100_000), 1000)).isEqualTo(State.MALFORMED);
+        HttpResponseDecoder long1 = new HttpResponseDecoder();
         assertThat(
-                        long1.take(
+                        long1.decode(
                                 ByteBuffer.wrap(
                                         "HTTP/1.1 200 OK\r\n\r\n"
                                                 .getBytes(StandardCharsets.UTF_8))))
-                .isEqualTo(State.WAITING);
-        assertThat(long1.take(ByteBuffer.wrap(new byte[HttpReply.MOST_BODY + 1])))
-                .isEqualTo(State.BROKEN);
+                .isEqualTo(State.INCOMPLETE);
+        assertThat(long1.decode(ByteBuffer.wrap(new byte[HttpResponseDecoder.MAX_BODY_BYTES + 1])))
+                .isEqualTo(State.MALFORMED);
     }
 
     @Test
@@ -102,8 +112,8 @@
                                         .getBytes(StandardCharsets.UTF_8))
                         .list();
         assertThat(list.version()).isEqualTo(4);
-        assertThat(list.whole()).isFalse();
-        assertThat(list.entries().get(0).draining()).isTrue();
+        assertThat(list.complete()).isFalse();
+        assertThat(list.entries().get(0).isDraining()).isTrue();
         assertThat(list.entries().get(0).port()).isEqualTo(5433);
         for (String bad :
                 new String[] {
@@ -134,13 +144,13 @@
                     {"", "HTTP/1.1 100 Continue\r\n\r\n"},
                     {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n", "a: b\r\n"}
                 }) {
-            HttpReply r = new HttpReply();
-            r.take(ByteBuffer.wrap(endless[0].getBytes(StandardCharsets.US_ASCII)));
-            HttpReply.State s = HttpReply.State.WAITING;
+            HttpResponseDecoder r = new HttpResponseDecoder();
+            r.decode(ByteBuffer.wrap(endless[0].getBytes(StandardCharsets.US_ASCII)));
+            HttpResponseDecoder.State s = HttpResponseDecoder.State.INCOMPLETE;
             for (int i = 0; i < 1000; i++) {
-                s = r.take(ByteBuffer.wrap(endless[1].getBytes(StandardCharsets.US_ASCII)));
+                s = r.decode(ByteBuffer.wrap(endless[1].getBytes(StandardCharsets.US_ASCII)));
             }
-            assertThat(s).isEqualTo(HttpReply.State.BROKEN);
+            assertThat(s).isEqualTo(HttpResponseDecoder.State.MALFORMED);
         }
     }
 }
