--- a/src/test/java/wingroad/protocol/MemberInputTest.java
+++ b/src/test/java/wingroad/protocol/MemberInputTest.java
@@ -1,6 +1,7 @@
 package wingroad.protocol;
 
 import static org.assertj.core.api.Assertions.assertThat;
+
 import static wingroad.Fixtures.DESCRIPTION;
 import static wingroad.Fixtures.READY;
 import static wingroad.Fixtures.column;
@@ -9,28 +10,30 @@
 import static wingroad.Fixtures.parameter;
 import static wingroad.Fixtures.text;
 
-import java.nio.ByteBuffer;
-import java.util.Map;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import wingroad.protocol.MemberInput.State;
+
+import wingroad.protocol.MemberResponseDecoder.State;
+
+import java.nio.ByteBuffer;
+import java.util.Map;
 
 class MemberInputTest {
     private static final byte[] ROW = message('D', column("val"));
 
-    private MemberInput input;
+    private MemberResponseDecoder input;
 
     /** An input past its start, given these bytes in pieces of the size. */
     private State take(int piece, byte[]... parts) {
-        input = new MemberInput();
-        input.clear();
+        input = new MemberResponseDecoder();
+        input.reset();
         ByteBuffer seen = ByteBuffer.wrap(joined(parts));
-        State state = State.WAITING;
-        for (int end = 0; end < seen.capacity() && state == State.WAITING; ) {
+        State state = State.INCOMPLETE;
+        for (int end = 0; end < seen.capacity() && state == State.INCOMPLETE; ) {
             end = Math.min(end + piece, seen.capacity());
             seen.limit(end);
-            state = input.take(seen);
+            state = input.decode(seen);
         }
         return state;
     }
@@ -49,12 +52,12 @@
                                 parameter("part", "replica"),
                                 parameter("caught_up_to", "17"),
                                 READY))
-                .isEqualTo(State.WHOLE);
-        assertThat(input.served()).isTrue();
+                .isEqualTo(State.COMPLETE);
+        assertThat(input.rowComplete()).isTrue();
         assertThat(input.value()).isEqualTo("val");
         assertThat(input.parameter("part")).isEqualTo("replica");
         assertThat(input.parameter("caught_up_to")).isEqualTo("17");
-        assertThat(input.row())
+        assertThat(input.rowMessages())
                 .startsWith(message('T', DESCRIPTION))
                 .endsWith(message('C', text("SELECT 1")))
                 .hasSize(
@@ -66,19 +69,19 @@
     @Test
     void anErrorIsKnownByItsCodeAndAFatalOneNeedsNoReady() {
         assertThat(take(3, message('E', text("SERROR"), text("C25006"), new byte[1]), READY))
-                .isEqualTo(State.WHOLE);
-        assertThat(input.error()).isEqualTo("25006");
+                .isEqualTo(State.COMPLETE);
+        assertThat(input.errorSqlState()).isEqualTo("25006");
         assertThat(input.fatal()).isFalse();
         assertThat(take(3, message('E', text("SFATAL"), text("C53300"), new byte[1])))
-                .isEqualTo(State.WHOLE);
+                .isEqualTo(State.COMPLETE);
         assertThat(input.fatal()).isTrue();
     }
 
     @Test
     void aRowWithoutItsEndIsNotServed() {
-        assertThat(take(9, message('T', DESCRIPTION), ROW)).isEqualTo(State.WAITING);
-        assertThat(input.served()).isFalse();
-        assertThat(input.begun()).isTrue();
+        assertThat(take(9, message('T', DESCRIPTION), ROW)).isEqualTo(State.INCOMPLETE);
+        assertThat(input.rowComplete()).isFalse();
+        assertThat(input.responseStarted()).isTrue();
     }
 
     @Test
@@ -100,11 +103,11 @@
             {done, message('E', text("CXX000"), new byte[1])}
         };
         for (byte[][] parts : bad) {
-            assertThat(take(1, parts)).isEqualTo(State.BROKEN);
-            assertThat(input.served() && input.why() == null).isFalse();
-            assertThat(input.take(ByteBuffer.wrap(READY)))
+            assertThat(take(1, parts)).isEqualTo(State.MALFORMED);
+            assertThat(input.rowComplete() && input.malformedReason() == null).isFalse();
+            assertThat(input.decode(ByteBuffer.wrap(READY)))
                     .as("it stays broken")
-                    .isEqualTo(State.BROKEN);
+                    .isEqualTo(State.MALFORMED);
         }
     }
 
@@ -112,8 +115,8 @@
     void malformedFiguresCountAsAbsent() {
         assertThat(Gauges.parse("x0=17.5,x1=,busy=abc,=3,rif=-2,q=1e400,zz"))
                 .isEqualTo(Map.of("x0", 17.5, "rif", -2.0));
-        assertThat(Gauges.number("NaN")).isNull();
-        assertThat(Gauges.number("Infinity")).isNull();
-        assertThat(Gauges.number(null)).isNull();
+        assertThat(Gauges.parseNumber("NaN")).isNull();
+        assertThat(Gauges.parseNumber("Infinity")).isNull();
+        assertThat(Gauges.parseNumber(null)).isNull();
     }
 }
--- a/src/test/java/wingroad/protocol/StatementTest.java
+++ b/src/test/java/wingroad/protocol/StatementTest.java
@@ -1,13 +1,15 @@
 package wingroad.protocol;
 
 import static org.assertj.core.api.Assertions.assertThat;
+
 import static wingroad.Fixtures.read;
 
-import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
+import java.nio.charset.StandardCharsets;
+
 class StatementTest {
     private static final String SELECT = " SELECT v FROM records WHERE k = 'ab'";
 
@@ -21,12 +23,12 @@
                 parsed("/* id=9b1f,c=basket,d=480,r=1,cluster=2,after=1767225600123 */" + SELECT)
                         .statement();
         assertThat(s.id()).isEqualTo("9b1f");
-        assertThat(s.type()).isEqualTo("basket");
-        assertThat(s.left()).isEqualTo(480);
+        assertThat(s.txnType()).isEqualTo("basket");
+        assertThat(s.timeLeftMs()).isEqualTo(480);
         assertThat(s.group()).isEqualTo(2);
-        assertThat(s.after()).isEqualTo(1767225600123.0);
+        assertThat(s.afterPositionMs()).isEqualTo(1767225600123.0);
         assertThat(s.retry()).isTrue();
-        assertThat(s.writes()).isFalse();
+        assertThat(s.write()).isFalse();
         assertThat(s.key()).isEqualTo("ab");
     }
 
@@ -34,14 +36,14 @@
     void onlyTheTimeLeftChangesOnTheWayToAMember() {
         Statement s =
                 parsed(
-                                "/* id=d4000,c=order,d=4000,cluster=2 */ INSERT INTO records (k, v) VALUES ('d=4000', '\\x9F03')"
-                                        + " RETURNING v")
+                                "/* id=d4000,c=order,d=4000,cluster=2 */ INSERT INTO records (k, v)"
+                                    + " VALUES ('d=4000', '\\x9F03') RETURNING v")
                         .statement();
-        assertThat(s.writes()).isTrue();
-        assertThat(new String(s.withLeft(17), StandardCharsets.UTF_8))
+        assertThat(s.write()).isTrue();
+        assertThat(new String(s.withTimeLeft(17), StandardCharsets.UTF_8))
                 .isEqualTo(
-                        "/* id=d4000,c=order,d=17,cluster=2 */"
-                                + " INSERT INTO records (k, v) VALUES ('d=4000', '\\x9F03') RETURNING v");
+                        "/* id=d4000,c=order,d=17,cluster=2 */ INSERT INTO records (k, v) VALUES"
+                            + " ('d=4000', '\\x9F03') RETURNING v");
     }
 
     @ParameterizedTest
@@ -68,19 +70,23 @@
                 "/* id=1,c=a,d=1,cluster=1 */" + SELECT + "--",
                 "/* id=1,c=a,d=1,cluster=1 */ SELECT v FROM records WHERE k = ''",
                 "/* id=1,c=a,d=1,cluster=1 */ DELETE",
-                "/* id=1,c=a,d=1,cluster=1 */ INSERT INTO records (k, v) VALUES ('a', '\\x9') RETURNING v",
-                "/* id=1,c=a,d=1,cluster=1 */ INSERT INTO records (k, v) VALUES ('a', '\\xzz') RETURNING v",
-                "/* id=1,c=a,d=1,cluster=1 */ INSERT INTO records (k, v) VALUES ('a', '\\x') ') RETURNING v",
-                "/* id=1,c=a,d=1,cluster=1 */ INSERT INTO records (k, v) VALUES ('a'', '\\x') RETURNING v"
+                "/* id=1,c=a,d=1,cluster=1 */ INSERT INTO records (k, v) VALUES ('a', '\\x9')"
+                    + " RETURNING v",
+                "/* id=1,c=a,d=1,cluster=1 */ INSERT INTO records (k, v) VALUES ('a', '\\xzz')"
+                    + " RETURNING v",
+                "/* id=1,c=a,d=1,cluster=1 */ INSERT INTO records (k, v) VALUES ('a', '\\x') ')"
+                    + " RETURNING v",
+                "/* id=1,c=a,d=1,cluster=1 */ INSERT INTO records (k, v) VALUES ('a'', '\\x')"
+                    + " RETURNING v"
             })
     void whatIsNotOfTheAgreedFormIsTurnedAwayWithAReason(String sql) {
         assertThat(parsed(sql).statement()).isNull();
-        assertThat(parsed(sql).why()).isNotEmpty();
+        assertThat(parsed(sql).error()).isNotEmpty();
     }
 
     @Test
     void aReadWithoutOddities() {
-        assertThat(parsed(read("x")).why()).isNull();
-        assertThat(parsed(read("x")).statement().after()).isNull();
+        assertThat(parsed(read("x")).error()).isNull();
+        assertThat(parsed(read("x")).statement().afterPositionMs()).isNull();
     }
 }
--- a/src/test/java/wingroad/transport/ConnectionTest.java
+++ b/src/test/java/wingroad/transport/ConnectionTest.java
@@ -2,6 +2,8 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
+import org.junit.jupiter.api.Test;
+
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
@@ -12,22 +14,21 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
-import org.junit.jupiter.api.Test;
 
 class ConnectionTest {
     private final Set<String> threads = ConcurrentHashMap.newKeySet();
     private final BlockingQueue<String> heard = new LinkedBlockingQueue<>();
 
     /** An owner that sends these bytes and takes what comes in pieces of five. */
-    private Connection.Owner owner(Connection[] link, byte[] first) {
-        return new Connection.Owner() {
+    private Connection.Handler owner(Connection[] link, byte[] first) {
+        return new Connection.Handler() {
             @Override
-            public void up() {
+            public void onConnected() {
                 link[0].send(ByteBuffer.wrap(first));
             }
 
             @Override
-            public void bytes(ByteBuffer in) {
+            public void onBytes(ByteBuffer in) {
                 threads.add(Thread.currentThread().getName());
                 while (in.remaining() >= 5 && in.get(in.position()) != 'x') {
                     byte[] five = new byte[5];
@@ -37,18 +38,18 @@
             }
 
             @Override
-            public void written() {
+            public void onAllWritten() {
                 threads.add(Thread.currentThread().getName());
                 heard.add("written");
             }
 
             @Override
-            public void full() {
+            public void onInputMemoryExhausted() {
                 heard.add("full");
             }
 
             @Override
-            public void ended(int unwritten, boolean orderly, String how) {
+            public void onClosed(int unwritten, boolean orderly, String how) {
                 heard.add(unwritten > 0 ? "ended, unwritten" : "ended, all written");
             }
         };
@@ -66,7 +67,7 @@
             throws Exception {
         EventLoop loop = new EventLoop(10, mostHeld, bug -> heard.add("bug " + bug));
         Connection[] link = new Connection[1];
-        loop.run(
+        loop.execute(
                 () -> {
                     try {
                         link[0] =
@@ -127,8 +128,8 @@
             }
             s.close();
             assertThat(next()).isEqualTo("ended, all written");
-            assertThat(loop.channelsLeft()).isEqualTo(10);
-            assertThat(loop.held()).isZero();
+            assertThat(loop.availableChannels()).isEqualTo(10);
+            assertThat(loop.bufferedBytes()).isZero();
             assertThat(threads).containsExactly("wingroad");
         }
     }
