--- a/src/main/java/wingroad/driver/MemberResponse.java
+++ b/src/main/java/wingroad/driver/MemberResponse.java
@@ -3,7 +3,7 @@
 import wingroad.driver.TxnDispatcher.MemberReport;
 import wingroad.driver.TxnDispatcher.MemberStatus;
 import wingroad.protocol.Gauges;
-import wingroad.protocol.MemberInput;
+import wingroad.protocol.MemberResponseDecoder;
 import wingroad.state.Member.Role;
 import wingroad.state.Submission.Outcome;
 import wingroad.terms.RouterSettings;
@@ -20,7 +20,7 @@
     /** Stands for a response that could not be processed; its statement may have run. */
     static final MemberResponse UNREADABLE = new MemberResponse(Outcome.ERROR);
 
-    final Outcome end;
+    final Outcome outcome;
     final MemberStatus status;
 
     /** The messages that carry the row, or null if there is none. */
@@ -29,34 +29,34 @@
     /** The gauges that a probe returned as its row, or null. */
     final MemberReport probeReport;
 
-    private MemberResponse(Outcome end) {
-        this.end = end;
+    private MemberResponse(Outcome outcome) {
+        this.outcome = outcome;
         status = MemberStatus.UNKNOWN;
         row = null;
         probeReport = null;
     }
 
-    MemberResponse(MemberInput input, Clock clock, boolean probe) {
-        end = end(input);
-        Double position = Gauges.number(input.parameter("caught_up_to"));
+    MemberResponse(MemberResponseDecoder input, Clock clock, boolean probe) {
+        outcome = outcome(input);
+        Double position = Gauges.parseNumber(input.parameter("caught_up_to"));
         String gauges = input.parameter("gauges");
         status =
                 new MemberStatus(
                         role(input.parameter("part")),
                         position == null ? null : clock.pastFromUnixMs(position),
                         gauges == null ? null : report(gauges, clock));
-        row = input.served() && !probe ? input.row() : null;
+        row = input.rowComplete() && !probe ? input.rowMessages() : null;
         probeReport =
-                input.served() && probe && input.value() != null
+                input.rowComplete() && probe && input.value() != null
                         ? report(input.value(), clock)
                         : null;
     }
 
-    private static Outcome end(MemberInput input) {
-        if (input.served()) {
+    private static Outcome outcome(MemberResponseDecoder input) {
+        if (input.rowComplete()) {
             return Outcome.COMMITTED;
         }
-        String code = input.error() == null ? "" : input.error();
+        String code = input.errorSqlState() == null ? "" : input.errorSqlState();
         return switch (code) {
             case SQLSTATE_READ_ONLY_TRANSACTION, SQLSTATE_SNAPSHOT_TOO_OLD -> Outcome.MISSED;
             case SQLSTATE_TOO_MANY_CONNECTIONS -> Outcome.FULL;
--- a/src/main/java/wingroad/driver/WarmUp.java
+++ b/src/main/java/wingroad/driver/WarmUp.java
@@ -1,9 +1,9 @@
 package wingroad.driver;
 
-import wingroad.protocol.ClientInput;
-import wingroad.protocol.ClientOutput;
-import wingroad.protocol.MemberInput;
-import wingroad.protocol.MemberOutput;
+import wingroad.protocol.ClientMessageDecoder;
+import wingroad.protocol.ClientMessageEncoder;
+import wingroad.protocol.MemberMessageEncoder;
+import wingroad.protocol.MemberResponseDecoder;
 import wingroad.protocol.Statement;
 import wingroad.routing.TxnRouter;
 import wingroad.state.Submission.Outcome;
@@ -30,11 +30,14 @@
 
     private static final int CONCURRENT_TXN_COUNT = 8;
     private static final int MEMBER_COUNT = 3;
+    private static final long PROBE_TIMEOUT_MS = 250;
+    private static final long RESPONSE_TIME_MS = 10;
+    private static final long PROBE_RESPONSE_TIME_MS = 1;
 
     private final EventLoop loop;
     private final Clock clock = new Clock();
     private final List<String> typeNames;
-    private final Map<String, Object> terms;
+    private final Map<String, Object> routerSettings;
     private final TxnDispatcher dispatcher;
     private final Runnable onDone;
     private final byte[] memberResponse;
@@ -45,30 +48,36 @@
 
     /** Runs the warm-up and then {@code onDone}, both on the loop's thread. */
     static void run(
-            EventLoop loop, List<String> typeNames, Map<String, Object> terms, Runnable onDone) {
-        WarmUp warmUp = new WarmUp(loop, typeNames, terms, onDone);
-        loop.run(warmUp::start);
+            EventLoop loop,
+            List<String> typeNames,
+            Map<String, Object> routerSettings,
+            Runnable onDone) {
+        WarmUp warmUp = new WarmUp(loop, typeNames, routerSettings, onDone);
+        loop.execute(warmUp::start);
     }
 
     private WarmUp(
-            EventLoop loop, List<String> typeNames, Map<String, Object> terms, Runnable onDone) {
+            EventLoop loop,
+            List<String> typeNames,
+            Map<String, Object> routerSettings,
+            Runnable onDone) {
         this.loop = loop;
         this.typeNames = typeNames;
-        this.terms = terms;
+        this.routerSettings = routerSettings;
         this.onDone = onDone;
         this.startedAt = clock.now();
         dispatcher =
                 new TxnDispatcher(
                         loop,
                         clock,
-                        new TxnRouter(terms, 1, line -> {}),
-                        Duration.ofMillis(250),
+                        new TxnRouter(routerSettings, 1, line -> {}),
+                        Duration.ofMillis(PROBE_TIMEOUT_MS),
                         this::failed);
         dispatcher.attach(
                 new TxnDispatcher.MemberTransport() {
                     @Override
                     public void dispatch(TxnDispatcher.MemberRequest request) {
-                        loop.run(() -> respond(request));
+                        loop.execute(() -> respond(request));
                     }
 
                     @Override
@@ -146,7 +155,7 @@
             return;
         }
         int typeIndex = startedTxnCount++ % typeNames.size();
-        boolean writes = "update".equals(terms.get("txn-type." + typeIndex + ".reads"));
+        boolean writes = "update".equals(routerSettings.get("txn-type." + typeIndex + ".reads"));
         String comment =
                 "/* id=rehearsal"
                         + startedTxnCount
@@ -154,24 +163,24 @@
                         + typeNames.get(typeIndex)
                         + ",d=3000,cluster=0 */ ";
         ByteBuffer encodedQuery =
-                MemberOutput.query(
+                MemberMessageEncoder.query(
                         (comment
                                         + (writes
                                                 ? "INSERT INTO records (k, v) VALUES ('ab',"
                                                         + " '\\x00') RETURNING v"
                                                 : "SELECT v FROM records WHERE k = 'ab'"))
                                 .getBytes(StandardCharsets.ISO_8859_1));
-        ClientInput input = new ClientInput();
-        input.next(MemberOutput.startup());
-        Statement statement = Statement.parse(input.next(encodedQuery).bytes()).statement();
+        ClientMessageDecoder input = new ClientMessageDecoder();
+        input.next(MemberMessageEncoder.startup());
+        Statement statement = Statement.parse(input.next(encodedQuery).body()).statement();
         dispatcher.txnArrived(
                 statement,
                 typeIndex,
-                -1,
+                TxnDispatcher.NO_SESSION,
                 new TxnDispatcher.TxnCallback() {
                     @Override
                     public void committed(byte[] row) {
-                        ClientOutput.row(row);
+                        ClientMessageEncoder.rowResponse(row);
                         txnEnded();
                     }
 
@@ -189,13 +198,13 @@
 
     private void txnEnded() {
         endedTxnCount++;
-        loop.run(this::startNextTxn);
+        loop.execute(this::startNextTxn);
     }
 
     private void respond(TxnDispatcher.MemberRequest request) {
-        MemberInput input = new MemberInput();
-        input.clear();
-        input.take(ByteBuffer.wrap(memberResponse));
+        MemberResponseDecoder input = new MemberResponseDecoder();
+        input.reset();
+        input.decode(ByteBuffer.wrap(memberResponse));
         MemberResponse response = new MemberResponse(input, clock, false);
         TxnDispatcher.MemberStatus status =
                 new TxnDispatcher.MemberStatus(
@@ -208,21 +217,25 @@
             dispatcher.probeEnded(
                     request.member(),
                     true,
-                    Duration.ofMillis(1),
+                    Duration.ofMillis(PROBE_RESPONSE_TIME_MS),
                     new TxnDispatcher.MemberReport(status.role(), clock.now(), 1, 0, 0));
         } else {
-            MemberOutput.query(request.statement().withLeft(2000));
+            MemberMessageEncoder.query(request.statement().withTimeLeft(2000));
             dispatcher.submissionEnded(
-                    request, Outcome.COMMITTED, Duration.ofMillis(10), status, response.row);
+                    request,
+                    Outcome.COMMITTED,
+                    Duration.ofMillis(RESPONSE_TIME_MS),
+                    status,
+                    response.row);
         }
     }
 
     /** Ends the warm-up: an error in it must not keep the driver from serving. */
     private void failed(Throwable error) {
-        loop.bug(error);
+        loop.reportUnexpectedError(error);
         if (!finished) {
             finished = true;
-            loop.run(onDone);
+            loop.execute(onDone);
         }
     }
 }
--- a/src/main/java/wingroad/duty/SessionExpiryMonitor.java
+++ b/src/main/java/wingroad/duty/SessionExpiryMonitor.java
@@ -7,47 +7,52 @@
 import java.util.Map;
 
 /**
- * A voter's own clock on the sessions: since when it has known of each one's newest beat. It only
- * ever asks for a session to be ended; that is settled by the log, where a later beat makes it
- * void. So a voter that restarts, or gets a snapshot, may count anew: later is safe.
+ * Tracks on a voter's own clock since when it has known the newest heartbeat of each session, and
+ * proposes to expire sessions whose leases have run out. The log decides: a later heartbeat makes
+ * the proposal void. So a voter that restarts or installs a snapshot may start measuring again,
+ * since expiring a session later is always safe.
  */
 public final class SessionExpiryMonitor {
-    private record Seen(long beat, Duration at) {}
+    private record HeartbeatObservation(long heartbeat, Duration observedAt) {}
 
     private final Lease lease;
-    private final Map<String, Seen> seen = new HashMap<>();
+    private final Map<String, HeartbeatObservation> observations = new HashMap<>();
 
     public SessionExpiryMonitor(Lease lease) {
         this.lease = lease;
     }
 
-    /** Compares with what is settled now. */
-    public void observe(DutyStateMachine register, Duration now) {
-        seen.keySet().removeIf(s -> register.session(s) == null);
-        for (DutyStateMachine.Session s : register.sessions()) {
-            Seen was = seen.get(s.id());
-            if (was == null || was.beat != s.lastHeartbeat()) {
-                seen.put(s.id(), new Seen(s.lastHeartbeat(), now));
+    /** Compares the observations with the committed sessions. */
+    public void observe(DutyStateMachine stateMachine, Duration now) {
+        observations.keySet().removeIf(sessionId -> stateMachine.session(sessionId) == null);
+        for (DutyStateMachine.Session session : stateMachine.sessions()) {
+            HeartbeatObservation previous = observations.get(session.id());
+            if (previous == null || previous.heartbeat != session.lastHeartbeat()) {
+                observations.put(
+                        session.id(), new HeartbeatObservation(session.lastHeartbeat(), now));
             }
         }
     }
 
-    /** The sessions whose leases have run out for certain. */
+    /** Returns a command for each session whose lease has certainly run out. */
     public List<Command> expireCommands(Duration now) {
-        List<Command> ends = new ArrayList<>();
-        seen.forEach(
-                (s, at) -> {
-                    if (now.minus(at.at).compareTo(lease.voterTimeout()) > 0) {
-                        ends.add(Command.expireSession(s, at.beat));
+        List<Command> commands = new ArrayList<>();
+        observations.forEach(
+                (sessionId, observation) -> {
+                    if (now.minus(observation.observedAt).compareTo(lease.voterTimeout()) > 0) {
+                        commands.add(Command.expireSession(sessionId, observation.heartbeat));
                     }
                 });
-        ends.sort((a, b) -> a.sessionId().compareTo(b.sessionId()));
-        return ends;
+        commands.sort((left, right) -> left.sessionId().compareTo(right.sessionId()));
+        return commands;
     }
 
-    /** How long ago this session was renewed as this voter knows it, or null. */
-    public Duration timeSinceHeartbeat(String session, Duration now) {
-        Seen s = seen.get(session);
-        return s == null ? null : now.minus(s.at);
+    /**
+     * Returns how long ago this voter saw the session renewed, or null if it does not know the
+     * session.
+     */
+    public Duration timeSinceHeartbeat(String sessionId, Duration now) {
+        HeartbeatObservation observation = observations.get(sessionId);
+        return observation == null ? null : now.minus(observation.observedAt);
     }
 }
--- a/src/main/java/wingroad/work/HarmMonitor.java
+++ b/src/main/java/wingroad/work/HarmMonitor.java
@@ -4,70 +4,94 @@
 import java.util.ArrayDeque;
 
 /**
- * Whether work does harm: the part of the txns that are declined, rolled back or late, now beside
- * before it began. Learned from the fleet's figures; a new conductor knows nothing and watches for
- * a while first.
+ * Detects harm done by maintenance: compares the share of txns that are declined, rolled back or
+ * late with its baseline while no maintenance runs. Uses the drivers' reported figures; a new
+ * controller knows nothing yet and observes first.
  */
 final class HarmMonitor {
-    /** So few txns in a window say nothing. */
-    private static final long FEW = 20;
+    /** A window with fewer txns than this is not significant. */
+    private static final long MIN_WINDOW_TXNS = 20;
 
-    private record Sample(Duration at, long served, long harmed) {}
+    /** Weights of the exponential moving average that makes the baseline. */
+    private static final double BASELINE_RETAINED_WEIGHT = 0.9;
+
+    private static final double BASELINE_SAMPLE_WEIGHT = 0.1;
+
+    private record Sample(Duration takenAt, long servedCount, long harmedCount) {}
+
+    private final Duration watchPeriod;
+
+    /** How far the harmed share may rise over the baseline. */
+    private final double maxIncrease;
 
-    private final Duration watch;
-    private final double most;
     private final ArrayDeque<Sample> samples = new ArrayDeque<>();
-    private double before = -1;
-    private Duration harmAt;
 
-    HarmMonitor(Duration watch, double most) {
-        this.watch = watch;
-        this.most = most;
+    /** Moving average of the harmed share without maintenance, or -1 if not known yet. */
+    private double baseline = -1;
+
+    private Duration lastHarmAt;
+
+    HarmMonitor(Duration watchPeriod, double maxIncrease) {
+        this.watchPeriod = watchPeriod;
+        this.maxIncrease = maxIncrease;
     }
 
-    /** The fleet's figures since some start; {@code atWork} while a machine is on its way. */
-    void figures(long served, long harmed, boolean atWork, Duration now) {
+    /**
+     * Adds the counters of all drivers, which grow from some start.
+     *
+     * @param maintenanceRunning whether a machine drains, is out or returns; the baseline is kept
+     *     meanwhile
+     */
+    void addSample(long servedCount, long harmedCount, boolean maintenanceRunning, Duration now) {
         if (!samples.isEmpty()
-                && (served < samples.peekLast().served || harmed < samples.peekLast().harmed)) {
-            // A driver has gone with its figures: they begin anew.
+                && (servedCount < samples.peekLast().servedCount
+                        || harmedCount < samples.peekLast().harmedCount)) {
+            // A driver has left the sums, so the counters start anew.
             samples.clear();
         }
-        samples.add(new Sample(now, served, harmed));
-        while (samples.size() > 2 && now.minus(samples.peekFirst().at).compareTo(watch) > 0) {
+        samples.add(new Sample(now, servedCount, harmedCount));
+        while (samples.size() > 2
+                && now.minus(samples.peekFirst().takenAt).compareTo(watchPeriod) > 0) {
             samples.poll();
         }
-        double part = part();
-        if (!atWork && part >= 0) {
-            before = before < 0 ? part : before * 0.9 + part * 0.1;
+        double share = harmedShare();
+        if (!maintenanceRunning && share >= 0) {
+            baseline =
+                    baseline < 0
+                            ? share
+                            : baseline * BASELINE_RETAINED_WEIGHT + share * BASELINE_SAMPLE_WEIGHT;
         }
-        if (part >= 0 && part > Math.max(0, before) + most) {
-            harmAt = now;
+        if (share >= 0 && share > Math.max(0, baseline) + maxIncrease) {
+            lastHarmAt = now;
         }
     }
 
-    /** The part that was harmed in the window, or -1 where too few came to say. */
-    double part() {
+    /** Returns the share of harmed txns in the window, or -1 if there were too few to tell. */
+    double harmedShare() {
         if (samples.size() < 2) {
             return -1;
         }
-        long served = samples.peekLast().served - samples.peekFirst().served;
-        long harmed = samples.peekLast().harmed - samples.peekFirst().harmed;
-        return served + harmed < FEW ? -1 : (double) harmed / (served + harmed);
+        long servedDelta = samples.peekLast().servedCount - samples.peekFirst().servedCount;
+        long harmedDelta = samples.peekLast().harmedCount - samples.peekFirst().harmedCount;
+        return servedDelta + harmedDelta < MIN_WINDOW_TXNS
+                ? -1
+                : (double) harmedDelta / (servedDelta + harmedDelta);
     }
 
-    double before() {
-        return Math.max(0, before);
+    /** Returns the baseline of the harmed share; 0 if not known yet. */
+    double baseline() {
+        return Math.max(0, baseline);
     }
 
-    /** Harm is seen now. */
-    boolean harms(Duration now) {
-        return harmAt != null && now.equals(harmAt);
+    /** Returns whether the sample taken at this time shows harm. */
+    boolean isHarmSeen(Duration now) {
+        return lastHarmAt != null && now.equals(lastHarmAt);
     }
 
-    /** Nothing was seen for the whole of the time that has to be watched. */
-    boolean calm(Duration now) {
+    /** Returns whether enough has been observed, and no harm seen for a whole watch period. */
+    boolean isCalm(Duration now) {
         return !samples.isEmpty()
-                && now.minus(samples.peekFirst().at).compareTo(watch.dividedBy(2)) >= 0
-                && (harmAt == null || now.minus(harmAt).compareTo(watch) >= 0);
+                && now.minus(samples.peekFirst().takenAt).compareTo(watchPeriod.dividedBy(2)) >= 0
+                && (lastHarmAt == null || now.minus(lastHarmAt).compareTo(watchPeriod) >= 0);
     }
 }
--- a/src/test/java/wingroad/driver/MemberPoolsTest.java
+++ b/src/test/java/wingroad/driver/MemberPoolsTest.java
@@ -126,7 +126,7 @@
     }
 
     private void dispatch(int port, Duration wait) {
-        loop.run(
+        loop.execute(
                 () -> {
                     long id =
                             members.updateMember(
@@ -269,7 +269,7 @@
         // Asked on the loop's own thread, behind the task that the answer came with: that one gives
         // its buffer back at its end.
         CompletableFuture<Long> held = new CompletableFuture<>();
-        loop.run(() -> held.complete(loop.held()));
+        loop.execute(() -> held.complete(loop.bufferedBytes()));
         assertThat(held.get(20, TimeUnit.SECONDS)).isLessThanOrEqualTo(1024);
     }
 
@@ -279,7 +279,7 @@
             dispatch(m.port(), LONG);
             assertThat(next().end()).isEqualTo(Outcome.COMMITTED);
             BlockingQueue<Integer> left = new LinkedBlockingQueue<>();
-            loop.run(
+            loop.execute(
                     () -> {
                         members.removeUnknown(id -> false);
                         left.add(members.connectionCount());
@@ -387,7 +387,7 @@
                         })) {
             dispatch(m.port(), LONG);
             m.await();
-            loop.run(() -> members.cancel("t", 0));
+            loop.execute(() -> members.cancel("t", 0));
             assertThat(next().end()).isEqualTo(Outcome.CANCELLED);
             assertThat(closed.poll(20, TimeUnit.SECONDS)).contains("id=r0");
         }
@@ -444,7 +444,7 @@
             dispatch(m.port(), LONG);
             assertThat(next().end()).isEqualTo(Outcome.COMMITTED);
             CompletableFuture<Integer> left = new CompletableFuture<>();
-            loop.run(
+            loop.execute(
                     () -> {
                         members.closeIdleConnections(1);
                         left.complete(members.connectionCount());
@@ -458,7 +458,7 @@
 
     /** A list names the member at this port. */
     private void listed(int port) {
-        loop.run(
+        loop.execute(
                 () ->
                         members.updateMember(
                                 MemberList.parse(
@@ -472,7 +472,7 @@
     }
 
     private void carryToTheOne() {
-        loop.run(
+        loop.execute(
                 () ->
                         members.dispatch(
                                 new TxnDispatcher.MemberRequest(
@@ -556,7 +556,7 @@
             at.read(startupLength(at) - 4);
             at.send(message('R', new byte[4]), READY);
             at.until("'\0");
-            loop.run(() -> members.removeUnknown(id -> false));
+            loop.execute(() -> members.removeUnknown(id -> false));
             at.send(
                     message('T', DESCRIPTION),
                     message('D', column("x")),
@@ -577,7 +577,7 @@
             at.read(startupLength(at) - 4);
             CountDownLatch standing = new CountDownLatch(1);
             CountDownLatch goes = new CountDownLatch(1);
-            loop.run(
+            loop.execute(
                     () -> {
                         standing.countDown();
                         try {
@@ -591,7 +591,7 @@
             at.send(message('R', new byte[4]), READY);
             goes.countDown();
             assertThat(next().end()).isEqualTo(Outcome.MOOT);
-            loop.run(() -> members.removeUnknown(id -> false));
+            loop.execute(() -> members.removeUnknown(id -> false));
             assertThat(at.awaitEnd()).doesNotContain("Q");
         }
     }
@@ -717,7 +717,7 @@
             Peer before = letIn(member.accept());
             answer(before);
             assertThat(next().end()).isEqualTo(Outcome.COMMITTED);
-            loop.run(
+            loop.execute(
                     () ->
                             members.updateMember(
                                     MemberList.parse(
--- a/src/test/java/wingroad/work/WorkIT.java
+++ b/src/test/java/wingroad/work/WorkIT.java
@@ -451,7 +451,7 @@
                                         e ->
                                                 e.get("waits")
                                                         .toString()
-                                                        .contains("to leave it: [d3]"))
+                                                        .contains("to be drained by: [d3]"))
                                 .isPresent());
         serve(100);
         assertThat(at(work(), "B", "draining")).isTrue();
