--- a/src/test/java/wingroad/fleet/FleetIT.java
+++ b/src/test/java/wingroad/fleet/FleetIT.java
@@ -474,6 +474,9 @@
     void whileAnotherVoterIsDownOneWithoutStateIsNotLetIn() throws Exception {
         start(4, 3);
         FencedMember.Entry e = first("a");
+        // A lease can run out only where there has been one.
+        rig.driver("d1").await("lease of d1/");
+        rig.driver("d4").await("lease of d4/");
         rig.driver("d2").kill();
         rig.driver("d3").kill();
         rig.driver("d3").loseState();
