--- a/src/main/java/wingroad/operator/OperatorFile.java
+++ b/src/main/java/wingroad/operator/OperatorFile.java
@@ -76,7 +76,7 @@
         FleetConfig fleet = null;
         for (Section s : all.within(Set.of("door", "fleet"), Set.of("door", "fleet"))) {
             if (s.name().equals("door")) {
-                door = door(s);
+                door = readFairQueues(s);
             } else {
                 fleet = FleetSection.read(s);
             }
@@ -87,7 +87,7 @@
                 : new Read(null, problems);
     }
 
-    private static FairQueueSettings door(Section door) {
+    private static FairQueueSettings readFairQueues(Section door) {
         FairQueueSettings usual = FairQueueSettings.DEFAULTS;
         List<TenantNameSource> sources = new ArrayList<>();
         int names = usual.maxNamesPerAddress();
