--- a/src/main/java/wingroad/Main.java
+++ b/src/main/java/wingroad/Main.java
@@ -1,10 +1,11 @@
 package wingroad;
 
-import java.io.IOException;
-import wingroad.cli.Wingroad;
+import wingroad.cli.WingroadCommand;
 import wingroad.driver.Driver;
 import wingroad.simhost.SimHost;
 
+import java.io.IOException;
+
 /** The program's subcommands. */
 public final class Main {
     private Main() {}
@@ -25,7 +26,7 @@
         }
         // All else is the command line's. The three above stay clear of it: they cost no class of
         // it, nor its start.
-        int status = Wingroad.run(args);
+        int status = WingroadCommand.run(args);
         if (status != 0) {
             System.exit(status);
         }
--- a/src/main/java/wingroad/cli/FleetCommand.java
+++ b/src/main/java/wingroad/cli/FleetCommand.java
@@ -30,7 +30,7 @@
         mixinStandardHelpOptions = true,
         description =
                 "Asks a running fleet: who is there, who owns which duty; hands duties over. See"
-                    + " docs/operators/fleet.md.",
+                        + " docs/operators/fleet.md.",
         subcommands = {
             FleetCommand.Status.class,
             FleetCommand.Watch.class,
@@ -39,64 +39,64 @@
             FleetCommand.Voters.class
         })
 final class FleetCommand implements Callable<Integer> {
-    private static final int UNUSABLE = 2;
+    private static final int EXIT_INVALID_INPUT = 2;
 
     /** Nobody could say. */
-    private static final int NO_ANSWER = 3;
+    private static final int EXIT_NO_ANSWER = 3;
 
-    private static final int REFUSED = 1;
+    private static final int EXIT_REFUSED = 1;
 
     @CommandLine.Spec CommandLine.Model.CommandSpec spec;
 
     @Override
     public Integer call() {
         spec.commandLine().usage(spec.commandLine().getErr());
-        return UNUSABLE;
+        return EXIT_INVALID_INPUT;
     }
 
     /** One that speaks to the fleet of an operator's file. */
-    abstract static class Asks implements Callable<Integer> {
+    abstract static class VoterCommand implements Callable<Integer> {
         @Option(
                 names = "--operator",
                 paramLabel = "FILE",
                 required = true,
                 description = "An operator's file of the fleet; its voters are asked.")
-        Path operator;
+        Path operatorFile;
 
         @Option(names = "--json", description = "Prints JSON.")
         boolean json;
 
         /** What is asked of one voter. */
-        interface Ask<T> {
-            T of(FleetClient client) throws IOException;
+        interface VoterRequest<T> {
+            T send(FleetClient client) throws IOException;
         }
 
-        abstract int ask(FleetConfig rules) throws IOException;
+        abstract int execute(FleetConfig config) throws IOException;
 
         @Override
         public Integer call() {
-            OperatorFile.Read read = OperatorFile.read(operator);
-            if (read.file() == null || read.file().fleet() == null) {
-                read.problems().forEach(p -> System.err.println(operator + ":" + p));
-                if (read.file() != null) {
-                    System.err.println(operator + ": has no fleet");
+            OperatorFile.LoadResult loaded = OperatorFile.read(operatorFile);
+            if (loaded.file() == null || loaded.file().fleet() == null) {
+                loaded.problems().forEach(p -> System.err.println(operatorFile + ":" + p));
+                if (loaded.file() != null) {
+                    System.err.println(operatorFile + ": has no fleet");
                 }
-                return UNUSABLE;
+                return EXIT_INVALID_INPUT;
             }
             try {
-                return ask(read.file().fleet());
+                return execute(loaded.file().fleet());
             } catch (IOException e) {
                 System.err.println("wingroad: no voter answers: " + e.getMessage());
-                return NO_ANSWER;
+                return EXIT_NO_ANSWER;
             }
         }
 
         /** Asks the voters in turn until one answers. */
-        static <T> T first(FleetConfig rules, Ask<T> what) throws IOException {
+        static <T> T firstResponse(FleetConfig config, VoterRequest<T> request) throws IOException {
             List<String> failures = new ArrayList<>();
-            for (String voter : rules.voterAddresses().keySet()) {
-                try (FleetClient c = new FleetClient(rules, voter)) {
-                    return what.of(c);
+            for (String voter : config.voterAddresses().keySet()) {
+                try (FleetClient client = new FleetClient(config, voter)) {
+                    return request.send(client);
                 } catch (IOException e) {
                     failures.add(
                             voter
@@ -108,16 +108,18 @@
         }
 
         /** What the voter says that is the furthest. */
-        static Map<String, Object> newest(FleetConfig rules) throws IOException {
-            Map<String, Object> best = null;
+        static Map<String, Object> newestStatus(FleetConfig config) throws IOException {
+            Map<String, Object> newest = null;
             List<String> failures = new ArrayList<>();
-            for (String voter : rules.voterAddresses().keySet()) {
-                try (FleetClient c = new FleetClient(rules, voter)) {
-                    Map<String, Object> s = c.status();
-                    best =
-                            best == null || number(s, "revision") > number(best, "revision")
-                                    ? s
-                                    : best;
+            for (String voter : config.voterAddresses().keySet()) {
+                try (FleetClient client = new FleetClient(config, voter)) {
+                    Map<String, Object> status = client.status();
+                    newest =
+                            newest == null
+                                            || longValue(status, "revision")
+                                                    > longValue(newest, "revision")
+                                    ? status
+                                    : newest;
                 } catch (IOException e) {
                     failures.add(
                             voter
@@ -125,11 +127,11 @@
                                     + (e.getMessage() == null ? e.toString() : e.getMessage()));
                 }
             }
-            if (best == null) {
+            if (newest == null) {
                 throw new IOException(String.join("; ", failures));
             }
-            best.put("silent", failures);
-            return best;
+            newest.put("silent", failures);
+            return newest;
         }
     }
 
@@ -138,12 +140,12 @@
             mixinStandardHelpOptions = true,
             description =
                     "Who is there, who votes and leads, who owns which duty. Exit status 3: no"
-                        + " voter answers.")
-    static final class Status extends Asks {
+                            + " voter answers.")
+    static final class Status extends VoterCommand {
         @Override
-        int ask(FleetConfig rules) throws IOException {
-            Map<String, Object> s = newest(rules);
-            System.out.print(json ? text(s) + "\n" : page(s));
+        int execute(FleetConfig config) throws IOException {
+            Map<String, Object> status = newestStatus(config);
+            System.out.print(json ? toJson(status) + "\n" : formatStatus(status));
             return 0;
         }
     }
@@ -152,37 +154,37 @@
             name = "watch",
             mixinStandardHelpOptions = true,
             description = "The status again and again, until interrupted.")
-    static final class Watch extends Asks {
+    static final class Watch extends VoterCommand {
         @Option(
                 names = "--every",
                 paramLabel = "S",
                 defaultValue = "2",
                 description = "Seconds between; ${DEFAULT-VALUE}.")
-        double every;
+        double intervalSeconds;
 
         @Option(names = "--times", paramLabel = "N", description = "Ends after so many.")
-        int times;
+        int maxRounds;
 
         @Override
-        int ask(FleetConfig rules) throws IOException {
-            for (int n = 1; times == 0 || n <= times; n++) {
+        int execute(FleetConfig config) throws IOException {
+            for (int round = 1; maxRounds == 0 || round <= maxRounds; round++) {
                 try {
-                    Map<String, Object> s = newest(rules);
+                    Map<String, Object> status = newestStatus(config);
                     System.out.print(
                             json
-                                    ? text(s) + "\n"
+                                    ? toJson(status) + "\n"
                                     : Instant.now().truncatedTo(ChronoUnit.SECONDS)
                                             + "\n"
-                                            + page(s));
+                                            + formatStatus(status));
                 } catch (IOException e) {
                     System.out.println(
                             Instant.now().truncatedTo(ChronoUnit.SECONDS)
                                     + " no voter answers: "
                                     + e.getMessage());
                 }
-                if (n != times) {
+                if (round != maxRounds) {
                     try {
-                        Thread.sleep(Duration.ofMillis((long) (every * 1000)).toMillis());
+                        Thread.sleep(Duration.ofMillis((long) (intervalSeconds * 1000)).toMillis());
                     } catch (InterruptedException e) {
                         return 0;
                     }
@@ -196,36 +198,36 @@
             name = "history",
             mixinStandardHelpOptions = true,
             description = "What is remembered of a duty, the newest last.")
-    static final class History extends Asks {
+    static final class History extends VoterCommand {
         @Parameters(
                 paramLabel = "DUTY",
                 description = "As status prints it, such as \"chore purge\".")
         String duty;
 
         @Override
-        int ask(FleetConfig rules) throws IOException {
-            for (Map<String, Object> d : maps(newest(rules).get("duties"))) {
-                if (duty.equals(d.get("name"))) {
-                    for (Object line : (List<?>) d.get("history")) {
-                        String s = (String) line;
-                        int space = s.indexOf(' ');
+        int execute(FleetConfig config) throws IOException {
+            for (Map<String, Object> dutyStatus : asMaps(newestStatus(config).get("duties"))) {
+                if (duty.equals(dutyStatus.get("name"))) {
+                    for (Object line : (List<?>) dutyStatus.get("history")) {
+                        String text = (String) line;
+                        int space = text.indexOf(' ');
                         System.out.println(
                                 json
-                                        ? text(
+                                        ? toJson(
                                                 Map.of(
                                                         "at",
-                                                        Long.parseLong(s.substring(0, space)),
+                                                        Long.parseLong(text.substring(0, space)),
                                                         "what",
-                                                        s.substring(space + 1)))
-                                        : time(Long.parseLong(s.substring(0, space)))
+                                                        text.substring(space + 1)))
+                                        : formatTime(Long.parseLong(text.substring(0, space)))
                                                 + " "
-                                                + s.substring(space + 1));
+                                                + text.substring(space + 1));
                     }
                     return 0;
                 }
             }
             System.err.println("wingroad: there is no duty '" + duty + "'");
-            return REFUSED;
+            return EXIT_REFUSED;
         }
     }
 
@@ -234,8 +236,8 @@
             mixinStandardHelpOptions = true,
             description =
                     "Has a duty go to another driver; answered once that is settled. Exit status 1:"
-                        + " refused.")
-    static final class HandOver extends Asks {
+                            + " refused.")
+    static final class HandOver extends VoterCommand {
         @Parameters(
                 paramLabel = "DUTY",
                 description = "As status prints it, such as \"chore purge\".")
@@ -246,20 +248,21 @@
                 paramLabel = "DRIVER",
                 defaultValue = "",
                 description = "To this one; else to any other.")
-        String to;
+        String targetDriver;
 
         @Override
-        int ask(FleetConfig rules) throws IOException {
+        int execute(FleetConfig config) throws IOException {
             // Under one name with every voter: however often it is asked, it is done once.
-            String name = UUID.randomUUID().toString();
-            String refusal = first(rules, c -> c.handOver(duty, to, name));
+            String requestId = UUID.randomUUID().toString();
+            String refusal =
+                    firstResponse(config, client -> client.handOver(duty, targetDriver, requestId));
             System.out.println(
                     json
-                            ? text(Map.of("settled", refusal.isEmpty(), "why", refusal))
+                            ? toJson(Map.of("settled", refusal.isEmpty(), "why", refusal))
                             : refusal.isEmpty()
                                     ? "settled: the owner is asked to give it up"
                                     : "refused: " + refusal);
-            return refusal.isEmpty() ? 0 : REFUSED;
+            return refusal.isEmpty() ? 0 : EXIT_REFUSED;
         }
     }
 
@@ -268,8 +271,8 @@
             mixinStandardHelpOptions = true,
             description =
                     "Changes who votes, one at a time; 'status' shows when it is settled. Exit"
-                        + " status 1: refused.")
-    static final class Voters extends Asks {
+                            + " status 1: refused.")
+    static final class Voters extends VoterCommand {
         /** What to do with one. */
         enum Change {
             add,
@@ -280,7 +283,7 @@
         Change change;
 
         @Parameters(index = "1", paramLabel = "DRIVER", description = "Its name in the fleet.")
-        String name;
+        String driver;
 
         @Parameters(
                 index = "2",
@@ -291,116 +294,119 @@
         String address;
 
         @Override
-        int ask(FleetConfig rules) throws IOException {
+        int execute(FleetConfig config) throws IOException {
             if ((change == Change.add) == address.isEmpty()) {
                 System.err.println("wingroad: 'add' needs an address, 'remove' takes none");
-                return UNUSABLE;
+                return EXIT_INVALID_INPUT;
             }
-            String ask = UUID.randomUUID().toString();
-            String refusal = first(rules, c -> c.changeVoter(name, address, ask));
+            String requestId = UUID.randomUUID().toString();
+            String refusal =
+                    firstResponse(config, client -> client.changeVoter(driver, address, requestId));
             System.out.println(
                     json
-                            ? text(Map.of("settled", refusal.isEmpty(), "why", refusal))
+                            ? toJson(Map.of("settled", refusal.isEmpty(), "why", refusal))
                             : refusal.isEmpty()
                                     ? "settled: the leader "
                                             + (change == Change.add ? "lets it in" : "takes it out")
                                     : "refused: " + refusal);
-            return refusal.isEmpty() ? 0 : REFUSED;
+            return refusal.isEmpty() ? 0 : EXIT_REFUSED;
         }
     }
 
     // ---- pages ----
 
-    private static long number(Map<String, Object> m, String name) {
-        return m.get(name) instanceof Number n ? n.longValue() : 0;
+    private static long longValue(Map<String, Object> object, String name) {
+        return object.get(name) instanceof Number n ? n.longValue() : 0;
     }
 
     @SuppressWarnings("unchecked")
-    static List<Map<String, Object>> maps(Object list) {
+    static List<Map<String, Object>> asMaps(Object list) {
         return list instanceof List<?> l ? (List<Map<String, Object>>) l : List.of();
     }
 
-    static String time(long unixMs) {
+    static String formatTime(long unixMs) {
         return unixMs <= 0
                 ? "-"
                 : Instant.ofEpochMilli(unixMs).truncatedTo(ChronoUnit.MILLIS).toString();
     }
 
-    private static String page(Map<String, Object> s) {
-        StringBuilder p = new StringBuilder();
-        String leader = String.valueOf(s.get("leader"));
-        p.append("fleet ")
-                .append(s.get("fleet"))
+    private static String formatStatus(Map<String, Object> status) {
+        StringBuilder page = new StringBuilder();
+        String leader = String.valueOf(status.get("leader"));
+        page.append("fleet ")
+                .append(status.get("fleet"))
                 .append(", council ")
-                .append(s.get("council"))
+                .append(status.get("council"))
                 .append(", by ")
-                .append(s.get("voter"))
+                .append(status.get("voter"))
                 .append(" (")
-                .append(s.get("phase"))
+                .append(status.get("phase"))
                 .append(")\n");
-        p.append("voters ")
-                .append(s.get("voters"))
+        page.append("voters ")
+                .append(status.get("voters"))
                 .append(", leader ")
                 .append(leader.isEmpty() ? "none" : leader)
                 .append(", term ")
-                .append(s.get("term"))
+                .append(status.get("term"))
                 .append('\n');
-        if (s.get("silent") instanceof List<?> silent && !silent.isEmpty()) {
-            p.append("silent: ").append(silent).append('\n');
+        if (status.get("silent") instanceof List<?> silent && !silent.isEmpty()) {
+            page.append("silent: ").append(silent).append('\n');
         }
-        for (Map<String, Object> d : maps(s.get("sessions"))) {
-            p.append(
+        for (Map<String, Object> d : asMaps(status.get("sessions"))) {
+            page.append(
                     String.format(
                             "  driver %-16s since %s, last heard %d ms ago%n",
-                            d.get("name"), time(number(d, "since")), number(d, "quiet-ms")));
+                            d.get("name"),
+                            formatTime(longValue(d, "since")),
+                            longValue(d, "quiet-ms")));
         }
-        for (Map<String, Object> d : maps(s.get("duties"))) {
+        for (Map<String, Object> d : asMaps(status.get("duties"))) {
             String owner = String.valueOf(d.get("owner"));
             String wanted = String.valueOf(d.get("wanted"));
-            p.append(
+            page.append(
                     String.format(
                             "  duty %-24s %-16s epoch %d, turn %d %s%s%n",
                             d.get("name"),
                             owner.isEmpty() ? "(nobody)" : owner,
-                            number(d, "epoch"),
-                            number(d, "turn"),
+                            longValue(d, "epoch"),
+                            longValue(d, "turn"),
                             d.get("outcome"),
                             wanted.isEmpty()
                                     ? ""
                                     : ", asked back for "
                                             + (wanted.equals("*") ? "any other" : wanted)));
         }
-        return p.toString();
+        return page.toString();
     }
 
-    static String text(Object value) throws IOException {
-        StringWriter w = new StringWriter();
-        try (JsonGenerator g = new JsonFactory().createGenerator(w)) {
-            write(g, value);
+    static String toJson(Object value) throws IOException {
+        StringWriter writer = new StringWriter();
+        try (JsonGenerator generator = new JsonFactory().createGenerator(writer)) {
+            writeJson(generator, value);
         }
-        return w.toString();
+        return writer.toString();
     }
 
-    private static void write(JsonGenerator g, Object value) throws IOException {
+    private static void writeJson(JsonGenerator generator, Object value) throws IOException {
         if (value instanceof Map<?, ?> m) {
-            g.writeStartObject();
+            generator.writeStartObject();
             for (Map.Entry<?, ?> e : m.entrySet()) {
-                g.writeFieldName((String) e.getKey());
-                write(g, e.getValue());
+                generator.writeFieldName((String) e.getKey());
+                writeJson(generator, e.getValue());
             }
-            g.writeEndObject();
+            generator.writeEndObject();
         } else if (value instanceof List<?> l) {
-            g.writeStartArray();
+            generator.writeStartArray();
             for (Object o : l) {
-                write(g, o);
+                writeJson(generator, o);
             }
-            g.writeEndArray();
+            generator.writeEndArray();
         } else if (value instanceof Number n) {
-            g.writeNumber(n.longValue());
+            generator.writeNumber(n.longValue());
         } else if (value instanceof Boolean b) {
-            g.writeBoolean(b);
+            generator.writeBoolean(b);
         } else {
-            g.writeString(String.valueOf(value));
+            generator.writeString(String.valueOf(value));
         }
     }
 }
--- a/src/main/java/wingroad/cli/Wingroad.java
+++ b/src/main/java/wingroad/cli/WingroadCommand.java
@@ -1,40 +1,42 @@
 package wingroad.cli;
 
-import java.io.IOException;
-import java.nio.file.Path;
-import java.util.Map;
-import java.util.concurrent.Callable;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
+
 import wingroad.driver.Driver;
 import wingroad.operator.OperatorFile;
 import wingroad.simhost.SimHost;
 
+import java.io.IOException;
+import java.nio.file.Path;
+import java.util.Map;
+import java.util.concurrent.Callable;
+
 /** The command line. What the benches start does not come by here: see Main. */
 @Command(
         name = "wingroad",
-        versionProvider = Wingroad.Version.class,
+        versionProvider = WingroadCommand.Version.class,
         mixinStandardHelpOptions = true,
         description = "Stands before groups of database members and decides where every txn goes.",
         subcommands = {
-            Wingroad.Serve.class,
-            Wingroad.Check.class,
-            Wingroad.CheckConfig.class,
-            Wingroad.Sim.class,
-            Wingroad.Rehearse.class,
+            WingroadCommand.Serve.class,
+            WingroadCommand.Check.class,
+            WingroadCommand.CheckConfig.class,
+            WingroadCommand.Simhost.class,
+            WingroadCommand.Rehearse.class,
             FleetCommand.class,
             WorkCommand.class
         })
-public final class Wingroad implements Callable<Integer> {
-    private static final int UNUSABLE = 2;
+public final class WingroadCommand implements Callable<Integer> {
+    private static final int EXIT_INVALID_INPUT = 2;
 
     /** The build's, from the jar's manifest. */
     static final class Version implements CommandLine.IVersionProvider {
         @Override
         public String[] getVersion() {
-            String version = Wingroad.class.getPackage().getImplementationVersion();
+            String version = WingroadCommand.class.getPackage().getImplementationVersion();
             return new String[] {"wingroad " + (version == null ? "(not from its jar)" : version)};
         }
     }
@@ -43,7 +45,7 @@
 
     /** Returns the exit status; what serves goes on behind it. */
     public static int run(String... args) {
-        return new CommandLine(new Wingroad())
+        return new CommandLine(new WingroadCommand())
                 .setCaseInsensitiveEnumValuesAllowed(true)
                 .execute(args);
     }
@@ -51,7 +53,7 @@
     @Override
     public Integer call() {
         spec.commandLine().usage(spec.commandLine().getErr());
-        return UNUSABLE;
+        return EXIT_INVALID_INPUT;
     }
 
     @Command(
@@ -63,20 +65,21 @@
                 names = "--operator",
                 paramLabel = "FILE",
                 description =
-                        "The operator's own file, in KDL; read again on SIGHUP. See docs/operators/fair-queues.md.")
-        Path operator;
+                        "The operator's own file, in KDL; read again on SIGHUP. See"
+                            + " docs/operators/fair-queues.md.")
+        Path operatorFile;
 
         @Override
         public Integer call() {
-            if (operator == null) {
+            if (operatorFile == null) {
                 return Driver.run(System.getenv(), System.out, System.err);
             }
-            OperatorFile.Read read = OperatorFile.read(operator);
-            if (read.file() == null) {
-                read.problems().forEach(p -> System.err.println(operator + ":" + p));
-                return UNUSABLE;
+            OperatorFile.LoadResult loaded = OperatorFile.read(operatorFile);
+            if (loaded.file() == null) {
+                loaded.problems().forEach(p -> System.err.println(operatorFile + ":" + p));
+                return EXIT_INVALID_INPUT;
             }
-            return Driver.run(System.getenv(), System.out, System.err, operator, read.file());
+            return Driver.run(System.getenv(), System.out, System.err, operatorFile, loaded.file());
         }
     }
 
@@ -84,7 +87,8 @@
             name = "check",
             mixinStandardHelpOptions = true,
             description =
-                    "Reads an operator's file and prints all that is wrong with it. Exit status 0: it can be used; 2: it can't.")
+                    "Reads an operator's file and prints all that is wrong with it. Exit status 0:"
+                        + " it can be used; 2: it can't.")
     static final class Check implements Callable<Integer> {
         @Parameters(paramLabel = "FILE", description = "The file.")
         Path file;
@@ -96,12 +100,12 @@
 
         @Override
         public Integer call() {
-            OperatorFile.Read read = OperatorFile.read(file);
-            if (read.file() == null) {
-                read.problems().forEach(p -> System.err.println(file + ":" + p));
-                return UNUSABLE;
+            OperatorFile.LoadResult loaded = OperatorFile.read(file);
+            if (loaded.file() == null) {
+                loaded.problems().forEach(p -> System.err.println(file + ":" + p));
+                return EXIT_INVALID_INPUT;
             }
-            System.out.print(print ? read.file().print() : "");
+            System.out.print(print ? loaded.file().toKdl() : "");
             return 0;
         }
     }
@@ -110,7 +114,8 @@
             name = "check-config",
             mixinStandardHelpOptions = true,
             description =
-                    "Reads a configuration as a start would and prints its shape. Exit status 0: it can be used; 2: it can't.")
+                    "Reads a configuration as a start would and prints its shape. Exit status 0: it"
+                        + " can be used; 2: it can't.")
     static final class CheckConfig implements Callable<Integer> {
         @Parameters(paramLabel = "FILE", description = "The configuration.")
         Path file;
@@ -125,8 +130,9 @@
             name = "simhost",
             mixinStandardHelpOptions = true,
             description =
-                    "Serves the simulator's wire on standard input and output until the input ends.")
-    static final class Sim implements Callable<Integer> {
+                    "Serves the simulator's wire on standard input and output until the input"
+                        + " ends.")
+    static final class Simhost implements Callable<Integer> {
         @Override
         public Integer call() throws IOException {
             return new SimHost(System.in, System.out, System.err).run();
@@ -137,7 +143,8 @@
             name = "rehearse",
             mixinStandardHelpOptions = true,
             description =
-                    "Plays the rehearsal that each start begins with, for an archive of the classes that serving takes.")
+                    "Plays the rehearsal that each start begins with, for an archive of the classes"
+                        + " that serving takes.")
     static final class Rehearse implements Callable<Integer> {
         @Override
         public Integer call() {
--- a/src/main/java/wingroad/cli/WorkCommand.java
+++ b/src/main/java/wingroad/cli/WorkCommand.java
@@ -25,7 +25,7 @@
                 "Takes machines out for work and brings them back, in an order that the drivers"
                         + " settle. See docs/operators/work.md.",
         subcommands = {
-            WorkCommand.Want.class,
+            WorkCommand.Ask.class,
             WorkCommand.Plan.class,
             WorkCommand.Show.class,
             WorkCommand.Done.class,
@@ -36,20 +36,20 @@
             WorkCommand.Gone.class
         })
 final class WorkCommand implements Callable<Integer> {
-    private static final int UNUSABLE = 2;
-    private static final int REFUSED = 1;
-    private static final String ALL = "*";
+    private static final int EXIT_INVALID_INPUT = 2;
+    private static final int EXIT_REFUSED = 1;
+    private static final String ALL_MACHINES = "*";
 
     @CommandLine.Spec CommandLine.Model.CommandSpec spec;
 
     @Override
     public Integer call() {
         spec.commandLine().usage(spec.commandLine().getErr());
-        return UNUSABLE;
+        return EXIT_INVALID_INPUT;
     }
 
     /** One that changes something: asked under one id until it is settled. */
-    abstract static class Changes extends FleetCommand.Asks {
+    abstract static class ChangeCommand extends FleetCommand.VoterCommand {
         @Option(
                 names = "--id",
                 description = "The id of the request: the same again is done once; a new one else.")
@@ -60,47 +60,48 @@
                 paramLabel = "S",
                 defaultValue = "10",
                 description = "Tries for so many seconds; ${DEFAULT-VALUE}.")
-        double within;
+        double timeoutSeconds;
 
         /** Asks for one machine until that is settled; empty, or why it is refused. */
-        String settle(FleetConfig rules, String machine, Ask<String> what) throws IOException {
-            long end = System.nanoTime() + (long) (within * 1e9);
+        String submitUntilSettled(FleetConfig config, String machine, VoterRequest<String> request)
+                throws IOException {
+            long deadlineNanos = System.nanoTime() + (long) (timeoutSeconds * 1e9);
             while (true) {
                 try {
-                    return first(rules, what);
+                    return firstResponse(config, request);
                 } catch (IOException e) {
-                    if (System.nanoTime() > end) {
+                    if (System.nanoTime() > deadlineNanos) {
                         throw e;
                     }
                 }
             }
         }
 
-        String idFor(String machine) {
+        String requestIdFor(String machine) {
             return (id == null ? UUID.randomUUID().toString() : id) + " " + machine;
         }
 
-        int told(Map<String, String> answers) throws IOException {
-            boolean refused = false;
-            for (Map.Entry<String, String> a : answers.entrySet()) {
-                boolean ok = a.getValue().isEmpty();
-                refused |= !ok;
+        int printOutcomes(Map<String, String> refusals) throws IOException {
+            boolean anyRefused = false;
+            for (Map.Entry<String, String> refusal : refusals.entrySet()) {
+                boolean settled = refusal.getValue().isEmpty();
+                anyRefused |= !settled;
                 System.out.println(
                         json
-                                ? FleetCommand.text(
+                                ? FleetCommand.toJson(
                                         new java.util.TreeMap<>(
                                                 Map.of(
                                                         "machine",
-                                                        a.getKey(),
+                                                        refusal.getKey(),
                                                         "settled",
-                                                        ok,
+                                                        settled,
                                                         "why",
-                                                        a.getValue())))
-                                : a.getKey()
+                                                        refusal.getValue())))
+                                : refusal.getKey()
                                         + ": "
-                                        + (ok ? "settled" : "refused: " + a.getValue()));
+                                        + (settled ? "settled" : "refused: " + refusal.getValue()));
             }
-            return refused ? REFUSED : 0;
+            return anyRefused ? EXIT_REFUSED : 0;
         }
     }
 
@@ -110,7 +111,7 @@
             description =
                     "Wants machines out. Answered once that is settled; exit status 1: one can"
                             + " never be had, with the reason.")
-    static final class Want extends Changes {
+    static final class Ask extends ChangeCommand {
         @Parameters(
                 paramLabel = "MACHINE",
                 arity = "1..*",
@@ -122,7 +123,7 @@
                 paramLabel = "SPAN",
                 defaultValue = "0s",
                 description = "How long work takes, such as 20m; who is out for longer is told.")
-        String span;
+        String duration;
 
         @Option(names = "--why", defaultValue = "", description = "For people.")
         String why;
@@ -131,61 +132,77 @@
                 names = "--before",
                 paramLabel = "TIME",
                 description = "It has to be out before, such as 2026-12-06T06:00:00Z.")
-        String before;
+        String deadline;
 
         @Option(
                 names = "--after",
                 paramLabel = "MACHINE",
                 arity = "1",
                 description = "Not while this one is asked for.")
-        List<String> after = List.of();
+        List<String> predecessors = List.of();
 
         @Override
-        int ask(FleetConfig rules) throws IOException {
-            long forMs;
-            long beforeMs;
+        int execute(FleetConfig config) throws IOException {
+            long durationMs;
+            long deadlineUnixMs;
             try {
-                forMs = Duration.parse("PT" + span.toUpperCase(java.util.Locale.ROOT)).toMillis();
-                beforeMs = before == null ? 0 : Instant.parse(before).toEpochMilli();
+                durationMs =
+                        Duration.parse("PT" + duration.toUpperCase(java.util.Locale.ROOT))
+                                .toMillis();
+                deadlineUnixMs = deadline == null ? 0 : Instant.parse(deadline).toEpochMilli();
             } catch (DateTimeParseException e) {
                 System.err.println(
                         "wingroad: '"
                                 + e.getParsedString()
                                 + "' is no span, such as 20m, or no time");
-                return UNUSABLE;
+                return EXIT_INVALID_INPUT;
             }
-            Map<String, String> answers = new LinkedHashMap<>();
-            for (String m : machines) {
-                String ask = idFor(m);
-                answers.put(
-                        m,
-                        settle(
-                                rules,
-                                m,
-                                c -> c.requestMaintenance(m, why, forMs, beforeMs, after, ask)));
+            Map<String, String> refusals = new LinkedHashMap<>();
+            for (String machine : machines) {
+                String requestId = requestIdFor(machine);
+                refusals.put(
+                        machine,
+                        submitUntilSettled(
+                                config,
+                                machine,
+                                client ->
+                                        client.requestMaintenance(
+                                                machine,
+                                                why,
+                                                durationMs,
+                                                deadlineUnixMs,
+                                                predecessors,
+                                                requestId)));
             }
-            return told(answers);
+            return printOutcomes(refusals);
         }
     }
 
     /** A word on one machine, or several. */
-    abstract static class Word extends Changes {
+    abstract static class MachinesCommand extends ChangeCommand {
         @Parameters(
                 paramLabel = "MACHINE",
                 arity = "1..*",
                 description = "As the operator's file names them.")
         List<String> machines;
 
-        abstract String word();
+        abstract String operatorCommand();
 
         @Override
-        int ask(FleetConfig rules) throws IOException {
-            Map<String, String> answers = new LinkedHashMap<>();
-            for (String m : machines) {
-                String ask = idFor(m);
-                answers.put(m, settle(rules, m, c -> c.sendOperatorCommand(word(), m, ask)));
+        int execute(FleetConfig config) throws IOException {
+            Map<String, String> refusals = new LinkedHashMap<>();
+            for (String machine : machines) {
+                String requestId = requestIdFor(machine);
+                refusals.put(
+                        machine,
+                        submitUntilSettled(
+                                config,
+                                machine,
+                                client ->
+                                        client.sendOperatorCommand(
+                                                operatorCommand(), machine, requestId)));
             }
-            return told(answers);
+            return printOutcomes(refusals);
         }
     }
 
@@ -193,9 +210,9 @@
             name = "done",
             mixinStandardHelpOptions = true,
             description = "Work on it is done and it runs again: it is brought back.")
-    static final class Done extends Word {
+    static final class Done extends MachinesCommand {
         @Override
-        String word() {
+        String operatorCommand() {
             return "done";
         }
     }
@@ -204,9 +221,9 @@
             name = "back",
             mixinStandardHelpOptions = true,
             description = "It is to be back, however far it has come.")
-    static final class Back extends Word {
+    static final class Back extends MachinesCommand {
         @Override
-        String word() {
+        String operatorCommand() {
             return "back";
         }
     }
@@ -215,9 +232,9 @@
             name = "cancel",
             mixinStandardHelpOptions = true,
             description = "It is no more asked for; not once it is out.")
-    static final class Cancel extends Word {
+    static final class Cancel extends MachinesCommand {
         @Override
-        String word() {
+        String operatorCommand() {
             return "cancel";
         }
     }
@@ -228,15 +245,15 @@
             description =
                     "Drivers without a session have ended for certain: nobody waits for them any"
                             + " more.")
-    static final class Gone extends Word {
+    static final class Gone extends MachinesCommand {
         @Override
-        String word() {
+        String operatorCommand() {
             return "gone";
         }
     }
 
     /** A word on machines, or on all. */
-    abstract static class WordOrAll extends Changes {
+    abstract static class MachinesOrAllCommand extends ChangeCommand {
         @Parameters(
                 paramLabel = "MACHINE",
                 arity = "0..*",
@@ -246,20 +263,27 @@
         @Option(names = "--all", description = "All, those not yet asked for as well.")
         boolean all;
 
-        abstract String word();
+        abstract String operatorCommand();
 
         @Override
-        int ask(FleetConfig rules) throws IOException {
+        int execute(FleetConfig config) throws IOException {
             if (all == !machines.isEmpty()) {
                 System.err.println("wingroad: machines, or --all");
-                return UNUSABLE;
+                return EXIT_INVALID_INPUT;
             }
-            Map<String, String> answers = new LinkedHashMap<>();
-            for (String m : all ? List.of(ALL) : machines) {
-                String ask = idFor(m);
-                answers.put(m, settle(rules, m, c -> c.sendOperatorCommand(word(), m, ask)));
+            Map<String, String> refusals = new LinkedHashMap<>();
+            for (String machine : all ? List.of(ALL_MACHINES) : machines) {
+                String requestId = requestIdFor(machine);
+                refusals.put(
+                        machine,
+                        submitUntilSettled(
+                                config,
+                                machine,
+                                client ->
+                                        client.sendOperatorCommand(
+                                                operatorCommand(), machine, requestId)));
             }
-            return told(answers);
+            return printOutcomes(refusals);
         }
     }
 
@@ -269,17 +293,17 @@
             description =
                     "Nothing more is begun, and what drains is put back at once; what is out stays"
                             + " out.")
-    static final class Hold extends WordOrAll {
+    static final class Hold extends MachinesOrAllCommand {
         @Override
-        String word() {
+        String operatorCommand() {
             return "hold";
         }
     }
 
     @Command(name = "go", mixinStandardHelpOptions = true, description = "The end of a hold.")
-    static final class Go extends WordOrAll {
+    static final class Go extends MachinesOrAllCommand {
         @Override
-        String word() {
+        String operatorCommand() {
             return "go";
         }
     }
@@ -288,39 +312,40 @@
             name = "plan",
             mixinStandardHelpOptions = true,
             description = "All that is asked for, how far it is, what it waits for.")
-    static final class Plan extends FleetCommand.Asks {
+    static final class Plan extends FleetCommand.VoterCommand {
         @Override
-        int ask(FleetConfig rules) throws IOException {
-            Map<String, Object> work = work(newest(rules));
+        int execute(FleetConfig config) throws IOException {
+            Map<String, Object> maintenance = maintenanceStatus(newestStatus(config));
             if (json) {
-                System.out.println(FleetCommand.text(work));
+                System.out.println(FleetCommand.toJson(maintenance));
                 return 0;
             }
             System.out.println(
-                    FleetCommand.maps(work.get("machines")).size()
+                    FleetCommand.asMaps(maintenance.get("machines")).size()
                             + " machines, "
-                            + FleetCommand.maps(work.get("entries")).size()
+                            + FleetCommand.asMaps(maintenance.get("entries")).size()
                             + " asked for"
-                            + (Boolean.TRUE.equals(work.get("held")) ? ", all held" : ""));
-            FleetCommand.maps(work.get("entries"))
+                            + (Boolean.TRUE.equals(maintenance.get("held")) ? ", all held" : ""));
+            FleetCommand.asMaps(maintenance.get("entries"))
                     .forEach(
-                            e ->
+                            entry ->
                                     System.out.printf(
                                             "  %-16s %-10s %s%s%n",
-                                            e.get("machine"),
-                                            e.get("stage"),
-                                            e.get("why"),
-                                            String.valueOf(e.get("waits")).isEmpty()
+                                            entry.get("machine"),
+                                            entry.get("stage"),
+                                            entry.get("why"),
+                                            String.valueOf(entry.get("waits")).isEmpty()
                                                     ? ""
-                                                    : "; waits: " + e.get("waits")));
-            if (work.get("astray") instanceof List<?> l && !l.isEmpty()) {
+                                                    : "; waits: " + entry.get("waits")));
+            if (maintenance.get("astray") instanceof List<?> l && !l.isEmpty()) {
                 System.out.println("  without a session, not known to have stopped: " + l);
             }
             return 0;
         }
     }
 
-    private static Map<String, Object> work(Map<String, Object> status) throws IOException {
+    private static Map<String, Object> maintenanceStatus(Map<String, Object> status)
+            throws IOException {
         if (status.get("work") instanceof Map<?, ?>) {
             return wingroad.protocol.Json.object(status.get("work"), "the plan");
         }
@@ -331,29 +356,29 @@
             name = "show",
             mixinStandardHelpOptions = true,
             description = "One machine: what it holds, how far it is, what was.")
-    static final class Show extends FleetCommand.Asks {
+    static final class Show extends FleetCommand.VoterCommand {
         @Parameters(paramLabel = "MACHINE", description = "As the operator's file names it.")
         String machine;
 
         @Override
-        int ask(FleetConfig rules) throws IOException {
-            Map<String, Object> work = work(newest(rules));
-            Map<String, Object> of =
-                    FleetCommand.maps(work.get("machines")).stream()
+        int execute(FleetConfig config) throws IOException {
+            Map<String, Object> maintenance = maintenanceStatus(newestStatus(config));
+            Map<String, Object> machineStatus =
+                    FleetCommand.asMaps(maintenance.get("machines")).stream()
                             .filter(m -> machine.equals(m.get("name")))
                             .findFirst()
                             .orElse(null);
-            if (of == null) {
+            if (machineStatus == null) {
                 System.err.println("wingroad: there is no machine '" + machine + "'");
-                return REFUSED;
+                return EXIT_REFUSED;
             }
             Map<String, Object> entry =
-                    FleetCommand.maps(work.get("entries")).stream()
+                    FleetCommand.asMaps(maintenance.get("entries")).stream()
                             .filter(e -> machine.equals(e.get("machine")))
                             .findFirst()
                             .orElse(Map.of("stage", "in"));
             List<String> lines =
-                    ((List<?>) work.get("history"))
+                    ((List<?>) maintenance.get("history"))
                             .stream()
                                     .map(String::valueOf)
                                     .filter(
@@ -366,17 +391,24 @@
                                     .toList();
             if (json) {
                 System.out.println(
-                        FleetCommand.text(Map.of("machine", of, "entry", entry, "history", lines)));
+                        FleetCommand.toJson(
+                                Map.of(
+                                        "machine",
+                                        machineStatus,
+                                        "entry",
+                                        entry,
+                                        "history",
+                                        lines)));
                 return 0;
             }
             System.out.println(
                     machine
                             + ", zone "
-                            + of.get("zone")
+                            + machineStatus.get("zone")
                             + ", members "
-                            + of.get("members")
+                            + machineStatus.get("members")
                             + ", drivers "
-                            + of.get("drivers"));
+                            + machineStatus.get("drivers"));
             System.out.println(
                     "  "
                             + entry.get("stage")
@@ -385,7 +417,7 @@
                     l ->
                             System.out.println(
                                     "  "
-                                            + FleetCommand.time(
+                                            + FleetCommand.formatTime(
                                                     Long.parseLong(l.substring(0, l.indexOf(' '))))
                                             + l.substring(l.indexOf(' '))));
             return 0;
--- a/src/main/java/wingroad/driver/Driver.java
+++ b/src/main/java/wingroad/driver/Driver.java
@@ -406,20 +406,20 @@
     }
 
     private void enableFairQueues() {
-        if (fairQueues == null && operatorFile != null && operatorFile.door() != null) {
+        if (fairQueues == null && operatorFile != null && operatorFile.fairQueues() != null) {
             fairQueues =
                     new FairQueues(
                             RouterSettings.fromWire(configuration.settings()),
-                            operatorFile.door(),
+                            operatorFile.fairQueues(),
                             configuration.seed(),
                             log::info);
             dispatcher.useFairQueues(fairQueues);
-            clientFrontend.identifyClients(operatorFile.door());
+            clientFrontend.identifyClients(operatorFile.fairQueues());
             log.info(
                     "door: "
-                            + operatorFile.door().tenants().size()
+                            + operatorFile.fairQueues().tenants().size()
                             + " tenants listed, "
-                            + operatorFile.door().maxQueuedTxns()
+                            + operatorFile.fairQueues().maxQueuedTxns()
                             + " txns may wait");
         }
     }
@@ -484,7 +484,7 @@
         if (operatorPath == null) {
             return;
         }
-        OperatorFile.Read read = OperatorFile.read(operatorPath);
+        OperatorFile.LoadResult read = OperatorFile.read(operatorPath);
         if (read.file() == null) {
             log.info(
                     "operator's file not reloaded, the old one stays in force: "
@@ -494,7 +494,7 @@
                                     : ""));
             return;
         }
-        if (read.file().door() == null && fairQueues != null) {
+        if (read.file().fairQueues() == null && fairQueues != null) {
             log.info(
                     "operator's file not reloaded, the old one stays in force: the door can only be"
                             + " removed by a restart");
@@ -503,19 +503,19 @@
         if (!Objects.equals(read.file().fleet(), operatorFile.fleet())) {
             log.info("operator's file: changes of the fleet take effect at the next start");
         }
-        operatorFile = new OperatorFile(read.file().door(), operatorFile.fleet());
+        operatorFile = new OperatorFile(read.file().fairQueues(), operatorFile.fleet());
         if (fairQueues == null) {
             enableFairQueues();
         } else {
-            fairQueues.updateSettings(clock.now(), operatorFile.door());
-            clientFrontend.identifyClients(operatorFile.door());
+            fairQueues.updateSettings(clock.now(), operatorFile.fairQueues());
+            clientFrontend.identifyClients(operatorFile.fairQueues());
         }
         log.info(
                 "operator's file reloaded"
                         + (fairQueues == null
                                 ? ""
                                 : ", "
-                                        + operatorFile.door().tenants().size()
+                                        + operatorFile.fairQueues().tenants().size()
                                         + " tenants listed, txns waiting "
                                         + fairQueues.queuedCount()));
     }
--- a/src/main/java/wingroad/kdl/KdlReader.java
+++ b/src/main/java/wingroad/kdl/KdlReader.java
@@ -1,14 +1,5 @@
 package wingroad.kdl;
 
-import java.math.BigDecimal;
-import java.math.BigInteger;
-import java.util.ArrayList;
-import java.util.Collections;
-import java.util.LinkedHashMap;
-import java.util.LinkedHashSet;
-import java.util.List;
-import java.util.Map;
-import java.util.Set;
 import org.antlr.v4.runtime.BaseErrorListener;
 import org.antlr.v4.runtime.CharStreams;
 import org.antlr.v4.runtime.CommonTokenStream;
@@ -19,18 +10,29 @@
 import org.antlr.v4.runtime.Token;
 import org.antlr.v4.runtime.misc.IntervalSet;
 
+import java.math.BigDecimal;
+import java.math.BigInteger;
+import java.util.ArrayList;
+import java.util.Collections;
+import java.util.LinkedHashMap;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+
 /**
  * Reads KDL 2.0 into nodes; what is wrong is told with its place and with what was expected there.
  */
 public final class KdlReader {
-    private static final int MOST_PROBLEMS = 50;
+    private static final int MAX_PROBLEM_COUNT = 50;
 
     /** Deeper than any document that is meant; the parser calls itself for each block. */
-    private static final int DEEPEST = 64;
+    private static final int MAX_NESTING_DEPTH = 64;
 
-    private static final int MOST_SIGNS = 16;
-    private static final String NEWLINES = "\r\n|[\r\n\u0085\u000b\u000c\u2028\u2029]";
-    private static final String SPACES = "[ \\t\u00a0\u1680\u2000-\u200a\u202f\u205f\u3000\ufeff]*";
+    private static final int MAX_CONSECUTIVE_HASHES = 16;
+    private static final String NEWLINE_PATTERN = "\r\n|[\r\n\u0085\u000b\u000c\u2028\u2029]";
+    private static final String SPACES_PATTERN =
+            "[ \\t\u00a0\u1680\u2000-\u200a\u202f\u205f\u3000\ufeff]*";
 
     /** A document as far as it could be read. */
     public record Document(List<Node> nodes, List<Problem> problems) {}
@@ -40,14 +42,14 @@
     private KdlReader() {}
 
     public static Document read(String text) {
-        return new KdlReader().document(text);
+        return new KdlReader().readDocument(text);
     }
 
-    private Document document(String text) {
-        if (tooDeep(text) || tooManySigns(text)) {
+    private Document readDocument(String text) {
+        if (exceedsNestingDepth(text) || exceedsConsecutiveHashes(text)) {
             return new Document(List.of(), problems);
         }
-        BaseErrorListener heard =
+        BaseErrorListener errorListener =
                 new BaseErrorListener() {
                     @Override
                     public void syntaxError(
@@ -57,15 +59,15 @@
                             int column,
                             String msg,
                             RecognitionException e) {
-                        problem(line, column + 1, message(recognizer, symbol, msg));
+                        addProblem(line, column + 1, describeSyntaxError(recognizer, symbol, msg));
                     }
                 };
         KdlLexer lexer = new KdlLexer(CharStreams.fromString(text));
         lexer.removeErrorListeners();
-        lexer.addErrorListener(heard);
+        lexer.addErrorListener(errorListener);
         KdlParser parser = new KdlParser(new CommonTokenStream(lexer));
         parser.removeErrorListeners();
-        parser.addErrorListener(heard);
+        parser.addErrorListener(errorListener);
         KdlParser.DocumentContext tree = parser.document();
         List<Node> nodes = problems.isEmpty() ? nodes(tree.nodes()) : List.of();
         Collections.sort(problems);
@@ -76,18 +78,21 @@
      * Guards the stack: brackets in strings and comments count too, which only matters to what is
      * absurd anyway.
      */
-    private boolean tooDeep(String text) {
-        int deep = 0;
+    private boolean exceedsNestingDepth(String text) {
+        int depth = 0;
         int line = 1;
         for (int i = 0; i < text.length(); i++) {
             char c = text.charAt(i);
             line += c == '\n' ? 1 : 0;
             boolean opens = text.startsWith("/*", i);
             boolean closes = text.startsWith("*/", i);
-            deep += c == '{' || opens ? 1 : c == '}' || closes ? -1 : 0;
+            depth += c == '{' || opens ? 1 : c == '}' || closes ? -1 : 0;
             i += opens || closes ? 1 : 0;
-            if (deep > DEEPEST) {
-                problem(line, 1, "blocks or comments nested more than " + DEEPEST + " deep");
+            if (depth > MAX_NESTING_DEPTH) {
+                addProblem(
+                        line,
+                        1,
+                        "blocks or comments nested more than " + MAX_NESTING_DEPTH + " deep");
                 return true;
             }
         }
@@ -95,61 +100,67 @@
     }
 
     /** Guards the lexer, which counts the signs of a raw string by calling itself. */
-    private boolean tooManySigns(String text) {
-        int at = text.indexOf("#".repeat(MOST_SIGNS + 1));
-        if (at >= 0) {
-            problem(
-                    1 + (int) text.substring(0, at).chars().filter(c -> c == '\n').count(),
+    private boolean exceedsConsecutiveHashes(String text) {
+        int position = text.indexOf("#".repeat(MAX_CONSECUTIVE_HASHES + 1));
+        if (position >= 0) {
+            addProblem(
+                    1 + (int) text.substring(0, position).chars().filter(c -> c == '\n').count(),
                     1,
-                    "more than " + MOST_SIGNS + " signs # in a row");
+                    "more than " + MAX_CONSECUTIVE_HASHES + " signs # in a row");
         }
-        return at >= 0;
+        return position >= 0;
     }
 
-    private void problem(int line, int column, String text) {
-        if (problems.size() < MOST_PROBLEMS) {
+    private void addProblem(int line, int column, String text) {
+        if (problems.size() < MAX_PROBLEM_COUNT) {
             problems.add(new Problem(line, column, text));
         }
     }
 
     // ---- messages ----
 
-    private static String message(Recognizer<?, ?> recognizer, Object symbol, String msg) {
-        if (!(recognizer instanceof Parser parser) || !(symbol instanceof Token t)) {
+    private static String describeSyntaxError(
+            Recognizer<?, ?> recognizer, Object symbol, String msg) {
+        if (!(recognizer instanceof Parser parser) || !(symbol instanceof Token token)) {
             return msg;
         }
         String found =
-                t.getType() == Token.EOF
+                token.getType() == Token.EOF
                         ? "the end of the text"
-                        : t.getType() == KdlLexer.NEWLINE
+                        : token.getType() == KdlLexer.NEWLINE
                                 ? "the end of the line"
-                                : "'" + shown(t.getText()) + "'";
-        String why = unfinished(t);
-        return "found " + found + why + ", expected " + expected(parser.getExpectedTokens());
+                                : "'" + abbreviate(token.getText()) + "'";
+        String hint = unfinishedTokenHint(token);
+        return "found "
+                + found
+                + hint
+                + ", expected "
+                + describeExpected(parser.getExpectedTokens());
     }
 
-    private static String unfinished(Token t) {
-        if (t.getType() != KdlLexer.STRAY) {
+    private static String unfinishedTokenHint(Token token) {
+        if (token.getType() != KdlLexer.STRAY) {
             return "";
         }
-        return switch (t.getText()) {
+        return switch (token.getText()) {
             case "\"" -> " (a string without its end)";
             case "/" -> " (a comment without its end, or a name with a slash: that needs quotes)";
             case "#" ->
-                    " (words after # are #true, #false, #null, #inf, #-inf and #nan; a raw string needs its end)";
+                    " (words after # are #true, #false, #null, #inf, #-inf and #nan; a raw string"
+                        + " needs its end)";
             case "\\" -> " (a line goes on only where nothing but a comment stands behind)";
             default -> "";
         };
     }
 
-    private static String shown(String text) {
+    private static String abbreviate(String text) {
         String line = text.replaceAll("[\\r\\n].*", "...");
         return line.length() > 30 ? line.substring(0, 30) + "..." : line;
     }
 
-    private static String expected(IntervalSet set) {
+    private static String describeExpected(IntervalSet tokenTypes) {
         List<String> words = new ArrayList<>();
-        for (int type : set.toList()) {
+        for (int type : tokenTypes.toList()) {
             String word =
                     switch (type) {
                         case KdlLexer.QUOTED -> "a name or string";
@@ -176,71 +187,74 @@
 
     // ---- nodes ----
 
-    private List<Node> nodes(KdlParser.NodesContext all) {
+    private List<Node> nodes(KdlParser.NodesContext context) {
         List<Node> nodes = new ArrayList<>();
-        KdlParser.StatementContext before = null;
-        for (KdlParser.StatementContext s : all.statement()) {
-            if (before != null && before.end() == null) {
-                at(
-                        s,
-                        "found a second node on the line, expected the end of the line or ';' before it");
+        KdlParser.StatementContext previous = null;
+        for (KdlParser.StatementContext statement : context.statement()) {
+            if (previous != null && previous.end() == null) {
+                addProblemAt(
+                        statement,
+                        "found a second node on the line, expected the end of the line or ';'"
+                            + " before it");
             }
-            before = s;
-            if (s.SLASHDASH() == null) {
-                nodes.add(node(s.node()));
+            previous = statement;
+            if (statement.SLASHDASH() == null) {
+                nodes.add(node(statement.node()));
             }
         }
         return nodes;
     }
 
-    private Node node(KdlParser.NodeContext n) {
+    private Node node(KdlParser.NodeContext context) {
         List<Value> arguments = new ArrayList<>();
         Map<String, Value> properties = new LinkedHashMap<>();
         Set<String> repeated = new LinkedHashSet<>();
-        int end = n.name.getStop().getStopIndex();
-        for (KdlParser.EntryContext e : n.entry()) {
-            if (e.getStart().getStartIndex() == end + 1) {
-                at(e, "found no space before '" + shown(e.getText()) + "'");
+        int end = context.name.getStop().getStopIndex();
+        for (KdlParser.EntryContext entry : context.entry()) {
+            if (entry.getStart().getStartIndex() == end + 1) {
+                addProblemAt(entry, "found no space before '" + abbreviate(entry.getText()) + "'");
             }
-            end = e.getStop().getStopIndex();
-            if (e.SLASHDASH() != null) {
+            end = entry.getStop().getStopIndex();
+            if (entry.SLASHDASH() != null) {
                 continue;
             }
-            if (e.property() != null) {
-                String name = string(e.property().key);
-                if (properties.put(name, value(e.property().value())) != null) {
+            if (entry.property() != null) {
+                String name = string(entry.property().key);
+                if (properties.put(name, value(entry.property().value())) != null) {
                     repeated.add(name);
                 }
             } else {
-                arguments.add(value(e.argument().value()));
+                arguments.add(value(entry.argument().value()));
             }
         }
-        Token at = n.name.getStart();
+        Token start = context.name.getStart();
         return new Node(
-                string(n.name),
-                n.type() == null ? null : string(n.type().string()),
+                string(context.name),
+                context.type() == null ? null : string(context.type().string()),
                 arguments,
                 properties,
                 repeated,
-                n.block() == null ? List.of() : nodes(n.block().nodes()),
-                at.getLine(),
-                at.getCharPositionInLine() + 1);
+                context.block() == null ? List.of() : nodes(context.block().nodes()),
+                start.getLine(),
+                start.getCharPositionInLine() + 1);
     }
 
-    private Value value(KdlParser.ValueContext v) {
-        Token at = v.getStart();
-        Object it =
-                v.string() != null
-                        ? string(v.string())
-                        : v.number() != null ? number(v.number()) : keyword(v.keyword().getText());
+    private Value value(KdlParser.ValueContext context) {
+        Token start = context.getStart();
+        Object value =
+                context.string() != null
+                        ? string(context.string())
+                        : context.number() != null
+                                ? parseNumber(context.number())
+                                : parseKeyword(context.keyword().getText());
         return new Value(
-                it,
-                v.type() == null ? null : string(v.type().string()),
-                at.getLine(),
-                at.getCharPositionInLine() + 1);
+                value,
+                context.type() == null ? null : string(context.type().string()),
+                start.getLine(),
+                start.getCharPositionInLine() + 1);
     }
 
-    private static Object keyword(String word) {
+    private static Object parseKeyword(String word) {
         return switch (word) {
             case "#true" -> Boolean.TRUE;
             case "#false" -> Boolean.FALSE;
@@ -251,100 +265,104 @@
         };
     }
 
-    private Object number(KdlParser.NumberContext n) {
-        String text = n.getText().replace("_", "");
-        if (n.NUMBER() != null) {
+    private Object parseNumber(KdlParser.NumberContext context) {
+        String text = context.getText().replace("_", "");
+        if (context.NUMBER() != null) {
             if (text.matches("[+-]?[0-9]+")) {
-                return whole(n, text, 10);
+                return parseLong(context, text, 10);
             }
             return new BigDecimal(text).doubleValue();
         }
         String digits = text.replaceFirst("0[xob]", "");
-        return whole(n, digits, n.HEX() != null ? 16 : n.OCTAL() != null ? 8 : 2);
+        return parseLong(
+                context, digits, context.HEX() != null ? 16 : context.OCTAL() != null ? 8 : 2);
     }
 
-    private Object whole(ParserRuleContext at, String digits, int base) {
-        BigInteger n = new BigInteger(digits, base);
-        if (n.bitLength() > 63) {
-            at(at, "a whole number beyond 64 bits");
+    private Object parseLong(ParserRuleContext context, String digits, int base) {
+        BigInteger number = new BigInteger(digits, base);
+        if (number.bitLength() > 63) {
+            addProblemAt(context, "a whole number beyond 64 bits");
             return 0L;
         }
-        return n.longValue();
+        return number.longValue();
     }
 
-    private void at(ParserRuleContext where, String text) {
-        problem(where.getStart().getLine(), where.getStart().getCharPositionInLine() + 1, text);
+    private void addProblemAt(ParserRuleContext where, String text) {
+        addProblem(where.getStart().getLine(), where.getStart().getCharPositionInLine() + 1, text);
     }
 
     // ---- strings ----
 
-    private String string(KdlParser.StringContext s) {
-        String text = s.getText();
-        if (s.WORD() != null) {
+    private String string(KdlParser.StringContext context) {
+        String text = context.getText();
+        if (context.WORD() != null) {
             if (List.of("true", "false", "null", "inf", "-inf", "nan").contains(text)) {
-                at(s, "the word " + text + " needs quotes as a string, or is #" + text);
+                addProblemAt(
+                        context, "the word " + text + " needs quotes as a string, or is #" + text);
             }
             return text;
         }
-        if (s.QUOTED() != null) {
-            return unescaped(s, text.substring(1, text.length() - 1));
+        if (context.QUOTED() != null) {
+            return unescape(context, text.substring(1, text.length() - 1));
         }
-        int signs = 0;
-        while (text.charAt(signs) == '#') {
-            signs++;
+        int hashCount = 0;
+        while (text.charAt(hashCount) == '#') {
+            hashCount++;
         }
-        String inner = text.substring(signs, text.length() - signs);
-        if (s.RAW() != null) {
+        String inner = text.substring(hashCount, text.length() - hashCount);
+        if (context.RAW() != null) {
             return inner.substring(1, inner.length() - 1);
         }
-        String lines = dedented(s, inner.substring(3, inner.length() - 3));
-        return s.MULTI() != null ? unescaped(s, lines) : lines;
+        String dedented = dedent(context, inner.substring(3, inner.length() - 3));
+        return context.MULTI() != null ? unescape(context, dedented) : dedented;
     }
 
     /** A multi-line string: what stands before the closing quotes is taken off every line. */
-    private String dedented(KdlParser.StringContext s, String body) {
-        String[] lines = body.split(NEWLINES, -1);
+    private String dedent(KdlParser.StringContext context, String body) {
+        String[] lines = body.split(NEWLINE_PATTERN, -1);
         String indent = lines[lines.length - 1];
-        if (!indent.matches(SPACES)) {
-            at(s, "the closing quotes of a multi-line string stand on a line of their own");
+        if (!indent.matches(SPACES_PATTERN)) {
+            addProblemAt(
+                    context,
+                    "the closing quotes of a multi-line string stand on a line of their own");
             return "";
         }
-        StringBuilder all = new StringBuilder();
+        StringBuilder result = new StringBuilder();
         for (int i = 1; i < lines.length - 1; i++) {
-            boolean blank = lines[i].matches(SPACES);
+            boolean blank = lines[i].matches(SPACES_PATTERN);
             if (!blank && !lines[i].startsWith(indent)) {
-                problem(
-                        s.getStart().getLine() + i,
+                addProblem(
+                        context.getStart().getLine() + i,
                         1,
                         "a line of a multi-line string is indented less than its end");
             }
-            all.append(i > 1 ? "\n" : "")
+            result.append(i > 1 ? "\n" : "")
                     .append(
                             blank
                                     ? ""
                                     : lines[i].substring(
                                             Math.min(indent.length(), lines[i].length())));
         }
-        return all.toString();
+        return result.toString();
     }
 
-    private String unescaped(KdlParser.StringContext s, String text) {
+    private String unescape(KdlParser.StringContext context, String text) {
         if (text.indexOf('\\') < 0) {
             return text;
         }
-        StringBuilder all = new StringBuilder();
+        StringBuilder result = new StringBuilder();
         for (int i = 0; i < text.length(); i++) {
             char c = text.charAt(i);
             if (c != '\\') {
-                all.append(c);
+                result.append(c);
                 continue;
             }
             char next = text.charAt(++i);
-            int plain = "nrtbfs\"\\".indexOf(next);
-            if (plain >= 0) {
-                all.append("\n\r\t\b\f \"\\".charAt(plain));
+            int escapeIndex = "nrtbfs\"\\".indexOf(next);
+            if (escapeIndex >= 0) {
+                result.append("\n\r\t\b\f \"\\".charAt(escapeIndex));
             } else if (next == 'u') {
-                i = unicode(s, text, i, all);
+                i = unescapeCodePoint(context, text, i, result);
             } else if (Character.isWhitespace(next)
                     || next == '\u0085'
                     || next == '\u00a0'
@@ -353,28 +371,35 @@
                     i++;
                 }
             } else {
-                at(
-                        s,
+                addProblemAt(
+                        context,
                         "the escape \\"
                                 + next
-                                + " is none; expected one of \\n \\r \\t \\b \\f \\s \\\" \\\\ \\u{...}");
+                                + " is none; expected one of \\n"
+                                + " \\r"
+                                + " \\t \\b \\f \\s \\\" \\\\ \\u{...}");
             }
         }
-        return all.toString();
+        return result.toString();
     }
 
-    private int unicode(KdlParser.StringContext s, String text, int i, StringBuilder all) {
-        int close = text.indexOf('}', i);
+    private int unescapeCodePoint(
+            KdlParser.StringContext context, String text, int escapeStart, StringBuilder result) {
+        int closingBrace = text.indexOf('}', escapeStart);
         String hex =
-                i + 1 < text.length() && text.charAt(i + 1) == '{' && close > 0
-                        ? text.substring(i + 2, close)
+                escapeStart + 1 < text.length()
+                                && text.charAt(escapeStart + 1) == '{'
+                                && closingBrace > 0
+                        ? text.substring(escapeStart + 2, closingBrace)
                         : "";
-        int point = hex.matches("[0-9a-fA-F]{1,6}") ? Integer.parseInt(hex, 16) : -1;
-        if (point < 0 || point > 0x10ffff || point >= 0xd800 && point < 0xe000) {
-            at(s, "\\u needs one to six hex digits of a character in braces, as in \\u{1f600}");
-            return i;
+        int codePoint = hex.matches("[0-9a-fA-F]{1,6}") ? Integer.parseInt(hex, 16) : -1;
+        if (codePoint < 0 || codePoint > 0x10ffff || codePoint >= 0xd800 && codePoint < 0xe000) {
+            addProblemAt(
+                    context,
+                    "\\u needs one to six hex digits of a character in braces, as in \\u{1f600}");
+            return escapeStart;
         }
-        all.appendCodePoint(point);
-        return close;
+        result.appendCodePoint(codePoint);
+        return closingBrace;
     }
 }
--- a/src/main/java/wingroad/kdl/KdlWriter.java
+++ b/src/main/java/wingroad/kdl/KdlWriter.java
@@ -10,24 +10,24 @@
     private KdlWriter() {}
 
     public static String write(List<Node> nodes) {
-        StringBuilder all = new StringBuilder();
-        nodes.forEach(n -> write(n, "", all));
-        return all.toString();
+        StringBuilder out = new StringBuilder();
+        nodes.forEach(node -> write(node, "", out));
+        return out.toString();
     }
 
-    private static void write(Node n, String indent, StringBuilder all) {
-        all.append(indent).append(annotation(n.type())).append(string(n.name()));
-        n.arguments().forEach(v -> all.append(' ').append(value(v)));
-        n.properties()
+    private static void write(Node node, String indent, StringBuilder out) {
+        out.append(indent).append(annotation(node.type())).append(string(node.name()));
+        node.arguments().forEach(v -> out.append(' ').append(value(v)));
+        node.properties()
                 .forEach(
                         (name, v) ->
-                                all.append(' ').append(string(name)).append('=').append(value(v)));
-        if (!n.children().isEmpty()) {
-            all.append(" {\n");
-            n.children().forEach(c -> write(c, indent + "    ", all));
-            all.append(indent).append('}');
+                                out.append(' ').append(string(name)).append('=').append(value(v)));
+        if (!node.children().isEmpty()) {
+            out.append(" {\n");
+            node.children().forEach(c -> write(c, indent + "    ", out));
+            out.append(indent).append('}');
         }
-        all.append('\n');
+        out.append('\n');
     }
 
     private static String annotation(String type) {
@@ -35,15 +35,17 @@
     }
 
     private static String value(Value v) {
-        Object it = v.it();
+        Object content = v.value();
         String text =
-                it == null
+                content == null
                         ? "#null"
-                        : it instanceof String s
+                        : content instanceof String s
                                 ? string(s)
-                                : it instanceof Boolean b
+                                : content instanceof Boolean b
                                         ? "#" + b
-                                        : it instanceof Double d ? number(d) : it.toString();
+                                        : content instanceof Double d
+                                                ? number(d)
+                                                : content.toString();
         return annotation(v.type()) + text;
     }
 
@@ -62,22 +64,22 @@
                 && !List.of("true", "false", "null", "inf", "nan").contains(s)) {
             return s;
         }
-        StringBuilder all = new StringBuilder("\"");
+        StringBuilder quoted = new StringBuilder("\"");
         s.codePoints()
                 .forEach(
                         c -> {
-                            int plain = "\n\r\t\b\f\"\\".indexOf(c);
-                            if (plain >= 0) {
-                                all.append('\\').append("nrtbf\"\\".charAt(plain));
+                            int escapeIndex = "\n\r\t\b\f\"\\".indexOf(c);
+                            if (escapeIndex >= 0) {
+                                quoted.append('\\').append("nrtbf\"\\".charAt(escapeIndex));
                             } else if (Character.isISOControl(c)
                                     || Character.getType(c) == Character.FORMAT
                                     || c == 0x2028
                                     || c == 0x2029) {
-                                all.append(String.format("\\u{%x}", c));
+                                quoted.append(String.format("\\u{%x}", c));
                             } else {
-                                all.appendCodePoint(c);
+                                quoted.appendCodePoint(c);
                             }
                         });
-        return all.append('"').toString();
+        return quoted.append('"').toString();
     }
 }
--- a/src/main/java/wingroad/kdl/Node.java
+++ b/src/main/java/wingroad/kdl/Node.java
@@ -6,14 +6,14 @@
 
 /**
  * A node with its place. Of a property that stands twice the last one counts, as the language says;
- * {@code repeated} has the names of such.
+ * {@code repeatedProperties} has the names of such.
  */
 public record Node(
         String name,
         String type,
         List<Value> arguments,
         Map<String, Value> properties,
-        Set<String> repeated,
+        Set<String> repeatedProperties,
         List<Node> children,
         int line,
         int column) {
--- a/src/main/java/wingroad/kdl/Problem.java
+++ b/src/main/java/wingroad/kdl/Problem.java
@@ -1,7 +1,7 @@
 package wingroad.kdl;
 
 /** What is wrong with a document, and where: lines and columns count from 1. */
-public record Problem(int line, int column, String text) implements Comparable<Problem> {
+public record Problem(int line, int column, String message) implements Comparable<Problem> {
     @Override
     public int compareTo(Problem other) {
         return line != other.line
@@ -11,6 +11,6 @@
 
     @Override
     public String toString() {
-        return line + ":" + column + ": " + text;
+        return line + ":" + column + ": " + message;
     }
 }
--- a/src/main/java/wingroad/operator/FleetSection.java
+++ b/src/main/java/wingroad/operator/FleetSection.java
@@ -22,33 +22,33 @@
 /** The node {@code fleet} of the operator's file. */
 final class FleetSection {
     /** Names stand in sessions and in file names. */
-    private static final String NAME = "[A-Za-z0-9][A-Za-z0-9._-]{0,62}";
+    private static final String NAME_PATTERN = "[A-Za-z0-9][A-Za-z0-9._-]{0,62}";
 
     /** A change of leaders takes up to 3 s; a lease that is shorter would run out with each one. */
-    private static final int SHORTEST_LEASE_MS = 3000;
+    private static final int MIN_LEASE_MS = 3000;
 
-    private static final int USUAL_LEASE_MS = 5000;
-    private static final double USUAL_DRIFT = 0.01;
-    private static final int USUAL_CHECK_S = 60;
-    private static final int MOST_CHORES = 256;
-    private static final int LONGEST_STATEMENT = 4096;
+    private static final int DEFAULT_LEASE_MS = 5000;
+    private static final double DEFAULT_MAX_CLOCK_DRIFT = 0.01;
+    private static final int DEFAULT_LIST_CHECK_S = 60;
+    private static final int MAX_CHORE_COUNT = 256;
+    private static final int MAX_STATEMENT_CHARS = 4096;
 
     private FleetSection() {}
 
     /** The fleet's rules; what is wrong stands in the section's problems. */
-    static FleetConfig read(Section fleet) {
-        String name = named(fleet, "the fleet's name");
+    static FleetConfig read(NodeReader fleet) {
+        String name = nameArgument(fleet, "the fleet's name");
         String driver = "";
         String listen = null;
-        String state = null;
-        long lease = USUAL_LEASE_MS;
-        double drift = USUAL_DRIFT;
-        boolean trusted = false;
+        String stateFolder = null;
+        long leaseMs = DEFAULT_LEASE_MS;
+        double maxClockDrift = DEFAULT_MAX_CLOCK_DRIFT;
+        boolean trustedNetwork = false;
         Map<String, String> voters = new LinkedHashMap<>();
         List<Chore> chores = new ArrayList<>();
-        Duration listCheck = null;
-        MaintenanceSettings work = null;
-        Set<String> once =
+        Duration listCheckInterval = null;
+        MaintenanceSettings maintenance = null;
+        Set<String> singletons =
                 Set.of(
                         "driver",
                         "listen",
@@ -58,8 +58,8 @@
                         "trusted-network",
                         "list",
                         "work");
-        for (Section s :
-                fleet.within(
+        for (NodeReader section :
+                fleet.children(
                         Set.of(
                                 "driver",
                                 "listen",
@@ -71,65 +71,73 @@
                                 "chore",
                                 "list",
                                 "work"),
-                        once)) {
-            if (s.name().equals("work")) {
-                work = WorkSection.read(s);
+                        singletons)) {
+            if (section.name().equals("work")) {
+                maintenance = WorkSection.read(section);
                 continue;
             }
-            switch (s.name()) {
-                case "driver" -> driver = named(s, "this driver's name");
-                case "listen" -> listen = address(s, "the address to listen at");
-                case "state" -> state = s.word("a folder");
+            switch (section.name()) {
+                case "driver" -> driver = nameArgument(section, "this driver's name");
+                case "listen" -> listen = addressArgument(section, "the address to listen at");
+                case "state" -> stateFolder = section.stringArgument("a folder");
                 case "lease-ms" ->
-                        lease =
-                                s.whole(
-                                        "how long a lease lasts",
-                                        SHORTEST_LEASE_MS,
-                                        600_000,
-                                        lease);
+                        leaseMs =
+                                section.integerArgument(
+                                        "how long a lease lasts", MIN_LEASE_MS, 600_000, leaseMs);
                 case "drift" ->
-                        drift = s.part("how far a clock may run fast or slow", 0, 0.2, drift);
-                case "trusted-network" -> trusted = s.flag(false);
+                        maxClockDrift =
+                                section.numberArgument(
+                                        "how far a clock may run fast or slow",
+                                        0,
+                                        0.2,
+                                        maxClockDrift);
+                case "trusted-network" -> trustedNetwork = section.booleanArgument(false);
                 case "voter" -> {
-                    String voter = named(s, "a voter's name");
-                    String at = address(s, "its address");
-                    if (voter != null && voters.put(voter, at == null ? "" : at) != null) {
-                        s.problem("the voter '" + voter + "' is listed already");
+                    String voter = nameArgument(section, "a voter's name");
+                    String address = addressArgument(section, "its address");
+                    if (voter != null
+                            && voters.put(voter, address == null ? "" : address) != null) {
+                        section.addProblem("the voter '" + voter + "' is listed already");
                     }
                 }
                 case "list" ->
-                        listCheck =
+                        listCheckInterval =
                                 Duration.ofMillis(
                                         Math.round(
-                                                s.number("check", 1, 600, USUAL_CHECK_S) * 1000));
-                default -> chore(s, chores);
+                                                section.numberProperty(
+                                                                "check",
+                                                                1,
+                                                                600,
+                                                                DEFAULT_LIST_CHECK_S)
+                                                        * 1000));
+                default -> readChore(section, chores);
             }
-            s.end(false);
+            section.reportUnexpected(false);
         }
-        fleet.end(true);
-        if (state == null) {
-            fleet.problem("'fleet' needs state, the folder for what must outlive the process");
+        fleet.reportUnexpected(true);
+        if (stateFolder == null) {
+            fleet.addProblem("'fleet' needs state, the folder for what must outlive the process");
         }
         if (voters.isEmpty() || voters.size() > 5 || voters.size() % 2 == 0) {
-            fleet.problem(
+            fleet.addProblem(
                     "found "
                             + voters.size()
                             + " voters, expected 1, 3 or 5: an even number bears no more losses"
                             + " than one less");
         }
         if (voters.containsKey(driver) && listen == null) {
-            fleet.problem("'" + driver + "' is a voter and needs listen");
+            fleet.addProblem("'" + driver + "' is a voter and needs listen");
         }
-        List<String> open = new ArrayList<>(voters.values());
-        open.add(listen == null ? "127.0.0.1:1" : listen);
-        if (!trusted
-                && !open.stream()
+        List<String> listenAddresses = new ArrayList<>(voters.values());
+        listenAddresses.add(listen == null ? "127.0.0.1:1" : listen);
+        if (!trustedNetwork
+                && !listenAddresses.stream()
                         .allMatch(
                                 a ->
                                         a.isEmpty()
                                                 || a.startsWith("127.")
                                                 || a.startsWith("[::1]"))) {
-            fleet.problem(
+            fleet.addProblem(
                     "an address that is not loopback needs trusted-network #true: drivers' messages"
                             + " are not signed");
         }
@@ -138,66 +146,66 @@
                 driver,
                 listen,
                 voters,
-                Path.of(state == null ? "." : state),
-                new Lease(Duration.ofMillis(lease), drift),
+                Path.of(stateFolder == null ? "." : stateFolder),
+                new Lease(Duration.ofMillis(leaseMs), maxClockDrift),
                 List.copyOf(chores),
-                listCheck,
-                work);
+                listCheckInterval,
+                maintenance);
     }
 
-    private static String named(Section s, String what) {
-        String name = s.word(what);
-        if (name != null && !name.matches(NAME)) {
-            s.problem("'" + name + "' is no name: letters, digits and . _ - are");
+    private static String nameArgument(NodeReader node, String description) {
+        String name = node.stringArgument(description);
+        if (name != null && !name.matches(NAME_PATTERN)) {
+            node.addProblem("'" + name + "' is no name: letters, digits and . _ - are");
         }
         return name;
     }
 
-    private static String address(Section s, String what) {
-        String a = s.word(what);
-        if (a == null) {
+    private static String addressArgument(NodeReader node, String description) {
+        String address = node.stringArgument(description);
+        if (address == null) {
             return null;
         }
-        int colon = a.lastIndexOf(':');
+        int colon = address.lastIndexOf(':');
         if (colon <= 0
-                || !a.substring(colon + 1).matches("[0-9]{1,5}")
-                || Integer.parseInt(a.substring(colon + 1)) > 0xffff
-                || !MemberList.isIpLiteral(a.substring(0, colon))) {
-            s.problem("'" + a + "' is no address, such as 127.0.0.1:7400");
+                || !address.substring(colon + 1).matches("[0-9]{1,5}")
+                || Integer.parseInt(address.substring(colon + 1)) > 0xffff
+                || !MemberList.isIpLiteral(address.substring(0, colon))) {
+            node.addProblem("'" + address + "' is no address, such as 127.0.0.1:7400");
             return null;
         }
-        return a;
+        return address;
     }
 
-    private static void chore(Section s, List<Chore> chores) {
-        String name = named(s, "the chore's name");
-        double every = s.number("every", 0.5, 86_400, 0);
-        int group = (int) s.number("group", 0, Integer.MAX_VALUE, -1);
-        String statement = s.text("statement", "an SQL statement", "");
+    private static void readChore(NodeReader node, List<Chore> chores) {
+        String name = nameArgument(node, "the chore's name");
+        double every = node.numberProperty("every", 0.5, 86_400, 0);
+        int group = (int) node.numberProperty("group", 0, Integer.MAX_VALUE, -1);
+        String statement = node.stringProperty("statement", "an SQL statement", "");
         if (every == 0) {
-            s.problem("a chore needs every, in seconds from 0.5 to 86400");
+            node.addProblem("a chore needs every, in seconds from 0.5 to 86400");
         }
         if (group < 0) {
-            s.problem("a chore needs group, whose primary runs it");
+            node.addProblem("a chore needs group, whose primary runs it");
         }
         if (!statement.contains("{epoch}")) {
-            s.problem(
+            node.addProblem(
                     "a chore's statement needs {epoch}: without it the member can't tell an owner"
                             + " that woke up late");
         }
-        if (statement.length() > LONGEST_STATEMENT
+        if (statement.length() > MAX_STATEMENT_CHARS
                 || statement.contains("*/")
                 || statement.indexOf('\0') >= 0) {
-            s.problem(
+            node.addProblem(
                     "a statement has at most "
-                            + LONGEST_STATEMENT
+                            + MAX_STATEMENT_CHARS
                             + " characters, and no comment's end");
         }
-        if (chores.size() >= MOST_CHORES) {
-            s.problem("more than " + MOST_CHORES + " chores");
+        if (chores.size() >= MAX_CHORE_COUNT) {
+            node.addProblem("more than " + MAX_CHORE_COUNT + " chores");
         }
         if (name != null && chores.stream().anyMatch(c -> c.name().equals(name))) {
-            s.problem("the chore '" + name + "' is listed already");
+            node.addProblem("the chore '" + name + "' is listed already");
         }
         chores.add(
                 new Chore(
@@ -208,35 +216,43 @@
     }
 
     /** All settings in force, in the file's own form. */
-    static Node whole(FleetConfig f) {
-        List<Node> within = new ArrayList<>();
-        within.add(node("driver", List.of(value(f.driver())), Map.of()));
-        if (f.listenAddress() != null) {
-            within.add(node("listen", List.of(value(f.listenAddress())), Map.of()));
+    static Node toNode(FleetConfig config) {
+        List<Node> children = new ArrayList<>();
+        children.add(node("driver", List.of(value(config.driver())), Map.of()));
+        if (config.listenAddress() != null) {
+            children.add(node("listen", List.of(value(config.listenAddress())), Map.of()));
         }
-        f.voterAddresses()
+        config.voterAddresses()
                 .forEach(
-                        (n, a) -> within.add(node("voter", List.of(value(n), value(a)), Map.of())));
-        within.add(node("state", List.of(value(f.stateFolder().toString())), Map.of()));
-        within.add(node("lease-ms", List.of(value(f.lease().duration().toMillis())), Map.of()));
-        within.add(node("drift", List.of(value(f.lease().maxClockDrift())), Map.of()));
-        if (f.listCheckInterval() != null) {
-            within.add(
+                        (voter, address) ->
+                                children.add(
+                                        node(
+                                                "voter",
+                                                List.of(value(voter), value(address)),
+                                                Map.of())));
+        children.add(node("state", List.of(value(config.stateFolder().toString())), Map.of()));
+        children.add(
+                node("lease-ms", List.of(value(config.lease().duration().toMillis())), Map.of()));
+        children.add(node("drift", List.of(value(config.lease().maxClockDrift())), Map.of()));
+        if (config.listCheckInterval() != null) {
+            children.add(
                     node(
                             "list",
                             List.of(),
-                            Map.of("check", value(f.listCheckInterval().toMillis() / 1000.0))));
+                            Map.of(
+                                    "check",
+                                    value(config.listCheckInterval().toMillis() / 1000.0))));
         }
-        for (Chore c : f.chores()) {
-            Map<String, Value> p = new LinkedHashMap<>();
-            p.put("every", value(c.interval().toMillis() / 1000.0));
-            p.put("group", value((long) c.group()));
-            p.put("statement", value(c.statement()));
-            within.add(node("chore", List.of(value(c.name())), p));
+        for (Chore chore : config.chores()) {
+            Map<String, Value> properties = new LinkedHashMap<>();
+            properties.put("every", value(chore.interval().toMillis() / 1000.0));
+            properties.put("group", value((long) chore.group()));
+            properties.put("statement", value(chore.statement()));
+            children.add(node("chore", List.of(value(chore.name())), properties));
         }
-        if (f.maintenance() != null) {
-            within.add(WorkSection.whole(f.maintenance()));
+        if (config.maintenance() != null) {
+            children.add(WorkSection.toNode(config.maintenance()));
         }
-        return new Node("fleet", List.of(value(f.name())), Map.of(), within);
+        return new Node("fleet", List.of(value(config.name())), Map.of(), children);
     }
 }
--- a/src/main/java/wingroad/operator/OperatorFile.java
+++ b/src/main/java/wingroad/operator/OperatorFile.java
@@ -27,75 +27,77 @@
 import java.util.Set;
 
 /**
- * The operator's own file: what is switched on, and how. {@code door} and {@code fleet} are null
- * where there is to be none.
+ * The operator's own file: what is switched on, and how. {@code fairQueues} and {@code fleet} are
+ * null where there is to be none.
  */
-public record OperatorFile(FairQueueSettings door, FleetConfig fleet) {
+public record OperatorFile(FairQueueSettings fairQueues, FleetConfig fleet) {
     /** A file without end must not fill the memory. */
-    private static final int LONGEST = 1 << 20;
+    private static final int MAX_FILE_BYTES = 1 << 20;
 
-    private static final int MOST_TENANTS = 1024;
+    private static final int MAX_TENANT_COUNT = 1024;
 
     /** What was read, or why it can't be used: one of the two is empty. */
-    public record Read(OperatorFile file, List<Problem> problems) {}
+    public record LoadResult(OperatorFile file, List<Problem> problems) {}
 
-    public static Read read(Path path) {
+    public static LoadResult read(Path path) {
         try (InputStream in = Files.newInputStream(path)) {
-            byte[] bytes = in.readNBytes(LONGEST + 1);
+            byte[] bytes = in.readNBytes(MAX_FILE_BYTES + 1);
             if (bytes.length == 0) {
                 // Guards against a start in the moment in which the file is written anew: all would
                 // be off without a word.
-                return broken(
+                return unreadable(
                         "empty: is it being written? A file that is to switch nothing on has a"
                                 + " comment at least");
             }
-            if (bytes.length > LONGEST) {
-                return broken("longer than " + LONGEST + " bytes");
+            if (bytes.length > MAX_FILE_BYTES) {
+                return unreadable("longer than " + MAX_FILE_BYTES + " bytes");
             }
             return read(
                     StandardCharsets.UTF_8.newDecoder().decode(ByteBuffer.wrap(bytes)).toString());
         } catch (CharacterCodingException e) {
-            return broken("no UTF-8");
+            return unreadable("no UTF-8");
         } catch (IOException e) {
-            return broken("can't be read: " + e);
+            return unreadable("can't be read: " + e);
         }
     }
 
-    private static Read broken(String why) {
-        return new Read(null, List.of(new Problem(1, 1, why)));
+    private static LoadResult unreadable(String reason) {
+        return new LoadResult(null, List.of(new Problem(1, 1, reason)));
     }
 
-    public static Read read(String text) {
-        KdlReader.Document d = KdlReader.read(text);
-        List<Problem> problems = new ArrayList<>(d.problems());
+    public static LoadResult read(String text) {
+        KdlReader.Document document = KdlReader.read(text);
+        List<Problem> problems = new ArrayList<>(document.problems());
         if (!problems.isEmpty()) {
-            return new Read(null, problems);
+            return new LoadResult(null, problems);
         }
-        Section all = new Section(new Node("the file", List.of(), Map.of(), d.nodes()), problems);
-        FairQueueSettings door = null;
+        NodeReader root =
+                new NodeReader(
+                        new Node("the file", List.of(), Map.of(), document.nodes()), problems);
+        FairQueueSettings fairQueues = null;
         FleetConfig fleet = null;
-        for (Section s : all.within(Set.of("door", "fleet"), Set.of("door", "fleet"))) {
-            if (s.name().equals("door")) {
-                door = readFairQueues(s);
+        for (NodeReader section : root.children(Set.of("door", "fleet"), Set.of("door", "fleet"))) {
+            if (section.name().equals("door")) {
+                fairQueues = readFairQueues(section);
             } else {
-                fleet = FleetSection.read(s);
+                fleet = FleetSection.read(section);
             }
         }
         Collections.sort(problems);
         return problems.isEmpty()
-                ? new Read(new OperatorFile(door, fleet), List.of())
-                : new Read(null, problems);
+                ? new LoadResult(new OperatorFile(fairQueues, fleet), List.of())
+                : new LoadResult(null, problems);
     }
 
-    private static FairQueueSettings readFairQueues(Section door) {
-        FairQueueSettings usual = FairQueueSettings.DEFAULTS;
+    private static FairQueueSettings readFairQueues(NodeReader node) {
+        FairQueueSettings defaults = FairQueueSettings.DEFAULTS;
         List<TenantNameSource> sources = new ArrayList<>();
-        int names = usual.maxNamesPerAddress();
-        int mostWaiting = usual.maxQueuedTxns();
-        TenantSettings others = usual.defaultTenant();
+        int maxNamesPerAddress = defaults.maxNamesPerAddress();
+        int maxQueuedTxns = defaults.maxQueuedTxns();
+        TenantSettings defaultTenant = defaults.defaultTenant();
         Map<String, TenantSettings> tenants = new LinkedHashMap<>();
-        for (Section s :
-                door.within(
+        for (NodeReader child :
+                node.children(
                         Set.of(
                                 "tenant-from",
                                 "names-per-address",
@@ -103,62 +105,69 @@
                                 "others",
                                 "tenant"),
                         Set.of("names-per-address", "most-waiting", "others"))) {
-            switch (s.name()) {
-                case "tenant-from" -> source(s, sources);
-                case "names-per-address" -> names = (int) s.whole("how many names", 0, 16, names);
+            switch (child.name()) {
+                case "tenant-from" -> readTenantSource(child, sources);
+                case "names-per-address" ->
+                        maxNamesPerAddress =
+                                (int)
+                                        child.integerArgument(
+                                                "how many names", 0, 16, maxNamesPerAddress);
                 case "most-waiting" ->
-                        mostWaiting = (int) s.whole("how many txns", 1, 2048, mostWaiting);
-                case "others" -> others = tenant(s);
+                        maxQueuedTxns =
+                                (int)
+                                        child.integerArgument(
+                                                "how many txns", 1, 2048, maxQueuedTxns);
+                case "others" -> defaultTenant = readTenant(child);
                 default -> {
-                    String name = s.word("a name");
-                    if (tenants.size() >= MOST_TENANTS) {
-                        s.problem("more than " + MOST_TENANTS + " tenants");
+                    String name = child.stringArgument("a name");
+                    if (tenants.size() >= MAX_TENANT_COUNT) {
+                        child.addProblem("more than " + MAX_TENANT_COUNT + " tenants");
                     } else if (name != null && tenants.containsKey(name)) {
-                        s.problem("the tenant '" + name + "' is listed already");
+                        child.addProblem("the tenant '" + name + "' is listed already");
                     }
-                    tenants.put(name, tenant(s));
+                    tenants.put(name, readTenant(child));
                 }
             }
-            s.end(false);
+            child.reportUnexpected(false);
         }
-        door.end(true);
+        node.reportUnexpected(true);
         if (sources.isEmpty()) {
-            sources = usual.tenantNameSources();
+            sources = defaults.tenantNameSources();
         }
         return new FairQueueSettings(
                 List.copyOf(sources),
-                names,
-                mostWaiting,
-                others,
+                maxNamesPerAddress,
+                maxQueuedTxns,
+                defaultTenant,
                 Collections.unmodifiableMap(tenants));
     }
 
-    private static void source(Section s, List<TenantNameSource> sources) {
-        Map<String, SourceType> places = new LinkedHashMap<>();
-        places.put("comment", SourceType.COMMENT);
-        places.put("startup", SourceType.STARTUP);
-        places.put("address", SourceType.ADDRESS);
-        SourceType place = s.oneOf("a place", places);
-        String name =
-                place == SourceType.STARTUP
-                        ? s.oneOf("a startup parameter", startupNames())
-                        : place == SourceType.COMMENT
-                                ? s.word("the name of the value in the comment")
+    private static void readTenantSource(NodeReader node, List<TenantNameSource> sources) {
+        Map<String, SourceType> typesByName = new LinkedHashMap<>();
+        typesByName.put("comment", SourceType.COMMENT);
+        typesByName.put("startup", SourceType.STARTUP);
+        typesByName.put("address", SourceType.ADDRESS);
+        SourceType type = node.choiceArgument("a place", typesByName);
+        String parameterName =
+                type == SourceType.STARTUP
+                        ? node.choiceArgument("a startup parameter", startupParameterNames())
+                        : type == SourceType.COMMENT
+                                ? node.stringArgument("the name of the value in the comment")
                                 : null;
-        if (place == null || name == null && place != SourceType.ADDRESS) {
+        if (type == null || parameterName == null && type != SourceType.ADDRESS) {
             return;
         }
-        TenantNameSource source = new TenantNameSource(place, name);
+        TenantNameSource source = new TenantNameSource(type, parameterName);
         if (sources.contains(source)) {
-            s.problem("this place is named already");
+            node.addProblem("this place is named already");
         }
         if (sources.stream().anyMatch(o -> o.type() == SourceType.ADDRESS)) {
-            s.problem("nothing counts behind the address: every txn has one");
+            node.addProblem("nothing counts behind the address: every txn has one");
         }
         sources.add(source);
     }
 
-    private static Map<String, String> startupNames() {
+    private static Map<String, String> startupParameterNames() {
         Map<String, String> names = new LinkedHashMap<>();
         for (String name : List.of("user", "database", "application_name")) {
             names.put(name, name);
@@ -166,56 +175,64 @@
         return names;
     }
 
-    private static TenantSettings tenant(Section s) {
-        double weight = s.number("weight", 0.01, 1000, 1);
-        double cap = s.number("cap", 0.01, 1, 1);
+    private static TenantSettings readTenant(NodeReader node) {
+        double weight = node.numberProperty("weight", 0.01, 1000, 1);
+        double cap = node.numberProperty("cap", 0.01, 1, 1);
         return new TenantSettings(weight, cap);
     }
 
     /** All settings that are in force, those left out as well, in the file's own form. */
-    public String print() {
-        String off = door == null ? "// the door is off\n" : "";
-        List<Node> all = new ArrayList<>();
-        if (door != null) {
-            all.add(doorNode());
+    public String toKdl() {
+        String disabledComment = fairQueues == null ? "// the door is off\n" : "";
+        List<Node> nodes = new ArrayList<>();
+        if (fairQueues != null) {
+            nodes.add(fairQueuesNode());
         }
         if (fleet != null) {
-            all.add(FleetSection.whole(fleet));
+            nodes.add(FleetSection.toNode(fleet));
         }
-        return off + (all.isEmpty() ? "" : KdlWriter.write(all));
+        return disabledComment + (nodes.isEmpty() ? "" : KdlWriter.write(nodes));
     }
 
-    private Node doorNode() {
-        List<Node> within = new ArrayList<>();
-        for (TenantNameSource s : door.tenantNameSources()) {
-            List<Value> words = new ArrayList<>();
-            words.add(value(s.type().name().toLowerCase(Locale.ROOT)));
-            if (s.type() != SourceType.ADDRESS) {
-                words.add(value(s.parameterName()));
+    private Node fairQueuesNode() {
+        List<Node> children = new ArrayList<>();
+        for (TenantNameSource source : fairQueues.tenantNameSources()) {
+            List<Value> arguments = new ArrayList<>();
+            arguments.add(value(source.type().name().toLowerCase(Locale.ROOT)));
+            if (source.type() != SourceType.ADDRESS) {
+                arguments.add(value(source.parameterName()));
             }
-            within.add(node("tenant-from", words, Map.of()));
+            children.add(node("tenant-from", arguments, Map.of()));
         }
-        within.add(
+        children.add(
                 node(
                         "names-per-address",
-                        List.of(value((long) door.maxNamesPerAddress())),
+                        List.of(value((long) fairQueues.maxNamesPerAddress())),
                         Map.of()));
-        within.add(node("most-waiting", List.of(value((long) door.maxQueuedTxns())), Map.of()));
-        within.add(node("others", List.of(), due(door.defaultTenant())));
-        door.tenants()
-                .forEach((name, t) -> within.add(node("tenant", List.of(value(name)), due(t))));
-        return new Node("door", List.of(), Map.of(), within);
+        children.add(
+                node("most-waiting", List.of(value((long) fairQueues.maxQueuedTxns())), Map.of()));
+        children.add(node("others", List.of(), tenantProperties(fairQueues.defaultTenant())));
+        fairQueues
+                .tenants()
+                .forEach(
+                        (name, tenant) ->
+                                children.add(
+                                        node(
+                                                "tenant",
+                                                List.of(value(name)),
+                                                tenantProperties(tenant))));
+        return new Node("door", List.of(), Map.of(), children);
     }
 
-    private static Map<String, Value> due(TenantSettings t) {
-        Map<String, Value> due = new LinkedHashMap<>();
-        due.put("weight", value(t.weight()));
-        due.put("cap", value(t.maxConcurrencyShare()));
-        return due;
+    private static Map<String, Value> tenantProperties(TenantSettings tenant) {
+        Map<String, Value> properties = new LinkedHashMap<>();
+        properties.put("weight", value(tenant.weight()));
+        properties.put("cap", value(tenant.maxConcurrencyShare()));
+        return properties;
     }
 
-    static Value value(Object it) {
-        return new Value(it, null, 1, 1);
+    static Value value(Object value) {
+        return new Value(value, null, 1, 1);
     }
 
     static Node node(String name, List<Value> arguments, Map<String, Value> properties) {
--- a/src/main/java/wingroad/operator/WorkSection.java
+++ b/src/main/java/wingroad/operator/WorkSection.java
@@ -24,30 +24,30 @@
  */
 final class WorkSection {
     /** Names of machines, zones and members stand in lines that blanks, commas and signs part. */
-    private static final String NAME = "[A-Za-z0-9][A-Za-z0-9._:-]{0,62}\\*?";
+    private static final String NAME_PATTERN = "[A-Za-z0-9][A-Za-z0-9._:-]{0,62}\\*?";
 
-    private static final int MOST_MACHINES = 4096;
-    private static final int MOST_AT_ONCE = 64;
-    private static final int USUAL_HORIZON_S = 60;
-    private static final int USUAL_WATCH_S = 10;
-    private static final double USUAL_HARM = 0.02;
-    private static final int USUAL_LAG_MS = 1000;
+    private static final int MAX_MACHINE_COUNT = 4096;
+    private static final int MAX_CONCURRENT_MACHINES = 64;
+    private static final int DEFAULT_STRICT_HORIZON_S = 60;
+    private static final int DEFAULT_WATCH_PERIOD_S = 10;
+    private static final double DEFAULT_MAX_HARM_INCREASE = 0.02;
+    private static final int DEFAULT_MAX_LAG_MS = 1000;
 
     private WorkSection() {}
 
     /** The rules; what is wrong stands in the section's problems. */
-    static MaintenanceSettings read(Section work) {
-        int atOnce = 1;
-        LostViewPolicy lost = LostViewPolicy.STEADY;
-        double horizon = USUAL_HORIZON_S;
-        double watch = USUAL_WATCH_S;
-        double harm = USUAL_HARM;
-        long lag = USUAL_LAG_MS;
-        double room = 0;
+    static MaintenanceSettings read(NodeReader work) {
+        int maxConcurrent = 1;
+        LostViewPolicy lostViewPolicy = LostViewPolicy.STEADY;
+        double strictHorizonS = DEFAULT_STRICT_HORIZON_S;
+        double watchPeriodS = DEFAULT_WATCH_PERIOD_S;
+        double maxHarmIncrease = DEFAULT_MAX_HARM_INCREASE;
+        long maxLagMs = DEFAULT_MAX_LAG_MS;
+        double memberCapacityTxns = 0;
         Map<String, Machine> machines = new LinkedHashMap<>();
-        Map<String, String> holders = new LinkedHashMap<>();
-        for (Section s :
-                work.within(
+        Map<String, String> machineByHosted = new LinkedHashMap<>();
+        for (NodeReader section :
+                work.children(
                         Set.of(
                                 "at-once",
                                 "lost-view",
@@ -57,143 +57,172 @@
                                 "room",
                                 "machine"),
                         Set.of("at-once", "lost-view", "watch", "harm", "lag-ms", "room"))) {
-            boolean within = false;
-            switch (s.name()) {
+            boolean hasChildren = false;
+            switch (section.name()) {
                 case "at-once" ->
-                        atOnce = (int) s.whole("how many machines", 1, MOST_AT_ONCE, atOnce);
+                        maxConcurrent =
+                                (int)
+                                        section.integerArgument(
+                                                "how many machines",
+                                                1,
+                                                MAX_CONCURRENT_MACHINES,
+                                                maxConcurrent);
                 case "lost-view" -> {
-                    Map<String, LostViewPolicy> words = new LinkedHashMap<>();
-                    for (LostViewPolicy l : LostViewPolicy.values()) {
-                        words.put(l.name().toLowerCase(Locale.ROOT), l);
+                    Map<String, LostViewPolicy> policiesByName = new LinkedHashMap<>();
+                    for (LostViewPolicy policy : LostViewPolicy.values()) {
+                        policiesByName.put(policy.name().toLowerCase(Locale.ROOT), policy);
                     }
-                    LostViewPolicy l = s.oneOf("what a driver does whose view has ended", words);
-                    lost = l == null ? lost : l;
-                    horizon = s.number("horizon", 5, 86_400, horizon);
+                    LostViewPolicy policy =
+                            section.choiceArgument(
+                                    "what a driver does whose view has ended", policiesByName);
+                    lostViewPolicy = policy == null ? lostViewPolicy : policy;
+                    strictHorizonS = section.numberProperty("horizon", 5, 86_400, strictHorizonS);
                 }
                 case "watch" ->
-                        watch = s.part("how many seconds must be without harm", 0.5, 3600, watch);
-                case "harm" -> harm = s.part("the part of the txns", 0, 1, harm);
-                case "lag-ms" -> lag = s.whole("how far behind the log", 1, 3_600_000, lag);
+                        watchPeriodS =
+                                section.numberArgument(
+                                        "how many seconds must be without harm",
+                                        0.5,
+                                        3600,
+                                        watchPeriodS);
+                case "harm" ->
+                        maxHarmIncrease =
+                                section.numberArgument(
+                                        "the part of the txns", 0, 1, maxHarmIncrease);
+                case "lag-ms" ->
+                        maxLagMs =
+                                section.integerArgument(
+                                        "how far behind the log", 1, 3_600_000, maxLagMs);
                 case "room" ->
-                        room = s.part("how many txns a member has room for", 0, 100_000, room);
+                        memberCapacityTxns =
+                                section.numberArgument(
+                                        "how many txns a member has room for",
+                                        0,
+                                        100_000,
+                                        memberCapacityTxns);
                 default -> {
-                    machine(s, machines, holders);
-                    within = true;
+                    readMachine(section, machines, machineByHosted);
+                    hasChildren = true;
                 }
             }
-            s.end(within);
+            section.reportUnexpected(hasChildren);
         }
-        work.end(true);
+        work.reportUnexpected(true);
         if (machines.isEmpty()) {
-            work.problem("'work' needs machines");
+            work.addProblem("'work' needs machines");
         }
         return new MaintenanceSettings(
                 machines,
-                atOnce,
-                lost,
-                millis(horizon),
-                millis(watch),
-                harm,
-                Duration.ofMillis(lag),
-                room,
+                maxConcurrent,
+                lostViewPolicy,
+                durationOfSeconds(strictHorizonS),
+                durationOfSeconds(watchPeriodS),
+                maxHarmIncrease,
+                Duration.ofMillis(maxLagMs),
+                memberCapacityTxns,
                 Duration.ZERO,
                 Duration.ZERO,
                 Duration.ZERO);
     }
 
-    private static Duration millis(double seconds) {
+    private static Duration durationOfSeconds(double seconds) {
         return Duration.ofMillis(Math.round(seconds * 1000));
     }
 
-    private static void machine(
-            Section s, Map<String, Machine> machines, Map<String, String> holders) {
-        String name = named(s, "the machine's name");
-        String zone = s.text("zone", "the machine's zone", "");
-        if (!zone.matches(NAME)) {
-            s.problem("a machine needs zone: no two zones are worked on together");
+    private static void readMachine(
+            NodeReader node, Map<String, Machine> machines, Map<String, String> machineByHosted) {
+        String name = nameArgument(node, "the machine's name");
+        String zone = node.stringProperty("zone", "the machine's zone", "");
+        if (!zone.matches(NAME_PATTERN)) {
+            node.addProblem("a machine needs zone: no two zones are worked on together");
         }
-        List<MemberPattern> parts = new ArrayList<>();
+        List<MemberPattern> members = new ArrayList<>();
         List<String> drivers = new ArrayList<>();
-        for (Section p : s.within(Set.of("member", "driver"), Set.of())) {
-            String what = named(p, p.name().equals("member") ? "a member's id" : "a driver's name");
+        for (NodeReader child : node.children(Set.of("member", "driver"), Set.of())) {
+            String hosted =
+                    nameArgument(
+                            child,
+                            child.name().equals("member") ? "a member's id" : "a driver's name");
             int group =
-                    p.name().equals("member")
-                            ? (int) p.number("group", 0, Integer.MAX_VALUE, -1)
+                    child.name().equals("member")
+                            ? (int) child.numberProperty("group", 0, Integer.MAX_VALUE, -1)
                             : 0;
             if (group < 0) {
-                p.problem("a member needs group");
+                child.addProblem("a member needs group");
             }
-            p.end(false);
-            if (what != null
-                    && holders.putIfAbsent(p.name() + " " + what, String.valueOf(name)) != null) {
-                p.problem(
+            child.reportUnexpected(false);
+            if (hosted != null
+                    && machineByHosted.putIfAbsent(
+                                    child.name() + " " + hosted, String.valueOf(name))
+                            != null) {
+                child.addProblem(
                         "'"
-                                + what
+                                + hosted
                                 + "' is on '"
-                                + holders.get(p.name() + " " + what)
+                                + machineByHosted.get(child.name() + " " + hosted)
                                 + "' already");
             }
-            if (what != null && p.name().equals("member")) {
-                parts.add(new MemberPattern(what, group));
-            } else if (what != null) {
-                drivers.add(what);
+            if (hosted != null && child.name().equals("member")) {
+                members.add(new MemberPattern(hosted, group));
+            } else if (hosted != null) {
+                drivers.add(hosted);
             }
         }
-        if (parts.isEmpty() && drivers.isEmpty()) {
-            s.problem("a machine holds members or drivers");
+        if (members.isEmpty() && drivers.isEmpty()) {
+            node.addProblem("a machine holds members or drivers");
         }
-        if (machines.size() >= MOST_MACHINES) {
-            s.problem("more than " + MOST_MACHINES + " machines");
+        if (machines.size() >= MAX_MACHINE_COUNT) {
+            node.addProblem("more than " + MAX_MACHINE_COUNT + " machines");
         }
         if (name != null
                 && machines.put(
                                 name,
-                                new Machine(name, zone, List.copyOf(parts), List.copyOf(drivers)))
+                                new Machine(name, zone, List.copyOf(members), List.copyOf(drivers)))
                         != null) {
-            s.problem("the machine '" + name + "' is listed already");
+            node.addProblem("the machine '" + name + "' is listed already");
         }
     }
 
-    private static String named(Section s, String what) {
-        String name = s.word(what);
-        if (name != null && !name.matches(NAME)) {
-            s.problem("'" + name + "' is no name: letters, digits and . _ : - are");
+    private static String nameArgument(NodeReader node, String description) {
+        String name = node.stringArgument(description);
+        if (name != null && !name.matches(NAME_PATTERN)) {
+            node.addProblem("'" + name + "' is no name: letters, digits and . _ : - are");
             return null;
         }
         return name;
     }
 
     /** All settings in force, in the file's own form. */
-    static Node whole(MaintenanceSettings w) {
-        List<Node> within = new ArrayList<>();
-        within.add(one("at-once", (long) w.maxConcurrent()));
-        within.add(
+    static Node toNode(MaintenanceSettings settings) {
+        List<Node> children = new ArrayList<>();
+        children.add(singleValueNode("at-once", (long) settings.maxConcurrent()));
+        children.add(
                 node(
                         "lost-view",
-                        List.of(value(w.lostViewPolicy().name().toLowerCase(Locale.ROOT))),
-                        Map.of("horizon", value(w.strictHorizon().toMillis() / 1000.0))));
-        within.add(one("watch", w.watchPeriod().toMillis() / 1000.0));
-        within.add(one("harm", w.maxHarmIncrease()));
-        within.add(one("lag-ms", w.maxReplicationLag().toMillis()));
-        within.add(one("room", w.memberCapacityTxns()));
-        for (Machine m : w.machines().values()) {
-            List<Node> holds = new ArrayList<>();
-            for (MemberPattern p : m.members()) {
-                Map<String, Value> group = Map.of("group", value((long) p.group()));
-                holds.add(node("member", List.of(value(p.uid())), group));
+                        List.of(value(settings.lostViewPolicy().name().toLowerCase(Locale.ROOT))),
+                        Map.of("horizon", value(settings.strictHorizon().toMillis() / 1000.0))));
+        children.add(singleValueNode("watch", settings.watchPeriod().toMillis() / 1000.0));
+        children.add(singleValueNode("harm", settings.maxHarmIncrease()));
+        children.add(singleValueNode("lag-ms", settings.maxReplicationLag().toMillis()));
+        children.add(singleValueNode("room", settings.memberCapacityTxns()));
+        for (Machine machine : settings.machines().values()) {
+            List<Node> hosted = new ArrayList<>();
+            for (MemberPattern member : machine.members()) {
+                Map<String, Value> group = Map.of("group", value((long) member.group()));
+                hosted.add(node("member", List.of(value(member.uid())), group));
             }
-            m.drivers().forEach(d -> holds.add(one("driver", d)));
-            within.add(
+            machine.drivers().forEach(driver -> hosted.add(singleValueNode("driver", driver)));
+            children.add(
                     new Node(
                             "machine",
-                            List.of(value(m.name())),
-                            Map.of("zone", value(m.zone())),
-                            holds));
+                            List.of(value(machine.name())),
+                            Map.of("zone", value(machine.zone())),
+                            hosted));
         }
-        return new Node("work", List.of(), Map.of(), within);
+        return new Node("work", List.of(), Map.of(), children);
     }
 
-    private static Node one(String name, Object it) {
-        return node(name, List.of(value(it)), Map.of());
+    private static Node singleValueNode(String name, Object value) {
+        return node(name, List.of(value(value)), Map.of());
     }
 }
--- a/src/test/java/wingroad/kdl/KdlTest.java
+++ b/src/test/java/wingroad/kdl/KdlTest.java
@@ -2,13 +2,14 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import java.util.List;
-import java.util.Random;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
+import java.util.List;
+import java.util.Random;
+
 class KdlTest {
     private static List<Node> nodes(String text) {
         KdlReader.Document d = KdlReader.read(text);
@@ -17,20 +18,24 @@
     }
 
     private static Object value(String text) {
-        return nodes("n " + text).get(0).arguments().get(0).it();
+        return nodes("n " + text).get(0).arguments().get(0).value();
     }
 
     @Test
     void nodesHaveNamesArgumentsPropertiesAndChildren() {
         Node n =
                 nodes(
-                                "/- kdl-version 2\n(t)name 1 (u8)2 a=x b=#null {\n  child; other 3\n}\n// end")
+                                "/- kdl-version 2\n"
+                                    + "(t)name 1 (u8)2 a=x b=#null {\n"
+                                    + "  child; other 3\n"
+                                    + "}\n"
+                                    + "// end")
                         .get(0);
         assertThat(n.type()).isEqualTo("t");
-        assertThat(n.arguments()).extracting(Value::it).containsExactly(1L, 2L);
+        assertThat(n.arguments()).extracting(Value::value).containsExactly(1L, 2L);
         assertThat(n.arguments()).extracting(Value::type).containsExactly(null, "u8");
-        assertThat(n.properties().get("a").it()).isEqualTo("x");
-        assertThat(n.properties().get("b").it()).isNull();
+        assertThat(n.properties().get("a").value()).isEqualTo("x");
+        assertThat(n.properties().get("b").value()).isNull();
         assertThat(n.children()).extracting(Node::name).containsExactly("child", "other");
         assertThat(n.children().get(1).line()).isEqualTo(3);
         assertThat(n.children().get(1).column()).isEqualTo(10);
@@ -41,21 +46,21 @@
             delimiter = '|',
             textBlock =
                     """
-        1_000        | 1000
-        -0x1F        | -31
-        0o17         | 15
-        0b1010       | 10
-        +2.50        | 2.5
-        1e3          | 1000.0
-        1_0.5_0e-1   | 1.05
-        #true        | true
-        #-inf        | -Infinity
-        word-1.a     | word-1.a
-        -            | -
-        .a           | .a
-        +a           | +a
-        ja           | ja
-        """)
+                    1_000        | 1000
+                    -0x1F        | -31
+                    0o17         | 15
+                    0b1010       | 10
+                    +2.50        | 2.5
+                    1e3          | 1000.0
+                    1_0.5_0e-1   | 1.05
+                    #true        | true
+                    #-inf        | -Infinity
+                    word-1.a     | word-1.a
+                    -            | -
+                    .a           | .a
+                    +a           | +a
+                    ja           | ja
+                    """)
     void valuesAreRead(String text, String value) {
         assertThat(String.valueOf(value(text))).isEqualTo(value);
     }
@@ -74,9 +79,16 @@
     void whatIsCommentedOutIsNotThere() {
         Node n =
                 nodes(
-                                "a /* x /* y */ z */ 1 /- 2 /-k=3 \\ // goes on\n 4 /-{ b } {\n /- c 1 {\n  d\n }\n e\n}\n/- f")
+                                "a /* x /* y */ z */ 1 /- 2 /-k=3 \\ // goes on\n"
+                                    + " 4 /-{ b } {\n"
+                                    + " /- c 1 {\n"
+                                    + "  d\n"
+                                    + " }\n"
+                                    + " e\n"
+                                    + "}\n"
+                                    + "/- f")
                         .get(0);
-        assertThat(n.arguments()).extracting(Value::it).containsExactly(1L, 4L);
+        assertThat(n.arguments()).extracting(Value::value).containsExactly(1L, 4L);
         assertThat(n.properties()).isEmpty();
         assertThat(n.children()).extracting(Node::name).containsExactly("e");
         assertThat(nodes("a\n/- b\n/-\nc\nd")).extracting(Node::name).containsExactly("a", "d");
@@ -85,8 +97,8 @@
     @Test
     void ofARepeatedPropertyTheLastCountsAndItIsKnown() {
         Node n = nodes("a x=1 x=2").get(0);
-        assertThat(n.properties().get("x").it()).isEqualTo(2L);
-        assertThat(n.repeated()).containsExactly("x");
+        assertThat(n.properties().get("x").value()).isEqualTo(2L);
+        assertThat(n.repeatedProperties()).containsExactly("x");
     }
 
     @ParameterizedTest
@@ -94,19 +106,19 @@
             delimiter = '|',
             textBlock =
                     """
-        a =1             | 1:3: found '=', expected
-        a { b            | 1:6: found the end of the text, expected
-        a }              | 1:3: found '}', expected
-        a "b             | 1:3: found '"' (a string without its end)
-        a true           | 1:3: the word true needs quotes
-        a #maybe         | 1:3: found '#' (words after #
-        a 99999999999999999999 | 1:3: a whole number beyond 64 bits
-        a "\\q"          | 1:3: the escape \\q is none
-        a "\\u{110000}"  | 1:3: \\u needs
-        a (t             | 1:5: found the end of the text, expected ')'
-        a { b } c        | 1:9: found
-        a 1 /* b         | 1:5: found '/' (a comment without its end
-        """)
+                    a =1             | 1:3: found '=', expected
+                    a { b            | 1:6: found the end of the text, expected
+                    a }              | 1:3: found '}', expected
+                    a "b             | 1:3: found '"' (a string without its end)
+                    a true           | 1:3: the word true needs quotes
+                    a #maybe         | 1:3: found '#' (words after #
+                    a 99999999999999999999 | 1:3: a whole number beyond 64 bits
+                    a "\\q"          | 1:3: the escape \\q is none
+                    a "\\u{110000}"  | 1:3: \\u needs
+                    a (t             | 1:5: found the end of the text, expected ')'
+                    a { b } c        | 1:9: found
+                    a 1 /* b         | 1:5: found '/' (a comment without its end
+                    """)
     void whatIsWrongIsToldWithItsPlaceAndWhatWasExpected(String text, String begins) {
         KdlReader.Document d = KdlReader.read(text.replace("\\\\", "\\"));
         assertThat(d.problems()).isNotEmpty();
--- a/src/test/java/wingroad/operator/OperatorFileTest.java
+++ b/src/test/java/wingroad/operator/OperatorFileTest.java
@@ -18,14 +18,14 @@
 
 class OperatorFileTest {
     private static FairQueueSettings door(String within) {
-        OperatorFile.Read read = OperatorFile.read("door {\n" + within + "\n}");
+        OperatorFile.LoadResult read = OperatorFile.read("door {\n" + within + "\n}");
         assertThat(read.problems()).isEmpty();
-        return read.file().door();
+        return read.file().fairQueues();
     }
 
     @Test
     void withoutADoorThereIsNone() {
-        assertThat(OperatorFile.read("// nothing").file().door()).isNull();
+        assertThat(OperatorFile.read("// nothing").file().fairQueues()).isNull();
     }
 
     @Test
@@ -85,7 +85,7 @@
                     waiting 3                    | 2:1: 'waiting' is not known in 'door', expected one of most-waiting
                     """)
     void whatIsWrongIsToldWithItsPlaceAndWhatWasExpected(String line, String begins) {
-        OperatorFile.Read read = OperatorFile.read("door {\n" + line + "\n}");
+        OperatorFile.LoadResult read = OperatorFile.read("door {\n" + line + "\n}");
         assertThat(read.file()).isNull();
         assertThat(read.problems())
                 .first()
@@ -111,8 +111,8 @@
                                         + " tenant c cap=0.5\n"
                                         + "}")
                         .file();
-        assertThat(OperatorFile.read(file.print()).file()).isEqualTo(file);
-        assertThat(file.print()).contains("names-per-address 8", "others weight=1 cap=1");
+        assertThat(OperatorFile.read(file.toKdl()).file()).isEqualTo(file);
+        assertThat(file.toKdl()).contains("names-per-address 8", "others weight=1 cap=1");
     }
 
     @Test
@@ -120,13 +120,13 @@
         Path file = dir.resolve("operator.kdl");
         assertThat(OperatorFile.read(file).problems()).hasSize(1);
         Files.write(file, new byte[] {(byte) 0xff, 1});
-        assertThat(OperatorFile.read(file).problems().get(0).text()).isEqualTo("no UTF-8");
+        assertThat(OperatorFile.read(file).problems().get(0).message()).isEqualTo("no UTF-8");
         Files.write(file, new byte[0]);
-        assertThat(OperatorFile.read(file).problems().get(0).text()).startsWith("empty: ");
+        assertThat(OperatorFile.read(file).problems().get(0).message()).startsWith("empty: ");
         Files.writeString(file, "// all off\n");
         assertThat(OperatorFile.read(file).problems()).isEmpty();
         Files.write(file, new byte[(1 << 20) + 1]);
-        assertThat(OperatorFile.read(file).problems().get(0).text()).startsWith("longer than");
+        assertThat(OperatorFile.read(file).problems().get(0).message()).startsWith("longer than");
     }
 
     @Test
@@ -141,10 +141,10 @@
                     chore "purge" every=60 group=7 statement="SELECT purge_records({epoch}, 500)"
                 }
                 """;
-        OperatorFile.Read read = OperatorFile.read(file);
+        OperatorFile.LoadResult read = OperatorFile.read(file);
         assertThat(read.problems()).isEmpty();
         assertThat(read.file().fleet().duties()).containsExactly("chore purge");
-        OperatorFile again = OperatorFile.read(read.file().print()).file();
+        OperatorFile again = OperatorFile.read(read.file().toKdl()).file();
         assertThat(again.fleet()).isEqualTo(read.file().fleet());
     }
 
@@ -188,7 +188,7 @@
 
     @Test
     void workIsPrintedAsItStands() {
-        OperatorFile.Read read =
+        OperatorFile.LoadResult read =
                 OperatorFile.read(
                         work(
                                 """
@@ -202,7 +202,7 @@
         assertThat(read.file().fleet().duties()).containsExactly("conductor");
         assertThat(read.file().fleet().maintenance().toLines())
                 .containsExactly("3 STRICT", "r1 a db-1*#7,db-2#8 d1", "r2 b db-3#7 ");
-        assertThat(OperatorFile.read(read.file().print()).file().fleet())
+        assertThat(OperatorFile.read(read.file().toKdl()).file().fleet())
                 .isEqualTo(read.file().fleet());
     }
 
