--- a/src/bench/java/wingroad/fleet/OwnerBench.java
+++ b/src/bench/java/wingroad/fleet/OwnerBench.java
@@ -1,5 +1,13 @@
 package wingroad.fleet;
 
+import wingroad.Fixtures;
+import wingroad.Fixtures.Client;
+import wingroad.operator.OperatorFile;
+import wingroad.protocol.Json;
+import wingroad.rig.FaultProxy;
+import wingroad.rig.FencedMember;
+import wingroad.rig.TestCluster;
+
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.file.Files;
@@ -18,13 +26,6 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicLong;
-import wingroad.Fixtures;
-import wingroad.Fixtures.Client;
-import wingroad.operator.OperatorFile;
-import wingroad.protocol.Json;
-import wingroad.rig.FencedMember;
-import wingroad.rig.Relays;
-import wingroad.rig.Rig;
 
 /**
  * Twenty and more real processes with faults: the same load and faults without a fleet and with
@@ -51,7 +52,7 @@
     private final int seconds;
     private final Random random;
     private final boolean withFleet;
-    private Rig rig;
+    private TestCluster rig;
     private FencedMember fenced;
     private FencedMember naive;
     private final ScheduledExecutorService later = Executors.newScheduledThreadPool(4);
@@ -124,36 +125,40 @@
                         + LEASE_MS
                         + "\n    drift 0.01\n"
                         + (handedOn ? "    list check=60\n" : "");
-        try (Rig rig =
-                new Rig(Files.createTempDirectory("lists"), count, 5, rules, Fixtures.SETTINGS)) {
-            FencedMember primary = rig.member("m1", 7, true, true);
-            FencedMember replica = rig.member("m2", 7, false, true);
+        try (TestCluster rig =
+                new TestCluster(
+                        Files.createTempDirectory("lists"), count, 5, rules, Fixtures.SETTINGS)) {
+            FencedMember primary = rig.addMember("m1", 7, true, true);
+            FencedMember replica = rig.addMember("m2", 7, false, true);
             rig.startAll();
             rig.discovery.tell(
-                    rig.entry("d1", primary, "ready") + "," + rig.entry("d1", replica, "ready"));
+                    rig.discoveryEntry("d1", primary, "ready")
+                            + ","
+                            + rig.discoveryEntry("d1", replica, "ready"));
             int follow = 0;
-            for (Rig.Driver d : rig.drivers.values()) {
-                d.await("list 1 ");
-                d.await("lease of");
+            for (TestCluster.DriverProcess d : rig.drivers.values()) {
+                d.awaitLog("list 1 ");
+                d.awaitLog("lease of");
             }
             while (handedOn && follow < count - 1) {
                 TimeUnit.MILLISECONDS.sleep(100);
                 follow =
                         (int)
                                 rig.drivers.values().stream()
-                                        .filter(d -> d.when("follows the owner") > 0)
+                                        .filter(d -> d.firstLogTimeMs("follows the owner") > 0)
                                         .count();
             }
             int asked = rig.discovery.asked.size();
             for (int rev = 2; rev < 42; rev++) {
                 long at = System.currentTimeMillis();
                 rig.discovery.tell(
-                        rig.entry("d1", primary, "ready")
+                        rig.discoveryEntry("d1", primary, "ready")
                                 + ","
-                                + rig.entry("d1", replica, rev % 2 == 0 ? "draining" : "ready"));
+                                + rig.discoveryEntry(
+                                        "d1", replica, rev % 2 == 0 ? "draining" : "ready"));
                 TimeUnit.MILLISECONDS.sleep(600);
-                for (Rig.Driver d : rig.drivers.values()) {
-                    long told = d.when("list " + rev + " ");
+                for (TestCluster.DriverProcess d : rig.drivers.values()) {
+                    long told = d.firstLogTimeMs("list " + rev + " ");
                     toldAfter.add(told == 0 ? 600 : told - at);
                 }
             }
@@ -182,35 +187,38 @@
                     .append(name)
                     .append("({epoch})\"\n");
         }
-        rig = new Rig(dir, count, 5, withFleet ? rules.toString() : null, Fixtures.SETTINGS);
-        fenced = rig.member("m1", 7, true, true);
-        naive = rig.member("m2", 8, true, false);
+        rig =
+                new TestCluster(
+                        dir, count, 5, withFleet ? rules.toString() : null, Fixtures.SETTINGS);
+        fenced = rig.addMember("m1", 7, true, true);
+        naive = rig.addMember("m2", 8, true, false);
         for (String a : rig.voters()) {
             for (String b : rig.voters()) {
                 Map<Object, ByteBuffer> open = new HashMap<>();
-                rig.relays
-                        .between(a, b)
-                        .tap(
+                rig.proxy
+                        .linkBetween(a, b)
+                        .setInterceptor(
                                 (l, way, bytes, c) ->
-                                        way == Relays.Way.FORTH && watchVotes(open, c, bytes, b));
+                                        way == FaultProxy.Direction.FORWARD
+                                                && watchVotes(open, c, bytes, b));
             }
         }
         long begun = System.nanoTime();
         rig.startAll();
-        for (Rig.Driver d : rig.drivers.values()) {
+        for (TestCluster.DriverProcess d : rig.drivers.values()) {
             generation.put(d.name, new AtomicInteger());
-            d.await(" serves ");
+            d.awaitLog(" serves ");
         }
         if (withFleet) {
-            for (Rig.Driver d : rig.drivers.values()) {
-                d.await("lease of");
+            for (TestCluster.DriverProcess d : rig.drivers.values()) {
+                d.awaitLog("lease of");
             }
             new Thread(this::poll, "poll").start();
-            fenced.await(0, e -> true);
+            fenced.awaitExecution(0, e -> true);
         }
         System.out.println("started after " + (System.nanoTime() - begun) / 1_000_000 + " ms");
         List<Thread> load = new ArrayList<>();
-        for (Rig.Driver d : rig.drivers.values()) {
+        for (TestCluster.DriverProcess d : rig.drivers.values()) {
             Thread t = new Thread(() -> clients(d), "load of " + d.name);
             t.start();
             load.add(t);
@@ -244,18 +252,26 @@
             result.put("effects_held", held.get());
             result.put(
                     "overlaps",
-                    fenced.ledger().stream().filter(e -> e.late() && e.accepted()).count());
+                    fenced.executions().stream()
+                            .filter(e -> e.staleEpoch() && e.accepted())
+                            .count());
             result.put(
                     "late_effects_refused",
-                    fenced.ledger().stream().filter(e -> e.late() && !e.accepted()).count());
+                    fenced.executions().stream()
+                            .filter(e -> e.staleEpoch() && !e.accepted())
+                            .count());
             result.put(
                     "late_effects_accepted",
-                    fenced.ledger().stream().filter(e -> e.late() && e.accepted()).count());
+                    fenced.executions().stream()
+                            .filter(e -> e.staleEpoch() && e.accepted())
+                            .count());
             result.put(
                     "naive_late_effects_accepted",
-                    naive.ledger().stream().filter(FencedMember.Entry::late).count());
-            result.put("chore_turns", fenced.entries() + naive.entries());
-            result.put("chore_turns_run_twice", fenced.twice() + naive.twice());
+                    naive.executions().stream()
+                            .filter(FencedMember.ChoreExecution::staleEpoch)
+                            .count());
+            result.put("chore_turns", fenced.executionCount() + naive.executionCount());
+            result.put("chore_turns_run_twice", fenced.repeatedTurns() + naive.repeatedTurns());
             result.put("duties_without_owner_at_end", without);
             result.put("takeovers", takeovers.size());
             result.put("takeover_ms_p50", at(takeovers, 0.5));
@@ -284,7 +300,7 @@
 
     // ---- load ----
 
-    private void clients(Rig.Driver d) {
+    private void clients(TestCluster.DriverProcess d) {
         int n = 0;
         Client c = null;
         int made = -1;
@@ -334,8 +350,9 @@
 
     // ---- faults ----
 
-    private Rig.Driver any() {
-        List<Rig.Driver> all = rig.drivers.values().stream().filter(this::free).toList();
+    private TestCluster.DriverProcess any() {
+        List<TestCluster.DriverProcess> all =
+                rig.drivers.values().stream().filter(this::free).toList();
         return all.isEmpty() ? null : all.get(random.nextInt(all.size()));
     }
 
@@ -343,7 +360,7 @@
         return (System.nanoTime() - faultsFrom) / 1_000_000 % SPAN_MS;
     }
 
-    private boolean free(Rig.Driver d) {
+    private boolean free(TestCluster.DriverProcess d) {
         if (rig.voters().contains(d.name) && inSpan() > SPAN_MS - ALONE_MS - LEASE_MS) {
             return false;
         }
@@ -374,12 +391,12 @@
                 TimeUnit.MILLISECONDS);
     }
 
-    private void processAway(Rig.Driver d) {
+    private void processAway(TestCluster.DriverProcess d) {
         away.add(d.name + " process");
         generation.get(d.name).incrementAndGet();
     }
 
-    private void processBack(Rig.Driver d) {
+    private void processBack(TestCluster.DriverProcess d) {
         away.remove(d.name + " process");
     }
 
@@ -387,11 +404,11 @@
         fault(any());
     }
 
-    private void fault(Rig.Driver drawn) throws Exception {
-        Rig.Driver d = drawn;
+    private void fault(TestCluster.DriverProcess drawn) throws Exception {
+        TestCluster.DriverProcess d = drawn;
         int kind = random.nextInt(20);
         if (inSpan() > SPAN_MS - STOPS_MS && votersAway() == 0) {
-            List<Rig.Driver> owners = owners();
+            List<TestCluster.DriverProcess> owners = owners();
             d = owners.isEmpty() ? d : owners.get(random.nextInt(owners.size()));
             kind = 18;
         }
@@ -400,25 +417,25 @@
             return;
         }
         if (withFleet && kind >= 7 && kind < 13 && random.nextBoolean()) {
-            List<Rig.Driver> owners = owners();
+            List<TestCluster.DriverProcess> owners = owners();
             d = owners.isEmpty() ? d : owners.get(random.nextInt(owners.size()));
         }
         fault(d, kind, length);
     }
 
     /** Those that own something and are left alone now. */
-    private List<Rig.Driver> owners() {
+    private List<TestCluster.DriverProcess> owners() {
         return duties().values().stream()
                 .map(o -> rig.driver(MessageCodec.stringOrEmpty(o, "owner")))
                 .filter(o -> o != null && free(o))
                 .toList();
     }
 
-    private void fault(Rig.Driver d, int kind, int length) throws Exception {
+    private void fault(TestCluster.DriverProcess d, int kind, int length) throws Exception {
         if (kind < 6) {
             count("pauses");
             if (withFleet) {
-                List<Rig.Driver> owners = owners();
+                List<TestCluster.DriverProcess> owners = owners();
                 pauseInEffect(
                         owners.isEmpty() ? d : owners.get(random.nextInt(owners.size())), length);
             } else {
@@ -436,7 +453,7 @@
                     rig.voters().contains(d.name) && votersAway() == 1 && random.nextInt(3) == 0;
             if (lose) {
                 count("lost states");
-                d.loseState();
+                d.deleteState();
             }
             in(500 + random.nextInt(5000), () -> again(d));
         } else if (kind < 18) {
@@ -444,11 +461,11 @@
             away.add(d.name + " links");
             int how = random.nextInt(4);
             if (how < 2) {
-                rig.cutFromCouncil(d.name, true);
-                in(length, () -> rig.cutFromCouncil(d.name, false));
+                rig.partitionFromVoters(d.name, true);
+                in(length, () -> rig.partitionFromVoters(d.name, false));
             } else {
-                rig.cutOneWay(d.name, how == 2, true);
-                in(length, () -> rig.cutOneWay(d.name, how == 2, false));
+                rig.partitionOneWay(d.name, how == 2, true);
+                in(length, () -> rig.partitionOneWay(d.name, how == 2, false));
             }
             in(length + 100, () -> away.remove(d.name + " links"));
         } else if (kind == 18) {
@@ -459,39 +476,39 @@
             in(
                     0,
                     () -> {
-                        d.awaitEnd();
+                        d.awaitExit();
                         again(d);
                     });
         } else {
             count("slow links");
             away.add(d.name + " links");
-            rig.relays.all().stream()
+            rig.proxy.allLinks().stream()
                     .filter(l -> l.from.equals(d.name))
-                    .forEach(l -> rig.relays.slow(l, 30));
+                    .forEach(l -> rig.proxy.setDelay(l, 30));
             in(
                     length,
                     () -> {
-                        rig.relays.all().stream()
+                        rig.proxy.allLinks().stream()
                                 .filter(l -> l.from.equals(d.name))
-                                .forEach(l -> rig.relays.slow(l, 0));
+                                .forEach(l -> rig.proxy.setDelay(l, 0));
                         away.remove(d.name + " links");
                     });
         }
     }
 
-    private void again(Rig.Driver d) throws Exception {
+    private void again(TestCluster.DriverProcess d) throws Exception {
         d.start();
-        d.await(" serves ");
+        d.awaitLog(" serves ");
         processBack(d);
     }
 
-    private void pause(Rig.Driver d, long ms) throws IOException {
+    private void pause(TestCluster.DriverProcess d, long ms) throws IOException {
         processAway(d);
         d.pause();
         in(
                 ms,
                 () -> {
-                    d.goOn();
+                    d.resume();
                     in(300, () -> processBack(d));
                 });
     }
@@ -500,16 +517,16 @@
      * Holds the owner's next statement on its way and stops the owner; both are let go once a
      * successor's effect has come, or after some leases.
      */
-    private void pauseInEffect(Rig.Driver d, long ms) {
+    private void pauseInEffect(TestCluster.DriverProcess d, long ms) {
         away.add(d.name + " links");
         AtomicInteger once = new AtomicInteger();
         FencedMember member = random.nextInt(4) > 0 ? fenced : naive;
-        rig.relays
-                .between(d.name, member.uid)
-                .tap(
+        rig.proxy
+                .linkBetween(d.name, member.uid)
+                .setInterceptor(
                         (link, way, bytes, connection) -> {
                             java.util.regex.Matcher m =
-                                    way == Relays.Way.FORTH && once.get() == 0
+                                    way == FaultProxy.Direction.FORWARD && once.get() == 0
                                             ? CHORE.matcher(
                                                     java.nio.charset.StandardCharsets.ISO_8859_1
                                                             .decode(bytes))
@@ -538,7 +555,7 @@
     }
 
     private void letGo(
-            Rig.Driver d,
+            TestCluster.DriverProcess d,
             FencedMember member,
             Object connection,
             String chore,
@@ -546,21 +563,21 @@
             int tries)
             throws IOException {
         boolean acted =
-                member.ledger().stream()
+                member.executions().stream()
                         .anyMatch(e -> e.chore().equals(chore) && e.epoch() > epoch);
         if (!acted && tries > 0) {
             in(200, () -> letGo(d, member, connection, chore, epoch, tries - 1));
             return;
         }
-        rig.relays.letGo(connection);
-        d.goOn();
+        rig.proxy.release(connection);
+        d.resume();
         in(300, () -> processBack(d));
     }
 
     // ---- the council, by status ----
 
     private FleetConfig rules() throws IOException {
-        return OperatorFile.read(rig.driver("d1").operator()).file().fleet();
+        return OperatorFile.read(rig.driver("d1").operatorFile()).file().fleet();
     }
 
     private void poll() {
@@ -611,7 +628,7 @@
     }
 
     /** Measures how long it takes from now until this driver's duties are another session's. */
-    private void owned(Rig.Driver d, List<Long> times) {
+    private void owned(TestCluster.DriverProcess d, List<Long> times) {
         long now = System.currentTimeMillis();
         duties().forEach(
                         (name, duty) -> {
--- a/src/bench/java/wingroad/work/WorkBench.java
+++ b/src/bench/java/wingroad/work/WorkBench.java
@@ -4,10 +4,10 @@
 import wingroad.fleet.FleetClient;
 import wingroad.fleet.FleetConfig;
 import wingroad.operator.OperatorFile;
+import wingroad.rig.ClientLoad;
+import wingroad.rig.FaultProxy;
 import wingroad.rig.FencedMember;
-import wingroad.rig.Load;
-import wingroad.rig.Relays;
-import wingroad.rig.Rig;
+import wingroad.rig.TestCluster;
 
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
@@ -44,8 +44,8 @@
     private static final long WORK_MS = 2500;
     private static final long COLD_MS = 3000;
     private static final long PACE_MS = 1500;
-    private static final FencedMember.Bears BEARS =
-            new FencedMember.Bears(250, COLD_MS, 0.26, 2.5, 1500);
+    private static final FencedMember.StartupCapacity BEARS =
+            new FencedMember.StartupCapacity(250, COLD_MS, 0.26, 2.5, 1500);
     private static final String SETTINGS =
             Fixtures.SETTINGS
                     .replace("\"cold\":16000", "\"cold\":" + COLD_MS)
@@ -55,7 +55,7 @@
             Pattern.compile("the primary of group ([0-9]+) is here: to be moved to ([^ ]+).*");
 
     private final Random random;
-    private final Rig rig;
+    private final TestCluster rig;
     private final Map<String, List<FencedMember>> machines = new TreeMap<>();
     private final Set<String> away = ConcurrentHashMap.newKeySet();
     private final ScheduledExecutorService later = Executors.newScheduledThreadPool(6);
@@ -64,7 +64,7 @@
     private final List<Object> heldOrders = new ArrayList<>();
     private final AtomicInteger twoWays = new AtomicInteger();
     private final FleetConfig fleetRules;
-    private Load load;
+    private ClientLoad load;
     private volatile Map<?, ?> work = Map.of();
     private volatile String conductor = "";
     private volatile boolean over;
@@ -96,7 +96,7 @@
         }
         rules.append("    }\n");
         rig =
-                new Rig(
+                new TestCluster(
                         Files.createTempDirectory("work"),
                         DRIVERS,
                         5,
@@ -107,22 +107,23 @@
         }
         for (int g = 0; g < GROUPS; g++) {
             for (int z = 0; z < 3; z++) {
-                FencedMember member = rig.member(uid(g, z), g + 7, z == g % 3, false);
-                member.takes(8);
-                member.starts(new FencedMember.Bears(250, 0, 1, 1, 1), 2);
+                FencedMember member = rig.addMember(uid(g, z), g + 7, z == g % 3, false);
+                member.setAnswerDelayMs(8);
+                member.simulateStart(new FencedMember.StartupCapacity(250, 0, 1, 1, 1), 2);
                 machines.get("M" + on(g, z)).add(member);
             }
         }
-        fleetRules = planned ? OperatorFile.read(rig.driver("d1").operator()).file().fleet() : null;
+        fleetRules =
+                planned ? OperatorFile.read(rig.driver("d1").operatorFile()).file().fleet() : null;
         rig.startAll();
-        for (Rig.Driver d : rig.drivers.values()) {
-            d.await(planned ? "work: the plan is known" : " serves ");
+        for (TestCluster.DriverProcess d : rig.drivers.values()) {
+            d.awaitLog(planned ? "work: the plan is known" : " serves ");
         }
         List<Integer> groups = new ArrayList<>();
         for (int g = 0; g < GROUPS; g++) {
             groups.add(g + 7);
         }
-        load = new Load(rig, groups, 4, 2);
+        load = new ClientLoad(rig, groups, 4, 2);
         if (planned) {
             Thread poll = new Thread(this::poll, "poll");
             poll.setDaemon(true);
@@ -223,7 +224,7 @@
         load.close();
         later.shutdownNow();
         rig.close();
-        return load.servedShare();
+        return load.committedShare();
     }
 
     // ---- the plan ----
@@ -284,7 +285,7 @@
                 "cold_budget_peak",
                 machines.values().stream()
                         .flatMap(List::stream)
-                        .mapToDouble(FencedMember::coldPeak)
+                        .mapToDouble(FencedMember::peakColdLoad)
                         .max()
                         .orElse(0));
         f.put("txns", load.sent.get());
@@ -319,7 +320,7 @@
             if (e.get("stage").equals("out")
                     && workedOn.putIfAbsent(key, System.currentTimeMillis()) == null) {
                 for (FencedMember member : machines.get(m)) {
-                    rig.reachable(member, false);
+                    rig.setReachable(member, false);
                 }
                 later.schedule(() -> finish(m), WORK_MS, TimeUnit.MILLISECONDS);
             } else if (move.matches()) {
@@ -328,8 +329,8 @@
                 if (next != null && !next.primary()) {
                     rig.members.values().stream()
                             .filter(x -> x.group == group)
-                            .forEach(x -> x.primary(false));
-                    next.primary(true);
+                            .forEach(x -> x.setPrimary(false));
+                    next.setPrimary(true);
                 }
             }
         }
@@ -341,10 +342,10 @@
     private void finish(String machine) {
         try {
             for (FencedMember member : machines.get(machine)) {
-                member.starts(BEARS, 2);
-                member.behind(1500);
-                rig.reachable(member, true);
-                later.schedule(() -> member.behind(0), 1200, TimeUnit.MILLISECONDS);
+                member.simulateStart(BEARS, 2);
+                member.setReplicationLagMs(1500);
+                rig.setReachable(member, true);
+                later.schedule(() -> member.setReplicationLagMs(0), 1200, TimeUnit.MILLISECONDS);
             }
             talk(
                     c ->
@@ -386,9 +387,9 @@
         long before = 0;
         for (Map.Entry<String, List<long[]>> o : out.entrySet()) {
             for (FencedMember member : machines.get(o.getKey())) {
-                for (FencedMember.Txn t : member.txns()) {
+                for (FencedMember.ReceivedTxn t : member.txns()) {
                     for (long[] span : o.getValue()) {
-                        if (t.at() > span[0] && t.at() < span[1]) {
+                        if (t.receivedAtMs() > span[0] && t.receivedAtMs() < span[1]) {
                             told++;
                             System.out.println(
                                     "at "
@@ -398,10 +399,11 @@
                                             + ": "
                                             + t.id()
                                             + ", out since "
-                                            + (t.at() - span[0])
+                                            + (t.receivedAtMs() - span[0])
                                             + " ms");
-                        } else if (t.at() <= span[0]
-                                && (t.end().get() == 0 || t.end().get() > span[0] + 1)) {
+                        } else if (t.receivedAtMs() <= span[0]
+                                && (t.answeredAtMs().get() == 0
+                                        || t.answeredAtMs().get() > span[0] + 1)) {
                             before++;
                         }
                     }
@@ -453,7 +455,7 @@
         while (System.nanoTime() < end) {
             for (int i = 0; i < voters.size(); i++) {
                 String v = voters.get((first + i) % voters.size());
-                if (rig.driver(v).stopped || !rig.driver(v).alive()) {
+                if (rig.driver(v).paused || !rig.driver(v).isAlive()) {
                     continue;
                 }
                 try (FleetClient c = new FleetClient(rules(), v)) {
@@ -547,15 +549,15 @@
 
     private void leave(String name) {
         away.add(name);
-        load.away.add(name);
+        load.excludedDrivers.add(name);
     }
 
     private void back(String name) {
         away.remove(name);
-        load.away.remove(name);
+        load.excludedDrivers.remove(name);
     }
 
-    private void fault(Rig.Driver d, int kind) throws Exception {
+    private void fault(TestCluster.DriverProcess d, int kind) throws Exception {
         leave(d.name);
         if (kind < 2) {
             count("pauses");
@@ -563,7 +565,7 @@
             in(
                     LEASE_MS * (1 + random.nextInt(2)),
                     () -> {
-                        d.goOn();
+                        d.resume();
                         in(500, () -> back(d.name));
                     });
         } else if (kind < 4) {
@@ -576,7 +578,7 @@
             in(
                     0,
                     () -> {
-                        d.awaitEnd();
+                        d.awaitExit();
                         again(d);
                     });
         } else if (kind < 8) {
@@ -584,14 +586,14 @@
             boolean both = random.nextBoolean();
             boolean sends = random.nextBoolean();
             if (both) {
-                rig.cutFromCouncil(d.name, true);
+                rig.partitionFromVoters(d.name, true);
             } else {
-                rig.cutOneWay(d.name, sends, true);
+                rig.partitionOneWay(d.name, sends, true);
             }
             in(
                     1000 + random.nextInt(2 * LEASE_MS),
                     () -> {
-                        rig.cutFromCouncil(d.name, false);
+                        rig.partitionFromVoters(d.name, false);
                         in(500, () -> back(d.name));
                     });
         } else {
@@ -599,9 +601,9 @@
         }
     }
 
-    private void again(Rig.Driver d) throws Exception {
+    private void again(TestCluster.DriverProcess d) throws Exception {
         d.start();
-        d.await("work: the plan is known");
+        d.awaitLog("work: the plan is known");
         back(d.name);
     }
 
@@ -609,15 +611,15 @@
      * Holds the conductor's next order on its way, and starts it anew: the order comes under an
      * epoch that is over.
      */
-    private void holdOrder(Rig.Driver d) throws Exception {
+    private void holdOrder(TestCluster.DriverProcess d) throws Exception {
         AtomicInteger once = new AtomicInteger();
         for (String v : rig.voters()) {
-            rig.relays
-                    .between(d.name, v)
-                    .tap(
+            rig.proxy
+                    .linkBetween(d.name, v)
+                    .setInterceptor(
                             (link, way, bytes, connection) -> {
                                 boolean order =
-                                        way == Relays.Way.FORTH
+                                        way == FaultProxy.Direction.FORWARD
                                                 && once.get() == 0
                                                 && StandardCharsets.ISO_8859_1
                                                         .decode(bytes.duplicate())
@@ -635,8 +637,8 @@
                                             }
                                             d.kill();
                                             d.start();
-                                            in(1500, () -> rig.relays.letGo(connection));
-                                            d.await("work: the plan is known");
+                                            in(1500, () -> rig.proxy.release(connection));
+                                            d.awaitLog("work: the plan is known");
                                             back(d.name);
                                         });
                                 return true;
@@ -660,11 +662,11 @@
     private double marks(boolean alone) throws Exception {
         Map<String, Fixtures.StandInDiscovery> own = new TreeMap<>();
         if (alone) {
-            for (Rig.Driver d : rig.drivers.values()) {
+            for (TestCluster.DriverProcess d : rig.drivers.values()) {
                 Fixtures.StandInDiscovery mine = new Fixtures.StandInDiscovery();
                 own.put(d.name, mine);
-                rig.relays.between(d.name, "discovery").leadTo(mine.port());
-                rig.relays.breakOff(rig.relays.between(d.name, "discovery"));
+                rig.proxy.linkBetween(d.name, "discovery").setTargetPort(mine.port());
+                rig.proxy.disconnect(rig.proxy.linkBetween(d.name, "discovery"));
             }
         }
         for (Map.Entry<String, List<FencedMember>> m : machines.entrySet()) {
@@ -676,19 +678,19 @@
                             .findFirst()
                             .ifPresent(
                                     x -> {
-                                        member.primary(false);
-                                        x.primary(true);
+                                        member.setPrimary(false);
+                                        x.setPrimary(true);
                                     });
                 }
             }
             TimeUnit.MILLISECONDS.sleep(PACE_MS);
             for (FencedMember member : m.getValue()) {
-                rig.reachable(member, false);
+                rig.setReachable(member, false);
             }
             TimeUnit.MILLISECONDS.sleep(WORK_MS);
             for (FencedMember member : m.getValue()) {
-                member.starts(BEARS, 2);
-                rig.reachable(member, true);
+                member.simulateStart(BEARS, 2);
+                rig.setReachable(member, true);
             }
             tell(own, m.getValue(), "ready");
             TimeUnit.MILLISECONDS.sleep(PACE_MS);
@@ -702,7 +704,7 @@
         StringBuilder list = new StringBuilder();
         for (FencedMember m : rig.members.values()) {
             list.append(list.length() == 0 ? "" : ",")
-                    .append(rig.entry("d1", m, of.contains(m) ? state : "ready"));
+                    .append(rig.discoveryEntry("d1", m, of.contains(m) ? state : "ready"));
         }
         rig.discovery.tell(list.toString());
         own.values().forEach(d -> in(random.nextInt(4000), () -> d.tell(list.toString())));
--- a/src/main/java/wingroad/routing/TxnRouter.java
+++ b/src/main/java/wingroad/routing/TxnRouter.java
@@ -157,7 +157,7 @@
      * A check that is scheduled for a certain time.
      *
      * @param sequence orders events that are due at the same time
-     * @param target a {@link Txn}, a {@link Group}, or the time of a member list request
+     * @param target a {@link ReceivedTxn}, a {@link Group}, or the time of a member list request
      */
     private record ScheduledEvent(Duration dueAt, long sequence, Object target) {}
 
--- a/src/test/java/wingroad/driver/ClientFrontendTest.java
+++ b/src/test/java/wingroad/driver/ClientFrontendTest.java
@@ -131,8 +131,8 @@
     }
 
     private Peer client() throws IOException {
-        Peer c = Peer.to(port).send(Fixtures.STARTUP);
-        c.until("Z\0\0\0\5I");
+        Peer c = Peer.connect(port).send(Fixtures.STARTUP);
+        c.readUntil("Z\0\0\0\5I");
         return c;
     }
 
@@ -221,7 +221,7 @@
         }
         primaryFound();
         commit(dispatched.poll(20, TimeUnit.SECONDS));
-        assertThat(c.until("Z\0\0\0\5I")).contains("done");
+        assertThat(c.readUntil("Z\0\0\0\5I")).contains("done");
         BlockingQueue<Long> held = new LinkedBlockingQueue<>();
         loop.execute(() -> held.add(loop.bufferedBytes()));
         assertThat(held.poll(20, TimeUnit.SECONDS)).isLessThan((1 << 23) + 64 * 1024);
@@ -237,7 +237,7 @@
         primaryFound();
         Peer asked = client();
         asked.send(ask(""));
-        asked.until("Z\0\0\0\5I");
+        asked.readUntil("Z\0\0\0\5I");
         for (Peer c : List.of(asked, client())) {
             byte[] whole = ask(write("half" + (c == asked)));
             c.send(java.util.Arrays.copyOf(whole, 60));
@@ -245,8 +245,8 @@
             loop.execute(clients::beginClosing);
             c.send(java.util.Arrays.copyOfRange(whole, 60, whole.length));
             commit(dispatched.poll(20, TimeUnit.SECONDS));
-            assertThat(c.until("Z\0\0\0\5I")).contains("done");
-            assertThat(c.rest()).isEmpty();
+            assertThat(c.readUntil("Z\0\0\0\5I")).contains("done");
+            assertThat(c.readToEnd()).isEmpty();
             c.close();
             until(clients::isIdle);
         }
@@ -267,13 +267,13 @@
         TxnDispatcher.MemberRequest w = dispatched.poll(20, TimeUnit.SECONDS);
         loop.execute(clients::beginClosing);
         commit(w);
-        assertThat(c.until("Z\0\0\0\5I")).contains("done");
+        assertThat(c.readUntil("Z\0\0\0\5I")).contains("done");
         TxnDispatcher.MemberRequest r = dispatched.poll(20, TimeUnit.SECONDS);
         assertThat(r.statement().id()).isEqualTo("r");
         commit(r);
-        assertThat(c.until("Z\0\0\0\5I")).contains("done");
-        assertThat(c.until("Z\0\0\0\5I")).startsWith("I");
-        assertThat(c.rest()).isEmpty();
+        assertThat(c.readUntil("Z\0\0\0\5I")).contains("done");
+        assertThat(c.readUntil("Z\0\0\0\5I")).startsWith("I");
+        assertThat(c.readToEnd()).isEmpty();
         c.close();
         until(() -> clients.connectionCount() == 0);
     }
@@ -287,16 +287,16 @@
         primaryFound();
         Peer c = client();
         c.send(ask(""));
-        c.until("Z\0\0\0\5I");
+        c.readUntil("Z\0\0\0\5I");
         Peer fresh = client();
         loop.execute(clients::finishAll);
         // Taken from the listener's queue behind all others: told the same.
-        Peer last = Peer.to(port);
-        assertThat(last.rest()).isEmpty();
+        Peer last = Peer.connect(port);
+        assertThat(last.readToEnd()).isEmpty();
         last.close();
         for (Peer p : List.of(c, fresh)) {
             p.send(ask(write("late")));
-            assertThat(p.rest()).isEmpty();
+            assertThat(p.readToEnd()).isEmpty();
             p.send(ask(write("later")));
         }
         // Both stay until their clients end their side: a close over unread bytes would break the
@@ -331,7 +331,7 @@
                     clients.finishAll();
                 });
         until(() -> exchange.openTxnCount() == 0 && !clients.isIdle());
-        assertThat(c.rest().length).isGreaterThanOrEqualTo(row.length);
+        assertThat(c.readToEnd().length).isGreaterThanOrEqualTo(row.length);
         c.close();
         until(() -> clients.connectionCount() == 0);
     }
@@ -348,7 +348,7 @@
             for (int i = 0; i < 300; i++) {
                 c.send(nothing);
             }
-            assertThat(new String(c.rest(), StandardCharsets.ISO_8859_1))
+            assertThat(new String(c.readToEnd(), StandardCharsets.ISO_8859_1))
                     .contains("too much that is no query");
             c.close();
             until(() -> clients.connectionCount() == 0);
@@ -357,7 +357,7 @@
         Peer c = client();
         c.send(ask(write("other")));
         commit(dispatched.poll(20, TimeUnit.SECONDS));
-        assertThat(c.until("Z\0\0\0\5I")).contains("done");
+        assertThat(c.readUntil("Z\0\0\0\5I")).contains("done");
     }
 
     /**
@@ -377,7 +377,7 @@
         assertThat(dispatched.poll(20, TimeUnit.SECONDS).statement().id()).isEqualTo("same");
         again.reset();
         until(() -> exchange.openTxnCount() == 0);
-        assertThat(client().send(ask(write("same"))).until("Z\0\0\0\5I")).contains("42704");
+        assertThat(client().send(ask(write("same"))).readUntil("Z\0\0\0\5I")).contains("42704");
         assertThat(dispatched).isEmpty();
     }
 
@@ -394,7 +394,7 @@
         BlockingQueue<Boolean> may = new LinkedBlockingQueue<>();
         loop.execute(() -> may.add(exchange.mayDispatch(e)));
         assertThat(may.poll(20, TimeUnit.SECONDS)).isTrue();
-        c.endOutput();
+        c.shutdownOutput();
         until(() -> exchange.openTxnCount() == 0);
         loop.execute(() -> may.add(exchange.mayDispatch(e)));
         assertThat(may.poll(20, TimeUnit.SECONDS)).isFalse();
@@ -439,13 +439,14 @@
     void bytesOneAtATimeMakeWholeStatements() throws Exception {
         primaryFound();
         Peer c = client();
-        c.trickle(Fixtures.joined(ask(write("a")), ask(write("b"))));
+        c.sendByteByByte(Fixtures.joined(ask(write("a")), ask(write("b"))));
         for (String id : new String[] {"a", "b"}) {
             TxnDispatcher.MemberRequest e = dispatched.poll(20, TimeUnit.SECONDS);
             assertThat(e.statement().id()).isEqualTo(id);
             commit(e);
-            assertThat(c.until("Z\0\0\0\5I")).contains("done");
+            assertThat(c.readUntil("Z\0\0\0\5I")).contains("done");
         }
-        assertThat(new String(c.send(message('X')).rest(), StandardCharsets.ISO_8859_1)).isEmpty();
+        assertThat(new String(c.send(message('X')).readToEnd(), StandardCharsets.ISO_8859_1))
+                .isEmpty();
     }
 }
--- a/src/test/java/wingroad/driver/DiscoveryClientTest.java
+++ b/src/test/java/wingroad/driver/DiscoveryClientTest.java
@@ -86,7 +86,7 @@
 
     /** The version that the next call on this connection names, -1 for the whole list. */
     private static long since(Peer call) throws IOException {
-        String asked = call.until("\r\n\r\n");
+        String asked = call.readUntil("\r\n\r\n");
         return asked.contains("since=")
                 ? Long.parseLong(asked.replaceAll("(?s).*since=([0-9]+).*", "$1"))
                 : -1;
@@ -125,7 +125,7 @@
         }
         Peer last = agent.accept();
         assertThat(since(last)).isEqualTo(5);
-        last.trickle(whole.getBytes(StandardCharsets.ISO_8859_1));
+        last.sendByteByByte(whole.getBytes(StandardCharsets.ISO_8859_1));
         assertThat(news().version()).isEqualTo(6);
         assertThat(heard).isEmpty();
         assertThat(since(last)).isEqualTo(6);
@@ -177,10 +177,10 @@
         DiscoveryClient d = discovery(true);
         loop.execute(d::watch);
         Peer call = agent.accept();
-        assertThat(call.until("\r\n\r\n")).contains("timeout_ms=20000");
+        assertThat(call.readUntil("\r\n\r\n")).contains("timeout_ms=20000");
         call.reset();
         assertThat(heard.poll(20, TimeUnit.SECONDS)).isEqualTo("failed");
-        assertThat(agent.nobodyFor(400)).isTrue();
+        assertThat(agent.noConnectionWithin(400)).isTrue();
     }
 
     /**
@@ -203,7 +203,7 @@
         assertThat(since(second)).isEqualTo(6);
         second.send(sized(list(7, false, "draining")));
         assertThat(news().entries().get(0).isDraining()).isTrue();
-        first.awaitEnd();
+        first.readUntilClosed();
     }
 
     /**
@@ -219,7 +219,7 @@
         assertThat(news().version()).isEqualTo(6);
         Peer second = agent.accept();
         assertThat(since(second)).isEqualTo(6);
-        first.awaitEnd();
+        first.readUntilClosed();
         second.send(sized(list(7, false, "draining")));
         assertThat(news().version()).isEqualTo(7);
         assertThat(heard).isEmpty();
@@ -276,7 +276,7 @@
         assertThat(news().version()).isEqualTo(7);
         assertThat(since(watch)).isEqualTo(7);
         fetch.send(sized(list(6, true, "ready")));
-        fetch.awaitEnd();
+        fetch.readUntilClosed();
         watch.send(sized(list(8, false, "draining")));
         assertThat(news().version()).isEqualTo(8);
         assertThat(heard).isEmpty();
@@ -337,7 +337,7 @@
             loop.execute(() -> discovery.setAddress(at(next)));
             Peer moved = next.accept();
             assertThat(since(moved)).isEqualTo(5);
-            old.awaitEnd();
+            old.readUntilClosed();
             moved.send(sized(list(6, true, "draining")));
             assertThat(news().entries().get(0).isDraining()).isTrue();
             // And moved again while the news is told.
@@ -358,7 +358,7 @@
             since(agent.accept());
             loop.execute(() -> discovery.setAddress(at(next)));
             assertThat(since(next.accept())).isEqualTo(5);
-            assertThat(next.nobodyFor(300)).isTrue();
+            assertThat(next.noConnectionWithin(300)).isTrue();
         }
     }
 }
--- a/src/test/java/wingroad/driver/MemberPoolsTest.java
+++ b/src/test/java/wingroad/driver/MemberPoolsTest.java
@@ -499,7 +499,7 @@
             Peer at = old.accept();
             at.read(startupLength(at) - 4);
             at.send(message('R', new byte[4]), READY);
-            at.until("'\0");
+            at.readUntil("'\0");
             listed(moved.port());
             at.send(
                     message('T', DESCRIPTION),
@@ -507,7 +507,7 @@
                     message('C', text("SELECT 1")),
                     READY);
             assertThat(new String(next().row(), StandardCharsets.ISO_8859_1)).contains("old");
-            at.awaitEnd();
+            at.readUntilClosed();
             carryToTheOne();
             assertThat(new String(next().row(), StandardCharsets.ISO_8859_1)).contains("new");
         }
@@ -537,7 +537,7 @@
                 }
                 assertThat(next().end()).isEqualTo(Outcome.MOOT);
                 if (comesUp) {
-                    assertThat(at.awaitEnd()).doesNotContain("Q");
+                    assertThat(at.readUntilClosed()).doesNotContain("Q");
                 }
             }
         }
@@ -555,7 +555,7 @@
             Peer at = old.accept();
             at.read(startupLength(at) - 4);
             at.send(message('R', new byte[4]), READY);
-            at.until("'\0");
+            at.readUntil("'\0");
             loop.execute(() -> members.removeUnknown(id -> false));
             at.send(
                     message('T', DESCRIPTION),
@@ -563,7 +563,7 @@
                     message('C', text("SELECT 1")),
                     READY);
             assertThat(next().end()).isEqualTo(Outcome.COMMITTED);
-            at.awaitEnd();
+            at.readUntilClosed();
         }
     }
 
@@ -592,7 +592,7 @@
             goes.countDown();
             assertThat(next().end()).isEqualTo(Outcome.MOOT);
             loop.execute(() -> members.removeUnknown(id -> false));
-            assertThat(at.awaitEnd()).doesNotContain("Q");
+            assertThat(at.readUntilClosed()).doesNotContain("Q");
         }
     }
 
@@ -632,7 +632,7 @@
             Peer at = member.accept();
             at.read(startupLength(at) - 4);
             at.send(message('R', new byte[4]), READY);
-            at.until("'\0");
+            at.readUntil("'\0");
             at.send(
                     message('T', DESCRIPTION),
                     message('D', column("x")),
@@ -640,12 +640,12 @@
                     READY);
             assertThat(next().end()).isEqualTo(Outcome.COMMITTED);
             at.send(new byte[] {'S', 0, 0});
-            at.awaitEnd();
+            at.readUntilClosed();
             carryToTheOne();
             Peer second = member.accept();
             second.read(startupLength(second) - 4);
             second.send(message('R', new byte[4]), READY);
-            second.until("'\0");
+            second.readUntil("'\0");
             second.reset();
             assertThat(next().end()).isEqualTo(Outcome.RESET);
         }
@@ -655,7 +655,7 @@
     private static Peer letIn(Peer at) throws IOException {
         at.read(startupLength(at) - 4);
         at.send(message('R', new byte[4]), READY);
-        at.until("'\0");
+        at.readUntil("'\0");
         return at;
     }
 
@@ -685,7 +685,7 @@
             assertThat(next().end()).isEqualTo(Outcome.MOOT);
             mayGo = true;
             carryToTheOne();
-            assertThat(at.until("'\0"))
+            assertThat(at.readUntil("'\0"))
                     .contains("id=r" + (submissions - 1))
                     .doesNotContain("id=r" + (submissions - 2));
             answer(at);
@@ -731,7 +731,7 @@
                                             .list()
                                             .entries()
                                             .get(0)));
-            before.awaitEnd();
+            before.readUntilClosed();
             listed(member.port());
             carryToTheOne();
             answer(letIn(member.accept()));
@@ -753,7 +753,7 @@
                 answer(at);
                 assertThat(next().end()).isEqualTo(Outcome.COMMITTED);
                 carryToTheOne();
-                at.until("'\0");
+                at.readUntil("'\0");
                 if (resets) {
                     at.reset();
                 } else {
--- a/src/test/java/wingroad/fleet/FleetIT.java
+++ b/src/test/java/wingroad/fleet/FleetIT.java
@@ -3,29 +3,31 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import java.io.IOException;
-import java.nio.ByteBuffer;
-import java.nio.charset.StandardCharsets;
-import java.nio.file.Files;
-import java.nio.file.Path;
-import java.util.List;
-import java.util.Map;
-import java.util.concurrent.BlockingQueue;
-import java.util.concurrent.LinkedBlockingQueue;
-import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.CleanupMode;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.api.parallel.Execution;
 import org.junit.jupiter.api.parallel.ExecutionMode;
+
 import wingroad.Fixtures;
 import wingroad.Fixtures.Client;
 import wingroad.operator.OperatorFile;
+import wingroad.rig.FaultProxy;
 import wingroad.rig.FencedMember;
-import wingroad.rig.Relays;
-import wingroad.rig.Rig;
 import wingroad.rig.SlowDisk;
+import wingroad.rig.TestCluster;
+
+import java.io.IOException;
+import java.nio.ByteBuffer;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.List;
+import java.util.Map;
+import java.util.concurrent.BlockingQueue;
+import java.util.concurrent.LinkedBlockingQueue;
+import java.util.concurrent.TimeUnit;
 
 /** Several real processes of the packaged program, with faults between them. */
 @Execution(ExecutionMode.CONCURRENT)
@@ -41,12 +43,12 @@
     @TempDir(cleanup = CleanupMode.ON_SUCCESS)
     Path dir;
 
-    private Rig rig;
+    private TestCluster rig;
     private FencedMember member;
 
     private void start(int drivers, int voters) throws Exception {
-        rig = new Rig(dir, drivers, voters, RULES, Fixtures.SETTINGS);
-        member = rig.member("m1", 7, true, true);
+        rig = new TestCluster(dir, drivers, voters, RULES, Fixtures.SETTINGS);
+        member = rig.addMember("m1", 7, true, true);
         rig.startAll();
     }
 
@@ -56,11 +58,12 @@
     }
 
     /** Who ran a chore under this epoch, by the logs. */
-    private Rig.Driver runner(FencedMember.Entry e) throws InterruptedException {
+    private TestCluster.DriverProcess runner(FencedMember.ChoreExecution e)
+            throws InterruptedException {
         String words =
                 "fleet: chore " + e.chore() + " turn " + e.turn() + " epoch " + e.epoch() + ": ran";
         for (int i = 0; i < 4000; i++) {
-            for (Rig.Driver d : rig.drivers.values()) {
+            for (TestCluster.DriverProcess d : rig.drivers.values()) {
                 if (d.log().stream().anyMatch(l -> l.contains(words))) {
                     return d;
                 }
@@ -72,29 +75,31 @@
     }
 
     /** The next entry of the chore under a higher epoch. */
-    private FencedMember.Entry successor(FencedMember.Entry of) throws InterruptedException {
-        return member.await(0, e -> e.chore().equals(of.chore()) && e.epoch() > of.epoch());
+    private FencedMember.ChoreExecution successor(FencedMember.ChoreExecution of)
+            throws InterruptedException {
+        return member.awaitExecution(
+                0, e -> e.chore().equals(of.chore()) && e.epoch() > of.epoch());
     }
 
-    private FencedMember.Entry first(String chore) throws InterruptedException {
-        return member.await(0, e -> e.chore().equals(chore));
+    private FencedMember.ChoreExecution first(String chore) throws InterruptedException {
+        return member.awaitExecution(0, e -> e.chore().equals(chore));
     }
 
     private void nothingWrong() {
-        assertThat(member.twice()).as("turns run twice").isZero();
-        assertThat(member.ledger()).noneMatch(e -> e.late() && e.accepted());
+        assertThat(member.repeatedTurns()).as("turns run twice").isZero();
+        assertThat(member.executions()).noneMatch(e -> e.staleEpoch() && e.accepted());
     }
 
     @Test
     void oneDriverRunsAChoreAndAPlannedStopHandsItOver() throws Exception {
         start(4, 3);
-        FencedMember.Entry e = first("a");
-        Rig.Driver owner = runner(e);
+        FencedMember.ChoreExecution e = first("a");
+        TestCluster.DriverProcess owner = runner(e);
         owner.terminate();
-        FencedMember.Entry next = successor(e);
+        FencedMember.ChoreExecution next = successor(e);
         assertThat(runner(next)).isNotSameAs(owner);
-        owner.awaitEnd();
-        owner.await("fleet: left after");
+        owner.awaitExit();
+        owner.awaitLog("fleet: left after");
         Map<String, Object> duty = duty("chore a");
         assertThat((List<?>) duty.get("history"))
                 .anyMatch(h -> h.toString().endsWith("epoch " + e.epoch() + ": left"));
@@ -104,28 +109,28 @@
     @Test
     void anOwnerStoppedBeforeItsEffectWakesUpAndIsRefused() throws Exception {
         start(4, 3);
-        FencedMember.Entry e = first("a");
-        Rig.Driver owner = runner(e);
+        FencedMember.ChoreExecution e = first("a");
+        TestCluster.DriverProcess owner = runner(e);
         BlockingQueue<Object> held = new LinkedBlockingQueue<>();
-        rig.relays
-                .between(owner.name, "m1")
-                .tap(
+        rig.proxy
+                .linkBetween(owner.name, "m1")
+                .setInterceptor(
                         (link, way, bytes, connection) ->
-                                way == Relays.Way.FORTH
+                                way == FaultProxy.Direction.FORWARD
                                         && text(bytes).contains("fenced_a")
                                         && held.isEmpty()
                                         && held.add(connection));
         Object connection = held.poll(20, TimeUnit.SECONDS);
         assertThat(connection).as("the owner's next statement").isNotNull();
         owner.pause();
-        FencedMember.Entry next = successor(e);
-        int seen = member.entries();
-        rig.relays.letGo(connection);
-        owner.goOn();
-        FencedMember.Entry late =
-                member.await(seen, x -> x.chore().equals("a") && x.epoch() < next.epoch());
+        FencedMember.ChoreExecution next = successor(e);
+        int seen = member.executionCount();
+        rig.proxy.release(connection);
+        owner.resume();
+        FencedMember.ChoreExecution late =
+                member.awaitExecution(seen, x -> x.chore().equals("a") && x.epoch() < next.epoch());
         assertThat(late.accepted()).isFalse();
-        owner.await(
+        owner.awaitLog(
                 0,
                 l ->
                         l.contains("has expired; its duties are suspended")
@@ -136,52 +141,52 @@
     @Test
     void anOwnerThatIsCutOffStopsByItselfAndServesOn() throws Exception {
         start(5, 3);
-        FencedMember.Entry e = first("b");
-        Rig.Driver owner = runner(e);
-        int from = owner.lines();
-        rig.cutFromCouncil(owner.name, true);
-        owner.await(from, l -> l.contains("has expired; its duties are suspended"));
-        FencedMember.Entry next = successor(e);
+        FencedMember.ChoreExecution e = first("b");
+        TestCluster.DriverProcess owner = runner(e);
+        int from = owner.logLineCount();
+        rig.partitionFromVoters(owner.name, true);
+        owner.awaitLog(from, l -> l.contains("has expired; its duties are suspended"));
+        FencedMember.ChoreExecution next = successor(e);
         assertThat(runner(next)).isNotSameAs(owner);
         try (Client c = new Client(owner.port())) {
             c.startup().heard();
             assertThat(c.ask(Fixtures.read("served")).heard()).containsExactly("row value");
         }
-        rig.cutFromCouncil(owner.name, false);
-        owner.await(from, l -> l.contains("lease of") && l.contains("is valid"));
+        rig.partitionFromVoters(owner.name, false);
+        owner.awaitLog(from, l -> l.contains("lease of") && l.contains("is valid"));
         nothingWrong();
     }
 
     @Test
     void oneThatHearsNothingButIsHeardLosesItsDutiesToo() throws Exception {
         start(4, 3);
-        FencedMember.Entry e = first("a");
-        Rig.Driver owner = runner(e);
-        int from = owner.lines();
-        rig.cutOneWay(owner.name, false, true);
-        owner.await(from, l -> l.contains("has expired; its duties are suspended"));
+        FencedMember.ChoreExecution e = first("a");
+        TestCluster.DriverProcess owner = runner(e);
+        int from = owner.logLineCount();
+        rig.partitionOneWay(owner.name, false, true);
+        owner.awaitLog(from, l -> l.contains("has expired; its duties are suspended"));
         // Guards against a session that is renewed by an owner that does not hear of it: its duties
         // stood still meanwhile.
         assertThat(runner(successor(e))).isNotSameAs(owner);
-        rig.cutOneWay(owner.name, false, false);
-        owner.await(from, l -> l.contains("lease of") && l.contains("is valid"));
-        member.await(member.entries(), x -> x.chore().equals("a"));
+        rig.partitionOneWay(owner.name, false, false);
+        owner.awaitLog(from, l -> l.contains("lease of") && l.contains("is valid"));
+        member.awaitExecution(member.executionCount(), x -> x.chore().equals("a"));
         nothingWrong();
     }
 
     @Test
     void allKilledAtOnceAndStartedInAnotherOrderGoOnUnderHigherEpochs() throws Exception {
         start(4, 3);
-        FencedMember.Entry a = first("a");
+        FencedMember.ChoreExecution a = first("a");
         first("b");
-        for (Rig.Driver d : rig.drivers.values()) {
+        for (TestCluster.DriverProcess d : rig.drivers.values()) {
             d.kill();
         }
-        int seen = member.entries();
+        int seen = member.executionCount();
         for (String name : List.of("d3", "d4", "d1", "d2")) {
             rig.driver(name).start();
         }
-        FencedMember.Entry again = member.await(seen, x -> x.chore().equals("a"));
+        FencedMember.ChoreExecution again = member.awaitExecution(seen, x -> x.chore().equals("a"));
         assertThat(again.epoch()).isGreaterThan(a.epoch());
         assertThat(again.turn()).isGreaterThan(a.turn());
         assertThat(again.accepted()).isTrue();
@@ -192,12 +197,12 @@
     void aVoterThatLostItsStateIsANewcomerAndIsLetInAgain() throws Exception {
         start(4, 3);
         first("a");
-        Rig.Driver lost = rig.driver("d2");
+        TestCluster.DriverProcess lost = rig.driver("d2");
         lost.kill();
-        lost.loseState();
+        lost.deleteState();
         lost.start();
-        lost.await("is not in a consensus group yet");
-        lost.await("joined consensus group");
+        lost.awaitLog("is not in a consensus group yet");
+        lost.awaitLog("joined consensus group");
         awaitVoters(List.of("d1", "d2", "d3"), "d2");
         nothingWrong();
     }
@@ -206,17 +211,18 @@
     void aBrokenStateFileIsSetAsideAndNamed() throws Exception {
         start(4, 3);
         first("a");
-        Rig.Driver d = rig.driver("d3");
+        TestCluster.DriverProcess d = rig.driver("d3");
         d.kill();
         byte[] rubbish =
                 "no database at all, but long enough to be taken for one by whoever reads it"
                         .getBytes(StandardCharsets.UTF_8);
         // What stands in its write-ahead log would mend it.
-        Files.deleteIfExists(d.state().resolve("council.db-wal"));
-        Files.write(d.state().resolve("council.db"), rubbish);
+        Files.deleteIfExists(d.stateDirectory().resolve("council.db-wal"));
+        Files.write(d.stateDirectory().resolve("council.db"), rubbish);
         d.start();
-        d.await("state set aside as aside-1-council.db");
-        assertThat(Files.readAllBytes(d.state().resolve("aside-1-council.db"))).isEqualTo(rubbish);
+        d.awaitLog("state set aside as aside-1-council.db");
+        assertThat(Files.readAllBytes(d.stateDirectory().resolve("aside-1-council.db")))
+                .isEqualTo(rubbish);
         awaitVoters(List.of("d1", "d2", "d3"), "d3");
         nothingWrong();
     }
@@ -225,61 +231,61 @@
     void withoutAMajorityNobodyGainsADutyAndClientsAreServedOn() throws Exception {
         start(4, 3);
         first("a");
-        Rig.Driver left = rig.driver("d4");
-        left.await("lease of d4/");
+        TestCluster.DriverProcess left = rig.driver("d4");
+        left.awaitLog("lease of d4/");
         rig.driver("d1").kill();
         rig.driver("d2").kill();
-        left.await("has expired; its duties are suspended");
-        int seen = member.entries();
+        left.awaitLog("has expired; its duties are suspended");
+        int seen = member.executionCount();
         try (Client c = new Client(left.port())) {
             c.startup().heard();
             assertThat(c.ask(Fixtures.write("w")).heard()).containsExactly("row value");
         }
-        assertThat(member.entries()).as("chores begun without a majority").isEqualTo(seen);
+        assertThat(member.executionCount()).as("chores begun without a majority").isEqualTo(seen);
         rig.driver("d2").start();
-        member.await(seen, x -> x.chore().equals("a") && x.accepted());
+        member.awaitExecution(seen, x -> x.chore().equals("a") && x.accepted());
         nothingWrong();
     }
 
     @Test
     void oneDriverAsksDiscoveryAndTheOthersGoByItUntilItIsGone() throws Exception {
-        rig = new Rig(dir, 4, 3, RULES + "    list check=600\n", Fixtures.SETTINGS);
-        member = rig.member("m1", 7, true, true);
-        FencedMember replica = rig.member("m2", 7, false, true);
+        rig = new TestCluster(dir, 4, 3, RULES + "    list check=600\n", Fixtures.SETTINGS);
+        member = rig.addMember("m1", 7, true, true);
+        FencedMember replica = rig.addMember("m2", 7, false, true);
         rig.startAll();
-        String fit = rig.entry("d1", member, "ready");
-        rig.discovery.tell(fit + "," + rig.entry("d1", replica, "ready"));
+        String fit = rig.discoveryEntry("d1", member, "ready");
+        rig.discovery.tell(fit + "," + rig.discoveryEntry("d1", replica, "ready"));
         awaitShared(3);
-        Rig.Driver owner = rig.driver(String.valueOf(duty("list").get("owner")));
-        List<Rig.Driver> by = awaitFollowers(3);
+        TestCluster.DriverProcess owner = rig.driver(String.valueOf(duty("list").get("owner")));
+        List<TestCluster.DriverProcess> by = awaitFollowers(3);
         while (by.contains(owner)) {
             // It has become the owner just now, and the one before it does not go by it yet.
             by = awaitFollowers(3);
         }
         int asked = rig.discovery.asked.size();
-        rig.discovery.tell(fit + "," + rig.entry("d1", replica, "draining"));
-        for (Rig.Driver d : rig.drivers.values()) {
-            d.await(0, l -> l.contains("list 2 "));
+        rig.discovery.tell(fit + "," + rig.discoveryEntry("d1", replica, "draining"));
+        for (TestCluster.DriverProcess d : rig.drivers.values()) {
+            d.awaitLog(0, l -> l.contains("list 2 "));
         }
         // The owner's next watch, and perhaps one that was being given up.
         assertThat(rig.discovery.asked.size() - asked).isLessThan(4);
-        Map<Rig.Driver, Integer> from = new java.util.HashMap<>();
-        by.forEach(d -> from.put(d, d.lines()));
+        Map<TestCluster.DriverProcess, Integer> from = new java.util.HashMap<>();
+        by.forEach(d -> from.put(d, d.logLineCount()));
         // Without a council there is no other owner, however soon: each has to notice the silence
         // by itself.
-        for (Rig.Driver d : by) {
-            rig.cutFromCouncil(d.name, true);
+        for (TestCluster.DriverProcess d : by) {
+            rig.partitionFromVoters(d.name, true);
         }
         owner.kill();
-        for (Rig.Driver d : by) {
-            d.await(from.get(d), l -> l.contains("list: watches discovery itself"));
+        for (TestCluster.DriverProcess d : by) {
+            d.awaitLog(from.get(d), l -> l.contains("list: watches discovery itself"));
         }
         rig.discovery.tell(fit);
-        for (Rig.Driver d : by) {
-            d.await(0, l -> l.contains("list 3 "));
+        for (TestCluster.DriverProcess d : by) {
+            d.awaitLog(0, l -> l.contains("list 3 "));
         }
-        for (Rig.Driver d : by) {
-            rig.cutFromCouncil(d.name, false);
+        for (TestCluster.DriverProcess d : by) {
+            rig.partitionFromVoters(d.name, false);
         }
         assertThat(awaitFollowers(2)).doesNotContain(owner);
         nothingWrong();
@@ -291,9 +297,9 @@
      */
     @Test
     void aListThatComesBeforeTheFleetHasBegunIsKnownToItsOwner() throws Exception {
-        rig = new Rig(dir, 4, 3, RULES + "    list check=600\n", Fixtures.SETTINGS);
-        member = rig.member("m1", 7, true, true);
-        rig.discovery.tell(rig.entry("d1", member, "ready"));
+        rig = new TestCluster(dir, 4, 3, RULES + "    list check=600\n", Fixtures.SETTINGS);
+        member = rig.addMember("m1", 7, true, true);
+        rig.discovery.tell(rig.discoveryEntry("d1", member, "ready"));
         rig.startAll();
         awaitFollowers(3);
     }
@@ -303,8 +309,8 @@
      * sessions come.
      */
     private void awaitShared(int duties) throws Exception {
-        for (Rig.Driver d : rig.drivers.values()) {
-            d.await("lease of " + d.name + "/");
+        for (TestCluster.DriverProcess d : rig.drivers.values()) {
+            d.awaitLog("lease of " + d.name + "/");
         }
         for (int i = 0; i < 800; i++) {
             List<?> all = (List<?>) status().get("duties");
@@ -323,11 +329,11 @@
     }
 
     /** Waits until so many drivers that live go by the owner of the list. */
-    private List<Rig.Driver> awaitFollowers(int count) throws InterruptedException {
+    private List<TestCluster.DriverProcess> awaitFollowers(int count) throws InterruptedException {
         for (int i = 0; i < 400; i++) {
-            List<Rig.Driver> by =
+            List<TestCluster.DriverProcess> by =
                     rig.drivers.values().stream()
-                            .filter(Rig.Driver::alive)
+                            .filter(TestCluster.DriverProcess::isAlive)
                             .filter(
                                     d ->
                                             d.log().stream()
@@ -346,9 +352,9 @@
 
     @Test
     void votersAreLetInAndTakenOutOneAtATime() throws Exception {
-        rig = new Rig(dir, 4, 3, RULES, Fixtures.SETTINGS);
-        member = rig.member("m1", 7, true, true);
-        String at = rig.spare("d4");
+        rig = new TestCluster(dir, 4, 3, RULES, Fixtures.SETTINGS);
+        member = rig.addMember("m1", 7, true, true);
+        String at = rig.addSpareVoter("d4");
         rig.startAll();
         first("a");
         try (FleetClient c = new FleetClient(rules(), "d1")) {
@@ -359,32 +365,32 @@
         try (FleetClient c = new FleetClient(rules(), "d1")) {
             assertThat(c.changeVoter("d3", "", "q3")).isEmpty();
         }
-        rig.driver("d3").await("has been removed from the consensus group");
-        assertThat(rig.driver("d3").await("state set aside")).isNotNull();
+        rig.driver("d3").awaitLog("has been removed from the consensus group");
+        assertThat(rig.driver("d3").awaitLog("state set aside")).isNotNull();
         // The new one counts: with d1 away d2 and d4 are a majority of three.
         rig.driver("d1").kill();
-        int seen = member.entries();
-        member.await(seen + 6, e -> e.accepted());
+        int seen = member.executionCount();
+        member.awaitExecution(seen + 6, e -> e.accepted());
         nothingWrong();
     }
 
     @Test
     void aVoterThatCannotWriteVotesNoMoreAndServesOn() throws Exception {
-        rig = new Rig(dir, 4, 3, RULES, Fixtures.SETTINGS);
-        member = rig.member("m1", 7, true, true);
-        Rig.Driver full = rig.driver("d2");
+        rig = new TestCluster(dir, 4, 3, RULES, Fixtures.SETTINGS);
+        member = rig.addMember("m1", 7, true, true);
+        TestCluster.DriverProcess full = rig.driver("d2");
         // Room for the database's own library, which is unpacked into a file, and for some seconds
         // of its log.
-        full.largestFileKb = 1500;
+        full.maxFileSizeKb = 1500;
         rig.startAll();
         first("a");
-        full.await("cannot write its state and no longer votes");
+        full.awaitLog("cannot write its state and no longer votes");
         try (Client c = new Client(full.port())) {
             c.startup().heard();
             assertThat(c.ask(Fixtures.read("served")).heard()).containsExactly("row value");
         }
-        int seen = member.entries();
-        member.await(seen + 6, FencedMember.Entry::accepted);
+        int seen = member.executionCount();
+        member.awaitExecution(seen + 6, FencedMember.ChoreExecution::accepted);
         nothingWrong();
     }
 
@@ -393,22 +399,22 @@
         start(4, 3);
         first("a");
         first("b");
-        int seen = member.entries();
+        int seen = member.executionCount();
         for (int i = 0; i < 24; i++) {
             String name = "d" + (i % 4 + 1);
             boolean both = i % 3 == 0;
             if (both) {
-                rig.cutFromCouncil(name, true);
+                rig.partitionFromVoters(name, true);
             } else {
-                rig.cutOneWay(name, i % 3 == 1, true);
+                rig.partitionOneWay(name, i % 3 == 1, true);
             }
             // Each cut lasts as long as it takes until somebody's next chore has come.
-            member.await(member.entries(), FencedMember.Entry::accepted);
-            rig.cutFromCouncil(name, false);
+            member.awaitExecution(member.executionCount(), FencedMember.ChoreExecution::accepted);
+            rig.partitionFromVoters(name, false);
         }
-        member.await(member.entries(), e -> e.chore().equals("a") && e.accepted());
-        member.await(member.entries(), e -> e.chore().equals("b") && e.accepted());
-        assertThat(member.entries()).isGreaterThan(seen + 24);
+        member.awaitExecution(member.executionCount(), e -> e.chore().equals("a") && e.accepted());
+        member.awaitExecution(member.executionCount(), e -> e.chore().equals("b") && e.accepted());
+        assertThat(member.executionCount()).isGreaterThan(seen + 24);
         nothingWrong();
     }
 
@@ -417,78 +423,80 @@
             throws Exception {
         start(4, 3);
         first("a");
-        Rig.Driver leader = rig.driver(String.valueOf(status().get("leader")));
-        try (SlowDisk disk = new SlowDisk(leader.state().resolve("council.db"))) {
-            disk.slow(300);
-            int seen = member.entries();
-            member.await(seen + 8, FencedMember.Entry::accepted);
+        TestCluster.DriverProcess leader = rig.driver(String.valueOf(status().get("leader")));
+        try (SlowDisk disk = new SlowDisk(leader.stateDirectory().resolve("council.db"))) {
+            disk.delayWrites(300);
+            int seen = member.executionCount();
+            member.awaitExecution(seen + 8, FencedMember.ChoreExecution::accepted);
             // A write that does not come to an end within the store's patience is a broken disk.
-            disk.hang();
-            leader.await("cannot write its state and no longer votes");
+            disk.blockWrites();
+            leader.awaitLog("cannot write its state and no longer votes");
             try (Client c = new Client(leader.port())) {
                 c.startup().heard();
                 assertThat(c.ask(Fixtures.read("served")).heard()).containsExactly("row value");
             }
-            member.await(member.entries() + 4, FencedMember.Entry::accepted);
+            member.awaitExecution(
+                    member.executionCount() + 4, FencedMember.ChoreExecution::accepted);
         }
-        int from = leader.lines();
-        leader.await(from, l -> l.contains("joined consensus group"));
+        int from = leader.logLineCount();
+        leader.awaitLog(from, l -> l.contains("joined consensus group"));
         nothingWrong();
     }
 
     @Test
     void aFolderThatIsNoneKeepsADriverOutOfTheFleetAlone() throws Exception {
-        rig = new Rig(dir, 4, 3, RULES, Fixtures.SETTINGS);
-        member = rig.member("m1", 7, true, true);
-        Rig.Driver without = rig.driver("d4");
-        Files.writeString(without.state(), "a file");
+        rig = new TestCluster(dir, 4, 3, RULES, Fixtures.SETTINGS);
+        member = rig.addMember("m1", 7, true, true);
+        TestCluster.DriverProcess without = rig.driver("d4");
+        Files.writeString(without.stateDirectory(), "a file");
         rig.startAll();
-        without.await("start failed, retrying");
+        without.awaitLog("start failed, retrying");
         try (Client c = new Client(without.port())) {
             c.startup().heard();
             assertThat(c.ask(Fixtures.read("served")).heard()).containsExactly("row value");
         }
-        Files.delete(without.state());
-        without.await("lease of d4/");
+        Files.delete(without.stateDirectory());
+        without.awaitLog("lease of d4/");
         nothingWrong();
     }
 
     @Test
     void aSecondProcessOfANameIsRefused() throws Exception {
-        rig = new Rig(dir, 5, 3, RULES, Fixtures.SETTINGS);
-        member = rig.member("m1", 7, true, true);
+        rig = new TestCluster(dir, 5, 3, RULES, Fixtures.SETTINGS);
+        member = rig.addMember("m1", 7, true, true);
         for (String name : List.of("d1", "d2", "d3", "d4")) {
             rig.driver(name).start();
         }
-        rig.driver("d4").await("lease of d4/");
-        rig.driver("d5").as = "d4";
+        rig.driver("d4").awaitLog("lease of d4/");
+        rig.driver("d5").fleetName = "d4";
         rig.driver("d5").start();
-        rig.driver("d5").await("no session: another driver is known by the name 'd4'");
+        rig.driver("d5").awaitLog("no session: another driver is known by the name 'd4'");
         // Once the first is gone and its lease has run out, the name is free.
         rig.driver("d4").kill();
-        rig.driver("d5").await("lease of d4/");
+        rig.driver("d5").awaitLog("lease of d4/");
         nothingWrong();
     }
 
     @Test
     void whileAnotherVoterIsDownOneWithoutStateIsNotLetIn() throws Exception {
         start(4, 3);
-        FencedMember.Entry e = first("a");
+        FencedMember.ChoreExecution e = first("a");
         // A lease can run out only where there has been one.
-        rig.driver("d1").await("lease of d1/");
-        rig.driver("d4").await("lease of d4/");
+        rig.driver("d1").awaitLog("lease of d1/");
+        rig.driver("d4").awaitLog("lease of d4/");
         rig.driver("d2").kill();
         rig.driver("d3").kill();
-        rig.driver("d3").loseState();
+        rig.driver("d3").deleteState();
         rig.driver("d3").start();
-        rig.driver("d4").await("has expired; its duties are suspended");
-        rig.driver("d1").await("has expired; its duties are suspended");
+        rig.driver("d4").awaitLog("has expired; its duties are suspended");
+        rig.driver("d1").awaitLog("has expired; its duties are suspended");
         assertThat(rig.driver("d3").log()).noneMatch(l -> l.contains("joined consensus group"));
-        int seen = member.entries();
+        int seen = member.executionCount();
         rig.driver("d2").start();
-        FencedMember.Entry again = member.await(seen, x -> x.chore().equals("a") && x.accepted());
+        FencedMember.ChoreExecution again =
+                member.awaitExecution(seen, x -> x.chore().equals("a") && x.accepted());
         assertThat(again.epoch()).isGreaterThanOrEqualTo(e.epoch());
-        rig.driver("d3").await("joined consensus group");
+        rig.driver("d3").awaitLog("joined consensus group");
         awaitVoters(List.of("d1", "d2", "d3"), "d3");
         nothingWrong();
     }
@@ -498,43 +506,44 @@
         start(4, 3);
         first("a");
         first("b");
-        for (Rig.Driver d : rig.drivers.values()) {
+        for (TestCluster.DriverProcess d : rig.drivers.values()) {
             d.terminate();
-            d.awaitEnd();
+            d.awaitExit();
             d.start();
-            d.await("lease of");
+            d.awaitLog("lease of");
         }
-        int seen = member.entries();
-        member.await(seen, x -> x.chore().equals("a") && x.accepted());
-        member.await(seen, x -> x.chore().equals("b") && x.accepted());
+        int seen = member.executionCount();
+        member.awaitExecution(seen, x -> x.chore().equals("a") && x.accepted());
+        member.awaitExecution(seen, x -> x.chore().equals("b") && x.accepted());
         nothingWrong();
     }
 
     @Test
     void aStatementBrokenOffInItsMiddleIsNotRepeated() throws Exception {
         start(4, 3);
-        FencedMember.Entry e = first("a");
-        Rig.Driver owner = runner(e);
-        Relays.Connection link = rig.relays.between(owner.name, "m1");
+        FencedMember.ChoreExecution e = first("a");
+        TestCluster.DriverProcess owner = runner(e);
+        FaultProxy.Link link = rig.proxy.linkBetween(owner.name, "m1");
         BlockingQueue<Object> held = new LinkedBlockingQueue<>();
-        link.tap(
+        link.setInterceptor(
                 (l, way, bytes, connection) ->
-                        way == Relays.Way.FORTH
+                        way == FaultProxy.Direction.FORWARD
                                 && text(bytes).contains("fenced_a")
                                 && held.isEmpty()
                                 && held.add(connection));
         assertThat(held.poll(20, TimeUnit.SECONDS)).as("the owner's next statement").isNotNull();
-        int from = owner.lines();
-        rig.relays.breakOff(link);
+        int from = owner.logLineCount();
+        rig.proxy.disconnect(link);
         String told =
-                owner.await(
+                owner.awaitLog(
                         from,
                         l ->
                                 l.contains("fleet: chore a turn")
                                         && l.contains("refused or broken off"));
         long turn = Long.parseLong(told.replaceAll(".* turn ([0-9]+) .*", "$1"));
-        FencedMember.Entry next = member.await(0, x -> x.chore().equals("a") && x.turn() > turn);
-        assertThat(member.ledger()).noneMatch(x -> x.chore().equals("a") && x.turn() == turn);
+        FencedMember.ChoreExecution next =
+                member.awaitExecution(0, x -> x.chore().equals("a") && x.turn() > turn);
+        assertThat(member.executions()).noneMatch(x -> x.chore().equals("a") && x.turn() == turn);
         assertThat(next.accepted()).isTrue();
         nothingWrong();
     }
@@ -542,13 +551,14 @@
     @Test
     void oneVoterAndOneMoreAreAFleetOfTwo() throws Exception {
         start(2, 1);
-        FencedMember.Entry a = first("a");
-        FencedMember.Entry b = first("b");
+        FencedMember.ChoreExecution a = first("a");
+        FencedMember.ChoreExecution b = first("b");
         rig.driver("d2").kill();
-        int seen = member.entries();
-        member.await(seen + 8, x -> x.accepted());
-        for (FencedMember.Entry e : List.of(a, b)) {
-            FencedMember.Entry next = member.await(seen, x -> x.chore().equals(e.chore()));
+        int seen = member.executionCount();
+        member.awaitExecution(seen + 8, x -> x.accepted());
+        for (FencedMember.ChoreExecution e : List.of(a, b)) {
+            FencedMember.ChoreExecution next =
+                    member.awaitExecution(seen, x -> x.chore().equals(e.chore()));
             assertThat(runner(next).name).isEqualTo("d1");
         }
         nothingWrong();
@@ -576,7 +586,7 @@
     }
 
     private FleetConfig rules() throws IOException {
-        return OperatorFile.read(rig.driver("d1").operator()).file().fleet();
+        return OperatorFile.read(rig.driver("d1").operatorFile()).file().fleet();
     }
 
     private Map<String, Object> duty(String name) throws IOException {
@@ -603,9 +613,9 @@
 
     /** Waits until the council has these voters and this one's place is settled. */
     private void awaitVoters(List<String> voters, String newcomer) throws Exception {
-        for (Rig.Driver d : rig.drivers.values()) {
+        for (TestCluster.DriverProcess d : rig.drivers.values()) {
             if (!d.name.equals(newcomer)) {
-                for (int i = 0; i < 4000 && d.alive(); i++) {
+                for (int i = 0; i < 4000 && d.isAlive(); i++) {
                     if (d.log().stream()
                                     .anyMatch(
                                             l ->
--- a/src/test/java/wingroad/rig/Load.java
+++ b/src/test/java/wingroad/rig/ClientLoad.java
@@ -1,5 +1,8 @@
 package wingroad.rig;
 
+import wingroad.Fixtures;
+import wingroad.Fixtures.Client;
+
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
@@ -7,42 +10,40 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
-import wingroad.Fixtures;
-import wingroad.Fixtures.Client;
 
 /**
  * Clients of all drivers that live: a txn after the other, every fifth a write. What is broken off
  * while its driver is left alone counts as lost.
  */
-public final class Load implements AutoCloseable {
+public final class ClientLoad implements AutoCloseable {
     public final AtomicLong sent = new AtomicLong();
     public final AtomicLong committed = new AtomicLong();
     public final AtomicLong refused = new AtomicLong();
     public final AtomicLong lost = new AtomicLong();
 
     /** What was heard by the first that were refused, and when. */
-    public final java.util.Queue<String> refusals =
+    public final java.util.Queue<String> firstRefusals =
             new java.util.concurrent.ConcurrentLinkedQueue<>();
 
     /** Drivers that are not left alone: what fails there is not counted. */
-    public final Set<String> away = ConcurrentHashMap.newKeySet();
+    public final Set<String> excludedDrivers = ConcurrentHashMap.newKeySet();
 
-    private final Rig rig;
+    private final TestCluster cluster;
     private final List<Integer> groups;
-    private final long everyMs;
+    private final long intervalMs;
     private final List<Thread> threads = new ArrayList<>();
-    private volatile boolean over;
+    private volatile boolean closed;
 
-    public Load(Rig rig, List<Integer> groups, long everyMs) {
+    public ClientLoad(TestCluster rig, List<Integer> groups, long everyMs) {
         this(rig, groups, everyMs, 1);
     }
 
     /** The same with so many clients at each driver. */
-    public Load(Rig rig, List<Integer> groups, long everyMs, int clients) {
-        this.rig = rig;
+    public ClientLoad(TestCluster rig, List<Integer> groups, long everyMs, int clients) {
+        this.cluster = rig;
         this.groups = groups;
-        this.everyMs = everyMs;
-        for (Rig.Driver d : rig.drivers.values()) {
+        this.intervalMs = everyMs;
+        for (TestCluster.DriverProcess d : rig.drivers.values()) {
             for (int i = 0; i < clients; i++) {
                 String name = d.name + "c" + i;
                 Thread t = new Thread(() -> run(d, name), "load " + name);
@@ -53,15 +54,15 @@
         }
     }
 
-    private void run(Rig.Driver d, String client) {
+    private void run(TestCluster.DriverProcess d, String client) {
         Client c = null;
         int starts = -1;
-        for (int n = 0; !over; n++) {
-            boolean alone = !away.contains(d.name);
-            int now = d.starts;
+        for (int n = 0; !closed; n++) {
+            boolean alone = !excludedDrivers.contains(d.name);
+            int now = d.startCount;
             try {
-                TimeUnit.MILLISECONDS.sleep(everyMs);
-                if (!d.alive() || d.stopped || d.port() == 0) {
+                TimeUnit.MILLISECONDS.sleep(intervalMs);
+                if (!d.isAlive() || d.paused || d.port() == 0) {
                     c = null;
                     continue;
                 }
@@ -77,7 +78,7 @@
                                         (n % 5 == 4 ? Fixtures.write(id) : Fixtures.read(id))
                                                 .replace("cluster=7", group))
                                 .heard();
-                if (alone && !away.contains(d.name) && d.starts == now) {
+                if (alone && !excludedDrivers.contains(d.name) && d.startCount == now) {
                     sent.incrementAndGet();
                     if (heard.contains("row value")) {
                         committed.incrementAndGet();
@@ -85,7 +86,7 @@
                         lost.incrementAndGet();
                     } else {
                         if (refused.incrementAndGet() <= 20) {
-                            refusals.add(java.time.Instant.now() + " " + id + " " + heard);
+                            firstRefusals.add(java.time.Instant.now() + " " + id + " " + heard);
                         }
                     }
                 }
@@ -95,10 +96,10 @@
             } catch (IOException e) {
                 if (c != null
                         && alone
-                        && !away.contains(d.name)
-                        && d.starts == now
-                        && d.alive()
-                        && !over) {
+                        && !excludedDrivers.contains(d.name)
+                        && d.startCount == now
+                        && d.isAlive()
+                        && !closed) {
                     sent.incrementAndGet();
                     lost.incrementAndGet();
                 }
@@ -109,13 +110,13 @@
         }
     }
 
-    public double servedShare() {
+    public double committedShare() {
         return sent.get() == 0 ? 1 : (double) committed.get() / sent.get();
     }
 
     @Override
     public void close() throws InterruptedException {
-        over = true;
+        closed = true;
         for (Thread t : threads) {
             t.join(TimeUnit.SECONDS.toMillis(20));
         }
--- a/src/test/java/wingroad/rig/Relays.java
+++ b/src/test/java/wingroad/rig/FaultProxy.java
@@ -22,48 +22,48 @@
  * slows it, breaks it off in mid-message. What is held is not lost: it comes late, also where its
  * sender has gone meanwhile.
  */
-public final class Relays implements AutoCloseable {
-    private static final int PIECE = 16 * 1024;
-    private static final int MOST_HELD = 1 << 20;
+public final class FaultProxy implements AutoCloseable {
+    private static final int READ_BUFFER_BYTES = 16 * 1024;
+    private static final int MAX_BUFFERED_BYTES = 1 << 20;
 
     /** Which way bytes go: from whoever connected, or back. */
-    public enum Way {
-        FORTH,
-        BACK
+    public enum Direction {
+        FORWARD,
+        BACKWARD
     }
 
     /**
      * Sees what goes by, on the relays' thread; true holds this connection's way from these bytes
      * on.
      */
-    public interface Tap {
-        boolean sees(Connection link, Way way, ByteBuffer bytes, Object connection);
+    public interface Interceptor {
+        boolean intercept(Link link, Direction way, ByteBuffer bytes, Object connection);
     }
 
     private final Selector selector = Selector.open();
     private final ConcurrentLinkedQueue<Runnable> tasks = new ConcurrentLinkedQueue<>();
-    private final Map<String, Connection> links = new LinkedHashMap<>();
+    private final Map<String, Link> links = new LinkedHashMap<>();
     private final Thread thread = new Thread(this::run, "relays");
     private volatile boolean closed;
 
-    public Relays() throws IOException {
+    public FaultProxy() throws IOException {
         thread.setDaemon(true);
         thread.start();
     }
 
     /** One link: whoever connects to its port reaches its target. */
-    public final class Connection {
+    public final class Link {
         public final String from;
         public final String to;
         private final ServerSocketChannel door = ServerSocketChannel.open();
         private volatile int target;
-        private volatile Tap tap;
+        private volatile Interceptor tap;
         private boolean heldForth;
         private boolean heldBack;
         private long delayNanos;
-        private final List<Pair> pairs = new ArrayList<>();
+        private final List<RelayedConnection> pairs = new ArrayList<>();
 
-        private Connection(String from, String to) throws IOException {
+        private Link(String from, String to) throws IOException {
             this.from = from;
             this.to = to;
             door.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
@@ -75,22 +75,22 @@
         }
 
         /** Where it leads from now on; 0 is nowhere. */
-        public void leadTo(int port) {
+        public void setTargetPort(int port) {
             target = port;
         }
 
-        public void tap(Tap t) {
+        public void setInterceptor(Interceptor t) {
             tap = t;
         }
 
-        private boolean held(Way way) {
-            return way == Way.FORTH ? heldForth : heldBack;
+        private boolean held(Direction way) {
+            return way == Direction.FORWARD ? heldForth : heldBack;
         }
     }
 
     /** Makes a link; its target comes later. */
-    public Connection link(String from, String to) throws IOException {
-        Connection l = new Connection(from, to);
+    public Link addLink(String from, String to) throws IOException {
+        Link l = new Link(from, to);
         links.put(from + ">" + to, l);
         sync(
                 () -> {
@@ -103,24 +103,24 @@
         return l;
     }
 
-    public Connection between(String from, String to) {
+    public Link linkBetween(String from, String to) {
         return links.get(from + ">" + to);
     }
 
-    public List<Connection> all() {
+    public List<Link> allLinks() {
         return List.copyOf(links.values());
     }
 
     /** Holds what goes this way, or lets it go on, on what is connected and on what will be. */
-    public void hold(Connection l, Way way, boolean held) {
+    public void hold(Link l, Direction way, boolean held) {
         sync(
                 () -> {
-                    if (way == Way.FORTH) {
+                    if (way == Direction.FORWARD) {
                         l.heldForth = held;
                     } else {
                         l.heldBack = held;
                     }
-                    for (Pair p : List.copyOf(l.pairs)) {
+                    for (RelayedConnection p : List.copyOf(l.pairs)) {
                         p.turn(way).held = held;
                         p.turn(way).flush();
                     }
@@ -128,18 +128,18 @@
     }
 
     /** All that goes over the link takes this much longer. */
-    public void slow(Connection l, long ms) {
+    public void setDelay(Link l, long ms) {
         sync(() -> l.delayNanos = ms * 1_000_000);
     }
 
     /** Ends what is connected now, in the middle of what is held where something is. */
-    public void breakOff(Connection l) {
+    public void disconnect(Link l) {
         sync(
                 () ->
                         List.copyOf(l.pairs)
                                 .forEach(
                                         p -> {
-                                            for (Turn t : List.of(p.forth, p.back)) {
+                                            for (RelayedStream t : List.of(p.forth, p.back)) {
                                                 t.held = false;
                                                 t.half();
                                             }
@@ -148,10 +148,10 @@
     }
 
     /** Lets one held connection go on, the one a tap has held. */
-    public void letGo(Object connection) {
+    public void release(Object connection) {
         sync(
                 () -> {
-                    Turn t = (Turn) connection;
+                    RelayedStream t = (RelayedStream) connection;
                     t.held = t.pair.link.held(t.way);
                     t.flush();
                 });
@@ -175,29 +175,29 @@
         }
     }
 
-    private final class Pair {
-        final Connection link;
+    private final class RelayedConnection {
+        final Link link;
         final SocketChannel near;
         final SocketChannel far;
-        final Turn forth;
-        final Turn back;
+        final RelayedStream forth;
+        final RelayedStream back;
 
-        Pair(Connection link, SocketChannel near) throws IOException {
+        RelayedConnection(Link link, SocketChannel near) throws IOException {
             this.link = link;
             this.near = near;
             far = SocketChannel.open();
             far.configureBlocking(false);
             near.configureBlocking(false);
-            forth = new Turn(this, Way.FORTH, near, far);
-            back = new Turn(this, Way.BACK, far, near);
+            forth = new RelayedStream(this, Direction.FORWARD, near, far);
+            back = new RelayedStream(this, Direction.BACKWARD, far, near);
             link.pairs.add(this);
             far.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), link.target));
             far.register(selector, SelectionKey.OP_CONNECT, this);
             near.register(selector, SelectionKey.OP_READ, this);
         }
 
-        Turn turn(Way way) {
-            return way == Way.FORTH ? forth : back;
+        RelayedStream turn(Direction way) {
+            return way == Direction.FORWARD ? forth : back;
         }
 
         void end() {
@@ -217,20 +217,22 @@
             interest(far, back, forth);
         }
 
-        private void interest(SocketChannel c, Turn reads, Turn writes) {
+        private void interest(SocketChannel c, RelayedStream reads, RelayedStream writes) {
             SelectionKey k = c.keyFor(selector);
             if (k != null && k.isValid() && c.isConnected()) {
                 k.interestOps(
-                        (reads.ended || reads.waiting > MOST_HELD ? 0 : SelectionKey.OP_READ)
+                        (reads.ended || reads.waiting > MAX_BUFFERED_BYTES
+                                        ? 0
+                                        : SelectionKey.OP_READ)
                                 | (writes.blocked ? SelectionKey.OP_WRITE : 0));
             }
         }
     }
 
     /** One direction of a connection. */
-    private final class Turn {
-        final Pair pair;
-        final Way way;
+    private final class RelayedStream {
+        final RelayedConnection pair;
+        final Direction way;
         final SocketChannel in;
         final SocketChannel out;
         final ArrayDeque<ByteBuffer> queue = new ArrayDeque<>();
@@ -243,7 +245,7 @@
         /** Whoever it goes to is gone, while the other way still holds something. */
         boolean dead;
 
-        Turn(Pair pair, Way way, SocketChannel in, SocketChannel out) {
+        RelayedStream(RelayedConnection pair, Direction way, SocketChannel in, SocketChannel out) {
             this.pair = pair;
             this.way = way;
             this.in = in;
@@ -252,7 +254,7 @@
         }
 
         void read() {
-            ByteBuffer b = ByteBuffer.allocate(PIECE);
+            ByteBuffer b = ByteBuffer.allocate(READ_BUFFER_BYTES);
             int n;
             try {
                 n = in.read(b);
@@ -263,8 +265,8 @@
                 ended = true;
             } else if (n > 0 && !dead) {
                 b.flip();
-                Tap tap = pair.link.tap;
-                if (tap != null && tap.sees(pair.link, way, b.duplicate(), this)) {
+                Interceptor tap = pair.link.tap;
+                if (tap != null && tap.intercept(pair.link, way, b.duplicate(), this)) {
                     held = true;
                 }
                 queue.add(b);
@@ -297,7 +299,9 @@
                     return;
                 }
             } catch (IOException e) {
-                if (pair.turn(way == Way.FORTH ? Way.BACK : Way.FORTH).queue.isEmpty()) {
+                if (pair.turn(way == Direction.FORWARD ? Direction.BACKWARD : Direction.FORWARD)
+                        .queue
+                        .isEmpty()) {
                     pair.end();
                     return;
                 }
@@ -335,9 +339,9 @@
                     }
                 }
                 selector.selectedKeys().clear();
-                for (Connection l : links()) {
+                for (Link l : links()) {
                     if (l.delayNanos > 0 || !l.pairs.isEmpty()) {
-                        for (Pair p : List.copyOf(l.pairs)) {
+                        for (RelayedConnection p : List.copyOf(l.pairs)) {
                             late(p.forth);
                             late(p.back);
                         }
@@ -349,16 +353,16 @@
         }
     }
 
-    private static void late(Turn t) {
+    private static void late(RelayedStream t) {
         if (!t.queue.isEmpty() && !t.held && !t.blocked) {
             t.flush();
         }
     }
 
-    private List<Connection> links() {
-        List<Connection> all = new ArrayList<>();
+    private List<Link> links() {
+        List<Link> all = new ArrayList<>();
         for (SelectionKey k : selector.keys()) {
-            if (k.attachment() instanceof Connection l) {
+            if (k.attachment() instanceof Link l) {
                 all.add(l);
             }
         }
@@ -366,7 +370,7 @@
     }
 
     private void ready(SelectionKey k) {
-        if (k.attachment() instanceof Connection l) {
+        if (k.attachment() instanceof Link l) {
             try {
                 SocketChannel near = l.door.accept();
                 if (near != null) {
@@ -375,7 +379,7 @@
                         near.setOption(StandardSocketOptions.SO_LINGER, 0);
                         near.close();
                     } else {
-                        new Pair(l, near);
+                        new RelayedConnection(l, near);
                     }
                 }
             } catch (IOException e) {
@@ -383,7 +387,7 @@
             }
             return;
         }
-        Pair p = (Pair) k.attachment();
+        RelayedConnection p = (RelayedConnection) k.attachment();
         try {
             if (k.isConnectable()) {
                 p.far.finishConnect();
@@ -406,7 +410,7 @@
     public void close() throws IOException {
         closed = true;
         selector.wakeup();
-        for (Connection l : links.values()) {
+        for (Link l : links.values()) {
             l.door.close();
         }
     }
--- a/src/test/java/wingroad/rig/FencedMember.java
+++ b/src/test/java/wingroad/rig/FencedMember.java
@@ -1,5 +1,8 @@
 package wingroad.rig;
 
+import wingroad.Fixtures.Session;
+import wingroad.Fixtures.StandInMember;
+
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -13,64 +16,67 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import wingroad.Fixtures.Session;
-import wingroad.Fixtures.StandInMember;
 
 /**
  * A stand-in member with the fence that docs/operators/fleet.md has as SQL, and a ledger of what
  * came. A chore's statement is {@code SELECT fenced_NAME({epoch})}.
  */
 public final class FencedMember implements AutoCloseable {
-    private static final Pattern CHORE =
+    private static final Pattern CHORE_STATEMENT =
             Pattern.compile(
                     "(?s)/\\* id=chore-([^,]*)-([0-9]+)-([0-9]+),.*"
                             + "SELECT fenced_\\w+\\(([0-9]+)\\).*");
-    private static final long PATIENCE_S = 40;
+    private static final long WAIT_TIMEOUT_S = 40;
 
-    private static final Pattern CLIENT = Pattern.compile("/\\* id=([^,]*),");
+    private static final Pattern TXN_ID = Pattern.compile("/\\* id=([^,]*),");
 
     /** One client's txn that came; {@code end} is when it was answered, 0 while it is not. */
-    public record Txn(long at, String id, AtomicLong end) {}
+    public record ReceivedTxn(long receivedAtMs, String id, AtomicLong answeredAtMs) {}
 
     /** One chore's statement that came. */
-    public record Entry(
-            long at, String chore, long epoch, long turn, boolean accepted, boolean late) {}
+    public record ChoreExecution(
+            long receivedAtMs,
+            String chore,
+            long epoch,
+            long turn,
+            boolean accepted,
+            boolean staleEpoch) {}
 
     public final String uid;
     public final int group;
     private final boolean fenced;
     private final StandInMember member;
-    private final Map<String, Long> highest = new HashMap<>();
-    private final List<Entry> ledger = new ArrayList<>();
-    private final Set<String> turns = new HashSet<>();
-    private final List<Txn> txns = new ArrayList<>();
-    private final CountDownLatch slow = new CountDownLatch(1);
-    private volatile long answerMs;
-    private volatile Semaphore places;
-    private Bears bears;
-    private long coldSince;
-    private double peak;
-    private int twice;
+    private final Map<String, Long> highestEpochs = new HashMap<>();
+    private final List<ChoreExecution> executions = new ArrayList<>();
+    private final Set<String> executedTurns = new HashSet<>();
+    private final List<ReceivedTxn> txns = new ArrayList<>();
+    private final CountDownLatch slowReadsReleased = new CountDownLatch(1);
+    private volatile long answerDelayMs;
+    private volatile Semaphore concurrencyPermits;
+    private StartupCapacity startupCapacity;
+    private long startedAtMs;
+    private double peakColdLoad;
+    private int repeatedTurns;
 
     FencedMember(String uid, int group, boolean primary, boolean fenced) throws IOException {
         this.uid = uid;
         this.group = group;
         this.fenced = fenced;
-        member = new StandInMember(primary, this::asked);
+        member = new StandInMember(primary, this::handleStatement);
     }
 
     public int port() {
         return member.port();
     }
 
-    private void asked(String sql, Session s) throws IOException {
+    private void handleStatement(String sql, Session s) throws IOException {
         member.queries.clear();
-        Matcher m = CHORE.matcher(sql);
+        Matcher m = CHORE_STATEMENT.matcher(sql);
         if (!m.matches()) {
-            client(sql, s);
+            handleTxn(sql, s);
             return;
         }
-        if (chore(m.group(1), Long.parseLong(m.group(4)), Long.parseLong(m.group(3)))) {
+        if (recordExecution(m.group(1), Long.parseLong(m.group(4)), Long.parseLong(m.group(3)))) {
             s.row("1", member.primary);
         } else {
             // raise_exception, as the fence's function does
@@ -78,68 +84,78 @@
         }
     }
 
-    private void client(String sql, Session s) throws IOException {
-        Matcher id = CLIENT.matcher(sql);
-        Txn txn =
-                new Txn(System.currentTimeMillis(), id.find() ? id.group(1) : "", new AtomicLong());
+    private void handleTxn(String sql, Session s) throws IOException {
+        Matcher id = TXN_ID.matcher(sql);
+        ReceivedTxn txn =
+                new ReceivedTxn(
+                        System.currentTimeMillis(), id.find() ? id.group(1) : "", new AtomicLong());
         synchronized (this) {
             txns.add(txn);
-            warmth(txn.at);
+            recordColdLoad(txn.receivedAtMs);
             notifyAll();
         }
         try {
-            work(sql, s);
+            executeTxn(sql, s);
         } finally {
-            txn.end.set(System.currentTimeMillis());
+            txn.answeredAtMs.set(System.currentTimeMillis());
         }
     }
 
     /**
      * What a cold member has got in the span in which it falls, as a part of what it bears then.
      */
-    private void warmth(long now) {
-        if (bears == null || now - coldSince >= bears.coldMs) {
+    private void recordColdLoad(long now) {
+        if (startupCapacity == null || now - startedAtMs >= startupCapacity.warmUpMs) {
             return;
         }
-        long from = now - bears.fallMs;
+        long from = now - startupCapacity.overloadWindowMs;
         int got = 0;
-        for (int i = txns.size() - 1; i >= 0 && txns.get(i).at > from; i--) {
+        for (int i = txns.size() - 1; i >= 0 && txns.get(i).receivedAtMs > from; i--) {
             got++;
         }
-        double warm = bears.share + (1 - bears.share) * (now - coldSince) / bears.coldMs;
-        peak =
+        double warm =
+                startupCapacity.initialShare
+                        + (1 - startupCapacity.initialShare)
+                                * (now - startedAtMs)
+                                / startupCapacity.warmUpMs;
+        peakColdLoad =
                 Math.max(
-                        peak,
-                        got / (bears.perSecond * bears.fallMs / 1000.0 * bears.multiple * warm));
+                        peakColdLoad,
+                        got
+                                / (startupCapacity.warmTxnsPerSecond
+                                        * startupCapacity.overloadWindowMs
+                                        / 1000.0
+                                        * startupCapacity.overloadFactor
+                                        * warm));
     }
 
-    private void work(String sql, Session s) throws IOException {
-        boolean placed = places == null;
+    private void executeTxn(String sql, Session s) throws IOException {
+        boolean placed = concurrencyPermits == null;
         try {
-            placed = placed || places.tryAcquire(PATIENCE_S, TimeUnit.SECONDS);
+            placed = placed || concurrencyPermits.tryAcquire(WAIT_TIMEOUT_S, TimeUnit.SECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
         try {
-            answer(sql, s);
+            answerTxn(sql, s);
         } finally {
-            if (places != null && placed) {
-                places.release();
+            if (concurrencyPermits != null && placed) {
+                concurrencyPermits.release();
             }
         }
     }
 
-    private void answer(String sql, Session s) throws IOException {
+    private void answerTxn(String sql, Session s) throws IOException {
         if (sql.contains("id=slow")) {
-            CountDownLatch until = slow;
+            CountDownLatch until = slowReadsReleased;
             try {
-                until.await(PATIENCE_S, TimeUnit.SECONDS);
+                until.await(WAIT_TIMEOUT_S, TimeUnit.SECONDS);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
-        } else if (answerMs > 0) {
+        } else if (answerDelayMs > 0) {
             try {
-                TimeUnit.MILLISECONDS.sleep(answerMs);
+                TimeUnit.MILLISECONDS.sleep(answerDelayMs);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
@@ -161,23 +177,27 @@
      * @param share its part of that at the start
      * @param multiple so many times what it can do then makes it fall, within the span
      */
-    public record Bears(
-            double perSecond, long coldMs, double share, double multiple, long fallMs) {}
+    public record StartupCapacity(
+            double warmTxnsPerSecond,
+            long warmUpMs,
+            double initialShare,
+            double overloadFactor,
+            long overloadWindowMs) {}
 
     /** It has started now and is cold; it works on so many txns at a time. */
-    public synchronized void starts(Bears what, int atATime) {
-        bears = what;
-        coldSince = System.currentTimeMillis();
-        places = new Semaphore(atATime);
+    public synchronized void simulateStart(StartupCapacity what, int atATime) {
+        startupCapacity = what;
+        startedAtMs = System.currentTimeMillis();
+        concurrencyPermits = new Semaphore(atATime);
     }
 
     /** How near it came to falling: 1 is the rule's limit. */
-    public synchronized double coldPeak() {
-        return peak;
+    public synchronized double peakColdLoad() {
+        return peakColdLoad;
     }
 
     /** From now on it is the group's primary, or a replica. */
-    public void primary(boolean is) {
+    public void setPrimary(boolean is) {
         member.primary = is;
     }
 
@@ -186,28 +206,28 @@
     }
 
     /** How long each client's txn takes. */
-    public void takes(long ms) {
-        answerMs = ms;
+    public void setAnswerDelayMs(long ms) {
+        answerDelayMs = ms;
     }
 
     /** How far behind the log it says that it is. */
-    public void behind(long ms) {
+    public void setReplicationLagMs(long ms) {
         member.behindMs = ms;
     }
 
     /** Lets the slow reads go that are here. */
-    public void letSlowGo() {
-        slow.countDown();
+    public void releaseSlowReads() {
+        slowReadsReleased.countDown();
     }
 
     /** Clients' txns that came, by the member's own clock. */
-    public synchronized List<Txn> txns() {
+    public synchronized List<ReceivedTxn> txns() {
         return List.copyOf(txns);
     }
 
     /** Waits until so many clients' txns have come. */
     public synchronized void awaitTxns(int count) throws InterruptedException {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_S);
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(WAIT_TIMEOUT_S);
         while (txns.size() < count) {
             long left = end - System.nanoTime();
             if (left <= 0) {
@@ -219,7 +239,7 @@
 
     /** Waits for the next client's txn whose id begins so. */
     public synchronized void awaitTxn(String id) throws InterruptedException {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_S);
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(WAIT_TIMEOUT_S);
         while (txns.stream().noneMatch(t -> t.id().startsWith(id))) {
             long left = end - System.nanoTime();
             if (left <= 0) {
@@ -229,47 +249,49 @@
         }
     }
 
-    private synchronized boolean chore(String chore, long epoch, long turn) {
-        boolean late = epoch < highest.getOrDefault(chore, 0L);
+    private synchronized boolean recordExecution(String chore, long epoch, long turn) {
+        boolean late = epoch < highestEpochs.getOrDefault(chore, 0L);
         boolean accepted = !late || !fenced;
-        highest.merge(chore, epoch, Math::max);
-        ledger.add(new Entry(System.currentTimeMillis(), chore, epoch, turn, accepted, late));
-        if (accepted && !turns.add(chore + " " + turn)) {
-            twice++;
+        highestEpochs.merge(chore, epoch, Math::max);
+        executions.add(
+                new ChoreExecution(System.currentTimeMillis(), chore, epoch, turn, accepted, late));
+        if (accepted && !executedTurns.add(chore + " " + turn)) {
+            repeatedTurns++;
         }
         notifyAll();
         return accepted;
     }
 
-    public synchronized List<Entry> ledger() {
-        return List.copyOf(ledger);
+    public synchronized List<ChoreExecution> executions() {
+        return List.copyOf(executions);
     }
 
     /** Turns that ran more than once. */
-    public synchronized int twice() {
-        return twice;
+    public synchronized int repeatedTurns() {
+        return repeatedTurns;
     }
 
     /** The first entry from this index on that is as wanted. */
-    public synchronized Entry await(int from, java.util.function.Predicate<Entry> wanted)
+    public synchronized ChoreExecution awaitExecution(
+            int from, java.util.function.Predicate<ChoreExecution> wanted)
             throws InterruptedException {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_S);
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(WAIT_TIMEOUT_S);
         for (int i = from; ; i++) {
-            while (i >= ledger.size()) {
+            while (i >= executions.size()) {
                 long left = end - System.nanoTime();
                 if (left <= 0) {
-                    throw new AssertionError("never came to " + uid + ": " + ledger);
+                    throw new AssertionError("never came to " + uid + ": " + executions);
                 }
                 wait(Math.max(1, left / 1_000_000));
             }
-            if (wanted.test(ledger.get(i))) {
-                return ledger.get(i);
+            if (wanted.test(executions.get(i))) {
+                return executions.get(i);
             }
         }
     }
 
-    public synchronized int entries() {
-        return ledger.size();
+    public synchronized int executionCount() {
+        return executions.size();
     }
 
     @Override
--- a/src/test/java/wingroad/rig/Peer.java
+++ b/src/test/java/wingroad/rig/Peer.java
@@ -16,58 +16,59 @@
  * its side and resets when the test says so, and at no other time. What is waited for is bounded.
  */
 public final class Peer implements AutoCloseable {
-    private static final int PATIENCE_MS = 20_000;
+    private static final int SOCKET_TIMEOUT_MS = 20_000;
 
     private final Socket socket;
 
     private Peer(Socket socket) throws IOException {
         this.socket = socket;
         socket.setTcpNoDelay(true);
-        socket.setSoTimeout(PATIENCE_MS);
+        socket.setSoTimeout(SOCKET_TIMEOUT_MS);
     }
 
     /** A port on which connections are taken one by one, when the test asks for the next. */
     public static final class Listener implements AutoCloseable {
-        private final ServerSocket door = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
+        private final ServerSocket serverSocket =
+                new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
 
         public Listener() throws IOException {
-            door.setSoTimeout(PATIENCE_MS);
+            serverSocket.setSoTimeout(SOCKET_TIMEOUT_MS);
         }
 
         public int port() {
-            return door.getLocalPort();
+            return serverSocket.getLocalPort();
         }
 
         public Peer accept() throws IOException {
-            return new Peer(door.accept());
+            return new Peer(serverSocket.accept());
         }
 
         /** Whether nobody comes for so long: only for what must not happen. */
-        public boolean nobodyFor(int ms) throws IOException {
-            door.setSoTimeout(ms);
+        public boolean noConnectionWithin(int ms) throws IOException {
+            serverSocket.setSoTimeout(ms);
             try {
-                door.accept().close();
+                serverSocket.accept().close();
                 return false;
             } catch (SocketTimeoutException nobody) {
                 return true;
             } finally {
-                door.setSoTimeout(PATIENCE_MS);
+                serverSocket.setSoTimeout(SOCKET_TIMEOUT_MS);
             }
         }
 
         @Override
         public void close() throws IOException {
-            door.close();
+            serverSocket.close();
         }
     }
 
     /** Opens a connection from here, as a client does. */
-    public static Peer to(int port) throws IOException {
+    public static Peer connect(int port) throws IOException {
         return new Peer(new Socket(InetAddress.getLoopbackAddress(), port));
     }
 
     /** What comes up to and with these bytes. */
-    public String until(String end) throws IOException {
+    public String readUntil(String end) throws IOException {
         ByteArrayOutputStream all = new ByteArrayOutputStream();
         while (!all.toString(StandardCharsets.ISO_8859_1).endsWith(end)) {
             int b = socket.getInputStream().read();
@@ -95,7 +96,7 @@
     }
 
     /** One byte at a time, each in a packet of its own. */
-    public Peer trickle(byte[] bytes) throws IOException {
+    public Peer sendByteByByte(byte[] bytes) throws IOException {
         for (byte b : bytes) {
             socket.getOutputStream().write(b);
         }
@@ -103,7 +104,7 @@
     }
 
     /** Ends its own side only: what comes is still read. */
-    public Peer endOutput() throws IOException {
+    public Peer shutdownOutput() throws IOException {
         socket.shutdownOutput();
         return this;
     }
@@ -115,12 +116,12 @@
     }
 
     /** All that comes until the other side ends; it must not break. */
-    public byte[] rest() throws IOException {
+    public byte[] readToEnd() throws IOException {
         return socket.getInputStream().readAllBytes();
     }
 
     /** What comes until the other side has ended or broken the connection. */
-    public String awaitEnd() throws IOException {
+    public String readUntilClosed() throws IOException {
         ByteArrayOutputStream all = new ByteArrayOutputStream();
         try {
             for (int b = socket.getInputStream().read();
--- a/src/test/java/wingroad/rig/SlowDisk.java
+++ b/src/test/java/wingroad/rig/SlowDisk.java
@@ -13,43 +13,43 @@
  * so that the voter's writes wait as they do for a disk that is busy.
  */
 public final class SlowDisk implements AutoCloseable {
-    private final Connection db;
-    private final CountDownLatch over = new CountDownLatch(1);
-    private volatile long holdMs;
+    private final Connection connection;
+    private final CountDownLatch closing = new CountDownLatch(1);
+    private volatile long lockHoldMs;
     private final Thread thread = new Thread(this::run, "slow disk");
 
     public SlowDisk(Path file) throws SQLException {
-        db = DriverManager.getConnection("jdbc:sqlite:" + file);
-        try (Statement s = db.createStatement()) {
+        connection = DriverManager.getConnection("jdbc:sqlite:" + file);
+        try (Statement s = connection.createStatement()) {
             s.execute("PRAGMA busy_timeout=20000");
         }
     }
 
     /** From now on a write waits up to so long. */
-    public void slow(long ms) {
-        holdMs = ms;
+    public void delayWrites(long ms) {
+        lockHoldMs = ms;
         thread.setDaemon(true);
         thread.start();
     }
 
     /** From now on no write comes to an end. */
-    public void hang() {
-        holdMs = Long.MAX_VALUE;
+    public void blockWrites() {
+        lockHoldMs = Long.MAX_VALUE;
     }
 
     private void run() {
-        try (Statement s = db.createStatement()) {
-            while (over.getCount() > 0) {
-                long hold = holdMs;
+        try (Statement s = connection.createStatement()) {
+            while (closing.getCount() > 0) {
+                long hold = lockHoldMs;
                 s.execute("BEGIN IMMEDIATE");
                 if (hold == Long.MAX_VALUE) {
-                    over.await();
+                    closing.await();
                 } else {
-                    over.await(hold, TimeUnit.MILLISECONDS);
+                    closing.await(hold, TimeUnit.MILLISECONDS);
                 }
                 s.execute("ROLLBACK");
                 // The lock is not fair: whoever waits for it looks at it again only now and then.
-                over.await(hold == Long.MAX_VALUE ? 0 : 120, TimeUnit.MILLISECONDS);
+                closing.await(hold == Long.MAX_VALUE ? 0 : 120, TimeUnit.MILLISECONDS);
             }
         } catch (SQLException | InterruptedException e) {
             // With the database that it slows.
@@ -58,8 +58,8 @@
 
     @Override
     public void close() throws SQLException, InterruptedException {
-        over.countDown();
+        closing.countDown();
         thread.join();
-        db.close();
+        connection.close();
     }
 }
--- a/src/test/java/wingroad/rig/Rig.java
+++ b/src/test/java/wingroad/rig/TestCluster.java
@@ -1,5 +1,8 @@
 package wingroad.rig;
 
+import wingroad.Fixtures;
+import wingroad.Fixtures.StandInDiscovery;
+
 import java.io.BufferedReader;
 import java.io.FileOutputStream;
 import java.io.IOException;
@@ -16,62 +19,61 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Predicate;
 import java.util.stream.Stream;
-import wingroad.Fixtures;
-import wingroad.Fixtures.StandInDiscovery;
 
 /**
  * Several real processes of the program on loopback, each with its own operator's file, state
  * folder and log. Every link between two of them, and to members and discovery, is one of the
  * relays'. Nothing waits for time: all waits are on lines of logs or on what members saw.
  */
-public final class Rig implements AutoCloseable {
-    private static final long PATIENCE_S = Integer.getInteger("rig.patience", 40);
+public final class TestCluster implements AutoCloseable {
+    private static final long WAIT_TIMEOUT_S = Integer.getInteger("rig.patience", 40);
 
-    public final Relays relays = new Relays();
-    public final Map<String, Driver> drivers = new LinkedHashMap<>();
+    public final FaultProxy proxy = new FaultProxy();
+    public final Map<String, DriverProcess> drivers = new LinkedHashMap<>();
     public final Map<String, FencedMember> members = new LinkedHashMap<>();
     public final StandInDiscovery discovery = new StandInDiscovery();
-    private final Path dir;
+    private final Path directory;
     private final List<String> voters = new ArrayList<>();
 
     /** Those that may be let in as voters: no file names them, and all reach them by one link. */
     private final List<String> spare = new ArrayList<>();
 
     /** Members that no driver knows from its start. */
-    public final List<String> later = new ArrayList<>();
+    public final List<String> membersUnknownAtStart = new ArrayList<>();
 
-    private final String fleet;
-    private final String settings;
+    private final String defaultFleetSettings;
+    private final String driverSettings;
 
     /**
-     * @param fleet what stands in each operator's file beside names, addresses and state, or null
-     *     for drivers without a fleet
+     * @param defaultFleetSettings what stands in each operator's file beside names, addresses and
+     *     state, or null for drivers without a fleet
      */
-    public Rig(Path dir, int count, int voting, String fleet, String settings) throws IOException {
-        this.dir = dir;
-        this.fleet = fleet;
-        this.settings = settings;
+    public TestCluster(Path dir, int count, int voting, String fleet, String settings)
+            throws IOException {
+        this.directory = dir;
+        this.defaultFleetSettings = fleet;
+        this.driverSettings = settings;
         for (int i = 1; i <= count; i++) {
             String name = "d" + i;
             if (i <= voting) {
                 voters.add(name);
             }
-            drivers.put(name, new Driver(name));
+            drivers.put(name, new DriverProcess(name));
         }
-        for (Driver d : drivers.values()) {
+        for (DriverProcess d : drivers.values()) {
             for (String v : voters) {
-                relays.link(d.name, v);
+                proxy.addLink(d.name, v);
             }
         }
     }
 
     /** A member is out of reach for all, or can be reached again. */
-    public void reachable(FencedMember m, boolean can) throws IOException {
-        for (Driver d : drivers.values()) {
-            Relays.Connection l = relays.between(d.name, m.uid);
-            l.leadTo(can ? m.port() : 0);
+    public void setReachable(FencedMember m, boolean can) throws IOException {
+        for (DriverProcess d : drivers.values()) {
+            FaultProxy.Link l = proxy.linkBetween(d.name, m.uid);
+            l.setTargetPort(can ? m.port() : 0);
             if (!can) {
-                relays.breakOff(l);
+                proxy.disconnect(l);
             }
         }
     }
@@ -80,69 +82,69 @@
      * What discovery tells: all members, those in the map under their own state. Links are the
      * drivers' own, as known at the start.
      */
-    public void tellList(Map<String, String> states) throws IOException {
+    public void publishMembers(Map<String, String> states) throws IOException {
         StringBuilder all = new StringBuilder();
         for (FencedMember m : members.values()) {
             String state = states.getOrDefault(m.uid, "ready");
             if (!state.equals("gone")) {
-                all.append(all.length() == 0 ? "" : ",").append(entry("d1", m, state));
+                all.append(all.length() == 0 ? "" : ",").append(discoveryEntry("d1", m, state));
             }
         }
         discovery.tell(all.toString());
     }
 
     /** Adds a member; all drivers know it from their start. */
-    public FencedMember member(String uid, int group, boolean primary, boolean fenced)
+    public FencedMember addMember(String uid, int group, boolean primary, boolean fenced)
             throws IOException {
         FencedMember m = new FencedMember(uid, group, primary, fenced);
         members.put(uid, m);
-        for (Driver d : drivers.values()) {
-            relays.link(d.name, uid).leadTo(m.port());
+        for (DriverProcess d : drivers.values()) {
+            proxy.addLink(d.name, uid).setTargetPort(m.port());
         }
         return m;
     }
 
     /** One line of a process's log. */
-    public record Line(long at, String text) {}
+    public record LogLine(long loggedAtMs, String text) {}
 
     /** One process and what it left. */
-    public final class Driver {
+    public final class DriverProcess {
         public final String name;
-        private final Path home;
+        private final Path homeDirectory;
         private Process process;
-        private final List<Line> log = new ArrayList<>();
+        private final List<LogLine> log = new ArrayList<>();
         private int port;
-        public boolean stopped;
+        public boolean paused;
 
         /** The name that it gives itself in the fleet. */
-        public String as;
+        public String fleetName;
 
         /**
          * How large a file of its may grow, in KB; 0 for any size: what is beyond is like a full
          * disk.
          */
-        public int largestFileKb;
+        public int maxFileSizeKb;
 
-        public int starts;
+        public int startCount;
 
-        private Driver(String name) throws IOException {
+        private DriverProcess(String name) throws IOException {
             this.name = name;
-            as = name;
-            home = Files.createDirectories(dir.resolve(name));
-            relays.link(name, "discovery").leadTo(discovery.port());
+            fleetName = name;
+            homeDirectory = Files.createDirectories(directory.resolve(name));
+            proxy.addLink(name, "discovery").setTargetPort(discovery.port());
         }
 
         /**
          * Takes it away from the fleet's file that all share: what stands there for this driver
          * alone, or null.
          */
-        public String rules = fleet;
+        public String fleetSettings = defaultFleetSettings;
 
-        public Path state() {
-            return home.resolve("state");
+        public Path stateDirectory() {
+            return homeDirectory.resolve("state");
         }
 
-        public boolean alive() {
+        public boolean isAlive() {
             return process != null && process.isAlive();
         }
 
@@ -158,25 +160,26 @@
         public void start() throws IOException {
             StringBuilder known = new StringBuilder();
             for (FencedMember m : members.values()) {
-                if (later.contains(m.uid)) {
+                if (membersUnknownAtStart.contains(m.uid)) {
                     continue;
                 }
-                known.append(known.length() == 0 ? "" : ",").append(entry(name, m, "ready"));
+                known.append(known.length() == 0 ? "" : ",")
+                        .append(discoveryEntry(name, m, "ready"));
             }
             Path config =
                     Files.writeString(
-                            home.resolve("config.json"),
+                            homeDirectory.resolve("config.json"),
                             "{\"name\":\""
                                     + name
                                     + "\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:"
-                                    + relays.between(name, "discovery").port()
+                                    + proxy.linkBetween(name, "discovery").port()
                                     + "\",\"seed\":\""
                                     + Integer.toHexString(name.hashCode())
                                     + "\",\"limits\":{\"cores\":1.0,\"memory_mb\":192,"
                                     + "\"sockets\":1024},\"known\":{\"rev\":0,\"all\":true,\"targets\":["
                                     + known
                                     + "]},\"settings\":"
-                                    + settings
+                                    + driverSettings
                                     + "}");
             List<String> command =
                     new ArrayList<>(
@@ -192,16 +195,16 @@
                                     "-jar",
                                     "target/wingroad.jar",
                                     "serve"));
-            if (fleet != null) {
-                command.addAll(List.of("--operator", operator().toString()));
+            if (defaultFleetSettings != null) {
+                command.addAll(List.of("--operator", operatorFile().toString()));
             }
-            if (largestFileKb > 0) {
+            if (maxFileSizeKb > 0) {
                 command =
                         List.of(
                                 "bash",
                                 "-c",
                                 "ulimit -f "
-                                        + largestFileKb
+                                        + maxFileSizeKb
                                         + "; exec "
                                         + String.join(" ", command));
             }
@@ -210,44 +213,51 @@
             synchronized (log) {
                 log.clear();
             }
-            stopped = false;
-            starts++;
+            paused = false;
+            startCount++;
             process = b.start();
             Process mine = process;
-            Thread reader = new Thread(() -> read(mine), "log of " + name);
+            Thread reader = new Thread(() -> readLog(mine), "log of " + name);
             reader.setDaemon(true);
             reader.start();
         }
 
         /** Its operator's file: voters by this driver's own links. */
-        public Path operator() throws IOException {
-            StringBuilder f = new StringBuilder("fleet \"rig\" {\n    driver \"" + as + "\"\n");
+        public Path operatorFile() throws IOException {
+            StringBuilder f =
+                    new StringBuilder("fleet \"rig\" {\n    driver \"" + fleetName + "\"\n");
             for (String v : voters) {
                 f.append("    voter \"")
                         .append(v)
                         .append("\" \"127.0.0.1:")
-                        .append(relays.between(name, v).port())
+                        .append(proxy.linkBetween(name, v).port())
                         .append("\"\n");
             }
             if (voters.contains(name) || spare.contains(name)) {
                 f.append("    listen \"127.0.0.1:0\"\n");
             }
-            f.append("    state \"").append(state()).append("\"\n").append(rules).append("}\n");
-            Path file = home.resolve("operator.kdl");
+            f.append("    state \"")
+                    .append(stateDirectory())
+                    .append("\"\n")
+                    .append(fleetSettings)
+                    .append("}\n");
+            Path file = homeDirectory.resolve("operator.kdl");
             // Asked for by tests while processes start: one that reads it meanwhile must not find
             // it cut off.
             if (!Files.exists(file) || !Files.readString(file).contentEquals(f)) {
-                Path next = Files.writeString(home.resolve("operator.kdl.next"), f.toString());
+                Path next =
+                        Files.writeString(homeDirectory.resolve("operator.kdl.next"), f.toString());
                 Files.move(next, file, StandardCopyOption.ATOMIC_MOVE);
             }
             return file;
         }
 
-        private void read(Process from) {
+        private void readLog(Process from) {
             try (BufferedReader in = from.inputReader(StandardCharsets.UTF_8);
                     PrintStream file =
                             new PrintStream(
-                                    new FileOutputStream(home.resolve("log").toFile(), true),
+                                    new FileOutputStream(
+                                            homeDirectory.resolve("log").toFile(), true),
                                     true,
                                     StandardCharsets.UTF_8)) {
                 for (String line = in.readLine(); line != null; line = in.readLine()) {
@@ -261,14 +271,14 @@
                         int at =
                                 Integer.parseInt(
                                         line.replaceAll(".*listens at [^ ]*:([0-9]+).*", "$1"));
-                        for (Relays.Connection l : relays.all()) {
+                        for (FaultProxy.Link l : proxy.allLinks()) {
                             if (l.to.equals(name)) {
-                                l.leadTo(at);
+                                l.setTargetPort(at);
                             }
                         }
                     }
                     synchronized (log) {
-                        log.add(new Line(System.currentTimeMillis(), line));
+                        log.add(new LogLine(System.currentTimeMillis(), line));
                         log.notifyAll();
                     }
                 }
@@ -282,24 +292,24 @@
 
         public List<String> log() {
             synchronized (log) {
-                return log.stream().map(Line::text).toList();
+                return log.stream().map(LogLine::text).toList();
             }
         }
 
         /** When the first line with these words came, in Unix milliseconds; 0 where none did. */
-        public long when(String words) {
+        public long firstLogTimeMs(String words) {
             synchronized (log) {
                 return log.stream()
                         .filter(l -> l.text.contains(words))
-                        .mapToLong(Line::at)
+                        .mapToLong(LogLine::loggedAtMs)
                         .findFirst()
                         .orElse(0);
             }
         }
 
         /** Waits for a line; what came before counts too, from this index on. */
-        public String await(int from, Predicate<String> line) throws InterruptedException {
-            long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_S);
+        public String awaitLog(int from, Predicate<String> line) throws InterruptedException {
+            long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(WAIT_TIMEOUT_S);
             synchronized (log) {
                 int at = from;
                 while (true) {
@@ -309,28 +319,29 @@
                         }
                     }
                     long left = end - System.nanoTime();
-                    if (left <= 0 || !alive() && at == log.size()) {
+                    if (left <= 0 || !isAlive() && at == log.size()) {
                         throw new AssertionError(
                                 name
                                         + " never said it; its log:\n"
-                                        + String.join("\n", log.stream().map(Line::text).toList()));
+                                        + String.join(
+                                                "\n", log.stream().map(LogLine::text).toList()));
                     }
                     log.wait(Math.max(1, Math.min(200, left / 1_000_000)));
                 }
             }
         }
 
-        public String await(String words) throws InterruptedException {
-            return await(0, l -> l.contains(words));
+        public String awaitLog(String words) throws InterruptedException {
+            return awaitLog(0, l -> l.contains(words));
         }
 
-        public int lines() {
+        public int logLineCount() {
             synchronized (log) {
                 return log.size();
             }
         }
 
-        private void signal(String which) throws IOException {
+        private void sendSignal(String which) throws IOException {
             try {
                 new ProcessBuilder("kill", "-" + which, Long.toString(process.pid()))
                         .start()
@@ -341,35 +352,38 @@
         }
 
         public void pause() throws IOException {
-            stopped = true;
-            signal("STOP");
+            paused = true;
+            sendSignal("STOP");
         }
 
-        public void goOn() throws IOException {
-            signal("CONT");
-            stopped = false;
+        public void resume() throws IOException {
+            sendSignal("CONT");
+            paused = false;
         }
 
         /** SIGKILL; what it had not written is lost. */
         public void kill() throws InterruptedException {
             process.destroyForcibly().waitFor();
-            stopped = false;
+            paused = false;
         }
 
         /** SIGTERM; returns at once. */
         public void terminate() throws IOException {
-            signal("TERM");
+            sendSignal("TERM");
         }
 
-        public void awaitEnd() throws InterruptedException {
-            if (!process.waitFor(PATIENCE_S, TimeUnit.SECONDS)) {
+        public void awaitExit() throws InterruptedException {
+            if (!process.waitFor(WAIT_TIMEOUT_S, TimeUnit.SECONDS)) {
                 throw new AssertionError(name + " did not end");
             }
         }
 
         /** Only while it does not run. */
-        public void loseState() throws IOException {
-            try (Stream<Path> all = Files.exists(state()) ? Files.walk(state()) : Stream.empty()) {
+        public void deleteState() throws IOException {
+            try (Stream<Path> all =
+                    Files.exists(stateDirectory())
+                            ? Files.walk(stateDirectory())
+                            : Stream.empty()) {
                 for (Path p : all.sorted(Comparator.reverseOrder()).toList()) {
                     Files.delete(p);
                 }
@@ -381,12 +395,12 @@
      * A member's entry in discovery's list, by one driver's link: discovery tells all the same
      * address.
      */
-    public String entry(String driver, FencedMember m, String state) throws IOException {
-        return Fixtures.entry(m.uid, relays.between(driver, m.uid).port(), state)
+    public String discoveryEntry(String driver, FencedMember m, String state) throws IOException {
+        return Fixtures.entry(m.uid, proxy.linkBetween(driver, m.uid).port(), state)
                 .replace("\"pod_group\":7", "\"pod_group\":" + m.group);
     }
 
-    public Driver driver(String name) {
+    public DriverProcess driver(String name) {
         return drivers.get(name);
     }
 
@@ -394,13 +408,13 @@
      * This driver listens, though no file names it as a voter; returns the address at which all
      * reach it.
      */
-    public String spare(String name) throws IOException {
+    public String addSpareVoter(String name) throws IOException {
         spare.add(name);
-        return "127.0.0.1:" + relays.link("all", name).port();
+        return "127.0.0.1:" + proxy.addLink("all", name).port();
     }
 
     /** What each process has said since its last start. */
-    public String logs() {
+    public String allLogs() {
         StringBuilder all = new StringBuilder();
         drivers.values()
                 .forEach(
@@ -417,41 +431,47 @@
     }
 
     public void startAll() throws IOException {
-        for (Driver d : drivers.values()) {
+        for (DriverProcess d : drivers.values()) {
             d.start();
         }
     }
 
     /** Cuts a driver off from the voters and the voters from it, or heals that. */
-    public void cutFromCouncil(String driver, boolean cut) {
-        for (Relays.Connection l : relays.all()) {
+    public void partitionFromVoters(String driver, boolean cut) {
+        for (FaultProxy.Link l : proxy.allLinks()) {
             if (!l.from.equals(l.to)
                     && (l.from.equals(driver) && voters.contains(l.to) || l.to.equals(driver))) {
-                relays.hold(l, Relays.Way.FORTH, cut);
-                relays.hold(l, Relays.Way.BACK, cut);
+                proxy.hold(l, FaultProxy.Direction.FORWARD, cut);
+                proxy.hold(l, FaultProxy.Direction.BACKWARD, cut);
             }
         }
     }
 
     /** Holds one way only: what the driver sends to the voters, or what they send to it. */
-    public void cutOneWay(String driver, boolean sends, boolean cut) {
-        for (Relays.Connection l : relays.all()) {
+    public void partitionOneWay(String driver, boolean sends, boolean cut) {
+        for (FaultProxy.Link l : proxy.allLinks()) {
             if (l.from.equals(l.to)) {
                 // A process's way to itself crosses no network.
                 continue;
             }
             if (l.from.equals(driver) && voters.contains(l.to)) {
-                relays.hold(l, sends ? Relays.Way.FORTH : Relays.Way.BACK, cut);
+                proxy.hold(
+                        l,
+                        sends ? FaultProxy.Direction.FORWARD : FaultProxy.Direction.BACKWARD,
+                        cut);
             } else if (l.to.equals(driver)) {
-                relays.hold(l, sends ? Relays.Way.BACK : Relays.Way.FORTH, cut);
+                proxy.hold(
+                        l,
+                        sends ? FaultProxy.Direction.BACKWARD : FaultProxy.Direction.FORWARD,
+                        cut);
             }
         }
     }
 
     @Override
     public void close() throws IOException {
-        for (Driver d : drivers.values()) {
-            if (d.alive()) {
+        for (DriverProcess d : drivers.values()) {
+            if (d.isAlive()) {
                 d.process.destroyForcibly();
             }
         }
@@ -459,6 +479,6 @@
             m.close();
         }
         discovery.close();
-        relays.close();
+        proxy.close();
     }
 }
--- a/src/test/java/wingroad/work/WorkIT.java
+++ b/src/test/java/wingroad/work/WorkIT.java
@@ -14,10 +14,10 @@
 import wingroad.fleet.FleetClient;
 import wingroad.fleet.FleetConfig;
 import wingroad.operator.OperatorFile;
+import wingroad.rig.ClientLoad;
+import wingroad.rig.FaultProxy;
 import wingroad.rig.FencedMember;
-import wingroad.rig.Load;
-import wingroad.rig.Relays;
-import wingroad.rig.Rig;
+import wingroad.rig.TestCluster;
 
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
@@ -62,28 +62,28 @@
     @TempDir(cleanup = CleanupMode.ON_SUCCESS)
     Path dir;
 
-    private Rig rig;
+    private TestCluster rig;
     private FencedMember m1;
     private FencedMember m2;
     private FencedMember m3;
-    private Load load;
+    private ClientLoad load;
 
     private void start(String rules) throws Exception {
         start(rules, SETTINGS);
     }
 
     private void start(String rules, String settings) throws Exception {
-        rig = new Rig(dir, 4, 3, rules, settings);
-        m1 = rig.member("m1", 7, true, true);
-        m2 = rig.member("m2", 7, false, true);
-        m3 = rig.member("m3", 7, false, true);
-        rig.member("m2b", 7, false, true);
-        rig.later.add("m2b");
+        rig = new TestCluster(dir, 4, 3, rules, settings);
+        m1 = rig.addMember("m1", 7, true, true);
+        m2 = rig.addMember("m2", 7, false, true);
+        m3 = rig.addMember("m3", 7, false, true);
+        rig.addMember("m2b", 7, false, true);
+        rig.membersUnknownAtStart.add("m2b");
         rig.startAll();
-        for (Rig.Driver d : rig.drivers.values()) {
-            d.await("work: the plan is known");
+        for (TestCluster.DriverProcess d : rig.drivers.values()) {
+            d.awaitLog("work: the plan is known");
         }
-        load = new Load(rig, List.of(7), 10);
+        load = new ClientLoad(rig, List.of(7), 10);
         awaitMachines();
     }
 
@@ -96,7 +96,7 @@
     }
 
     private FleetConfig rules() throws IOException {
-        return OperatorFile.read(rig.driver("d1").operator()).file().fleet();
+        return OperatorFile.read(rig.driver("d1").operatorFile()).file().fleet();
     }
 
     private interface Talk<T> {
@@ -189,7 +189,7 @@
     private static void nothingSince(FencedMember m, long when) {
         assertThat(m.txns())
                 .as("txns at " + m.uid + " after it was told to be out")
-                .noneMatch(t -> t.at() > when);
+                .noneMatch(t -> t.receivedAtMs() > when);
     }
 
     /** So many txns more are served. */
@@ -220,7 +220,7 @@
         // It is asked for txns again, once the module has proof of its position.
         m2.awaitTxns(before + 1);
         assertThat(load.lost.get()).isZero();
-        assertThat(load.servedShare()).isGreaterThan(0.99);
+        assertThat(load.committedShare()).isGreaterThan(0.99);
     }
 
     /** The epoch of the conductor's duty, whoever has it; 0 while nobody does. */
@@ -234,7 +234,7 @@
         return 0;
     }
 
-    private Rig.Driver conductor() throws Exception {
+    private TestCluster.DriverProcess conductor() throws Exception {
         long end = System.nanoTime() + 40_000_000_000L;
         while (System.nanoTime() < end) {
             for (Object o : (List<?>) ask(FleetClient::status).get("duties")) {
@@ -250,24 +250,24 @@
     @Test
     void aConductorThatIsStoppedBeforeItTellsOutIsLateAndRefused() throws Exception {
         start(RULES.replace("lease-ms 3000", "lease-ms 9000").replace("driver \"d4\";", ""));
-        Rig.Driver first = conductor();
+        TestCluster.DriverProcess first = conductor();
         BlockingQueue<Object> held = new LinkedBlockingQueue<>();
         for (String v : rig.voters()) {
             // Its own voter is reached by a link as well: what it says goes through the rig in any
             // case.
-            rig.relays
-                    .between(first.name, v)
-                    .tap(
+            rig.proxy
+                    .linkBetween(first.name, v)
+                    .setInterceptor(
                             (link, way, bytes, connection) -> {
                                 String text = StandardCharsets.ISO_8859_1.decode(bytes).toString();
-                                return way == Relays.Way.FORTH
+                                return way == FaultProxy.Direction.FORWARD
                                         && text.contains("WORK_STEP")
                                         && text.contains("OUT")
                                         && held.isEmpty()
                                         && held.add(connection);
                             });
         }
-        load.away.add(first.name);
+        load.excludedDrivers.add(first.name);
         assertThat(want("B")).isEmpty();
         Object order = held.poll(30, TimeUnit.SECONDS);
         assertThat(order).as("its order").isNotNull();
@@ -279,7 +279,7 @@
         while (conducts() <= epoch) {
             TimeUnit.MILLISECONDS.sleep(20);
         }
-        rig.relays.letGo(order);
+        rig.proxy.release(order);
         awaitWork(w -> ((Number) w.get("late-orders")).longValue() > 0);
         awaitStage("B", "out");
         long out = System.currentTimeMillis();
@@ -292,20 +292,20 @@
     @Test
     void aConductorThatIsStoppedAndWakesUpLateStartsNothingAnew() throws Exception {
         start(RULES.replace("driver \"d4\";", ""));
-        Rig.Driver first = conductor();
+        TestCluster.DriverProcess first = conductor();
         long epoch = conducts();
-        load.away.add(first.name);
+        load.excludedDrivers.add(first.name);
         assertThat(want("B")).isEmpty();
-        first.await("work: B planned");
+        first.awaitLog("work: B planned");
         first.pause();
         awaitStage("B", "out");
         assertThat(conducts()).isGreaterThan(epoch);
         assertThat(word("done", "B")).isEmpty();
         awaitStage("B", "in");
-        int from = first.lines();
-        first.goOn();
-        first.await(from, l -> l.contains("work: the plan is known"));
-        load.away.remove(first.name);
+        int from = first.logLineCount();
+        first.resume();
+        first.awaitLog(from, l -> l.contains("work: the plan is known"));
+        load.excludedDrivers.remove(first.name);
         int before = m2.txns().size();
         m2.awaitTxns(before + 1);
         assertThat(at(work(), "B", "in")).as("where the late one has left it").isTrue();
@@ -314,19 +314,19 @@
     @Test
     void oneCutOffBehindItsWordLeavesTheMachineAloneAndServesOn() throws Exception {
         start(RULES);
-        Rig.Driver cut =
+        TestCluster.DriverProcess cut =
                 rig.driver("d2").name.equals(conductor().name)
                         ? rig.driver("d3")
                         : rig.driver("d2");
         // The plan is known there, and then the wire is cut: what drains has to wait for its view
         // to end.
         assertThat(want("B")).isEmpty();
-        int from = cut.lines();
+        int from = cut.logLineCount();
         awaitWork(w -> !at(w, "B", "asked") && !at(w, "B", "planned"));
-        rig.cutFromCouncil(cut.name, true);
+        rig.partitionFromVoters(cut.name, true);
         awaitStage("B", "out");
         long out = System.currentTimeMillis();
-        assertThat(cut.log().subList(from, cut.lines()))
+        assertThat(cut.log().subList(from, cut.logLineCount()))
                 .anyMatch(l -> l.contains("view of the plan has ended"));
         serve(200);
         nothingSince(m2, out);
@@ -334,8 +334,8 @@
             c.startup().heard();
             assertThat(c.ask(Fixtures.read("served")).heard()).containsExactly("row value");
         }
-        rig.cutFromCouncil(cut.name, false);
-        cut.await(from, l -> l.contains("work: the plan is known"));
+        rig.partitionFromVoters(cut.name, false);
+        cut.awaitLog(from, l -> l.contains("work: the plan is known"));
         serve(100);
         nothingSince(m2, out);
         assertThat(load.lost.get()).isZero();
@@ -344,12 +344,12 @@
     @Test
     void oneCutOffBeforeItEverHeardIsWaitedFor() throws Exception {
         start(RULES);
-        Rig.Driver cut =
+        TestCluster.DriverProcess cut =
                 rig.driver("d2").name.equals(conductor().name)
                         ? rig.driver("d3")
                         : rig.driver("d2");
-        rig.cutFromCouncil(cut.name, true);
-        cut.await("view of the plan has ended");
+        rig.partitionFromVoters(cut.name, true);
+        cut.awaitLog("view of the plan has ended");
         awaitWork(w -> astray(w, cut.name));
         assertThat(want("B")).isEmpty();
         awaitWork(
@@ -364,7 +364,7 @@
                                 .isPresent());
         serve(200);
         assertThat(at(work(), "B", "planned")).isTrue();
-        rig.cutFromCouncil(cut.name, false);
+        rig.partitionFromVoters(cut.name, false);
         awaitStage("B", "out");
         long out = System.currentTimeMillis();
         serve(100);
@@ -374,8 +374,8 @@
     @Test
     void oneThatIsKilledForGoodIsWaitedForUntilAnOperatorSaysSo() throws Exception {
         start(RULES);
-        Rig.Driver dead = rig.driver("d4");
-        load.away.add("d4");
+        TestCluster.DriverProcess dead = rig.driver("d4");
+        load.excludedDrivers.add("d4");
         dead.kill();
         awaitWork(w -> astray(w, "d4"));
         assertThat(want("C")).isEmpty();
@@ -395,8 +395,8 @@
         nothingSince(m3, out);
         // It was not gone after all: it sends nothing before it has learned the plan.
         dead.start();
-        dead.await("work: the plan is known");
-        load.away.remove("d4");
+        dead.awaitLog("work: the plan is known");
+        load.excludedDrivers.remove("d4");
         serve(200);
         nothingSince(m3, out);
     }
@@ -406,13 +406,13 @@
         start(
                 RULES.replace(
                         "watch 0.5", "watch 0.5\n                lost-view \"strict\" horizon=5"));
-        Rig.Driver cut =
+        TestCluster.DriverProcess cut =
                 rig.driver("d2").name.equals(conductor().name)
                         ? rig.driver("d3")
                         : rig.driver("d2");
-        load.away.add(cut.name);
-        rig.cutFromCouncil(cut.name, true);
-        cut.await("view of the plan has ended");
+        load.excludedDrivers.add(cut.name);
+        rig.partitionFromVoters(cut.name, true);
+        cut.awaitLog("view of the plan has ended");
         assertThat(want("B")).isEmpty();
         awaitStage("B", "out");
         long out = System.currentTimeMillis();
@@ -422,8 +422,8 @@
             c.startup().heard();
             assertThat(c.ask(Fixtures.read("declined")).heard()).doesNotContain("row value");
         }
-        rig.cutFromCouncil(cut.name, false);
-        cut.await("work: the plan is known");
+        rig.partitionFromVoters(cut.name, false);
+        cut.awaitLog("work: the plan is known");
     }
 
     /** Reads by d3 that stay at the members until they are let go; one at least is at m2. */
@@ -455,8 +455,8 @@
                                 .isPresent());
         serve(100);
         assertThat(at(work(), "B", "draining")).isTrue();
-        for (Rig.Driver d : rig.drivers.values()) {
-            load.away.add(d.name);
+        for (TestCluster.DriverProcess d : rig.drivers.values()) {
+            load.excludedDrivers.add(d.name);
             d.kill();
         }
         for (String name : List.of("d4", "d3", "d2", "d1")) {
@@ -464,14 +464,14 @@
         }
         awaitStage("B", "out");
         long out = System.currentTimeMillis();
-        load.away.clear();
+        load.excludedDrivers.clear();
         serve(200);
         nothingSince(m2, out);
         for (Client c : slow) {
             c.close();
         }
         for (FencedMember m : List.of(m1, m2, m3)) {
-            m.letSlowGo();
+            m.releaseSlowReads();
         }
     }
 
@@ -505,7 +505,7 @@
         assertThat(word("done", one)).isEmpty();
         awaitStage(other, "out");
         assertThat(at(work(), one, "in")).isTrue();
-        assertThat(load.servedShare()).isGreaterThan(0.99);
+        assertThat(load.committedShare()).isGreaterThan(0.99);
     }
 
     @Test
@@ -525,8 +525,8 @@
                                 .isPresent());
         serve(200);
         assertThat(at(work(), "A", "planned")).isTrue();
-        m1.primary(false);
-        m3.primary(true);
+        m1.setPrimary(false);
+        m3.setPrimary(true);
         awaitStage("A", "out");
         long out = System.currentTimeMillis();
         serve(200);
@@ -548,19 +548,19 @@
         assertThat(want("B")).isEmpty();
         awaitStage("B", "out");
         long out = System.currentTimeMillis();
-        for (Rig.Driver d : rig.drivers.values()) {
-            load.away.add(d.name);
+        for (TestCluster.DriverProcess d : rig.drivers.values()) {
+            load.excludedDrivers.add(d.name);
             d.terminate();
-            d.awaitEnd();
+            d.awaitExit();
             d.start();
             // Clients come as soon as it listens: nobody is declined for a plan that is not known
             // yet.
-            d.await(" serves ");
-            load.away.remove(d.name);
+            d.awaitLog(" serves ");
+            load.excludedDrivers.remove(d.name);
         }
         serve(200);
         nothingSince(m2, out);
-        assertThat(load.refused.get()).as(() -> load.refusals + "\n" + rig.logs()).isZero();
+        assertThat(load.refused.get()).as(() -> load.firstRefusals + "\n" + rig.allLogs()).isZero();
         assertThat(at(work(), "B", "out")).isTrue();
         assertThat(word("done", "B")).isEmpty();
         awaitStage("B", "in");
@@ -574,9 +574,9 @@
         awaitStage("B", "out");
         // Nothing else of its group may fail now: that is told at once, and nothing is begun.
         m3.close();
-        for (Rig.Driver d : rig.drivers.values()) {
-            rig.relays.between(d.name, "m3").leadTo(0);
-            rig.relays.breakOff(rig.relays.between(d.name, "m3"));
+        for (TestCluster.DriverProcess d : rig.drivers.values()) {
+            rig.proxy.linkBetween(d.name, "m3").setTargetPort(0);
+            rig.proxy.disconnect(rig.proxy.linkBetween(d.name, "m3"));
         }
         awaitWork(
                 w ->
@@ -647,7 +647,7 @@
         awaitStage("B", "out");
         assertThat(List.of("d1", "d4")).doesNotContain(conductor().name);
         // One voter of three is away: a second one would leave no majority for the next fault.
-        rig.driver("d2").await("work: B out");
+        rig.driver("d2").awaitLog("work: B out");
         assertThat(word("done", "B")).isEmpty();
         awaitStage("B", "in");
     }
@@ -655,21 +655,21 @@
     @Test
     void discoveryAndThePlanMayDisagreeAndTheStrongerBinds() throws Exception {
         start(RULES);
-        rig.tellList(Map.of("m2b", "gone"));
+        rig.publishMembers(Map.of("m2b", "gone"));
         assertThat(want("B")).isEmpty();
         awaitStage("B", "out");
         long out = System.currentTimeMillis();
-        rig.tellList(Map.of("m2b", "gone"));
-        for (Rig.Driver d : rig.drivers.values()) {
-            d.await("list 2 ");
+        rig.publishMembers(Map.of("m2b", "gone"));
+        for (TestCluster.DriverProcess d : rig.drivers.values()) {
+            d.awaitLog("list 2 ");
         }
         serve(200);
         nothingSince(m2, out);
         // The plan has it back, and discovery says that it drains: it is not back before both say
         // so.
-        rig.tellList(Map.of("m2b", "gone", "m2", "draining"));
-        for (Rig.Driver d : rig.drivers.values()) {
-            d.await("list 3 ");
+        rig.publishMembers(Map.of("m2b", "gone", "m2", "draining"));
+        for (TestCluster.DriverProcess d : rig.drivers.values()) {
+            d.awaitLog("list 3 ");
         }
         assertThat(word("done", "B")).isEmpty();
         awaitWork(
@@ -683,7 +683,7 @@
                                 .isPresent());
         serve(100);
         nothingSince(m2, out);
-        rig.tellList(Map.of("m2b", "gone"));
+        rig.publishMembers(Map.of("m2b", "gone"));
         awaitStage("B", "in");
         m2.awaitTxns(m2.txns().size() + 1);
     }
@@ -691,14 +691,14 @@
     @Test
     void aMachineThatComesBackUnderNewMemberIdsIsTheSameMachine() throws Exception {
         start(RULES);
-        rig.tellList(Map.of("m2b", "gone"));
+        rig.publishMembers(Map.of("m2b", "gone"));
         FencedMember successor = rig.members.get("m2b");
         assertThat(want("B")).isEmpty();
         awaitStage("B", "out");
         // It is listed before anybody says that it is done: nothing goes there.
-        rig.tellList(Map.of("m2", "gone"));
-        for (Rig.Driver d : rig.drivers.values()) {
-            d.await("list 2 ");
+        rig.publishMembers(Map.of("m2", "gone"));
+        for (TestCluster.DriverProcess d : rig.drivers.values()) {
+            d.awaitLog("list 2 ");
         }
         serve(200);
         assertThat(successor.txns()).isEmpty();
@@ -713,15 +713,15 @@
         List<Client> slow = slowReads();
         assertThat(want("B")).isEmpty();
         awaitStage("B", "draining");
-        rig.reachable(m1, false);
+        rig.setReachable(m1, false);
         awaitStage("B", "asked");
         awaitWork(
                 w ->
                         entry(w, "B")
                                 .filter(e -> e.get("waits").toString().contains("m1 is not fit"))
                                 .isPresent());
-        m1.primary(false);
-        m2.primary(true);
+        m1.setPrimary(false);
+        m2.setPrimary(true);
         try (Client c = new Client(rig.driver("d1").port())) {
             c.startup().heard();
             List<String> heard = List.of();
@@ -732,7 +732,7 @@
         }
         assertThat(m2.txns()).anyMatch(t -> t.id().startsWith("lead"));
         for (FencedMember m : List.of(m1, m2, m3)) {
-            m.letSlowGo();
+            m.releaseSlowReads();
         }
         for (Client c : slow) {
             c.close();
@@ -743,18 +743,19 @@
     void aFleetInHalvesGoesOnWhereTheMajorityIs() throws Exception {
         start(RULES);
         // B's own driver, d4, is on the small side, without a voter.
-        Rig.Driver small = rig.driver("d4");
-        int from = small.lines();
+        TestCluster.DriverProcess small = rig.driver("d4");
+        int from = small.logLineCount();
         assertThat(want("B")).isEmpty();
-        small.await(from, l -> l.contains("work: B planned"));
+        small.awaitLog(from, l -> l.contains("work: B planned"));
         awaitWork(w -> !at(w, "B", "asked") && !at(w, "B", "planned"));
-        rig.cutFromCouncil("d4", true);
+        rig.partitionFromVoters("d4", true);
         awaitStage("B", "out");
         long out = System.currentTimeMillis();
         serve(200);
         nothingSince(m2, out);
-        rig.cutFromCouncil("d4", false);
-        small.await(from, l -> l.contains("work: the plan is known") || l.contains("work: B out"));
+        rig.partitionFromVoters("d4", false);
+        small.awaitLog(
+                from, l -> l.contains("work: the plan is known") || l.contains("work: B out"));
         serve(100);
         nothingSince(m2, out);
         assertThat(word("done", "B")).isEmpty();
@@ -773,7 +774,7 @@
                                 "target/wingroad.jar",
                                 "work"));
         command.addAll(List.of(words));
-        command.addAll(List.of("--operator", rig.driver("d1").operator().toString()));
+        command.addAll(List.of("--operator", rig.driver("d1").operatorFile().toString()));
         Process p = new ProcessBuilder(command).redirectErrorStream(true).start();
         List<String> lines = new ArrayList<>(p.inputReader().lines().toList());
         lines.add("exit " + p.waitFor());
