--- a/src/bench/java/wingroad/bench/Fleet.java
+++ b/src/bench/java/wingroad/bench/Fleet.java
@@ -1,5 +1,9 @@
 package wingroad.bench;
 
+import wingroad.Fixtures;
+import wingroad.Fixtures.FakeDiscovery;
+import wingroad.Fixtures.FakeMember;
+
 import java.io.BufferedReader;
 import java.io.DataInputStream;
 import java.io.IOException;
@@ -13,9 +17,6 @@
 import java.util.List;
 import java.util.concurrent.ThreadLocalRandom;
 import java.util.concurrent.atomic.AtomicLong;
-import wingroad.Fixtures;
-import wingroad.Fixtures.StandInDiscovery;
-import wingroad.Fixtures.StandInMember;
 
 /**
  * A driver as it is packaged, three stand-in members of so many places each, and tenants that ask
@@ -91,8 +92,8 @@
     private static final long AGAIN_MS = 20;
 
     final Places[] places = new Places[3];
-    private final List<StandInMember> members = new ArrayList<>();
-    private final StandInDiscovery discovery = new StandInDiscovery();
+    private final List<FakeMember> members = new ArrayList<>();
+    private final FakeDiscovery discovery = new FakeDiscovery();
     private final Process driver;
     private final int port;
     private final List<Thread> askers = new ArrayList<>();
@@ -104,15 +105,15 @@
             Places p = new Places(placesEach);
             places[i] = p;
             boolean primary = i == 0;
-            StandInMember m =
-                    new StandInMember(
+            FakeMember m =
+                    new FakeMember(
                             primary,
                             (sql, s) -> {
                                 p.work(workMs);
-                                s.row("v", primary);
+                                s.sendRow("v", primary);
                             });
             members.add(m);
-            known.append(i > 0 ? "," : "").append(Fixtures.entry("s-" + i, m.port(), "ready"));
+            known.append(i > 0 ? "," : "").append(Fixtures.listEntry("s-" + i, m.port(), "ready"));
         }
         Path config =
                 Files.writeString(
@@ -125,7 +126,7 @@
                                 + "\"known\":{\"rev\":0,\"all\":true,\"targets\":["
                                 + known
                                 + "]},\"settings\":"
-                                + Fixtures.SETTINGS
+                                + Fixtures.SETTINGS_JSON
                                 + "}");
         List<String> run = new ArrayList<>(List.of("/bin/sh", "deploy/serve.sh"));
         if (operator != null) {
@@ -181,7 +182,7 @@
                                     .getBytes(StandardCharsets.UTF_8);
                     s.getOutputStream()
                             .write(
-                                    Fixtures.joined(
+                                    Fixtures.concat(
                                             ByteBuffer.allocate(8)
                                                     .putInt(8 + who.length)
                                                     .putInt(3 << 16)
@@ -212,7 +213,10 @@
                     .write(
                             Fixtures.message(
                                     'Q',
-                                    Fixtures.text(write ? Fixtures.write(id) : Fixtures.read(id))));
+                                    Fixtures.cString(
+                                            write
+                                                    ? Fixtures.writeStatement(id)
+                                                    : Fixtures.readStatement(id))));
             String end = answer(in);
             if (end == null) {
                 return;
@@ -257,7 +261,7 @@
     @Override
     public void close() throws IOException {
         driver.destroyForcibly();
-        for (StandInMember m : members) {
+        for (FakeMember m : members) {
             m.close();
         }
         discovery.close();
--- a/src/bench/java/wingroad/fleet/OwnerBench.java
+++ b/src/bench/java/wingroad/fleet/OwnerBench.java
@@ -1,7 +1,7 @@
 package wingroad.fleet;
 
 import wingroad.Fixtures;
-import wingroad.Fixtures.Client;
+import wingroad.Fixtures.TestClient;
 import wingroad.operator.OperatorFile;
 import wingroad.protocol.Json;
 import wingroad.rig.FaultProxy;
@@ -127,11 +127,15 @@
                         + (handedOn ? "    list check=60\n" : "");
         try (TestCluster rig =
                 new TestCluster(
-                        Files.createTempDirectory("lists"), count, 5, rules, Fixtures.SETTINGS)) {
+                        Files.createTempDirectory("lists"),
+                        count,
+                        5,
+                        rules,
+                        Fixtures.SETTINGS_JSON)) {
             FencedMember primary = rig.addMember("m1", 7, true, true);
             FencedMember replica = rig.addMember("m2", 7, false, true);
             rig.startAll();
-            rig.discovery.tell(
+            rig.discovery.publish(
                     rig.discoveryEntry("d1", primary, "ready")
                             + ","
                             + rig.discoveryEntry("d1", replica, "ready"));
@@ -148,10 +152,10 @@
                                         .filter(d -> d.firstLogTimeMs("follows the owner") > 0)
                                         .count();
             }
-            int asked = rig.discovery.asked.size();
+            int asked = rig.discovery.requestedVersions.size();
             for (int rev = 2; rev < 42; rev++) {
                 long at = System.currentTimeMillis();
-                rig.discovery.tell(
+                rig.discovery.publish(
                         rig.discoveryEntry("d1", primary, "ready")
                                 + ","
                                 + rig.discoveryEntry(
@@ -162,7 +166,7 @@
                     toldAfter.add(told == 0 ? 600 : told - at);
                 }
             }
-            return rig.discovery.asked.size() - asked;
+            return rig.discovery.requestedVersions.size() - asked;
         }
     }
 
@@ -189,7 +193,7 @@
         }
         rig =
                 new TestCluster(
-                        dir, count, 5, withFleet ? rules.toString() : null, Fixtures.SETTINGS);
+                        dir, count, 5, withFleet ? rules.toString() : null, Fixtures.SETTINGS_JSON);
         fenced = rig.addMember("m1", 7, true, true);
         naive = rig.addMember("m2", 8, true, false);
         for (String a : rig.voters()) {
@@ -302,7 +306,7 @@
 
     private void clients(TestCluster.DriverProcess d) {
         int n = 0;
-        Client c = null;
+        TestClient c = null;
         int made = -1;
         while (!over) {
             try {
@@ -315,13 +319,17 @@
                     if (c != null) {
                         c.close();
                     }
-                    c = new Client(d.port());
+                    c = new TestClient(d.port());
                     made = gen;
-                    c.startup().heard();
+                    c.sendStartup().readResponses();
                 }
                 String id = d.name + "-" + gen + "-" + n++;
                 List<String> heard =
-                        c.ask(n % 5 == 0 ? Fixtures.write(id) : Fixtures.read(id)).heard();
+                        c.query(
+                                        n % 5 == 0
+                                                ? Fixtures.writeStatement(id)
+                                                : Fixtures.readStatement(id))
+                                .readResponses();
                 if (generation.get(d.name).get() == gen) {
                     sent.incrementAndGet();
                     if (heard.contains("row value")) {
--- a/src/bench/java/wingroad/work/WorkBench.java
+++ b/src/bench/java/wingroad/work/WorkBench.java
@@ -47,7 +47,7 @@
     private static final FencedMember.StartupCapacity BEARS =
             new FencedMember.StartupCapacity(250, COLD_MS, 0.26, 2.5, 1500);
     private static final String SETTINGS =
-            Fixtures.SETTINGS
+            Fixtures.SETTINGS_JSON
                     .replace("\"cold\":16000", "\"cold\":" + COLD_MS)
                     .replace("\"azs\":[\"a\"]", "\"azs\":[\"a\",\"b\",\"c\"]")
                     .replace("\"balancers\":1", "\"balancers\":" + DRIVERS);
@@ -660,10 +660,10 @@
      * driver hears them in its own time.
      */
     private double marks(boolean alone) throws Exception {
-        Map<String, Fixtures.StandInDiscovery> own = new TreeMap<>();
+        Map<String, Fixtures.FakeDiscovery> own = new TreeMap<>();
         if (alone) {
             for (TestCluster.DriverProcess d : rig.drivers.values()) {
-                Fixtures.StandInDiscovery mine = new Fixtures.StandInDiscovery();
+                Fixtures.FakeDiscovery mine = new Fixtures.FakeDiscovery();
                 own.put(d.name, mine);
                 rig.proxy.linkBetween(d.name, "discovery").setTargetPort(mine.port());
                 rig.proxy.disconnect(rig.proxy.linkBetween(d.name, "discovery"));
@@ -698,15 +698,14 @@
         return close();
     }
 
-    private void tell(
-            Map<String, Fixtures.StandInDiscovery> own, List<FencedMember> of, String state)
+    private void tell(Map<String, Fixtures.FakeDiscovery> own, List<FencedMember> of, String state)
             throws IOException {
         StringBuilder list = new StringBuilder();
         for (FencedMember m : rig.members.values()) {
             list.append(list.length() == 0 ? "" : ",")
                     .append(rig.discoveryEntry("d1", m, of.contains(m) ? state : "ready"));
         }
-        rig.discovery.tell(list.toString());
-        own.values().forEach(d -> in(random.nextInt(4000), () -> d.tell(list.toString())));
+        rig.discovery.publish(list.toString());
+        own.values().forEach(d -> in(random.nextInt(4000), () -> d.publish(list.toString())));
     }
 }
--- a/src/test/java/wingroad/Fixtures.java
+++ b/src/test/java/wingroad/Fixtures.java
@@ -35,170 +35,187 @@
 public final class Fixtures {
     public static final int READ = 0;
     public static final int WRITE = 1;
-    public static final Duration ANSWER = at(5);
+    public static final Duration RESPONSE_TIME = millis(5);
 
-    public final Map<String, Object> terms = new HashMap<>();
+    public final Map<String, Object> settings = new HashMap<>();
     public final List<String> log = new ArrayList<>();
     public TxnRouter router;
 
     public Fixtures() {
-        terms.put("txn-types", 2.0);
-        terms.put("step", at(5));
-        terms.put("drivers", 2.0);
-        terms.put("zone", 0.0);
-        terms.put("may-probe", true);
-        terms.put("may-cancel", true);
-        terms.put("second-copies", true);
-        terms.put("most-submissions", 4.0);
-        terms.put("members-check", "silent");
-        terms.put("connect-time-out", at(250));
-        terms.put("cold", at(10_000));
-        terms.put("cold-share", 0.25);
-        terms.put("fall", at(1000));
-        terms.put("fall-multiple", 2.0);
-        terms.put("drain-grace", at(1000));
-        terms.put("ask-within", at(8000));
-        type(READ, "repeatable", "recent", 600, 2000);
-        type(WRITE, "once-only", "update", 600, 3000);
-        terms.put("txn-type.0.oldest-data", at(1000));
-        terms.put("txn-type.1.late-share", 0.5);
+        settings.put("txn-types", 2.0);
+        settings.put("step", millis(5));
+        settings.put("drivers", 2.0);
+        settings.put("zone", 0.0);
+        settings.put("may-probe", true);
+        settings.put("may-cancel", true);
+        settings.put("second-copies", true);
+        settings.put("most-submissions", 4.0);
+        settings.put("members-check", "silent");
+        settings.put("connect-time-out", millis(250));
+        settings.put("cold", millis(10_000));
+        settings.put("cold-share", 0.25);
+        settings.put("fall", millis(1000));
+        settings.put("fall-multiple", 2.0);
+        settings.put("drain-grace", millis(1000));
+        settings.put("ask-within", millis(8000));
+        withTxnType(READ, "repeatable", "recent", 600, 2000);
+        withTxnType(WRITE, "once-only", "update", 600, 3000);
+        settings.put("txn-type.0.oldest-data", millis(1000));
+        settings.put("txn-type.1.late-share", 0.5);
     }
 
-    public Fixtures with(String name, Object value) {
-        terms.put(name, value);
+    public Fixtures withSetting(String name, Object value) {
+        settings.put(name, value);
         return this;
     }
 
-    public Fixtures type(int i, String repeat, String reads, long sla, long expiry) {
-        String t = "txn-type." + i + ".";
-        terms.put(t + "repeat", repeat);
-        terms.put(t + "reads", reads);
-        terms.put(t + "sla-time", at(sla));
-        terms.put(t + "expiry", at(expiry));
-        terms.put(t + "value", 1.0);
-        terms.put(t + "window", at(4000));
+    public Fixtures withTxnType(
+            int txnType, String repeat, String reads, long slaTimeMs, long expiryMs) {
+        String prefix = "txn-type." + txnType + ".";
+        settings.put(prefix + "repeat", repeat);
+        settings.put(prefix + "reads", reads);
+        settings.put(prefix + "sla-time", millis(slaTimeMs));
+        settings.put(prefix + "expiry", millis(expiryMs));
+        settings.put(prefix + "value", 1.0);
+        settings.put(prefix + "window", millis(4000));
         return this;
     }
 
     /** A router whose list names these members of group 7, all long up, in zone 0. */
-    public Fixtures group(long... members) {
-        router = new TxnRouter(terms, 42, log::add);
-        router.memberListStarted(at(0), true);
-        for (long m : members) {
-            listed(0, m, false, null);
+    public Fixtures withGroup(long... members) {
+        router = new TxnRouter(settings, 42, log::add);
+        router.memberListStarted(millis(0), true);
+        for (long member : members) {
+            memberListed(0, member, false, null);
         }
-        router.memberListEnded(at(0));
+        router.memberListEnded(millis(0));
         return this;
     }
 
-    public void listed(long now, long member, boolean draining, Duration startedAt) {
-        router.memberListed(at(now), member, 7, 0, 0, 1, false, draining, false, startedAt);
+    public void memberListed(long nowMs, long member, boolean draining, Duration startedAt) {
+        router.memberListed(millis(nowMs), member, 7, 0, 0, 1, false, draining, false, startedAt);
     }
 
     /** A probe's answer: the member's role and position, as of now. */
-    public void says(long now, long member, Role role, long position) {
+    public void memberReports(long nowMs, long member, Role role, long position) {
         router.memberReported(
-                at(now), member, role, at(position), Double.NaN, Double.NaN, Double.NaN);
-        router.probeEnded(at(now), member, true, at(1));
+                millis(nowMs), member, role, millis(position), Double.NaN, Double.NaN, Double.NaN);
+        router.probeEnded(millis(nowMs), member, true, millis(1));
     }
 
     /** Member 1 is the primary, the others are replicas; all as of now. */
-    public Fixtures roles(long now, long... replicas) {
-        says(now, 1, Role.PRIMARY, now);
-        for (long m : replicas) {
-            says(now, m, Role.REPLICA, now);
+    public Fixtures rolesReported(long nowMs, long... replicas) {
+        memberReports(nowMs, 1, Role.PRIMARY, nowMs);
+        for (long replica : replicas) {
+            memberReports(nowMs, replica, Role.REPLICA, nowMs);
         }
         return this;
     }
 
-    public void txn(long now, String id, int type, long left) {
-        router.txnArrived(at(now), id, type, 7, at(left), -1, null, false, Duration.ZERO);
+    public void txnArrives(long nowMs, String id, int type, long timeLeftMs) {
+        router.txnArrived(
+                millis(nowMs), id, type, 7, millis(timeLeftMs), -1, null, false, Duration.ZERO);
     }
 
-    public void ends(long now, String id, int submission, long member, Outcome end, Role role) {
+    public void submissionEnds(
+            long nowMs, String id, int submission, long member, Outcome outcome, Role role) {
         router.submissionEnded(
-                at(now), id, submission, member, end, ANSWER, end == Outcome.COMMITTED, role, null);
+                millis(nowMs),
+                id,
+                submission,
+                member,
+                outcome,
+                RESPONSE_TIME,
+                outcome == Outcome.COMMITTED,
+                role,
+                null);
     }
 
-    public List<Decision> decisions(long now) {
-        List<Decision> all = new ArrayList<>();
-        for (Decision d = router.nextDecision(at(now));
-                d != null;
-                d = router.nextDecision(at(now))) {
-            all.add(d);
+    public List<Decision> decisions(long nowMs) {
+        List<Decision> decisions = new ArrayList<>();
+        for (Decision decision = router.nextDecision(millis(nowMs));
+                decision != null;
+                decision = router.nextDecision(millis(nowMs))) {
+            decisions.add(decision);
         }
-        return all;
+        return decisions;
     }
 
     /** Lets the time pass, calling the router whenever it asks to be. */
-    public List<Decision> until(long now) {
-        List<Decision> all = new ArrayList<>();
-        while (router.wakeAt() != null && router.wakeAt().compareTo(at(now)) <= 0) {
-            all.addAll(decisions(router.wakeAt().toMillis() + 1));
+    public List<Decision> decisionsUntil(long nowMs) {
+        List<Decision> decisions = new ArrayList<>();
+        while (router.wakeAt() != null && router.wakeAt().compareTo(millis(nowMs)) <= 0) {
+            decisions.addAll(decisions(router.wakeAt().toMillis() + 1));
         }
-        all.addAll(decisions(now));
-        return all;
+        decisions.addAll(decisions(nowMs));
+        return decisions;
     }
 
-    public static Duration at(long ms) {
+    public static Duration millis(long ms) {
         return Duration.ofMillis(ms);
     }
 
     // ---- stand-ins on sockets, after the public protocols ----
 
-    private static final long PATIENCE_S = 20;
+    private static final long TIMEOUT_S = 20;
 
     /** What a stand-in member does with one query. */
-    public interface Script {
-        void asked(String sql, Session s) throws IOException;
+    public interface QueryHandler {
+        void onQuery(String sql, FakeMemberSession s) throws IOException;
     }
 
     /** One connection that a stand-in member has accepted. */
-    public static final class Session {
+    public static final class FakeMemberSession {
         private final DataInputStream in;
         private final Socket socket;
 
-        private Session(Socket socket) throws IOException {
+        private FakeMemberSession(Socket socket) throws IOException {
             this.socket = socket;
             // As PostgreSQL's servers do: what is written goes out at once.
             socket.setTcpNoDelay(true);
             this.in = new DataInputStream(socket.getInputStream());
         }
 
-        public void raw(byte[]... parts) throws IOException {
-            socket.getOutputStream().write(joined(parts));
+        public void send(byte[]... parts) throws IOException {
+            socket.getOutputStream().write(concat(parts));
         }
 
         /** A row of one value, what the member says of itself, and ready. */
-        public void row(String value, boolean primary) throws IOException {
-            row(value, primary, new byte[0]);
+        public void sendRow(String value, boolean primary) throws IOException {
+            sendRow(value, primary, new byte[0]);
         }
 
         /** The same, and in the same piece what nobody asked for. */
-        public void row(String value, boolean primary, byte[] behind) throws IOException {
-            raw(
-                    message('T', DESCRIPTION),
-                    message('D', column(value)),
-                    message('C', text("SELECT 1")),
-                    parameter("part", primary ? "master" : "replica"),
-                    parameter("caught_up_to", Long.toString(System.currentTimeMillis())),
-                    READY,
-                    behind);
-        }
-
-        public void error(String code, boolean primary) throws IOException {
-            raw(
-                    message('E', text("SERROR"), text("C" + code), text("Mno"), new byte[1]),
-                    parameter("part", primary ? "master" : "replica"),
-                    READY);
-        }
-
-        public void end() throws IOException {
+        public void sendRow(String value, boolean primary, byte[] trailingBytes)
+                throws IOException {
+            send(
+                    message('T', ROW_DESCRIPTION),
+                    message('D', dataRowBody(value)),
+                    message('C', cString("SELECT 1")),
+                    parameterStatus("part", primary ? "master" : "replica"),
+                    parameterStatus("caught_up_to", Long.toString(System.currentTimeMillis())),
+                    READY_FOR_QUERY,
+                    trailingBytes);
+        }
+
+        public void sendError(String sqlState, boolean primary) throws IOException {
+            send(
+                    message(
+                            'E',
+                            cString("SERROR"),
+                            cString("C" + sqlState),
+                            cString("Mno"),
+                            new byte[1]),
+                    parameterStatus("part", primary ? "master" : "replica"),
+                    READY_FOR_QUERY);
+        }
+
+        public void closeSocket() throws IOException {
             socket.close();
         }
 
         /** Waits until the other side has ended the connection. */
-        public void awaitEnd() throws IOException {
+        public void awaitPeerClose() throws IOException {
             try {
                 assertThat(in.read()).isIn(-1, (int) 'X');
             } catch (SocketException reset) {
@@ -207,21 +224,21 @@
         }
     }
 
-    public static final byte[] READY = message('Z', new byte[] {'I'});
-    public static final byte[] DESCRIPTION = {
+    public static final byte[] READY_FOR_QUERY = message('Z', new byte[] {'I'});
+    public static final byte[] ROW_DESCRIPTION = {
         0, 1, 'v', 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 17, -1, -1, -1, -1, -1, -1, 0, 1
     };
 
-    public static byte[] joined(byte[]... parts) {
-        ByteArrayOutputStream all = new ByteArrayOutputStream();
-        for (byte[] p : parts) {
-            all.writeBytes(p);
+    public static byte[] concat(byte[]... parts) {
+        ByteArrayOutputStream result = new ByteArrayOutputStream();
+        for (byte[] part : parts) {
+            result.writeBytes(part);
         }
-        return all.toByteArray();
+        return result.toByteArray();
     }
 
     public static byte[] message(char type, byte[]... parts) {
-        byte[] body = joined(parts);
+        byte[] body = concat(parts);
         return ByteBuffer.allocate(5 + body.length)
                 .put((byte) type)
                 .putInt(4 + body.length)
@@ -229,11 +246,11 @@
                 .array();
     }
 
-    public static byte[] text(String s) {
+    public static byte[] cString(String s) {
         return (s + '\0').getBytes(StandardCharsets.UTF_8);
     }
 
-    public static byte[] column(String value) {
+    public static byte[] dataRowBody(String value) {
         byte[] bytes = value.getBytes(StandardCharsets.UTF_8);
         return ByteBuffer.allocate(6 + bytes.length)
                 .putShort((short) 1)
@@ -242,158 +259,160 @@
                 .array();
     }
 
-    public static byte[] parameter(String name, String value) {
-        return message('S', text(name), text(value));
+    public static byte[] parameterStatus(String name, String value) {
+        return message('S', cString(name), cString(value));
     }
 
     /**
      * A member on a port of its own: it lets everybody in, answers probes, and does the rest by its
      * script.
      */
-    public static final class StandInMember implements AutoCloseable {
-        private final ServerSocket door = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
+    public static final class FakeMember implements AutoCloseable {
+        private final ServerSocket serverSocket =
+                new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         public final BlockingQueue<String> queries = new LinkedBlockingQueue<>();
         public final AtomicInteger connections = new AtomicInteger();
         public volatile boolean primary;
 
         /** How far behind the log it says that it is. */
-        public volatile long behindMs;
+        public volatile long replicationLagMs;
 
-        public volatile byte[] welcome = message('R', new byte[4]);
-        private volatile Script script;
+        public volatile byte[] startupResponse = message('R', new byte[4]);
+        private volatile QueryHandler queryHandler;
 
-        public StandInMember(boolean primary, Script script) throws IOException {
+        public FakeMember(boolean primary, QueryHandler queryHandler) throws IOException {
             this.primary = primary;
-            this.script = script;
-            thread(
+            this.queryHandler = queryHandler;
+            startThread(
                     () -> {
                         while (true) {
-                            Socket s = door.accept();
+                            Socket session = serverSocket.accept();
                             connections.incrementAndGet();
-                            thread(() -> serve(new Session(s)));
+                            startThread(() -> serve(new FakeMemberSession(session)));
                         }
                     });
         }
 
-        public void script(Script next) {
-            script = next;
+        public void queryHandler(QueryHandler newHandler) {
+            queryHandler = newHandler;
         }
 
-        private void serve(Session s) throws IOException {
-            s.in.readNBytes(s.in.readInt() - 4);
-            s.raw(welcome, READY);
-            for (int type = s.in.read(); type == 'Q'; type = s.in.read()) {
-                byte[] body = s.in.readNBytes(s.in.readInt() - 4);
+        private void serve(FakeMemberSession session) throws IOException {
+            session.in.readNBytes(session.in.readInt() - 4);
+            session.send(startupResponse, READY_FOR_QUERY);
+            for (int type = session.in.read(); type == 'Q'; type = session.in.read()) {
+                byte[] body = session.in.readNBytes(session.in.readInt() - 4);
                 String sql = new String(body, 0, body.length - 1, StandardCharsets.ISO_8859_1);
                 if (sql.equals("SHOW gauges")) {
-                    s.row(
+                    session.sendRow(
                             "x0="
-                                    + (System.currentTimeMillis() - behindMs) / 1000.0
+                                    + (System.currentTimeMillis() - replicationLagMs) / 1000.0
                                     + ",x1="
                                     + (primary ? 1 : 0),
                             primary);
                 } else {
                     queries.add(sql);
-                    script.asked(sql, s);
+                    queryHandler.onQuery(sql, session);
                 }
             }
         }
 
         public int port() {
-            return door.getLocalPort();
+            return serverSocket.getLocalPort();
         }
 
-        public String await() throws InterruptedException {
-            String sql = queries.poll(PATIENCE_S, TimeUnit.SECONDS);
+        public String awaitQuery() throws InterruptedException {
+            String sql = queries.poll(TIMEOUT_S, TimeUnit.SECONDS);
             assertThat(sql).as("a query at the member").isNotNull();
             return sql;
         }
 
         @Override
         public void close() throws IOException {
-            door.close();
+            serverSocket.close();
         }
     }
 
     /** A member list on a port of its own: each watch waits until there is a newer list. */
-    public static final class StandInDiscovery implements AutoCloseable {
-        private final ServerSocket door = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
+    public static final class FakeDiscovery implements AutoCloseable {
+        private final ServerSocket serverSocket =
+                new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
 
         /** What calls get instead of an answer, one each. */
-        public final BlockingQueue<String> broken = new LinkedBlockingQueue<>();
+        public final BlockingQueue<String> cannedResponses = new LinkedBlockingQueue<>();
 
         /** The version that each call named. */
-        public final BlockingQueue<Integer> asked = new LinkedBlockingQueue<>();
+        public final BlockingQueue<Integer> requestedVersions = new LinkedBlockingQueue<>();
 
         private String list = "";
         private int version;
 
-        public StandInDiscovery() throws IOException {
-            thread(
+        public FakeDiscovery() throws IOException {
+            startThread(
                     () -> {
                         while (true) {
-                            Socket s = door.accept();
-                            thread(() -> serve(s));
+                            Socket s = serverSocket.accept();
+                            startThread(() -> serve(s));
                         }
                     });
         }
 
-        private void serve(Socket s) throws IOException, InterruptedException {
-            BufferedReader in =
+        private void serve(Socket socket) throws IOException, InterruptedException {
+            BufferedReader reader =
                     new BufferedReader(
-                            new InputStreamReader(s.getInputStream(), StandardCharsets.UTF_8));
-            for (String line = in.readLine(); line != null; line = in.readLine()) {
-                String wrong = line.startsWith("GET ") ? broken.poll() : null;
-                if (wrong != null) {
-                    s.getOutputStream().write(wrong.getBytes(StandardCharsets.UTF_8));
-                    s.close();
+                            new InputStreamReader(socket.getInputStream(), StandardCharsets.UTF_8));
+            for (String line = reader.readLine(); line != null; line = reader.readLine()) {
+                String cannedResponse = line.startsWith("GET ") ? cannedResponses.poll() : null;
+                if (cannedResponse != null) {
+                    socket.getOutputStream().write(cannedResponse.getBytes(StandardCharsets.UTF_8));
+                    socket.close();
                 } else if (line.startsWith("GET ")) {
                     int since =
                             line.contains("since=")
                                     ? Integer.parseInt(line.replaceAll(".*since=([0-9]+).*", "$1"))
                                     : -1;
-                    asked.add(since);
-                    byte[] body = newer(since).getBytes(StandardCharsets.UTF_8);
-                    s.getOutputStream()
+                    requestedVersions.add(since);
+                    byte[] body = awaitNewerThan(since).getBytes(StandardCharsets.UTF_8);
+                    socket.getOutputStream()
                             .write(
                                     ("HTTP/1.1 200 OK\r\nContent-Length: "
                                                     + body.length
                                                     + "\r\n\r\n")
                                             .getBytes(StandardCharsets.UTF_8));
-                    s.getOutputStream().write(body);
+                    socket.getOutputStream().write(body);
                 }
             }
         }
 
-        private synchronized String newer(int than) throws InterruptedException {
-            while (version <= than) {
+        private synchronized String awaitNewerThan(int knownVersion) throws InterruptedException {
+            while (version <= knownVersion) {
                 wait();
             }
             return list;
         }
 
-        public synchronized void tell(String entries) {
-            tell(version + 1, entries);
+        public synchronized void publish(String entries) {
+            publish(version + 1, entries);
         }
 
-        public synchronized void tell(int number, String entries) {
-            version = number;
+        public synchronized void publish(int listVersion, String entries) {
+            version = listVersion;
             list = "{\"rev\":" + version + ",\"all\":true,\"targets\":[" + entries + "]}";
             notifyAll();
         }
 
         public int port() {
-            return door.getLocalPort();
+            return serverSocket.getLocalPort();
         }
 
         @Override
         public void close() throws IOException {
-            door.close();
+            serverSocket.close();
         }
     }
 
     /** An entry of discovery's list. */
-    public static String entry(String uid, int port, String state) {
+    public static String listEntry(String uid, int port, String state) {
         return "{\"uid\":\""
                 + uid
                 + "\",\"endpoint\":\"127.0.0.1:"
@@ -405,13 +424,13 @@
     }
 
     /** A client on a socket; what it reads is told a message at a time. */
-    public static final class Client implements AutoCloseable {
+    public static final class TestClient implements AutoCloseable {
         private final Socket socket;
         private final DataInputStream in;
 
-        public Client(int port) throws IOException {
+        public TestClient(int port) throws IOException {
             socket = new Socket(InetAddress.getLoopbackAddress(), port);
-            socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(PATIENCE_S));
+            socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(TIMEOUT_S));
             in = new DataInputStream(socket.getInputStream());
         }
 
@@ -419,30 +438,30 @@
          * Sends all of it at once: what is sent in parts may wait for the other side to confirm the
          * first.
          */
-        public Client raw(byte[]... parts) throws IOException {
-            socket.getOutputStream().write(joined(parts));
+        public TestClient send(byte[]... parts) throws IOException {
+            socket.getOutputStream().write(concat(parts));
             return this;
         }
 
-        public Client startup() throws IOException {
-            return raw(STARTUP);
+        public TestClient sendStartup() throws IOException {
+            return send(STARTUP_MESSAGE);
         }
 
-        public Client ask(String sql) throws IOException {
-            return raw(message('Q', text(sql)));
+        public TestClient query(String sql) throws IOException {
+            return send(message('Q', cString(sql)));
         }
 
         /** Something has come that was not read yet. */
-        public boolean isThere() throws IOException {
+        public boolean hasUnreadBytes() throws IOException {
             return in.available() > 0;
         }
 
-        public int one() throws IOException {
+        public int readByte() throws IOException {
             return in.read();
         }
 
         /** The last message before the next ready, or all that came before the end, as it is. */
-        public String wholeAnswer() throws IOException {
+        public String readLastMessage() throws IOException {
             String last = "";
             for (int type = in.read(); type >= 0 && type != 'Z'; type = in.read()) {
                 last = new String(in.readNBytes(in.readInt() - 4), StandardCharsets.UTF_8);
@@ -455,25 +474,27 @@
          * What comes up to the next ready, or to the end: rows by their value, errors by their
          * code.
          */
-        public List<String> heard() throws IOException {
-            List<String> all = new ArrayList<>();
+        public List<String> readResponses() throws IOException {
+            List<String> responses = new ArrayList<>();
             for (int type = in.read(); type >= 0; type = in.read()) {
                 byte[] body = in.readNBytes(in.readInt() - 4);
-                String s = new String(body, StandardCharsets.UTF_8);
+                String text = new String(body, StandardCharsets.UTF_8);
                 switch (type) {
                     case 'Z' -> {
-                        return all;
+                        return responses;
                     }
-                    case 'D' -> all.add("row " + s.substring(6));
-                    case 'E' -> all.add("error " + s.replaceAll("(?s).*\0C([^\0]*)\0.*", "$1"));
-                    case 'I' -> all.add("empty");
+                    case 'D' -> responses.add("row " + text.substring(6));
+                    case 'E' ->
+                            responses.add(
+                                    "error " + text.replaceAll("(?s).*\0C([^\0]*)\0.*", "$1"));
+                    case 'I' -> responses.add("empty");
                     default -> {
                         // descriptions, ends and figures
                     }
                 }
             }
-            all.add("end");
-            return all;
+            responses.add("end");
+            return responses;
         }
 
         @Override
@@ -482,25 +503,25 @@
         }
     }
 
-    public static final byte[] STARTUP =
+    public static final byte[] STARTUP_MESSAGE =
             ByteBuffer.allocate(34)
                     .putInt(34)
                     .putInt(3 << 16)
                     .put("user\0svc\0database\0main\0\0".getBytes(StandardCharsets.UTF_8))
                     .array();
 
-    public static String read(String id) {
+    public static String readStatement(String id) {
         return "/* id=" + id + ",c=look,d=3000,cluster=7 */ SELECT v FROM records WHERE k = 'ab'";
     }
 
-    public static String write(String id) {
+    public static String writeStatement(String id) {
         return "/* id="
                 + id
                 + ",c=change,d=4000,cluster=7 */ INSERT INTO records (k, v) VALUES ('ab',"
                 + " '\\x9f03') RETURNING v";
     }
 
-    public static final String SETTINGS =
+    public static final String SETTINGS_JSON =
             """
             {"azs":["a"],"shapes":["std"],"balancers":1,"index":0,"zone":0,"granularity":5,"discovery":"push",
              "grades":[{"name":"look","aim":750,"deadline":3000,"semantics":"repeatable","worth":1,"window":5000},
@@ -518,8 +539,8 @@
         void run() throws Exception;
     }
 
-    private static void thread(Task task) {
-        Thread t =
+    private static void startThread(Task task) {
+        Thread thread =
                 new Thread(
                         () -> {
                             try {
@@ -528,7 +549,7 @@
                                 // its socket is closed: the stand-in is done
                             }
                         });
-        t.setDaemon(true);
-        t.start();
+        thread.setDaemon(true);
+        thread.start();
     }
 }
--- a/src/test/java/wingroad/driver/ClientFrontendTest.java
+++ b/src/test/java/wingroad/driver/ClientFrontendTest.java
@@ -2,10 +2,10 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
+import static wingroad.Fixtures.cString;
 import static wingroad.Fixtures.message;
-import static wingroad.Fixtures.read;
-import static wingroad.Fixtures.text;
-import static wingroad.Fixtures.write;
+import static wingroad.Fixtures.readStatement;
+import static wingroad.Fixtures.writeStatement;
 
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -42,7 +42,7 @@
     private final EventLoop loop = new EventLoop(200, 1 << 24, bugs::add);
     private final Clock clock = new Clock();
     private final Fixtures given = new Fixtures();
-    private final TxnRouter router = new TxnRouter(given.terms, 1, line -> {});
+    private final TxnRouter router = new TxnRouter(given.settings, 1, line -> {});
     private final TxnDispatcher exchange =
             new TxnDispatcher(loop, clock, router, Duration.ofMillis(250), bugs::add);
     private final ClientFrontend clients =
@@ -51,7 +51,7 @@
                     exchange,
                     new Counters(),
                     List.of("look", "change"),
-                    given.terms,
+                    given.settings,
                     g -> true);
     private int port;
 
@@ -131,13 +131,13 @@
     }
 
     private Peer client() throws IOException {
-        Peer c = Peer.connect(port).send(Fixtures.STARTUP);
+        Peer c = Peer.connect(port).send(Fixtures.STARTUP_MESSAGE);
         c.readUntil("Z\0\0\0\5I");
         return c;
     }
 
     private static byte[] ask(String sql) {
-        return message('Q', text(sql));
+        return message('Q', cString(sql));
     }
 
     /**
@@ -155,10 +155,10 @@
 
     private void commit(TxnDispatcher.MemberRequest e) {
         byte[] row =
-                Fixtures.joined(
-                        message('T', Fixtures.DESCRIPTION),
-                        message('D', Fixtures.column("done")),
-                        message('C', text("SELECT 1")));
+                Fixtures.concat(
+                        message('T', Fixtures.ROW_DESCRIPTION),
+                        message('D', Fixtures.dataRowBody("done")),
+                        message('C', cString("SELECT 1")));
         loop.execute(
                 () ->
                         exchange.submissionEnded(
@@ -177,10 +177,10 @@
     void oneThatSendsMuchAheadAndLeavesIsSeenToLeave() throws Exception {
         for (boolean resets : new boolean[] {false, true}) {
             Peer c = client();
-            c.send(ask(write("w" + resets).replace("d=4000", "d=60000")));
+            c.send(ask(writeStatement("w" + resets).replace("d=4000", "d=60000")));
             until(() -> exchange.openTxnCount() == 1);
             for (int i = 0; i < 400; i++) {
-                c.send(ask(read("r" + resets + i)));
+                c.send(ask(readStatement("r" + resets + i)));
             }
             if (resets) {
                 c.reset();
@@ -213,11 +213,11 @@
     @Test
     void aFloodThatIsReadAheadLeavesHalfOfTheRoom() throws Exception {
         Peer c = client();
-        c.send(ask(write("w").replace("d=4000", "d=60000")));
+        c.send(ask(writeStatement("w").replace("d=4000", "d=60000")));
         until(() -> exchange.openTxnCount() == 1);
         loop.execute(() -> loop.addBufferedBytes((1 << 23) - loop.bufferedBytes()));
         for (int i = 0; i < 1000; i++) {
-            c.send(ask(read("r" + i)));
+            c.send(ask(readStatement("r" + i)));
         }
         primaryFound();
         commit(dispatched.poll(20, TimeUnit.SECONDS));
@@ -239,7 +239,7 @@
         asked.send(ask(""));
         asked.readUntil("Z\0\0\0\5I");
         for (Peer c : List.of(asked, client())) {
-            byte[] whole = ask(write("half" + (c == asked)));
+            byte[] whole = ask(writeStatement("half" + (c == asked)));
             c.send(java.util.Arrays.copyOf(whole, 60));
             until(() -> !clients.isIdle());
             loop.execute(clients::beginClosing);
@@ -263,7 +263,7 @@
         Peer c = client();
         // In one piece, so that all of it is read at once: what is still unread when it is told the
         // end, the client sends elsewhere.
-        c.send(Fixtures.joined(ask(write("w")), ask(read("r")), ask("")));
+        c.send(Fixtures.concat(ask(writeStatement("w")), ask(readStatement("r")), ask("")));
         TxnDispatcher.MemberRequest w = dispatched.poll(20, TimeUnit.SECONDS);
         loop.execute(clients::beginClosing);
         commit(w);
@@ -295,9 +295,9 @@
         assertThat(last.readToEnd()).isEmpty();
         last.close();
         for (Peer p : List.of(c, fresh)) {
-            p.send(ask(write("late")));
+            p.send(ask(writeStatement("late")));
             assertThat(p.readToEnd()).isEmpty();
-            p.send(ask(write("later")));
+            p.send(ask(writeStatement("later")));
         }
         // Both stay until their clients end their side: a close over unread bytes would break the
         // connection.
@@ -317,7 +317,7 @@
     void anAnswerThatIsNotFlushedYetIsWrittenBeforeTheEnd() throws Exception {
         primaryFound();
         Peer c = client();
-        c.send(ask(write("large")));
+        c.send(ask(writeStatement("large")));
         TxnDispatcher.MemberRequest e = dispatched.poll(20, TimeUnit.SECONDS);
         byte[] row = new byte[32 << 20];
         loop.execute(
@@ -355,7 +355,7 @@
         }
         primaryFound();
         Peer c = client();
-        c.send(ask(write("other")));
+        c.send(ask(writeStatement("other")));
         commit(dispatched.poll(20, TimeUnit.SECONDS));
         assertThat(c.readUntil("Z\0\0\0\5I")).contains("done");
     }
@@ -367,17 +367,18 @@
     @Test
     void oneThatLeftComesAgainUnderTheSameIdOnlyIfNothingWentOut() throws Exception {
         Peer c = client();
-        c.send(ask(write("same")));
+        c.send(ask(writeStatement("same")));
         until(() -> exchange.openTxnCount() == 1);
         c.reset();
         until(() -> exchange.openTxnCount() == 0);
-        Peer again = client().send(ask(write("same")));
+        Peer again = client().send(ask(writeStatement("same")));
         until(() -> exchange.openTxnCount() == 1);
         primaryFound();
         assertThat(dispatched.poll(20, TimeUnit.SECONDS).statement().id()).isEqualTo("same");
         again.reset();
         until(() -> exchange.openTxnCount() == 0);
-        assertThat(client().send(ask(write("same"))).readUntil("Z\0\0\0\5I")).contains("42704");
+        assertThat(client().send(ask(writeStatement("same"))).readUntil("Z\0\0\0\5I"))
+                .contains("42704");
         assertThat(dispatched).isEmpty();
     }
 
@@ -389,7 +390,7 @@
     void oneThatLeavesWhileItsConnectionOpensIsNotSentOn() throws Exception {
         primaryFound();
         Peer c = client();
-        c.send(ask(write("w")));
+        c.send(ask(writeStatement("w")));
         TxnDispatcher.MemberRequest e = dispatched.poll(20, TimeUnit.SECONDS);
         BlockingQueue<Boolean> may = new LinkedBlockingQueue<>();
         loop.execute(() -> may.add(exchange.mayDispatch(e)));
@@ -422,7 +423,7 @@
                         }
                     });
             standing.await();
-            c.send(ask(write("left" + resets)));
+            c.send(ask(writeStatement("left" + resets)));
             if (resets) {
                 c.reset();
             } else {
@@ -439,7 +440,7 @@
     void bytesOneAtATimeMakeWholeStatements() throws Exception {
         primaryFound();
         Peer c = client();
-        c.sendByteByByte(Fixtures.joined(ask(write("a")), ask(write("b"))));
+        c.sendByteByByte(Fixtures.concat(ask(writeStatement("a")), ask(writeStatement("b"))));
         for (String id : new String[] {"a", "b"}) {
             TxnDispatcher.MemberRequest e = dispatched.poll(20, TimeUnit.SECONDS);
             assertThat(e.statement().id()).isEqualTo(id);
--- a/src/test/java/wingroad/driver/DiscoveryClientTest.java
+++ b/src/test/java/wingroad/driver/DiscoveryClientTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import static wingroad.Fixtures.entry;
+import static wingroad.Fixtures.listEntry;
 
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
@@ -72,7 +72,7 @@
                 + ",\"all\":"
                 + whole
                 + ",\"targets\":["
-                + entry("s-1", 5433, state)
+                + listEntry("s-1", 5433, state)
                 + "]}";
     }
 
--- a/src/test/java/wingroad/driver/DriverIT.java
+++ b/src/test/java/wingroad/driver/DriverIT.java
@@ -1,12 +1,24 @@
 package wingroad.driver;
 
 import static org.assertj.core.api.Assertions.assertThat;
-import static wingroad.Fixtures.DESCRIPTION;
-import static wingroad.Fixtures.entry;
+
+import static wingroad.Fixtures.ROW_DESCRIPTION;
+import static wingroad.Fixtures.cString;
+import static wingroad.Fixtures.listEntry;
 import static wingroad.Fixtures.message;
-import static wingroad.Fixtures.read;
-import static wingroad.Fixtures.text;
-import static wingroad.Fixtures.write;
+import static wingroad.Fixtures.readStatement;
+import static wingroad.Fixtures.writeStatement;
+
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+import org.junit.jupiter.api.parallel.Isolated;
+
+import wingroad.Fixtures;
+import wingroad.Fixtures.FakeDiscovery;
+import wingroad.Fixtures.FakeMember;
+import wingroad.Fixtures.TestClient;
+import wingroad.rig.Peer;
 
 import java.io.BufferedReader;
 import java.io.FileOutputStream;
@@ -26,15 +38,6 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.Semaphore;
 import java.util.concurrent.TimeUnit;
-import org.junit.jupiter.api.AfterEach;
-import org.junit.jupiter.api.Test;
-import org.junit.jupiter.api.io.TempDir;
-import org.junit.jupiter.api.parallel.Isolated;
-import wingroad.Fixtures;
-import wingroad.Fixtures.Client;
-import wingroad.Fixtures.StandInDiscovery;
-import wingroad.Fixtures.StandInMember;
-import wingroad.rig.Peer;
 
 /** Starts the packaged program as deploy/balancer.toml does, and speaks to it over sockets. */
 @Isolated
@@ -44,22 +47,23 @@
     private Process driver;
     private int port;
     private final BlockingQueue<String> log = new LinkedBlockingQueue<>();
-    private final StandInDiscovery discovery = discovery();
-    private final StandInMember primary = member(true);
-    private final StandInMember replica = member(false);
+    private final FakeDiscovery discovery = discovery();
+    private final FakeMember primary = member(true);
+    private final FakeMember replica = member(false);
 
-    private static StandInDiscovery discovery() {
+    private static FakeDiscovery discovery() {
         try {
-            return new StandInDiscovery();
+            return new FakeDiscovery();
         } catch (IOException e) {
             throw new AssertionError(e);
         }
     }
 
-    private static StandInMember member(boolean primary) {
+    private static FakeMember member(boolean primary) {
         try {
-            return new StandInMember(
-                    primary, (sql, s) -> s.row(primary ? "from primary" : "from replica", primary));
+            return new FakeMember(
+                    primary,
+                    (sql, s) -> s.sendRow(primary ? "from primary" : "from replica", primary));
         } catch (IOException e) {
             throw new AssertionError(e);
         }
@@ -79,13 +83,15 @@
         return p.start();
     }
 
-    private Client start() throws Exception {
+    private TestClient start() throws Exception {
         return start(1024);
     }
 
     private String config(int listen, int descriptors) throws IOException {
         String known =
-                entry("s-1", primary.port(), "ready") + "," + entry("s-2", replica.port(), "ready");
+                listEntry("s-1", primary.port(), "ready")
+                        + ","
+                        + listEntry("s-2", replica.port(), "ready");
         return Files.writeString(
                         dir.resolve("config.json"),
                         "{\"name\":\"n\",\"listen\":\"127.0.0.1:"
@@ -99,23 +105,23 @@
                                 + "\"targets\":["
                                 + known
                                 + "]},\"settings\":"
-                                + Fixtures.SETTINGS
+                                + Fixtures.SETTINGS_JSON
                                 + "}")
                 .toString();
     }
 
-    private Client start(int descriptors) throws Exception {
+    private TestClient start(int descriptors) throws Exception {
         return start(process(config(0, descriptors)));
     }
 
     /** With the operator's file, as a file's text. */
-    private Client start(String operator) throws Exception {
+    private TestClient start(String operator) throws Exception {
         Files.writeString(dir.resolve("operator.kdl"), operator);
         return start(
                 process(config(0, 1024), "--operator", dir.resolve("operator.kdl").toString()));
     }
 
-    private Client start(Process begun) throws Exception {
+    private TestClient start(Process begun) throws Exception {
         driver = begun;
         BufferedReader out = driver.inputReader(StandardCharsets.UTF_8);
         for (String line = out.readLine(); line != null; line = out.readLine()) {
@@ -131,9 +137,9 @@
     }
 
     /** Asks again and again, each time with a new id. */
-    private static void askUntil(Client c, String answer) throws IOException {
+    private static void askUntil(TestClient c, String answer) throws IOException {
         int n = 0;
-        while (!c.ask(read("again" + n++)).heard().get(0).equals(answer)) {
+        while (!c.query(readStatement("again" + n++)).readResponses().get(0).equals(answer)) {
             assertThat(n).isLessThan(10_000);
         }
     }
@@ -173,9 +179,9 @@
                 .isZero();
     }
 
-    private Client client() throws IOException {
-        Client c = new Client(port).startup();
-        assertThat(c.heard()).isEmpty();
+    private TestClient client() throws IOException {
+        TestClient c = new TestClient(port).sendStartup();
+        assertThat(c.readResponses()).isEmpty();
         return c;
     }
 
@@ -191,90 +197,95 @@
 
     @Test
     void readsAndWritesAreCommittedInTheOrderInWhichTheyWereAsked() throws Exception {
-        Client c = start();
-        assertThat(c.ask("").heard()).containsExactly("empty");
-        c.raw(
-                message('Q', text(read("a"))),
-                message('Q', text(write("b"))),
-                message('Q', text("")),
-                message('Q', text(read("c"))));
-        assertThat(c.heard()).containsExactly("row from replica");
-        assertThat(c.heard()).containsExactly("row from primary");
-        assertThat(c.heard()).containsExactly("empty");
-        assertThat(c.heard()).containsExactly("row from replica");
-        assertThat(primary.await()).startsWith("/* id=b,c=change,d=");
+        TestClient c = start();
+        assertThat(c.query("").readResponses()).containsExactly("empty");
+        c.send(
+                message('Q', cString(readStatement("a"))),
+                message('Q', cString(writeStatement("b"))),
+                message('Q', cString("")),
+                message('Q', cString(readStatement("c"))));
+        assertThat(c.readResponses()).containsExactly("row from replica");
+        assertThat(c.readResponses()).containsExactly("row from primary");
+        assertThat(c.readResponses()).containsExactly("empty");
+        assertThat(c.readResponses()).containsExactly("row from replica");
+        assertThat(primary.awaitQuery()).startsWith("/* id=b,c=change,d=");
     }
 
     @Test
     void theFirstQueryMayStandRightBehindTheStartup() throws Exception {
         start();
-        Client c = new Client(port).raw(Fixtures.STARTUP, message('Q', text(write("x"))));
-        assertThat(c.heard()).isEmpty();
-        assertThat(c.heard()).containsExactly("row from primary");
+        TestClient c =
+                new TestClient(port)
+                        .send(Fixtures.STARTUP_MESSAGE, message('Q', cString(writeStatement("x"))));
+        assertThat(c.readResponses()).isEmpty();
+        assertThat(c.readResponses()).containsExactly("row from primary");
     }
 
     @Test
     void anUnsafeWriteThatMayHaveRunIsRolledBackAndNotSentAgain() throws Exception {
-        Client c = start();
-        primary.script((sql, s) -> s.end());
-        assertThat(c.ask(write("w")).heard()).containsExactly("error 08007");
+        TestClient c = start();
+        primary.queryHandler((sql, s) -> s.closeSocket());
+        assertThat(c.query(writeStatement("w")).readResponses()).containsExactly("error 08007");
         assertThat(primary.queries).hasSize(1);
         assertThat(replica.queries).isEmpty();
     }
 
     @Test
     void aReadThatNobodyCanServeIsDeclined() throws Exception {
-        Client c = start();
+        TestClient c = start();
         replica.close();
         primary.close();
-        assertThat(c.ask(read("r")).heard()).containsExactly("error 53300");
+        assertThat(c.query(readStatement("r")).readResponses()).containsExactly("error 53300");
     }
 
     @Test
     void aMemberLostMidAnswerLeavesTheClientOneWholeAnswer() throws Exception {
-        Client c = start();
-        replica.script(
+        TestClient c = start();
+        replica.queryHandler(
                 (sql, s) -> {
-                    s.raw(message('T', DESCRIPTION), new byte[] {'D', 0, 0, 0, 90, 0, 1});
-                    replica.script((again, s2) -> s2.row("whole", false));
-                    s.end();
+                    s.send(message('T', ROW_DESCRIPTION), new byte[] {'D', 0, 0, 0, 90, 0, 1});
+                    replica.queryHandler((again, s2) -> s2.sendRow("whole", false));
+                    s.closeSocket();
                 });
-        assertThat(c.ask(read("r")).heard()).containsExactly("row whole");
+        assertThat(c.query(readStatement("r")).readResponses()).containsExactly("row whole");
         assertThat(replica.queries).hasSize(2);
     }
 
     @Test
     void writesFollowAPrimaryThatMoved() throws Exception {
-        Client c = start();
-        assertThat(c.ask(write("a")).heard()).containsExactly("row from primary");
+        TestClient c = start();
+        assertThat(c.query(writeStatement("a")).readResponses())
+                .containsExactly("row from primary");
         primary.primary = false;
         replica.primary = true;
-        primary.script((sql, s) -> s.error("25006", false));
-        replica.script((sql, s) -> s.row("from the new one", true));
-        assertThat(c.ask(write("b")).heard()).containsExactly("row from the new one");
+        primary.queryHandler((sql, s) -> s.sendError("25006", false));
+        replica.queryHandler((sql, s) -> s.sendRow("from the new one", true));
+        assertThat(c.query(writeStatement("b")).readResponses())
+                .containsExactly("row from the new one");
     }
 
     @Test
     void theListIsFollowed() throws Exception {
-        Client c = start();
-        assertThat(c.ask(read("a")).heard()).containsExactly("row from replica");
-        try (StandInMember later =
-                new StandInMember(false, (sql, s) -> s.row("from a later one", false))) {
-            replica.script((sql, s) -> s.error("53300", false));
-            discovery.tell(
-                    entry("s-1", primary.port(), "ready")
+        TestClient c = start();
+        assertThat(c.query(readStatement("a")).readResponses()).containsExactly("row from replica");
+        try (FakeMember later =
+                new FakeMember(false, (sql, s) -> s.sendRow("from a later one", false))) {
+            replica.queryHandler((sql, s) -> s.sendError("53300", false));
+            discovery.publish(
+                    listEntry("s-1", primary.port(), "ready")
                             + ","
-                            + entry("s-3", later.port(), "ready"));
+                            + listEntry("s-3", later.port(), "ready"));
             askUntil(c, "row from a later one");
             int before = replica.queries.size();
-            assertThat(c.ask(read("c")).heard()).containsExactly("row from a later one");
+            assertThat(c.query(readStatement("c")).readResponses())
+                    .containsExactly("row from a later one");
             assertThat(replica.queries).hasSize(before);
         }
     }
 
     @Test
     void anUnreadableConfigurationLeavesTheOldOneInForce() throws Exception {
-        Client c = start();
+        TestClient c = start();
         String whole = Files.readString(dir.resolve("config.json"));
         for (String bad :
                 new String[] {
@@ -291,29 +302,30 @@
         Files.delete(dir.resolve("config.json"));
         hangUp();
         awaitLine("configuration not reloaded");
-        try (StandInMember later =
-                new StandInMember(false, (sql, s) -> s.row("from a later one", false))) {
-            discovery.tell(
-                    entry("s-1", primary.port(), "ready")
+        try (FakeMember later =
+                new FakeMember(false, (sql, s) -> s.sendRow("from a later one", false))) {
+            discovery.publish(
+                    listEntry("s-1", primary.port(), "ready")
                             + ","
-                            + entry("s-3", later.port(), "ready"));
+                            + listEntry("s-3", later.port(), "ready"));
             awaitLine("list 1");
-            assertThat(c.ask(read("r")).heard()).containsExactly("row from a later one");
+            assertThat(c.query(readStatement("r")).readResponses())
+                    .containsExactly("row from a later one");
         }
     }
 
     @Test
     void onHangUpDiscoveryIsFollowedAtItsNewAddressFromTheVersionHeld() throws Exception {
-        Client c = start();
-        discovery.tell(
+        TestClient c = start();
+        discovery.publish(
                 41,
-                entry("s-1", primary.port(), "ready")
+                listEntry("s-1", primary.port(), "ready")
                         + ","
-                        + entry("s-2", replica.port(), "ready"));
+                        + listEntry("s-2", replica.port(), "ready"));
         awaitLine("list 41");
-        try (StandInDiscovery next = new StandInDiscovery();
-                StandInMember later =
-                        new StandInMember(false, (sql, s) -> s.row("from a later one", false))) {
+        try (FakeDiscovery next = new FakeDiscovery();
+                FakeMember later =
+                        new FakeMember(false, (sql, s) -> s.sendRow("from a later one", false))) {
             Files.writeString(
                     dir.resolve("config.json"),
                     Files.readString(dir.resolve("config.json"))
@@ -322,33 +334,35 @@
                                     "\"discovery\":\"127.0.0.1:" + next.port()));
             hangUp();
             hangUp();
-            assertThat(next.asked.poll(20, TimeUnit.SECONDS)).isEqualTo(41);
-            next.tell(
+            assertThat(next.requestedVersions.poll(20, TimeUnit.SECONDS)).isEqualTo(41);
+            next.publish(
                     42,
-                    entry("s-1", primary.port(), "ready")
+                    listEntry("s-1", primary.port(), "ready")
                             + ","
-                            + entry("s-3", later.port(), "ready"));
+                            + listEntry("s-3", later.port(), "ready"));
             awaitLine("list 42");
-            assertThat(c.ask(read("r")).heard()).containsExactly("row from a later one");
+            assertThat(c.query(readStatement("r")).readResponses())
+                    .containsExactly("row from a later one");
             // The old address has no say any more.
-            discovery.tell(43, entry("s-2", replica.port(), "ready"));
-            assertThat(next.asked.poll(20, TimeUnit.SECONDS)).isEqualTo(42);
-            assertThat(c.ask(read("s")).heard()).containsExactly("row from a later one");
+            discovery.publish(43, listEntry("s-2", replica.port(), "ready"));
+            assertThat(next.requestedVersions.poll(20, TimeUnit.SECONDS)).isEqualTo(42);
+            assertThat(c.query(readStatement("s")).readResponses())
+                    .containsExactly("row from a later one");
         }
     }
 
     @Test
     void aMemberIsFollowedToItsNewAddress() throws Exception {
-        Client c = start();
-        assertThat(c.ask(read("a")).heard()).containsExactly("row from replica");
-        try (StandInMember moved =
-                new StandInMember(false, (sql, s) -> s.row("from its new address", false))) {
-            replica.script((sql, s) -> s.end());
+        TestClient c = start();
+        assertThat(c.query(readStatement("a")).readResponses()).containsExactly("row from replica");
+        try (FakeMember moved =
+                new FakeMember(false, (sql, s) -> s.sendRow("from its new address", false))) {
+            replica.queryHandler((sql, s) -> s.closeSocket());
             replica.close();
-            discovery.tell(
-                    entry("s-1", primary.port(), "ready")
+            discovery.publish(
+                    listEntry("s-1", primary.port(), "ready")
                             + ","
-                            + entry("s-2", moved.port(), "ready"));
+                            + listEntry("s-2", moved.port(), "ready"));
             askUntil(c, "row from its new address");
         }
     }
@@ -363,44 +377,44 @@
                     "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n{x}",
                     "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n{"
                 }) {
-            discovery.broken.add(bad);
+            discovery.cannedResponses.add(bad);
         }
-        Client c = start();
-        assertThat(c.ask(read("a")).heard()).containsExactly("row from replica");
-        try (StandInMember later =
-                new StandInMember(false, (sql, s) -> s.row("from a later one", false))) {
-            discovery.tell(
-                    entry("s-1", primary.port(), "ready")
+        TestClient c = start();
+        assertThat(c.query(readStatement("a")).readResponses()).containsExactly("row from replica");
+        try (FakeMember later =
+                new FakeMember(false, (sql, s) -> s.sendRow("from a later one", false))) {
+            discovery.publish(
+                    listEntry("s-1", primary.port(), "ready")
                             + ","
-                            + entry("s-3", later.port(), "ready"));
+                            + listEntry("s-3", later.port(), "ready"));
             askUntil(c, "row from a later one");
         }
-        assertThat(discovery.broken).isEmpty();
+        assertThat(discovery.cannedResponses).isEmpty();
     }
 
     @Test
     void aValueOfFullSizeGoesThroughBothWays() throws Exception {
-        Client c = start();
+        TestClient c = start();
         String value = "7f".repeat(64 * 1024);
         String[] came = new String[1];
-        primary.script(
+        primary.queryHandler(
                 (sql, s) -> {
                     came[0] = sql;
-                    s.row("z".repeat(64 * 1024), true);
+                    s.sendRow("z".repeat(64 * 1024), true);
                 });
-        assertThat(c.ask(write("big").replace("9f03", value)).heard())
+        assertThat(c.query(writeStatement("big").replace("9f03", value)).readResponses())
                 .containsExactly("row " + "z".repeat(64 * 1024));
         assertThat(came[0].replaceAll("d=[0-9]+", "d=4000"))
-                .isEqualTo(write("big").replace("9f03", value));
-        assertThat(c.ask(write("more").replace("9f03", value + "00")).heard())
+                .isEqualTo(writeStatement("big").replace("9f03", value));
+        assertThat(c.query(writeStatement("more").replace("9f03", value + "00")).readResponses())
                 .containsExactly("error 08P01");
     }
 
     @Test
     void oneThatAsksMuchAndReadsLateGetsAllAnswersAndHoldsUpNobody() throws Exception {
-        Client other = start();
-        Client c = client();
-        byte[] one = message('Q', text(""));
+        TestClient other = start();
+        TestClient c = client();
+        byte[] one = message('Q', cString(""));
         ByteBuffer all = ByteBuffer.allocate(one.length * 20_000);
         while (all.hasRemaining()) {
             all.put(one);
@@ -409,15 +423,16 @@
                 new Thread(
                         () -> {
                             try {
-                                c.raw(all.array());
+                                c.send(all.array());
                             } catch (IOException e) {
                                 throw new AssertionError(e);
                             }
                         });
         asks.start();
-        assertThat(other.ask(read("a")).heard()).containsExactly("row from replica");
+        assertThat(other.query(readStatement("a")).readResponses())
+                .containsExactly("row from replica");
         for (int i = 0; i < 20_000; i++) {
-            assertThat(c.heard()).containsExactly("empty");
+            assertThat(c.readResponses()).containsExactly("empty");
         }
         asks.join();
     }
@@ -425,17 +440,17 @@
     @Test
     void aBurstOfLargeWritesAtASilentPrimaryStaysWithinTheMemoryLimit() throws Exception {
         start();
-        primary.script((sql, s) -> s.awaitEnd());
-        List<Client> clients = new ArrayList<>();
+        primary.queryHandler((sql, s) -> s.awaitPeerClose());
+        List<TestClient> clients = new ArrayList<>();
         for (int i = 0; i < 300; i++) {
             clients.add(
-                    client().ask(
-                                    write("w" + i)
+                    client().query(
+                                    writeStatement("w" + i)
                                             .replace("d=4000", "d=1500")
                                             .replace("9f03", "7f".repeat(64 * 1024))));
         }
-        for (Client c : clients) {
-            assertThat(c.heard().get(0)).isIn("error 53300", "error 08007");
+        for (TestClient c : clients) {
+            assertThat(c.readResponses().get(0)).isIn("error 53300", "error 08007");
         }
         String peak =
                 Files.readAllLines(Path.of("/proc/" + driver.pid() + "/status")).stream()
@@ -444,20 +459,23 @@
                         .get()
                         .replaceAll("[^0-9]", "");
         assertThat(Integer.parseInt(peak)).as("kB at the most").isBetween(1, 192 * 1024);
-        primary.script((again, s) -> s.row("still there", true));
-        assertThat(client().ask(write("x")).heard()).containsExactly("row still there");
+        primary.queryHandler((again, s) -> s.sendRow("still there", true));
+        assertThat(client().query(writeStatement("x")).readResponses())
+                .containsExactly("row still there");
     }
 
     @Test
     void atTheDescriptorLimitIdleClientsGiveWayToThoseThatCome() throws Exception {
         start(64);
-        Client last = null;
+        TestClient last = null;
         for (int i = 0; i < 100; i++) {
             last = client();
-            assertThat(last.ask("").heard()).containsExactly("empty");
+            assertThat(last.query("").readResponses()).containsExactly("empty");
         }
-        assertThat(last.ask(read("a")).heard()).containsExactly("row from replica");
-        assertThat(last.ask(write("b")).heard()).containsExactly("row from primary");
+        assertThat(last.query(readStatement("a")).readResponses())
+                .containsExactly("row from replica");
+        assertThat(last.query(writeStatement("b")).readResponses())
+                .containsExactly("row from primary");
         try (var open = Files.list(Path.of("/proc/" + driver.pid() + "/fd"))) {
             assertThat(open.count()).isLessThanOrEqualTo(64);
         }
@@ -466,13 +484,17 @@
     @Test
     void atTheDescriptorLimitNobodyIsClosedBeforeItsFirstAnswer() throws Exception {
         start(64);
-        List<Client> all = new ArrayList<>();
+        List<TestClient> all = new ArrayList<>();
         for (int i = 0; i < 100; i++) {
-            all.add(new Client(port).raw(Fixtures.STARTUP, message('Q', text(read("r" + i)))));
+            all.add(
+                    new TestClient(port)
+                            .send(
+                                    Fixtures.STARTUP_MESSAGE,
+                                    message('Q', cString(readStatement("r" + i)))));
         }
-        for (Client c : all) {
-            assertThat(c.heard()).isEmpty();
-            assertThat(c.heard().get(0))
+        for (TestClient c : all) {
+            assertThat(c.readResponses()).isEmpty();
+            assertThat(c.readResponses().get(0))
                     .isIn("row from replica", "row from primary", "error 53300");
         }
     }
@@ -480,19 +502,23 @@
     @Test
     void atTheDescriptorLimitNobodyWaitsUnseenWhileAllAreAtWork() throws Exception {
         start(64);
-        primary.script((sql, s) -> s.awaitEnd());
-        List<Client> all = new ArrayList<>();
+        primary.queryHandler((sql, s) -> s.awaitPeerClose());
+        List<TestClient> all = new ArrayList<>();
         for (int i = 0; i < 100; i++) {
-            String sql = write("w" + i).replace("d=4000", "d=60000");
-            all.add(new Client(port).raw(Fixtures.STARTUP, message('Q', text(sql))));
+            String sql = writeStatement("w" + i).replace("d=4000", "d=60000");
+            all.add(
+                    new TestClient(port)
+                            .send(Fixtures.STARTUP_MESSAGE, message('Q', cString(sql))));
         }
         // Those that are let in stay at work for a minute; the others, most of them, are told so at
         // once.
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
-        List<Client> told = new ArrayList<>();
+        List<TestClient> told = new ArrayList<>();
         while (told.size() < 50 && System.nanoTime() < end) {
-            for (Client c : all) {
-                if (!told.contains(c) && c.isThere() && c.heard().contains("error 53300")) {
+            for (TestClient c : all) {
+                if (!told.contains(c)
+                        && c.hasUnreadBytes()
+                        && c.readResponses().contains("error 53300")) {
                     told.add(c);
                 }
             }
@@ -503,90 +529,92 @@
     @Test
     void oneThatHasNotAskedYetKeepsItsPlaceAtTheDescriptorLimit() throws Exception {
         start(64);
-        primary.script((sql, s) -> s.awaitEnd());
-        List<Client> atWork = new ArrayList<>();
+        primary.queryHandler((sql, s) -> s.awaitPeerClose());
+        List<TestClient> atWork = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
-            String sql = write("w" + i).replace("d=4000", "d=60000");
-            atWork.add(new Client(port).raw(Fixtures.STARTUP, message('Q', text(sql))));
+            String sql = writeStatement("w" + i).replace("d=4000", "d=60000");
+            atWork.add(
+                    new TestClient(port)
+                            .send(Fixtures.STARTUP_MESSAGE, message('Q', cString(sql))));
         }
-        Client waits = client();
+        TestClient waits = client();
         for (int i = 0; i < 20; i++) {
-            assertThat(client().ask("").heard()).containsExactly("empty");
+            assertThat(client().query("").readResponses()).containsExactly("empty");
         }
-        assertThat(waits.ask("").heard()).containsExactly("empty");
+        assertThat(waits.query("").readResponses()).containsExactly("empty");
     }
 
     @Test
     void ofManyThatAskOnceAndStayTheOneIdleForLongestIsLetGo() throws Exception {
         start(64);
-        List<Client> all = new ArrayList<>();
+        List<TestClient> all = new ArrayList<>();
         for (int i = 0; i < 16; i++) {
             all.add(client());
-            assertThat(all.get(i).ask("").heard()).containsExactly("empty");
+            assertThat(all.get(i).query("").readResponses()).containsExactly("empty");
         }
         long from = System.nanoTime();
-        assertThat(all.get(0).heard()).containsExactly("end");
-        assertThat(all.get(1).heard()).containsExactly("end");
+        assertThat(all.get(0).readResponses()).containsExactly("end");
+        assertThat(all.get(1).readResponses()).containsExactly("end");
         assertThat(System.nanoTime() - from).isLessThan(TimeUnit.SECONDS.toNanos(1));
-        assertThat(all.get(15).ask("").heard()).containsExactly("empty");
+        assertThat(all.get(15).query("").readResponses()).containsExactly("empty");
     }
 
     @Test
     void aClientThatLeavesEndsItsSubmission() throws Exception {
         start();
         BlockingQueue<String> ended = new LinkedBlockingQueue<>();
-        primary.script(
+        primary.queryHandler(
                 (sql, s) -> {
-                    s.awaitEnd();
+                    s.awaitPeerClose();
                     ended.add(sql);
                 });
-        Client leaving = client().ask(write("gone"));
-        primary.await();
+        TestClient leaving = client().query(writeStatement("gone"));
+        primary.awaitQuery();
         leaving.close();
         assertThat(ended.poll(20, TimeUnit.SECONDS)).contains("id=gone");
     }
 
     @Test
     void toldToStopItAnswersWhatItHasAndEnds() throws Exception {
-        Client c = start();
-        Client idle = client();
-        assertThat(idle.ask("").heard()).containsExactly("empty");
-        primary.script(
+        TestClient c = start();
+        TestClient idle = client();
+        assertThat(idle.query("").readResponses()).containsExactly("empty");
+        primary.queryHandler(
                 (sql, s) -> {
                     driver.destroy();
-                    try (Client late = client()) {
-                        assertThat(late.ask(read("late")).heard())
+                    try (TestClient late = client()) {
+                        assertThat(late.query(readStatement("late")).readResponses())
                                 .containsExactly("row from replica");
                         // Who is connected is served on for a while, and then let go.
-                        assertThat(idle.ask(read("idle")).heard())
+                        assertThat(idle.query(readStatement("idle")).readResponses())
                                 .containsExactly("row from replica");
                         // Answered before anybody is let go: what it sent ahead has its whole time
                         // then.
-                        s.row("after all", true);
-                        assertThat(late.heard()).containsExactly("end");
+                        s.sendRow("after all", true);
+                        assertThat(late.readResponses()).containsExactly("end");
                     }
                 });
-        c.raw(
-                message('Q', text(write("w"))),
-                message('Q', text(read("r"))),
-                message('Q', text("")));
-        assertThat(c.heard()).containsExactly("row after all");
-        assertThat(c.heard()).containsExactly("row from replica");
-        assertThat(c.heard()).containsExactly("empty");
-        assertThat(c.heard()).containsExactly("end");
-        assertThat(idle.heard()).containsExactly("end");
+        c.send(
+                message('Q', cString(writeStatement("w"))),
+                message('Q', cString(readStatement("r"))),
+                message('Q', cString("")));
+        assertThat(c.readResponses()).containsExactly("row after all");
+        assertThat(c.readResponses()).containsExactly("row from replica");
+        assertThat(c.readResponses()).containsExactly("empty");
+        assertThat(c.readResponses()).containsExactly("end");
+        assertThat(idle.readResponses()).containsExactly("end");
         assertThat(driver.waitFor(20, TimeUnit.SECONDS)).isTrue();
         assertThat(driver.exitValue()).isEqualTo(143);
     }
 
     @Test
     void whatIsTakenAfterTheWordToStopHasItsAnswerBeforeTheKill() throws Exception {
-        Client c = start();
-        primary.script((sql, s) -> s.awaitEnd());
+        TestClient c = start();
+        primary.queryHandler((sql, s) -> s.awaitPeerClose());
         send("TERM");
         awaitLine("told to stop");
         long from = System.nanoTime();
-        assertThat(c.ask(write("late").replace("d=4000", "d=60000")).heard())
+        assertThat(c.query(writeStatement("late").replace("d=4000", "d=60000")).readResponses())
                 .containsExactly("error 08007");
         assertThat(driver.waitFor(20, TimeUnit.SECONDS)).isTrue();
         assertThat(System.nanoTime() - from).isLessThan(TimeUnit.SECONDS.toNanos(20));
@@ -598,14 +626,14 @@
      */
     @Test
     void whatIsOpenAtTheWordToStopHasItsAnswerBeforeTheKill() throws Exception {
-        Client c = start();
-        primary.script((sql, s) -> s.awaitEnd());
-        c.raw(message('Q', text(write("early").replace("d=4000", "d=60000"))));
-        primary.await();
+        TestClient c = start();
+        primary.queryHandler((sql, s) -> s.awaitPeerClose());
+        c.send(message('Q', cString(writeStatement("early").replace("d=4000", "d=60000"))));
+        primary.awaitQuery();
         send("TERM");
         awaitLine("told to stop");
-        assertThat(c.heard()).containsExactly("error 08007");
-        assertThat(c.heard()).containsExactly("end");
+        assertThat(c.readResponses()).containsExactly("error 08007");
+        assertThat(c.readResponses()).containsExactly("end");
         assertThat(driver.waitFor(20, TimeUnit.SECONDS)).isTrue();
         String last = awaitLine("stops after");
         assertThat(Integer.parseInt(last.replaceAll(".*stops after ([0-9]+) ms.*", "$1")))
@@ -662,7 +690,7 @@
             send("HUP");
             out.write(whole.getBytes(StandardCharsets.UTF_8));
         }
-        try (StandInDiscovery next = new StandInDiscovery();
+        try (FakeDiscovery next = new FakeDiscovery();
                 OutputStream out = toReader(pipe)) {
             out.write(
                     whole.replace(
@@ -670,7 +698,7 @@
                                     "\"discovery\":\"127.0.0.1:" + next.port())
                             .getBytes(StandardCharsets.UTF_8));
             out.close();
-            assertThat(next.asked.poll(20, TimeUnit.SECONDS)).isNotNull();
+            assertThat(next.requestedVersions.poll(20, TimeUnit.SECONDS)).isNotNull();
         }
     }
 
@@ -701,10 +729,10 @@
      */
     @Test
     void theListIsKnownBeforeAnybodyIsLetIn() throws Exception {
-        discovery.tell(
-                entry("s-1", primary.port(), "ready")
+        discovery.publish(
+                listEntry("s-1", primary.port(), "ready")
                         + ","
-                        + entry("s-3", primary.port(), "ready"));
+                        + listEntry("s-3", primary.port(), "ready"));
         driver = process(config(0, 1024));
         List<String> lines = new ArrayList<>();
         BufferedReader out = driver.inputReader(StandardCharsets.UTF_8);
@@ -716,26 +744,27 @@
 
     @Test
     void aHangUpAndASecondWordToStopChangeNothingForWhatIsOpen() throws Exception {
-        Client c = start();
+        TestClient c = start();
         Semaphore let = new Semaphore(0);
-        primary.script(
+        primary.queryHandler(
                 (sql, s) -> {
                     let.acquireUninterruptibly();
-                    s.row("after all", true);
+                    s.sendRow("after all", true);
                 });
-        c.raw(message('Q', text(write("w"))));
-        primary.await();
+        c.send(message('Q', cString(writeStatement("w"))));
+        primary.awaitQuery();
         send("TERM");
         awaitLine("told to stop");
         hangUp();
         awaitLine("configuration reloaded");
         send("TERM");
-        try (Client late = client()) {
-            assertThat(late.ask(read("late")).heard()).containsExactly("row from replica");
+        try (TestClient late = client()) {
+            assertThat(late.query(readStatement("late")).readResponses())
+                    .containsExactly("row from replica");
         }
         let.release();
-        assertThat(c.heard()).containsExactly("row after all");
-        assertThat(c.heard()).containsExactly("end");
+        assertThat(c.readResponses()).containsExactly("row after all");
+        assertThat(c.readResponses()).containsExactly("end");
         assertThat(driver.waitFor(20, TimeUnit.SECONDS)).isTrue();
         assertThat(driver.exitValue()).isEqualTo(143);
     }
@@ -767,95 +796,109 @@
 
     @Test
     void badInputGetsAnErrorAndReachesNoMember() throws Exception {
-        Client c = start();
+        TestClient c = start();
         for (String bad :
                 new String[] {
                     "SELECT 1",
                     "/* c=look,d=9,cluster=7 */ SELECT v FROM records WHERE k = 'a'",
-                    read("a") + "; " + read("b")
+                    readStatement("a") + "; " + readStatement("b")
                 }) {
-            assertThat(c.ask(bad).heard()).containsExactly("error 08P01");
+            assertThat(c.query(bad).readResponses()).containsExactly("error 08P01");
         }
-        assertThat(c.ask(read("a").replace("c=look", "c=other")).heard())
+        assertThat(c.query(readStatement("a").replace("c=look", "c=other")).readResponses())
                 .containsExactly("error 42704");
-        assertThat(c.ask(read("a").replace("cluster=7", "cluster=8")).heard())
+        assertThat(c.query(readStatement("a").replace("cluster=7", "cluster=8")).readResponses())
                 .containsExactly("error 42704");
-        c.raw(message('P', text(""), text(read("x"))), message('B'), message('E'), message('S'));
-        assertThat(c.heard()).containsExactly("error 0A000");
-        assertThat(c.raw(new byte[] {1, 2, 3}).heard()).containsExactly("error 08P01", "end");
-        Client cancels =
-                new Client(port).raw(ByteBuffer.allocate(16).putInt(16).putInt(80877102).array());
-        assertThat(cancels.heard()).containsExactly("end");
-        Client tls =
-                new Client(port).raw(ByteBuffer.allocate(8).putInt(8).putInt(80877103).array());
-        assertThat(tls.one()).isEqualTo('N');
-        assertThat(tls.startup().heard()).isEmpty();
+        c.send(
+                message('P', cString(""), cString(readStatement("x"))),
+                message('B'),
+                message('E'),
+                message('S'));
+        assertThat(c.readResponses()).containsExactly("error 0A000");
+        assertThat(c.send(new byte[] {1, 2, 3}).readResponses())
+                .containsExactly("error 08P01", "end");
+        TestClient cancels =
+                new TestClient(port)
+                        .send(ByteBuffer.allocate(16).putInt(16).putInt(80877102).array());
+        assertThat(cancels.readResponses()).containsExactly("end");
+        TestClient tls =
+                new TestClient(port)
+                        .send(ByteBuffer.allocate(8).putInt(8).putInt(80877103).array());
+        assertThat(tls.readByte()).isEqualTo('N');
+        assertThat(tls.sendStartup().readResponses()).isEmpty();
         assertThat(primary.queries).isEmpty();
         assertThat(replica.queries).isEmpty();
-        assertThat(tls.ask(read("good")).heard()).containsExactly("row from replica");
+        assertThat(tls.query(readStatement("good")).readResponses())
+                .containsExactly("row from replica");
     }
 
     @Test
     void anIdThatIsInUseIsTurnedAwayAndReachesNoMember() throws Exception {
-        Client c = start();
-        Client other = client();
-        primary.script(
+        TestClient c = start();
+        TestClient other = client();
+        primary.queryHandler(
                 (sql, s) -> {
-                    assertThat(other.ask(read("w").replace("'ab'", "'cd'")).heard())
+                    assertThat(
+                                    other.query(readStatement("w").replace("'ab'", "'cd'"))
+                                            .readResponses())
+                            .containsExactly("error 42704");
+                    assertThat(other.query(writeStatement("w")).readResponses())
                             .containsExactly("error 42704");
-                    assertThat(other.ask(write("w")).heard()).containsExactly("error 42704");
-                    s.row("the only one", true);
+                    s.sendRow("the only one", true);
                 });
-        assertThat(c.ask(write("w")).heard()).containsExactly("row the only one");
+        assertThat(c.query(writeStatement("w")).readResponses())
+                .containsExactly("row the only one");
         assertThat(primary.queries).hasSize(1);
         assertThat(replica.queries).isEmpty();
     }
 
     @Test
     void whoSaysNothingOrStopsInTheMiddleIsToldSoInTime() throws Exception {
-        Client asked = start();
-        assertThat(asked.ask(read("a")).heard()).containsExactly("row from replica");
+        TestClient asked = start();
+        assertThat(asked.query(readStatement("a")).readResponses())
+                .containsExactly("row from replica");
         long from = System.nanoTime();
-        List<Client> bad =
+        List<TestClient> bad =
                 List.of(
-                        new Client(port),
-                        new Client(port).raw(new byte[] {0, 0, 0, 34, 0, 3}),
-                        client().raw(new byte[] {'Q', 0, 0, 1, 0, '/'}));
-        for (Client c : bad) {
-            assertThat(c.heard()).containsExactly("error 08P01", "end");
+                        new TestClient(port),
+                        new TestClient(port).send(new byte[] {0, 0, 0, 34, 0, 3}),
+                        client().send(new byte[] {'Q', 0, 0, 1, 0, '/'}));
+        for (TestClient c : bad) {
+            assertThat(c.readResponses()).containsExactly("error 08P01", "end");
         }
         // Those that began well and ask nothing, or nothing more, are let go without an error.
-        assertThat(client().heard()).containsExactly("end");
-        assertThat(asked.heard()).containsExactly("end");
+        assertThat(client().readResponses()).containsExactly("end");
+        assertThat(asked.readResponses()).containsExactly("end");
         assertThat(System.nanoTime() - from).isLessThan(TimeUnit.SECONDS.toNanos(20));
     }
 
     @Test
     void whoIsToldTheEndCannotGoOnSending() throws Exception {
         start();
-        Client c = client().raw(new byte[] {'Q', 3, (byte) 0x93, (byte) 0x87, 0});
+        TestClient c = client().send(new byte[] {'Q', 3, (byte) 0x93, (byte) 0x87, 0});
         byte[] some = new byte[1 << 16];
         long sent = 0;
         try {
             for (; sent < 60_000_000; sent += some.length) {
-                c.raw(some);
+                c.send(some);
             }
         } catch (SocketException ended) {
             // as it should
         }
         assertThat(sent).isLessThan(60_000_000);
-        assertThat(client().ask(read("r")).heard()).containsExactly("row from replica");
+        assertThat(client().query(readStatement("r")).readResponses())
+                .containsExactly("row from replica");
     }
 
     @Test
     void whoAsksTheSameNonsenseAgainIsSlowedDownAndThenLetGo() throws Exception {
-        Client c = start();
+        TestClient c = start();
         long from = System.nanoTime();
         for (int i = 0; i < 7; i++) {
-            assertThat(c.ask(read("a").replace("c=look", "c=other")).heard())
+            assertThat(c.query(readStatement("a").replace("c=look", "c=other")).readResponses())
                     .containsExactly("error 42704");
         }
-        assertThat(c.ask("nonsense").heard()).containsExactly("error 08P01", "end");
+        assertThat(c.query("nonsense").readResponses()).containsExactly("error 08P01", "end");
         assertThat(System.nanoTime() - from).isGreaterThan(TimeUnit.SECONDS.toNanos(1));
     }
 
@@ -884,11 +927,11 @@
     /** Members that answer nothing before they are let. */
     private Semaphore stopMembers() {
         Semaphore let = new Semaphore(0);
-        for (StandInMember m : List.of(primary, replica)) {
-            m.script(
+        for (FakeMember m : List.of(primary, replica)) {
+            m.queryHandler(
                     (sql, s) -> {
                         let.acquireUninterruptibly();
-                        s.row("late", m.primary);
+                        s.sendRow("late", m.primary);
                     });
         }
         return let;
@@ -896,17 +939,18 @@
 
     @Test
     void withTheDoorTxnsAreServedAndDeclinesSayWhenToComeBack() throws Exception {
-        Client c = start(SMALL_DOOR + "}");
-        assertThat(c.ask(read("a")).heard()).containsExactly("row from replica");
-        assertThat(c.ask(write("b")).heard()).containsExactly("row from primary");
+        TestClient c = start(SMALL_DOOR + "}");
+        assertThat(c.query(readStatement("a")).readResponses()).containsExactly("row from replica");
+        assertThat(c.query(writeStatement("b")).readResponses())
+                .containsExactly("row from primary");
         Semaphore let = stopMembers();
-        List<Client> many = new ArrayList<>();
+        List<TestClient> many = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
-            many.add(client().ask(read("m" + i)));
+            many.add(client().query(readStatement("m" + i)));
         }
         int declined = 0;
-        for (Client m : many) {
-            String answer = m.wholeAnswer();
+        for (TestClient m : many) {
+            String answer = m.readLastMessage();
             if (answer.contains("53300")) {
                 declined++;
                 int advice = Integer.parseInt(answer.replaceAll("(?s).*\0D([0-9]+)\0.*", "$1"));
@@ -917,8 +961,10 @@
         // The module leaves members that were silent alone for up to 2.5 s: who asks without a
         // pause has asked thousands of times by then.
         let.release(10_000);
-        Client later = client();
-        for (int n = 0; !later.ask(read("again" + n)).heard().get(0).equals("row late"); n++) {
+        TestClient later = client();
+        for (int n = 0;
+                !later.query(readStatement("again" + n)).readResponses().get(0).equals("row late");
+                n++) {
             assertThat(n).isLessThan(1000);
             Thread.sleep(20);
         }
@@ -936,8 +982,9 @@
                         .replace(
                                 "\"drain-grace\":1000",
                                 "\"drain-grace\":250,\"removal-not-binding\":true"));
-        Client c = start(process(config.toString()));
-        assertThat(c.ask(write("w")).heard()).containsExactly("row from primary");
+        TestClient c = start(process(config.toString()));
+        assertThat(c.query(writeStatement("w")).readResponses())
+                .containsExactly("row from primary");
         askUntil(c, "row from replica");
     }
 
@@ -985,10 +1032,10 @@
 
     @Test
     void onHangUpTheOperatorsFileIsReadAgainAndABrokenOneChangesNothing() throws Exception {
-        Client c = start(SMALL_DOOR + " tenant svc weight=2\n}");
+        TestClient c = start(SMALL_DOOR + " tenant svc weight=2\n}");
         Semaphore let = stopMembers();
-        c.ask(write("w"));
-        primary.await();
+        c.query(writeStatement("w"));
+        primary.awaitQuery();
         Files.writeString(dir.resolve("operator.kdl"), "door {");
         hangUp();
         assertThat(awaitLine("operator's file not reloaded"))
@@ -998,21 +1045,21 @@
         hangUp();
         awaitLine("operator's file reloaded, 2 tenants listed");
         let.release(100);
-        assertThat(c.heard()).containsExactly("row late");
+        assertThat(c.readResponses()).containsExactly("row late");
     }
 
     @Test
     void toldToStopWithAFullQueueAllAreAnswered() throws Exception {
         start(SMALL_DOOR + "}");
         stopMembers();
-        List<Client> many = new ArrayList<>();
+        List<TestClient> many = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
-            many.add(client().ask(write("w" + i)));
+            many.add(client().query(writeStatement("w" + i)));
         }
-        primary.await();
+        primary.awaitQuery();
         send("TERM");
-        for (Client m : many) {
-            assertThat(m.heard()).hasSize(1).first().asString().startsWith("error ");
+        for (TestClient m : many) {
+            assertThat(m.readResponses()).hasSize(1).first().asString().startsWith("error ");
         }
         awaitLine("stops after");
     }
--- a/src/test/java/wingroad/driver/MemberPoolsTest.java
+++ b/src/test/java/wingroad/driver/MemberPoolsTest.java
@@ -2,17 +2,17 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import static wingroad.Fixtures.DESCRIPTION;
-import static wingroad.Fixtures.READY;
-import static wingroad.Fixtures.column;
-import static wingroad.Fixtures.entry;
+import static wingroad.Fixtures.READY_FOR_QUERY;
+import static wingroad.Fixtures.ROW_DESCRIPTION;
+import static wingroad.Fixtures.cString;
+import static wingroad.Fixtures.dataRowBody;
+import static wingroad.Fixtures.listEntry;
 import static wingroad.Fixtures.message;
-import static wingroad.Fixtures.text;
 
 import org.junit.jupiter.api.Test;
 
-import wingroad.Fixtures.Script;
-import wingroad.Fixtures.StandInMember;
+import wingroad.Fixtures.FakeMember;
+import wingroad.Fixtures.QueryHandler;
 import wingroad.protocol.MemberList;
 import wingroad.protocol.Statement;
 import wingroad.rig.Peer;
@@ -132,7 +132,7 @@
                             members.updateMember(
                                     MemberList.parse(
                                                     ("{\"rev\":1,\"all\":true,\"targets\":["
-                                                                    + entry(
+                                                                    + listEntry(
                                                                             "s-" + port,
                                                                             port,
                                                                             "ready")
@@ -143,7 +143,7 @@
                                             .get(0));
                     Statement s =
                             Statement.parse(
-                                            wingroad.Fixtures.read("r" + submissions)
+                                            wingroad.Fixtures.readStatement("r" + submissions)
                                                     .getBytes(StandardCharsets.UTF_8))
                                     .statement();
                     members.dispatch(
@@ -153,8 +153,8 @@
     }
 
     /** How one submission ends at a member that does this with it. */
-    private Ended end(Script script) throws Exception {
-        try (StandInMember m = new StandInMember(false, script)) {
+    private Ended end(QueryHandler script) throws Exception {
+        try (FakeMember m = new FakeMember(false, script)) {
             dispatch(m.port(), LONG);
             return next();
         }
@@ -162,31 +162,31 @@
 
     @Test
     void aRowIsCommittedWithItsRoleAndPosition() throws Exception {
-        Ended e = end((sql, s) -> s.row("val", true));
+        Ended e = end((sql, s) -> s.sendRow("val", true));
         assertThat(e.end()).isEqualTo(Outcome.COMMITTED);
         assertThat(e.status().role().name()).isEqualTo("PRIMARY");
         assertThat(e.status().position()).isBetween(clock.now().minusSeconds(20), clock.now());
-        assertThat(e.row()).startsWith(message('T', DESCRIPTION));
+        assertThat(e.row()).startsWith(message('T', ROW_DESCRIPTION));
     }
 
     @Test
     void eachErrorCodeHasItsEnd() throws Exception {
-        assertThat(end((sql, s) -> s.error("25006", false)).end()).isEqualTo(Outcome.MISSED);
-        assertThat(end((sql, s) -> s.error("72000", false)).end()).isEqualTo(Outcome.MISSED);
-        assertThat(end((sql, s) -> s.error("53300", false)).end()).isEqualTo(Outcome.FULL);
-        assertThat(end((sql, s) -> s.error("XX000", false)).end()).isEqualTo(Outcome.ERROR);
-        assertThat(end((sql, s) -> s.error("08P01", false)).end()).isEqualTo(Outcome.ERROR);
+        assertThat(end((sql, s) -> s.sendError("25006", false)).end()).isEqualTo(Outcome.MISSED);
+        assertThat(end((sql, s) -> s.sendError("72000", false)).end()).isEqualTo(Outcome.MISSED);
+        assertThat(end((sql, s) -> s.sendError("53300", false)).end()).isEqualTo(Outcome.FULL);
+        assertThat(end((sql, s) -> s.sendError("XX000", false)).end()).isEqualTo(Outcome.ERROR);
+        assertThat(end((sql, s) -> s.sendError("08P01", false)).end()).isEqualTo(Outcome.ERROR);
     }
 
     @Test
     void aConnectionThatBreaksAfterTheLastByteMayHaveRun() throws Exception {
-        assertThat(end((sql, s) -> s.end()).end()).isEqualTo(Outcome.RESET);
+        assertThat(end((sql, s) -> s.closeSocket()).end()).isEqualTo(Outcome.RESET);
         assertThat(
                         end((sql, s) -> {
-                                    s.raw(
-                                            message('T', DESCRIPTION),
+                                    s.send(
+                                            message('T', ROW_DESCRIPTION),
                                             new byte[] {'D', 0, 0, 0, 50, 0});
-                                    s.end();
+                                    s.closeSocket();
                                 })
                                 .end())
                 .isEqualTo(Outcome.RESET);
@@ -196,15 +196,18 @@
     void anAnswerThatMakesNoSenseMayHaveRunAndEndsItsConnection() throws Exception {
         for (byte[] bad :
                 new byte[][] {
-                    READY, message('?'), {'D', 127, 0, 0, 0}, message('D', column("x"))
+                    READY_FOR_QUERY,
+                    message('?'),
+                    {'D', 127, 0, 0, 0},
+                    message('D', dataRowBody("x"))
                 }) {
-            assertThat(end((sql, s) -> s.raw(bad)).end()).isEqualTo(Outcome.ERROR);
+            assertThat(end((sql, s) -> s.send(bad)).end()).isEqualTo(Outcome.ERROR);
         }
     }
 
     @Test
     void whatMakesNoSenseIsToldBeforeItIsWhole() throws Exception {
-        byte[] begun = message('T', DESCRIPTION);
+        byte[] begun = message('T', ROW_DESCRIPTION);
         // A value of 3 GB, a row longer than its value, a text that does not end, noise: none is
         // waited for.
         for (byte[] bad :
@@ -214,14 +217,14 @@
                     {'S', 0, 1, 0, 0, 'x'},
                     {17},
                     {'Q'},
-                    message('S', text("part")),
-                    message('C', text("")),
+                    message('S', cString("part")),
+                    message('C', cString("")),
                     message('D', new byte[] {0, 1, -1, -1, -1, -1})
                 }) {
             assertThat(
                             end((sql, s) -> {
-                                        s.raw(begun, bad);
-                                        s.awaitEnd();
+                                        s.send(begun, bad);
+                                        s.awaitPeerClose();
                                     })
                                     .end())
                     .isEqualTo(Outcome.ERROR);
@@ -231,19 +234,19 @@
     @Test
     void whatComesBehindAnAnswerIsNeverTakenForTheNextOne() throws Exception {
         byte[] copy =
-                wingroad.Fixtures.joined(
-                        message('T', DESCRIPTION),
-                        message('D', column("old")),
-                        message('C', text("SELECT 1")),
-                        READY);
+                wingroad.Fixtures.concat(
+                        message('T', ROW_DESCRIPTION),
+                        message('D', dataRowBody("old")),
+                        message('C', cString("SELECT 1")),
+                        READY_FOR_QUERY);
         for (byte[] more :
                 new byte[][] {
-                    copy, message('S', text("part"), text("master")), {'T', 0, 0}, {17}
+                    copy, message('S', cString("part"), cString("master")), {'T', 0, 0}, {17}
                 }) {
             // In one piece: what comes in another one may come after the rest, and can't be told
             // from an answer then.
-            try (StandInMember m =
-                    new StandInMember(false, (sql, s) -> s.row("first", false, more))) {
+            try (FakeMember m =
+                    new FakeMember(false, (sql, s) -> s.sendRow("first", false, more))) {
                 dispatch(m.port(), LONG);
                 assertThat(next().end()).isEqualTo(Outcome.COMMITTED);
                 dispatch(m.port(), LONG);
@@ -263,7 +266,7 @@
     @Test
     void aLargeRowComesThroughWhole() throws Exception {
         String large = "z".repeat(1_000_000);
-        Ended e = end((sql, s) -> s.row(large, false));
+        Ended e = end((sql, s) -> s.sendRow(large, false));
         assertThat(e.end()).isEqualTo(Outcome.COMMITTED);
         assertThat(e.row()).hasSizeGreaterThan(1_000_000);
         // Asked on the loop's own thread, behind the task that the answer came with: that one gives
@@ -275,7 +278,7 @@
 
     @Test
     void oneThatIsNoLongerThoughtOfIsLetGoWithItsConnections() throws Exception {
-        try (StandInMember m = new StandInMember(false, (sql, s) -> s.row("x", false))) {
+        try (FakeMember m = new FakeMember(false, (sql, s) -> s.sendRow("x", false))) {
             dispatch(m.port(), LONG);
             assertThat(next().end()).isEqualTo(Outcome.COMMITTED);
             BlockingQueue<Integer> left = new LinkedBlockingQueue<>();
@@ -303,14 +306,15 @@
             Ended e =
                     end(
                             (sql, s) ->
-                                    s.raw(
-                                            message('T', DESCRIPTION),
-                                            message('D', column("x")),
-                                            message('C', text("SELECT 1")),
-                                            wingroad.Fixtures.parameter("caught_up_to", absurd),
-                                            wingroad.Fixtures.parameter(
+                                    s.send(
+                                            message('T', ROW_DESCRIPTION),
+                                            message('D', dataRowBody("x")),
+                                            message('C', cString("SELECT 1")),
+                                            wingroad.Fixtures.parameterStatus(
+                                                    "caught_up_to", absurd),
+                                            wingroad.Fixtures.parameterStatus(
                                                     "gauges", "x0=" + absurd + ",x1=1"),
-                                            READY));
+                                            READY_FOR_QUERY));
             assertThat(e.end()).isEqualTo(Outcome.COMMITTED);
             assertThat(e.status().position()).isNull();
             assertThat(e.status().report().position()).isNull();
@@ -321,11 +325,11 @@
     void aWholeAnswerCountsWhereOnlyReadyIsMissing() throws Exception {
         assertThat(
                         end((sql, s) -> {
-                                    s.raw(
-                                            message('T', DESCRIPTION),
-                                            message('D', column("x")),
-                                            message('C', text("SELECT 1")));
-                                    s.end();
+                                    s.send(
+                                            message('T', ROW_DESCRIPTION),
+                                            message('D', dataRowBody("x")),
+                                            message('C', cString("SELECT 1")));
+                                    s.closeSocket();
                                 })
                                 .end())
                 .isEqualTo(Outcome.COMMITTED);
@@ -333,11 +337,12 @@
 
     @Test
     void whereNothingCouldBeWrittenNothingRan() throws Exception {
-        try (StandInMember m = new StandInMember(false, (sql, s) -> s.row("x", false))) {
-            m.welcome = new byte[] {'E', 0, 0, 0, 14, 'C', '5', '7', 'P', '0', '3', 0, 0, 0, 0};
+        try (FakeMember m = new FakeMember(false, (sql, s) -> s.sendRow("x", false))) {
+            m.startupResponse =
+                    new byte[] {'E', 0, 0, 0, 14, 'C', '5', '7', 'P', '0', '3', 0, 0, 0, 0};
             dispatch(m.port(), LONG);
             assertThat(next().end()).isEqualTo(Outcome.UNREACHABLE);
-            m.welcome = message('E', text("SFATAL"), text("C53300"), new byte[1]);
+            m.startupResponse = message('E', cString("SFATAL"), cString("C53300"), new byte[1]);
             dispatch(m.port(), LONG);
             assertThat(next().end()).isEqualTo(Outcome.FULL);
             assertThat(m.queries).isEmpty();
@@ -362,11 +367,11 @@
     @Test
     void silenceTimesOutAndClosesItsConnection() throws Exception {
         BlockingQueue<String> closed = new LinkedBlockingQueue<>();
-        try (StandInMember m =
-                new StandInMember(
+        try (FakeMember m =
+                new FakeMember(
                         false,
                         (sql, s) -> {
-                            s.awaitEnd();
+                            s.awaitPeerClose();
                             closed.add(sql);
                         })) {
             dispatch(m.port(), Duration.ofMillis(100));
@@ -378,15 +383,15 @@
     @Test
     void oneThatIsCalledOffClosesItsConnection() throws Exception {
         BlockingQueue<String> closed = new LinkedBlockingQueue<>();
-        try (StandInMember m =
-                new StandInMember(
+        try (FakeMember m =
+                new FakeMember(
                         false,
                         (sql, s) -> {
-                            s.awaitEnd();
+                            s.awaitPeerClose();
                             closed.add(sql);
                         })) {
             dispatch(m.port(), LONG);
-            m.await();
+            m.awaitQuery();
             loop.execute(() -> members.cancel("t", 0));
             assertThat(next().end()).isEqualTo(Outcome.CANCELLED);
             assertThat(closed.poll(20, TimeUnit.SECONDS)).contains("id=r0");
@@ -395,16 +400,16 @@
 
     @Test
     void connectionsAreUsedAgainButNotAfterDoubt() throws Exception {
-        try (StandInMember m = new StandInMember(false, (sql, s) -> s.row("x", false))) {
+        try (FakeMember m = new FakeMember(false, (sql, s) -> s.sendRow("x", false))) {
             for (int i = 0; i < 3; i++) {
                 dispatch(m.port(), LONG);
                 assertThat(next().end()).isEqualTo(Outcome.COMMITTED);
             }
             assertThat(m.connections).hasValue(1);
-            m.script((sql, s) -> s.end());
+            m.queryHandler((sql, s) -> s.closeSocket());
             dispatch(m.port(), LONG);
             assertThat(next().end()).isEqualTo(Outcome.RESET);
-            m.script((sql, s) -> s.error("25006", false));
+            m.queryHandler((sql, s) -> s.sendError("25006", false));
             dispatch(m.port(), LONG);
             assertThat(next().end()).isEqualTo(Outcome.MISSED);
             assertThat(m.connections).hasValue(2);
@@ -415,7 +420,7 @@
     @Test
     void whatIsNoLongerToGoWhenItsConnectionIsUpIsNeverSent() throws Exception {
         mayGo = false;
-        try (StandInMember m = new StandInMember(false, (sql, s) -> s.row("x", false))) {
+        try (FakeMember m = new FakeMember(false, (sql, s) -> s.sendRow("x", false))) {
             dispatch(m.port(), LONG);
             assertThat(next().end()).isEqualTo(Outcome.MOOT);
             mayGo = true;
@@ -428,19 +433,19 @@
 
     @Test
     void theTimeLeftIsWhatTheMemberIsTold() throws Exception {
-        try (StandInMember m = new StandInMember(false, (sql, s) -> s.row("x", false))) {
+        try (FakeMember m = new FakeMember(false, (sql, s) -> s.sendRow("x", false))) {
             dispatch(m.port(), Duration.ofMillis(900));
-            String sql = m.await();
+            String sql = m.awaitQuery();
             assertThat(Integer.parseInt(sql.replaceAll(".*d=([0-9]+).*", "$1"))).isBetween(1, 900);
             assertThat(sql.replaceAll("d=[0-9]+", "d=3000"))
-                    .isEqualTo(wingroad.Fixtures.read("r0"));
+                    .isEqualTo(wingroad.Fixtures.readStatement("r0"));
         }
     }
 
     /** Guards against idle connections that keep other drivers out of a member that takes few. */
     @Test
     void releasedConnectionsAreClosedAndTheNextSubmissionOpensOne() throws Exception {
-        try (StandInMember m = new StandInMember(false, (sql, s) -> s.row("val", false))) {
+        try (FakeMember m = new FakeMember(false, (sql, s) -> s.sendRow("val", false))) {
             dispatch(m.port(), LONG);
             assertThat(next().end()).isEqualTo(Outcome.COMMITTED);
             CompletableFuture<Integer> left = new CompletableFuture<>();
@@ -463,7 +468,8 @@
                         members.updateMember(
                                 MemberList.parse(
                                                 ("{\"rev\":1,\"all\":true,\"targets\":["
-                                                                + entry("s-moves", port, "ready")
+                                                                + listEntry(
+                                                                        "s-moves", port, "ready")
                                                                 + "]}")
                                                         .getBytes(StandardCharsets.UTF_8))
                                         .list()
@@ -480,7 +486,8 @@
                                         submissions,
                                         1,
                                         Statement.parse(
-                                                        wingroad.Fixtures.read("r" + submissions++)
+                                                        wingroad.Fixtures.readStatement(
+                                                                        "r" + submissions++)
                                                                 .getBytes(StandardCharsets.UTF_8))
                                                 .statement(),
                                         clock.now().plus(LONG))));
@@ -493,19 +500,19 @@
     @Test
     void aConnectionAtWorkWhileItsMemberMovesAnswersAndIsNotUsedAgain() throws Exception {
         try (Peer.Listener old = new Peer.Listener();
-                StandInMember moved = new StandInMember(false, (sql, s) -> s.row("new", false))) {
+                FakeMember moved = new FakeMember(false, (sql, s) -> s.sendRow("new", false))) {
             listed(old.port());
             carryToTheOne();
             Peer at = old.accept();
             at.read(startupLength(at) - 4);
-            at.send(message('R', new byte[4]), READY);
+            at.send(message('R', new byte[4]), READY_FOR_QUERY);
             at.readUntil("'\0");
             listed(moved.port());
             at.send(
-                    message('T', DESCRIPTION),
-                    message('D', column("old")),
-                    message('C', text("SELECT 1")),
-                    READY);
+                    message('T', ROW_DESCRIPTION),
+                    message('D', dataRowBody("old")),
+                    message('C', cString("SELECT 1")),
+                    READY_FOR_QUERY);
             assertThat(new String(next().row(), StandardCharsets.ISO_8859_1)).contains("old");
             at.readUntilClosed();
             carryToTheOne();
@@ -531,7 +538,7 @@
                 at.read(startupLength(at) - 4);
                 listed(1);
                 if (comesUp) {
-                    at.send(message('R', new byte[4]), READY);
+                    at.send(message('R', new byte[4]), READY_FOR_QUERY);
                 } else {
                     at.reset();
                 }
@@ -554,14 +561,14 @@
             carryToTheOne();
             Peer at = old.accept();
             at.read(startupLength(at) - 4);
-            at.send(message('R', new byte[4]), READY);
+            at.send(message('R', new byte[4]), READY_FOR_QUERY);
             at.readUntil("'\0");
             loop.execute(() -> members.removeUnknown(id -> false));
             at.send(
-                    message('T', DESCRIPTION),
-                    message('D', column("x")),
-                    message('C', text("SELECT 1")),
-                    READY);
+                    message('T', ROW_DESCRIPTION),
+                    message('D', dataRowBody("x")),
+                    message('C', cString("SELECT 1")),
+                    READY_FOR_QUERY);
             assertThat(next().end()).isEqualTo(Outcome.COMMITTED);
             at.readUntilClosed();
         }
@@ -588,7 +595,7 @@
                         members.cancel("t", 0);
                     });
             standing.await();
-            at.send(message('R', new byte[4]), READY);
+            at.send(message('R', new byte[4]), READY_FOR_QUERY);
             goes.countDown();
             assertThat(next().end()).isEqualTo(Outcome.MOOT);
             loop.execute(() -> members.removeUnknown(id -> false));
@@ -600,18 +607,18 @@
     @Test
     void anAnswerBrokenOffAtAnyByteHasOneEnd() throws Exception {
         byte[] answer =
-                wingroad.Fixtures.joined(
-                        message('T', DESCRIPTION),
-                        message('D', column("x")),
-                        message('C', text("SELECT 1")),
-                        READY);
-        int whole = answer.length - READY.length;
+                wingroad.Fixtures.concat(
+                        message('T', ROW_DESCRIPTION),
+                        message('D', dataRowBody("x")),
+                        message('C', cString("SELECT 1")),
+                        READY_FOR_QUERY);
+        int whole = answer.length - READY_FOR_QUERY.length;
         for (int bytes = 0; bytes <= answer.length; bytes += 5) {
             byte[] part = java.util.Arrays.copyOf(answer, bytes);
             assertThat(
                             end((sql, s) -> {
-                                        s.raw(part);
-                                        s.end();
+                                        s.send(part);
+                                        s.closeSocket();
                                     })
                                     .end())
                     .as(bytes + " bytes")
@@ -631,20 +638,20 @@
             carryToTheOne();
             Peer at = member.accept();
             at.read(startupLength(at) - 4);
-            at.send(message('R', new byte[4]), READY);
+            at.send(message('R', new byte[4]), READY_FOR_QUERY);
             at.readUntil("'\0");
             at.send(
-                    message('T', DESCRIPTION),
-                    message('D', column("x")),
-                    message('C', text("SELECT 1")),
-                    READY);
+                    message('T', ROW_DESCRIPTION),
+                    message('D', dataRowBody("x")),
+                    message('C', cString("SELECT 1")),
+                    READY_FOR_QUERY);
             assertThat(next().end()).isEqualTo(Outcome.COMMITTED);
             at.send(new byte[] {'S', 0, 0});
             at.readUntilClosed();
             carryToTheOne();
             Peer second = member.accept();
             second.read(startupLength(second) - 4);
-            second.send(message('R', new byte[4]), READY);
+            second.send(message('R', new byte[4]), READY_FOR_QUERY);
             second.readUntil("'\0");
             second.reset();
             assertThat(next().end()).isEqualTo(Outcome.RESET);
@@ -654,17 +661,17 @@
     /** Lets the connection in and waits for its first statement. */
     private static Peer letIn(Peer at) throws IOException {
         at.read(startupLength(at) - 4);
-        at.send(message('R', new byte[4]), READY);
+        at.send(message('R', new byte[4]), READY_FOR_QUERY);
         at.readUntil("'\0");
         return at;
     }
 
     private static void answer(Peer at) throws IOException {
         at.send(
-                message('T', DESCRIPTION),
-                message('D', column("x")),
-                message('C', text("SELECT 1")),
-                READY);
+                message('T', ROW_DESCRIPTION),
+                message('D', dataRowBody("x")),
+                message('C', cString("SELECT 1")),
+                READY_FOR_QUERY);
     }
 
     /** The client leaves while its txn waits for a connection that rests behind its last answer. */
@@ -699,7 +706,7 @@
                 submissions,
                 1,
                 Statement.parse(
-                                wingroad.Fixtures.read("r" + submissions++)
+                                wingroad.Fixtures.readStatement("r" + submissions++)
                                         .getBytes(StandardCharsets.UTF_8))
                         .statement(),
                 clock.now().plus(LONG));
@@ -722,7 +729,7 @@
                             members.updateMember(
                                     MemberList.parse(
                                                     ("{\"rev\":2,\"all\":false,\"targets\":["
-                                                                    + entry(
+                                                                    + listEntry(
                                                                             "s-moves",
                                                                             member.port(),
                                                                             "gone")
@@ -775,7 +782,7 @@
             listed(member.port());
             carryToTheOne();
             Peer at = letIn(member.accept());
-            at.send(message('T', DESCRIPTION));
+            at.send(message('T', ROW_DESCRIPTION));
             byte[] notice = message('N', new byte[1000]);
             try {
                 while (true) {
@@ -794,7 +801,7 @@
     @Test
     void aConnectionIsUsedAgainWhereTheIdleTimeIsShorterThanTheConnectingTime() throws Exception {
         members = members(Duration.ofSeconds(10), Duration.ofSeconds(8));
-        try (StandInMember m = new StandInMember(false, (sql, s) -> s.row("x", false))) {
+        try (FakeMember m = new FakeMember(false, (sql, s) -> s.sendRow("x", false))) {
             for (int i = 0; i < 3; i++) {
                 dispatch(m.port(), LONG);
                 assertThat(next().end()).isEqualTo(Outcome.COMMITTED);
--- a/src/test/java/wingroad/fleet/FleetIT.java
+++ b/src/test/java/wingroad/fleet/FleetIT.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.parallel.ExecutionMode;
 
 import wingroad.Fixtures;
-import wingroad.Fixtures.Client;
+import wingroad.Fixtures.TestClient;
 import wingroad.operator.OperatorFile;
 import wingroad.rig.FaultProxy;
 import wingroad.rig.FencedMember;
@@ -47,7 +47,7 @@
     private FencedMember member;
 
     private void start(int drivers, int voters) throws Exception {
-        rig = new TestCluster(dir, drivers, voters, RULES, Fixtures.SETTINGS);
+        rig = new TestCluster(dir, drivers, voters, RULES, Fixtures.SETTINGS_JSON);
         member = rig.addMember("m1", 7, true, true);
         rig.startAll();
     }
@@ -148,9 +148,10 @@
         owner.awaitLog(from, l -> l.contains("has expired; its duties are suspended"));
         FencedMember.ChoreExecution next = successor(e);
         assertThat(runner(next)).isNotSameAs(owner);
-        try (Client c = new Client(owner.port())) {
-            c.startup().heard();
-            assertThat(c.ask(Fixtures.read("served")).heard()).containsExactly("row value");
+        try (TestClient c = new TestClient(owner.port())) {
+            c.sendStartup().readResponses();
+            assertThat(c.query(Fixtures.readStatement("served")).readResponses())
+                    .containsExactly("row value");
         }
         rig.partitionFromVoters(owner.name, false);
         owner.awaitLog(from, l -> l.contains("lease of") && l.contains("is valid"));
@@ -237,9 +238,10 @@
         rig.driver("d2").kill();
         left.awaitLog("has expired; its duties are suspended");
         int seen = member.executionCount();
-        try (Client c = new Client(left.port())) {
-            c.startup().heard();
-            assertThat(c.ask(Fixtures.write("w")).heard()).containsExactly("row value");
+        try (TestClient c = new TestClient(left.port())) {
+            c.sendStartup().readResponses();
+            assertThat(c.query(Fixtures.writeStatement("w")).readResponses())
+                    .containsExactly("row value");
         }
         assertThat(member.executionCount()).as("chores begun without a majority").isEqualTo(seen);
         rig.driver("d2").start();
@@ -249,12 +251,12 @@
 
     @Test
     void oneDriverAsksDiscoveryAndTheOthersGoByItUntilItIsGone() throws Exception {
-        rig = new TestCluster(dir, 4, 3, RULES + "    list check=600\n", Fixtures.SETTINGS);
+        rig = new TestCluster(dir, 4, 3, RULES + "    list check=600\n", Fixtures.SETTINGS_JSON);
         member = rig.addMember("m1", 7, true, true);
         FencedMember replica = rig.addMember("m2", 7, false, true);
         rig.startAll();
         String fit = rig.discoveryEntry("d1", member, "ready");
-        rig.discovery.tell(fit + "," + rig.discoveryEntry("d1", replica, "ready"));
+        rig.discovery.publish(fit + "," + rig.discoveryEntry("d1", replica, "ready"));
         awaitShared(3);
         TestCluster.DriverProcess owner = rig.driver(String.valueOf(duty("list").get("owner")));
         List<TestCluster.DriverProcess> by = awaitFollowers(3);
@@ -262,13 +264,13 @@
             // It has become the owner just now, and the one before it does not go by it yet.
             by = awaitFollowers(3);
         }
-        int asked = rig.discovery.asked.size();
-        rig.discovery.tell(fit + "," + rig.discoveryEntry("d1", replica, "draining"));
+        int asked = rig.discovery.requestedVersions.size();
+        rig.discovery.publish(fit + "," + rig.discoveryEntry("d1", replica, "draining"));
         for (TestCluster.DriverProcess d : rig.drivers.values()) {
             d.awaitLog(0, l -> l.contains("list 2 "));
         }
         // The owner's next watch, and perhaps one that was being given up.
-        assertThat(rig.discovery.asked.size() - asked).isLessThan(4);
+        assertThat(rig.discovery.requestedVersions.size() - asked).isLessThan(4);
         Map<TestCluster.DriverProcess, Integer> from = new java.util.HashMap<>();
         by.forEach(d -> from.put(d, d.logLineCount()));
         // Without a council there is no other owner, however soon: each has to notice the silence
@@ -280,7 +282,7 @@
         for (TestCluster.DriverProcess d : by) {
             d.awaitLog(from.get(d), l -> l.contains("list: watches discovery itself"));
         }
-        rig.discovery.tell(fit);
+        rig.discovery.publish(fit);
         for (TestCluster.DriverProcess d : by) {
             d.awaitLog(0, l -> l.contains("list 3 "));
         }
@@ -297,9 +299,9 @@
      */
     @Test
     void aListThatComesBeforeTheFleetHasBegunIsKnownToItsOwner() throws Exception {
-        rig = new TestCluster(dir, 4, 3, RULES + "    list check=600\n", Fixtures.SETTINGS);
+        rig = new TestCluster(dir, 4, 3, RULES + "    list check=600\n", Fixtures.SETTINGS_JSON);
         member = rig.addMember("m1", 7, true, true);
-        rig.discovery.tell(rig.discoveryEntry("d1", member, "ready"));
+        rig.discovery.publish(rig.discoveryEntry("d1", member, "ready"));
         rig.startAll();
         awaitFollowers(3);
     }
@@ -352,7 +354,7 @@
 
     @Test
     void votersAreLetInAndTakenOutOneAtATime() throws Exception {
-        rig = new TestCluster(dir, 4, 3, RULES, Fixtures.SETTINGS);
+        rig = new TestCluster(dir, 4, 3, RULES, Fixtures.SETTINGS_JSON);
         member = rig.addMember("m1", 7, true, true);
         String at = rig.addSpareVoter("d4");
         rig.startAll();
@@ -376,7 +378,7 @@
 
     @Test
     void aVoterThatCannotWriteVotesNoMoreAndServesOn() throws Exception {
-        rig = new TestCluster(dir, 4, 3, RULES, Fixtures.SETTINGS);
+        rig = new TestCluster(dir, 4, 3, RULES, Fixtures.SETTINGS_JSON);
         member = rig.addMember("m1", 7, true, true);
         TestCluster.DriverProcess full = rig.driver("d2");
         // Room for the database's own library, which is unpacked into a file, and for some seconds
@@ -385,9 +387,10 @@
         rig.startAll();
         first("a");
         full.awaitLog("cannot write its state and no longer votes");
-        try (Client c = new Client(full.port())) {
-            c.startup().heard();
-            assertThat(c.ask(Fixtures.read("served")).heard()).containsExactly("row value");
+        try (TestClient c = new TestClient(full.port())) {
+            c.sendStartup().readResponses();
+            assertThat(c.query(Fixtures.readStatement("served")).readResponses())
+                    .containsExactly("row value");
         }
         int seen = member.executionCount();
         member.awaitExecution(seen + 6, FencedMember.ChoreExecution::accepted);
@@ -431,9 +434,10 @@
             // A write that does not come to an end within the store's patience is a broken disk.
             disk.blockWrites();
             leader.awaitLog("cannot write its state and no longer votes");
-            try (Client c = new Client(leader.port())) {
-                c.startup().heard();
-                assertThat(c.ask(Fixtures.read("served")).heard()).containsExactly("row value");
+            try (TestClient c = new TestClient(leader.port())) {
+                c.sendStartup().readResponses();
+                assertThat(c.query(Fixtures.readStatement("served")).readResponses())
+                        .containsExactly("row value");
             }
             member.awaitExecution(
                     member.executionCount() + 4, FencedMember.ChoreExecution::accepted);
@@ -445,15 +449,16 @@
 
     @Test
     void aFolderThatIsNoneKeepsADriverOutOfTheFleetAlone() throws Exception {
-        rig = new TestCluster(dir, 4, 3, RULES, Fixtures.SETTINGS);
+        rig = new TestCluster(dir, 4, 3, RULES, Fixtures.SETTINGS_JSON);
         member = rig.addMember("m1", 7, true, true);
         TestCluster.DriverProcess without = rig.driver("d4");
         Files.writeString(without.stateDirectory(), "a file");
         rig.startAll();
         without.awaitLog("start failed, retrying");
-        try (Client c = new Client(without.port())) {
-            c.startup().heard();
-            assertThat(c.ask(Fixtures.read("served")).heard()).containsExactly("row value");
+        try (TestClient c = new TestClient(without.port())) {
+            c.sendStartup().readResponses();
+            assertThat(c.query(Fixtures.readStatement("served")).readResponses())
+                    .containsExactly("row value");
         }
         Files.delete(without.stateDirectory());
         without.awaitLog("lease of d4/");
@@ -462,7 +467,7 @@
 
     @Test
     void aSecondProcessOfANameIsRefused() throws Exception {
-        rig = new TestCluster(dir, 5, 3, RULES, Fixtures.SETTINGS);
+        rig = new TestCluster(dir, 5, 3, RULES, Fixtures.SETTINGS_JSON);
         member = rig.addMember("m1", 7, true, true);
         for (String name : List.of("d1", "d2", "d3", "d4")) {
             rig.driver(name).start();
--- a/src/test/java/wingroad/protocol/ClientInputTest.java
+++ b/src/test/java/wingroad/protocol/ClientInputTest.java
@@ -2,11 +2,11 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import static wingroad.Fixtures.STARTUP;
-import static wingroad.Fixtures.joined;
+import static wingroad.Fixtures.STARTUP_MESSAGE;
+import static wingroad.Fixtures.cString;
+import static wingroad.Fixtures.concat;
 import static wingroad.Fixtures.message;
-import static wingroad.Fixtures.read;
-import static wingroad.Fixtures.text;
+import static wingroad.Fixtures.readStatement;
 
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -45,12 +45,12 @@
     void commandsAreCutOutWhereverTheBytesAreSplit(int piece) {
         byte[] tls = ByteBuffer.allocate(8).putInt(8).putInt(80877103).array();
         byte[] bytes =
-                joined(
+                concat(
                         tls,
-                        STARTUP,
-                        message('Q', text(read("x1"))),
-                        message('Q', text("")),
-                        message('P', text("s")),
+                        STARTUP_MESSAGE,
+                        message('Q', cString(readStatement("x1"))),
+                        message('Q', cString("")),
+                        message('P', cString("s")),
                         message('S'),
                         message('X'));
         List<ClientMessageDecoder.Message> all = in(bytes, piece);
@@ -64,7 +64,8 @@
                         Kind.EXTENDED_QUERY,
                         Kind.SYNC,
                         Kind.TERMINATE);
-        assertThat(new String(all.get(2).body(), StandardCharsets.UTF_8)).isEqualTo(read("x1"));
+        assertThat(new String(all.get(2).body(), StandardCharsets.UTF_8))
+                .isEqualTo(readStatement("x1"));
     }
 
     @Test
@@ -76,7 +77,7 @@
         assertThat(in(old, 8).get(0).reason()).isEqualTo("unsupported protocol");
         byte[] cancel = ByteBuffer.allocate(16).putInt(16).putInt(80877102).array();
         assertThat(in(cancel, 5).get(0).kind()).isEqualTo(Kind.CANCEL_REQUEST);
-        byte[] newer = STARTUP.clone();
+        byte[] newer = STARTUP_MESSAGE.clone();
         newer[7] = 2;
         assertThat(in(newer, 5).get(0).kind()).isEqualTo(Kind.STARTUP_NEWER_MINOR);
     }
@@ -93,7 +94,7 @@
                     {'Q', 0, 0, 0, 4},
                     {'p', 0, 0, 0, 4}
                 }) {
-            assertThat(in(joined(STARTUP, bad), 1))
+            assertThat(in(concat(STARTUP_MESSAGE, bad), 1))
                     .extracting(ClientMessageDecoder.Message::kind)
                     .containsExactly(Kind.STARTUP, Kind.MALFORMED);
         }
--- a/src/test/java/wingroad/protocol/HttpReplyTest.java
+++ b/src/test/java/wingroad/protocol/HttpReplyTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import static wingroad.Fixtures.entry;
+import static wingroad.Fixtures.listEntry;
 
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -47,13 +47,13 @@
         assertThat(
                         take(
                                 "HTTP/1.1 200 OK\r\n"
-                                    + "Transfer-Encoding: chunked\r\n\r\n"
-                                    + "3;x=y\r\n"
-                                    + "hel\r\n"
-                                    + "2\r\n"
-                                    + "lo\r\n"
-                                    + "0\r\n"
-                                    + "T: x\r\n\r\n",
+                                        + "Transfer-Encoding: chunked\r\n\r\n"
+                                        + "3;x=y\r\n"
+                                        + "hel\r\n"
+                                        + "2\r\n"
+                                        + "lo\r\n"
+                                        + "0\r\n"
+                                        + "T: x\r\n\r\n",
                                 piece))
                 .isEqualTo(State.COMPLETE);
         assertThat(body()).isEqualTo("hello");
@@ -107,7 +107,7 @@
         MemberList list =
                 MemberList.parse(
                                 ("{\"rev\":4,\"all\":false,\"targets\":["
-                                                + entry("s-1", 5433, "draining")
+                                                + listEntry("s-1", 5433, "draining")
                                                 + "],\"more\":{}}")
                                         .getBytes(StandardCharsets.UTF_8))
                         .list();
--- a/src/test/java/wingroad/protocol/StatementTest.java
+++ b/src/test/java/wingroad/protocol/StatementTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import static wingroad.Fixtures.read;
+import static wingroad.Fixtures.readStatement;
 
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -37,13 +37,13 @@
         Statement s =
                 parsed(
                                 "/* id=d4000,c=order,d=4000,cluster=2 */ INSERT INTO records (k, v)"
-                                    + " VALUES ('d=4000', '\\x9F03') RETURNING v")
+                                        + " VALUES ('d=4000', '\\x9F03') RETURNING v")
                         .statement();
         assertThat(s.write()).isTrue();
         assertThat(new String(s.withTimeLeft(17), StandardCharsets.UTF_8))
                 .isEqualTo(
                         "/* id=d4000,c=order,d=17,cluster=2 */ INSERT INTO records (k, v) VALUES"
-                            + " ('d=4000', '\\x9F03') RETURNING v");
+                                + " ('d=4000', '\\x9F03') RETURNING v");
     }
 
     @ParameterizedTest
@@ -71,13 +71,13 @@
                 "/* id=1,c=a,d=1,cluster=1 */ SELECT v FROM records WHERE k = ''",
                 "/* id=1,c=a,d=1,cluster=1 */ DELETE",
                 "/* id=1,c=a,d=1,cluster=1 */ INSERT INTO records (k, v) VALUES ('a', '\\x9')"
-                    + " RETURNING v",
+                        + " RETURNING v",
                 "/* id=1,c=a,d=1,cluster=1 */ INSERT INTO records (k, v) VALUES ('a', '\\xzz')"
-                    + " RETURNING v",
+                        + " RETURNING v",
                 "/* id=1,c=a,d=1,cluster=1 */ INSERT INTO records (k, v) VALUES ('a', '\\x') ')"
-                    + " RETURNING v",
+                        + " RETURNING v",
                 "/* id=1,c=a,d=1,cluster=1 */ INSERT INTO records (k, v) VALUES ('a'', '\\x')"
-                    + " RETURNING v"
+                        + " RETURNING v"
             })
     void whatIsNotOfTheAgreedFormIsTurnedAwayWithAReason(String sql) {
         assertThat(parsed(sql).statement()).isNull();
@@ -86,7 +86,7 @@
 
     @Test
     void aReadWithoutOddities() {
-        assertThat(parsed(read("x")).error()).isNull();
-        assertThat(parsed(read("x")).statement().afterPositionMs()).isNull();
+        assertThat(parsed(readStatement("x")).error()).isNull();
+        assertThat(parsed(readStatement("x")).statement().afterPositionMs()).isNull();
     }
 }
--- a/src/test/java/wingroad/rig/ClientLoad.java
+++ b/src/test/java/wingroad/rig/ClientLoad.java
@@ -1,7 +1,7 @@
 package wingroad.rig;
 
 import wingroad.Fixtures;
-import wingroad.Fixtures.Client;
+import wingroad.Fixtures.TestClient;
 
 import java.io.IOException;
 import java.util.ArrayList;
@@ -55,7 +55,7 @@
     }
 
     private void run(TestCluster.DriverProcess d, String client) {
-        Client c = null;
+        TestClient c = null;
         int starts = -1;
         for (int n = 0; !closed; n++) {
             boolean alone = !excludedDrivers.contains(d.name);
@@ -67,17 +67,19 @@
                     continue;
                 }
                 if (c == null || starts != now) {
-                    c = new Client(d.port());
+                    c = new TestClient(d.port());
                     starts = now;
-                    c.startup().heard();
+                    c.sendStartup().readResponses();
                 }
                 String id = client + "-" + now + "-" + n;
                 String group = "cluster=" + groups.get(n % groups.size());
                 List<String> heard =
-                        c.ask(
-                                        (n % 5 == 4 ? Fixtures.write(id) : Fixtures.read(id))
+                        c.query(
+                                        (n % 5 == 4
+                                                        ? Fixtures.writeStatement(id)
+                                                        : Fixtures.readStatement(id))
                                                 .replace("cluster=7", group))
-                                .heard();
+                                .readResponses();
                 if (alone && !excludedDrivers.contains(d.name) && d.startCount == now) {
                     sent.incrementAndGet();
                     if (heard.contains("row value")) {
--- a/src/test/java/wingroad/rig/FencedMember.java
+++ b/src/test/java/wingroad/rig/FencedMember.java
@@ -1,7 +1,7 @@
 package wingroad.rig;
 
-import wingroad.Fixtures.Session;
-import wingroad.Fixtures.StandInMember;
+import wingroad.Fixtures.FakeMember;
+import wingroad.Fixtures.FakeMemberSession;
 
 import java.io.IOException;
 import java.util.ArrayList;
@@ -45,7 +45,7 @@
     public final String uid;
     public final int group;
     private final boolean fenced;
-    private final StandInMember member;
+    private final FakeMember member;
     private final Map<String, Long> highestEpochs = new HashMap<>();
     private final List<ChoreExecution> executions = new ArrayList<>();
     private final Set<String> executedTurns = new HashSet<>();
@@ -62,14 +62,14 @@
         this.uid = uid;
         this.group = group;
         this.fenced = fenced;
-        member = new StandInMember(primary, this::handleStatement);
+        member = new FakeMember(primary, this::handleStatement);
     }
 
     public int port() {
         return member.port();
     }
 
-    private void handleStatement(String sql, Session s) throws IOException {
+    private void handleStatement(String sql, FakeMemberSession s) throws IOException {
         member.queries.clear();
         Matcher m = CHORE_STATEMENT.matcher(sql);
         if (!m.matches()) {
@@ -77,14 +77,14 @@
             return;
         }
         if (recordExecution(m.group(1), Long.parseLong(m.group(4)), Long.parseLong(m.group(3)))) {
-            s.row("1", member.primary);
+            s.sendRow("1", member.primary);
         } else {
             // raise_exception, as the fence's function does
-            s.error("P0001", member.primary);
+            s.sendError("P0001", member.primary);
         }
     }
 
-    private void handleTxn(String sql, Session s) throws IOException {
+    private void handleTxn(String sql, FakeMemberSession s) throws IOException {
         Matcher id = TXN_ID.matcher(sql);
         ReceivedTxn txn =
                 new ReceivedTxn(
@@ -129,7 +129,7 @@
                                         * warm));
     }
 
-    private void executeTxn(String sql, Session s) throws IOException {
+    private void executeTxn(String sql, FakeMemberSession s) throws IOException {
         boolean placed = concurrencyPermits == null;
         try {
             placed = placed || concurrencyPermits.tryAcquire(WAIT_TIMEOUT_S, TimeUnit.SECONDS);
@@ -145,7 +145,7 @@
         }
     }
 
-    private void answerTxn(String sql, Session s) throws IOException {
+    private void answerTxn(String sql, FakeMemberSession s) throws IOException {
         if (sql.contains("id=slow")) {
             CountDownLatch until = slowReadsReleased;
             try {
@@ -163,9 +163,9 @@
         boolean write = sql.contains("INSERT");
         if (write && !member.primary) {
             // read_only_sql_transaction
-            s.error("25006", false);
+            s.sendError("25006", false);
         } else {
-            s.row("value", member.primary);
+            s.sendRow("value", member.primary);
         }
     }
 
@@ -212,7 +212,7 @@
 
     /** How far behind the log it says that it is. */
     public void setReplicationLagMs(long ms) {
-        member.behindMs = ms;
+        member.replicationLagMs = ms;
     }
 
     /** Lets the slow reads go that are here. */
--- a/src/test/java/wingroad/rig/RigTest.java
+++ b/src/test/java/wingroad/rig/RigTest.java
@@ -22,7 +22,7 @@
     @Test
     void anOperatorsFileIsNeverWrittenWhereAProcessMayReadIt() throws Exception {
         try (TestCluster rig =
-                new TestCluster(dir, 1, 1, "    lease-ms 3000\n", Fixtures.SETTINGS)) {
+                new TestCluster(dir, 1, 1, "    lease-ms 3000\n", Fixtures.SETTINGS_JSON)) {
             Path file = rig.driver("d1").operatorFile();
             String first = Files.readString(file);
             Object was = key(file);
--- a/src/test/java/wingroad/rig/TestCluster.java
+++ b/src/test/java/wingroad/rig/TestCluster.java
@@ -1,7 +1,7 @@
 package wingroad.rig;
 
 import wingroad.Fixtures;
-import wingroad.Fixtures.StandInDiscovery;
+import wingroad.Fixtures.FakeDiscovery;
 
 import java.io.BufferedReader;
 import java.io.FileOutputStream;
@@ -31,7 +31,7 @@
     public final FaultProxy proxy = new FaultProxy();
     public final Map<String, DriverProcess> drivers = new LinkedHashMap<>();
     public final Map<String, FencedMember> members = new LinkedHashMap<>();
-    public final StandInDiscovery discovery = new StandInDiscovery();
+    public final FakeDiscovery discovery = new FakeDiscovery();
     private final Path directory;
     private final List<String> voters = new ArrayList<>();
 
@@ -90,7 +90,7 @@
                 all.append(all.length() == 0 ? "" : ",").append(discoveryEntry("d1", m, state));
             }
         }
-        discovery.tell(all.toString());
+        discovery.publish(all.toString());
     }
 
     /** Adds a member; all drivers know it from their start. */
@@ -396,7 +396,7 @@
      * address.
      */
     public String discoveryEntry(String driver, FencedMember m, String state) throws IOException {
-        return Fixtures.entry(m.uid, proxy.linkBetween(driver, m.uid).port(), state)
+        return Fixtures.listEntry(m.uid, proxy.linkBetween(driver, m.uid).port(), state)
                 .replace("\"pod_group\":7", "\"pod_group\":" + m.group);
     }
 
