--- a/src/test/java/wingroad/routing/TxnRouterTest.java
+++ b/src/test/java/wingroad/routing/TxnRouterTest.java
@@ -4,7 +4,7 @@
 
 import static wingroad.Fixtures.READ;
 import static wingroad.Fixtures.WRITE;
-import static wingroad.Fixtures.at;
+import static wingroad.Fixtures.millis;
 
 import org.assertj.core.groups.Tuple;
 import org.junit.jupiter.api.Test;
@@ -25,8 +25,8 @@
 
     @Test
     void firstWriteIsHeldAndAllMembersAreAsked() {
-        Fixtures g = new Fixtures().group(1, 2, 3);
-        g.txn(10, "w", WRITE, 3000);
+        Fixtures g = new Fixtures().withGroup(1, 2, 3);
+        g.txnArrives(10, "w", WRITE, 3000);
         List<Decision> all = g.decisions(10);
         assertThat(of(Kind.SUBMIT, all)).isEmpty();
         assertThat(of(Kind.PROBE, all)).extracting(Decision::member).containsExactly(1L, 2L, 3L);
@@ -34,11 +34,11 @@
 
     @Test
     void heldWritesWakeTogetherOnTheConfirmedPrimary() {
-        Fixtures g = new Fixtures().group(1, 2, 3);
-        g.txn(10, "a", WRITE, 3000);
-        g.txn(11, "b", WRITE, 3000);
+        Fixtures g = new Fixtures().withGroup(1, 2, 3);
+        g.txnArrives(10, "a", WRITE, 3000);
+        g.txnArrives(11, "b", WRITE, 3000);
         g.decisions(11);
-        g.says(20, 2, Role.PRIMARY, 18);
+        g.memberReports(20, 2, Role.PRIMARY, 18);
         assertThat(of(Kind.SUBMIT, g.decisions(20)))
                 .extracting(Decision::txn, Decision::member)
                 .containsExactly(
@@ -48,12 +48,12 @@
 
     @Test
     void aNewPrimaryIsProbedFastAfterwards() {
-        Fixtures g = new Fixtures().group(1, 2).roles(5, 2);
-        g.txn(10, "w", WRITE, 3000);
+        Fixtures g = new Fixtures().withGroup(1, 2).rolesReported(5, 2);
+        g.txnArrives(10, "w", WRITE, 3000);
         g.decisions(10);
-        g.ends(20, "w", 0, 1, Outcome.MISSED, Role.REPLICA);
+        g.submissionEnds(20, "w", 0, 1, Outcome.MISSED, Role.REPLICA);
         g.decisions(20);
-        g.says(30, 2, Role.PRIMARY, 28);
+        g.memberReports(30, 2, Role.PRIMARY, 28);
         g.decisions(30);
         assertThat(of(Kind.PROBE, g.decisions(135)))
                 .extracting(Decision::member)
@@ -62,33 +62,35 @@
 
     @Test
     void aPrimaryFoundAtTheFirstAskingIsProbedAtTheSteadyRate() {
-        Fixtures g = new Fixtures().group(1, 2);
-        g.txn(10, "w", WRITE, 3000);
+        Fixtures g = new Fixtures().withGroup(1, 2);
+        g.txnArrives(10, "w", WRITE, 3000);
         g.decisions(10);
-        g.says(20, 1, Role.PRIMARY, 18);
-        g.says(20, 2, Role.REPLICA, 18);
+        g.memberReports(20, 1, Role.PRIMARY, 18);
+        g.memberReports(20, 2, Role.REPLICA, 18);
         assertThat(of(Kind.PROBE, g.decisions(135))).isEmpty();
-        g.ends(140, "w", 0, 1, Outcome.COMMITTED, Role.PRIMARY);
-        assertThat(of(Kind.PROBE, g.until(5100))).extracting(Decision::member).containsExactly(1L);
+        g.submissionEnds(140, "w", 0, 1, Outcome.COMMITTED, Role.PRIMARY);
+        assertThat(of(Kind.PROBE, g.decisionsUntil(5100)))
+                .extracting(Decision::member)
+                .containsExactly(1L);
     }
 
     @Test
     void aSearchIsRepeatedUntilOneSaysYes() {
-        Fixtures g = new Fixtures().group(1, 2);
-        g.txn(10, "w", WRITE, 3000);
+        Fixtures g = new Fixtures().withGroup(1, 2);
+        g.txnArrives(10, "w", WRITE, 3000);
         g.decisions(10);
-        g.says(20, 1, Role.REPLICA, 5);
-        g.says(20, 2, Role.REPLICA, 5);
-        assertThat(of(Kind.PROBE, g.until(115))).hasSize(2);
+        g.memberReports(20, 1, Role.REPLICA, 5);
+        g.memberReports(20, 2, Role.REPLICA, 5);
+        assertThat(of(Kind.PROBE, g.decisionsUntil(115))).hasSize(2);
     }
 
     @Test
     void anErrorOnAWriteStartsASearchAndHoldsTheNext() {
-        Fixtures g = new Fixtures().group(1, 2).roles(5, 2);
-        g.txn(10, "a", WRITE, 3000);
+        Fixtures g = new Fixtures().withGroup(1, 2).rolesReported(5, 2);
+        g.txnArrives(10, "a", WRITE, 3000);
         g.decisions(10);
-        g.ends(20, "a", 0, 1, Outcome.ERROR, Role.UNKNOWN);
-        g.txn(21, "b", WRITE, 3000);
+        g.submissionEnds(20, "a", 0, 1, Outcome.ERROR, Role.UNKNOWN);
+        g.txnArrives(21, "b", WRITE, 3000);
         List<Decision> all = g.decisions(21);
         assertThat(of(Kind.SUBMIT, all)).isEmpty();
         assertThat(of(Kind.PROBE, all)).hasSize(2);
@@ -96,11 +98,11 @@
 
     @Test
     void onceOnlyThatMayHaveRunIsRolledBackNeverDeclined() {
-        Fixtures g = new Fixtures().group(1, 2).roles(5, 2);
-        g.txn(10, "a", WRITE, 3000);
+        Fixtures g = new Fixtures().withGroup(1, 2).rolesReported(5, 2);
+        g.txnArrives(10, "a", WRITE, 3000);
         g.decisions(10);
-        g.ends(20, "a", 0, 1, Outcome.RESET, Role.UNKNOWN);
-        List<Decision> all = g.until(3100);
+        g.submissionEnds(20, "a", 0, 1, Outcome.RESET, Role.UNKNOWN);
+        List<Decision> all = g.decisionsUntil(3100);
         assertThat(of(Kind.ROLL_BACK, all)).extracting(Decision::txn).containsExactly("a");
         assertThat(of(Kind.DECLINE, all)).isEmpty();
         assertThat(of(Kind.SUBMIT, all)).isEmpty();
@@ -108,21 +110,21 @@
 
     @Test
     void onceOnlyStillOutIsAnsweredBeforeItsClientGivesUp() {
-        Fixtures g = new Fixtures().group(1, 2).roles(5, 2);
-        g.txn(10, "a", WRITE, 1000);
+        Fixtures g = new Fixtures().withGroup(1, 2).rolesReported(5, 2);
+        g.txnArrives(10, "a", WRITE, 1000);
         g.decisions(10);
-        assertThat(of(Kind.ROLL_BACK, g.until(1004))).isEmpty();
-        assertThat(of(Kind.ROLL_BACK, g.until(1009))).hasSize(1);
+        assertThat(of(Kind.ROLL_BACK, g.decisionsUntil(1004))).isEmpty();
+        assertThat(of(Kind.ROLL_BACK, g.decisionsUntil(1009))).hasSize(1);
     }
 
     @Test
     void aMissedOnceOnlyGoesAgainAfterTheSearch() {
-        Fixtures g = new Fixtures().group(1, 2).roles(5, 2);
-        g.txn(10, "a", WRITE, 3000);
+        Fixtures g = new Fixtures().withGroup(1, 2).rolesReported(5, 2);
+        g.txnArrives(10, "a", WRITE, 3000);
         g.decisions(10);
-        g.ends(20, "a", 0, 1, Outcome.MISSED, Role.REPLICA);
+        g.submissionEnds(20, "a", 0, 1, Outcome.MISSED, Role.REPLICA);
         assertThat(of(Kind.SUBMIT, g.decisions(20))).isEmpty();
-        g.says(40, 2, Role.PRIMARY, 38);
+        g.memberReports(40, 2, Role.PRIMARY, 38);
         assertThat(of(Kind.SUBMIT, g.decisions(40)))
                 .extracting(Decision::member)
                 .containsExactly(2L);
@@ -130,32 +132,38 @@
 
     @Test
     void aHeldWriteThatCannotBeServedIsDeclined() {
-        Fixtures g = new Fixtures().group(1, 2);
-        g.txn(10, "a", WRITE, 1000);
-        assertThat(of(Kind.DECLINE, g.until(1010))).extracting(Decision::txn).containsExactly("a");
+        Fixtures g = new Fixtures().withGroup(1, 2);
+        g.txnArrives(10, "a", WRITE, 1000);
+        assertThat(of(Kind.DECLINE, g.decisionsUntil(1010)))
+                .extracting(Decision::txn)
+                .containsExactly("a");
     }
 
     @Test
     void referencedIsNotRepeatedPastItsWindow() {
         Fixtures g =
                 new Fixtures()
-                        .type(WRITE, "referenced", "update", 600, 9000)
-                        .group(1, 2)
-                        .roles(5, 2);
-        g.txn(10, "a", WRITE, 9000);
+                        .withTxnType(WRITE, "referenced", "update", 600, 9000)
+                        .withGroup(1, 2)
+                        .rolesReported(5, 2);
+        g.txnArrives(10, "a", WRITE, 9000);
         g.decisions(10);
-        g.ends(4500, "a", 0, 1, Outcome.TIMED_OUT, Role.UNKNOWN);
-        List<Decision> all = g.until(4500);
+        g.submissionEnds(4500, "a", 0, 1, Outcome.TIMED_OUT, Role.UNKNOWN);
+        List<Decision> all = g.decisionsUntil(4500);
         assertThat(of(Kind.SUBMIT, all)).isEmpty();
         assertThat(of(Kind.ROLL_BACK, all)).hasSize(1);
     }
 
     @Test
     void noSecondSubmissionWhileOneIsOutWhereSecondCopiesAreOff() {
-        Fixtures g = new Fixtures().with("second-copies", false).group(1, 2, 3).roles(5, 2, 3);
-        g.txn(10, "r", READ, 2000);
+        Fixtures g =
+                new Fixtures()
+                        .withSetting("second-copies", false)
+                        .withGroup(1, 2, 3)
+                        .rolesReported(5, 2, 3);
+        g.txnArrives(10, "r", READ, 2000);
         g.decisions(10);
-        List<Decision> all = g.until(560);
+        List<Decision> all = g.decisionsUntil(560);
         assertThat(of(Kind.SUBMIT, all)).isEmpty();
     }
 
@@ -163,42 +171,42 @@
     void aReadFromASilentReplicaIsTriedElsewhere() {
         Fixtures g =
                 new Fixtures()
-                        .type(READ, "repeatable", "recent", 2000, 4000)
-                        .with("txn-type.0.oldest-data", at(3000))
-                        .group(1, 2, 3)
-                        .roles(5, 2, 3);
+                        .withTxnType(READ, "repeatable", "recent", 2000, 4000)
+                        .withSetting("txn-type.0.oldest-data", millis(3000))
+                        .withGroup(1, 2, 3)
+                        .rolesReported(5, 2, 3);
         for (int i = 0; i < 4; i++) {
-            g.txn(10, "r" + i, READ, 4000);
+            g.txnArrives(10, "r" + i, READ, 4000);
         }
         List<Decision> first = of(Kind.SUBMIT, g.decisions(10));
         long quiet = first.get(0).member();
         for (Decision d : first) {
             if (d.member() != quiet) {
-                g.ends(20, d.txn(), 0, d.member(), Outcome.COMMITTED, Role.REPLICA);
+                g.submissionEnds(20, d.txn(), 0, d.member(), Outcome.COMMITTED, Role.REPLICA);
             }
         }
-        assertThat(of(Kind.SUBMIT, g.until(1500)))
+        assertThat(of(Kind.SUBMIT, g.decisionsUntil(1500)))
                 .isNotEmpty()
                 .allMatch(d -> d.member() != quiet && d.submission() == 1);
     }
 
     @Test
     void readsGoToReplicasOnly() {
-        Fixtures g = new Fixtures().group(1, 2, 3).roles(5, 2, 3);
+        Fixtures g = new Fixtures().withGroup(1, 2, 3).rolesReported(5, 2, 3);
         for (int i = 0; i < 6; i++) {
-            g.txn(10, "r" + i, READ, 2000);
+            g.txnArrives(10, "r" + i, READ, 2000);
         }
         assertThat(of(Kind.SUBMIT, g.decisions(10))).hasSize(6).allMatch(d -> d.member() != 1);
     }
 
     @Test
     void noReadGoesToAReplicaWhoseKnownPositionIsTooOld() {
-        Fixtures g = new Fixtures().group(1, 2).roles(5, 2);
-        g.txn(1003, "r", READ, 2000);
+        Fixtures g = new Fixtures().withGroup(1, 2).rolesReported(5, 2);
+        g.txnArrives(1003, "r", READ, 2000);
         List<Decision> all = g.decisions(1003);
         assertThat(of(Kind.SUBMIT, all)).isEmpty();
         assertThat(of(Kind.PROBE, all)).extracting(Decision::member).contains(2L);
-        g.says(1010, 2, Role.REPLICA, 990);
+        g.memberReports(1010, 2, Role.REPLICA, 990);
         assertThat(of(Kind.SUBMIT, g.decisions(1010)))
                 .extracting(Decision::member)
                 .containsExactly(2L);
@@ -208,24 +216,24 @@
     void aReplicaThatFallsBehindUnderSlowAnswersGetsLess() {
         // Guards against replicas that swing about the bound: crowded, idle until caught up,
         // crowded again.
-        Fixtures g = new Fixtures().group(1, 2).roles(5, 2);
+        Fixtures g = new Fixtures().withGroup(1, 2).rolesReported(5, 2);
         for (int i = 0; i < 30; i++) {
             long now = 10 + 50 * i;
-            g.txn(now, "r" + i, READ, 2000);
+            g.txnArrives(now, "r" + i, READ, 2000);
             g.decisions(now);
             g.router.submissionEnded(
-                    at(now + 40),
+                    millis(now + 40),
                     "r" + i,
                     0,
                     2,
                     Outcome.COMMITTED,
-                    at(400),
+                    millis(400),
                     true,
                     Role.REPLICA,
-                    at(now + 40 - 260 - i));
+                    millis(now + 40 - 260 - i));
         }
         for (int i = 0; i < 8; i++) {
-            g.txn(1600, "x" + i, READ, 2000);
+            g.txnArrives(1600, "x" + i, READ, 2000);
         }
         assertThat(of(Kind.SUBMIT, g.decisions(1600)).stream().filter(d -> d.member() == 2))
                 .hasSizeBetween(1, 5);
@@ -233,12 +241,12 @@
 
     @Test
     void anOldReportDoesNotOverruleANewerAnswer() {
-        Fixtures g = new Fixtures().group(1, 2).roles(5, 2);
-        g.txn(10, "a", WRITE, 3000);
+        Fixtures g = new Fixtures().withGroup(1, 2).rolesReported(5, 2);
+        g.txnArrives(10, "a", WRITE, 3000);
         g.decisions(10);
-        g.ends(500, "a", 0, 1, Outcome.COMMITTED, Role.PRIMARY);
-        g.says(510, 2, Role.PRIMARY, 300);
-        g.txn(520, "b", WRITE, 3000);
+        g.submissionEnds(500, "a", 0, 1, Outcome.COMMITTED, Role.PRIMARY);
+        g.memberReports(510, 2, Role.PRIMARY, 300);
+        g.txnArrives(520, "b", WRITE, 3000);
         assertThat(of(Kind.SUBMIT, g.decisions(520)))
                 .extracting(Decision::member)
                 .containsExactly(1L);
@@ -246,17 +254,17 @@
 
     @Test
     void writesStopAtAPrimaryThatIsSilentOnWhatItHolds() {
-        Fixtures g = new Fixtures().group(1, 2).roles(5, 2);
+        Fixtures g = new Fixtures().withGroup(1, 2).rolesReported(5, 2);
         for (int i = 0; i < 4; i++) {
-            g.txn(10, "w" + i, WRITE, 3000);
+            g.txnArrives(10, "w" + i, WRITE, 3000);
         }
         assertThat(of(Kind.SUBMIT, g.decisions(10))).hasSize(4);
-        g.txn(700, "late", WRITE, 3000);
+        g.txnArrives(700, "late", WRITE, 3000);
         assertThat(of(Kind.SUBMIT, g.decisions(700))).isEmpty();
         // Its own probe's yes is no proof that it serves; an answer on the txn path is.
-        g.says(710, 1, Role.PRIMARY, 709);
+        g.memberReports(710, 1, Role.PRIMARY, 709);
         assertThat(of(Kind.SUBMIT, g.decisions(710))).isEmpty();
-        g.ends(720, "w0", 0, 1, Outcome.COMMITTED, Role.PRIMARY);
+        g.submissionEnds(720, "w0", 0, 1, Outcome.COMMITTED, Role.PRIMARY);
         assertThat(of(Kind.SUBMIT, g.decisions(720)))
                 .extracting(Decision::txn)
                 .containsExactly("late");
@@ -264,26 +272,26 @@
 
     @Test
     void nothingNewGoesToADrainingReplica() {
-        Fixtures g = new Fixtures().group(1, 2, 3).roles(5, 2, 3);
-        g.router.memberListStarted(at(10), false);
-        g.listed(10, 2, true, null);
-        g.router.memberListEnded(at(10));
+        Fixtures g = new Fixtures().withGroup(1, 2, 3).rolesReported(5, 2, 3);
+        g.router.memberListStarted(millis(10), false);
+        g.memberListed(10, 2, true, null);
+        g.router.memberListEnded(millis(10));
         for (int i = 0; i < 5; i++) {
-            g.txn(11, "r" + i, READ, 2000);
+            g.txnArrives(11, "r" + i, READ, 2000);
         }
         assertThat(of(Kind.SUBMIT, g.decisions(11))).isNotEmpty().allMatch(d -> d.member() == 3);
     }
 
     @Test
     void aDrainingPrimaryIsUsedWithinTheGraceOnly() {
-        Fixtures g = new Fixtures().group(1, 2).roles(5, 2);
-        g.router.memberListStarted(at(10), false);
-        g.listed(10, 1, true, null);
-        g.router.memberListEnded(at(10));
-        g.txn(500, "a", WRITE, 3000);
+        Fixtures g = new Fixtures().withGroup(1, 2).rolesReported(5, 2);
+        g.router.memberListStarted(millis(10), false);
+        g.memberListed(10, 1, true, null);
+        g.router.memberListEnded(millis(10));
+        g.txnArrives(500, "a", WRITE, 3000);
         assertThat(of(Kind.SUBMIT, g.decisions(500))).hasSize(1);
-        g.ends(600, "a", 0, 1, Outcome.COMMITTED, Role.PRIMARY);
-        g.txn(1001, "b", WRITE, 3000);
+        g.submissionEnds(600, "a", 0, 1, Outcome.COMMITTED, Role.PRIMARY);
+        g.txnArrives(1001, "b", WRITE, 3000);
         assertThat(of(Kind.SUBMIT, g.decisions(1001))).isEmpty();
     }
 
@@ -292,18 +300,20 @@
         // Guards the fail-back rule: quick misses keep nothing out, so a limit on work out is no
         // bound; and
         // what each driver may send at once would add up over many of them.
-        Fixtures g = new Fixtures().with("members-check", "hold").group(1).roles(5);
-        g.router.memberListStarted(at(6), false);
-        g.listed(6, 2, false, at(6));
-        g.router.memberListEnded(at(6));
+        Fixtures g =
+                new Fixtures().withSetting("members-check", "hold").withGroup(1).rolesReported(5);
+        g.router.memberListStarted(millis(6), false);
+        g.memberListed(6, 2, false, millis(6));
+        g.router.memberListEnded(millis(6));
         int sent = 0;
         int early = 0;
         for (int i = 10; i < 9000; i += 20) {
-            g.txn(i, "r" + i, READ, 2000);
+            g.txnArrives(i, "r" + i, READ, 2000);
             for (Decision d : of(Kind.SUBMIT, g.decisions(i))) {
                 sent += d.member() == 2 ? 1 : 0;
                 early += d.member() == 2 && i < 500 ? 1 : 0;
-                g.ends(i, d.txn(), d.submission(), d.member(), Outcome.MISSED, Role.REPLICA);
+                g.submissionEnds(
+                        i, d.txn(), d.submission(), d.member(), Outcome.MISSED, Role.REPLICA);
             }
         }
         assertThat(early).isLessThan(3);
@@ -312,10 +322,10 @@
 
     @Test
     void oneBrokenConnectionAmongAnswersIsNoLoss() {
-        Fixtures g = new Fixtures().group(1, 2).roles(5, 2);
-        g.txn(10, "a", READ, 2000);
+        Fixtures g = new Fixtures().withGroup(1, 2).rolesReported(5, 2);
+        g.txnArrives(10, "a", READ, 2000);
         g.decisions(10);
-        g.ends(15, "a", 0, 2, Outcome.RESET, Role.UNKNOWN);
+        g.submissionEnds(15, "a", 0, 2, Outcome.RESET, Role.UNKNOWN);
         assertThat(of(Kind.SUBMIT, g.decisions(15)))
                 .extracting(Decision::member)
                 .containsExactly(2L);
@@ -323,24 +333,28 @@
 
     @Test
     void aSubscriptionThatFailsIsAskedForAgainLater() {
-        Fixtures g = new Fixtures().with("member-list", "ask").group(1, 2);
+        Fixtures g = new Fixtures().withSetting("member-list", "ask").withGroup(1, 2);
         assertThat(of(Kind.FOLLOW_LIST, g.decisions(1))).hasSize(1);
-        g.router.memberListFailed(at(1000));
+        g.router.memberListFailed(millis(1000));
         assertThat(of(Kind.FOLLOW_LIST, g.decisions(1000))).isEmpty();
-        assertThat(of(Kind.FOLLOW_LIST, g.until(2000))).hasSize(1);
+        assertThat(of(Kind.FOLLOW_LIST, g.decisionsUntil(2000))).hasSize(1);
     }
 
     @Test
     void furtherSubmissionsStopWhenNoneSucceed() {
         // Staff's way: how often further ones are made follows how many recent ones succeeded.
         Fixtures g =
-                new Fixtures().with("members-check", "hold").group(1, 2, 3, 4).roles(5, 2, 3, 4);
+                new Fixtures()
+                        .withSetting("members-check", "hold")
+                        .withGroup(1, 2, 3, 4)
+                        .rolesReported(5, 2, 3, 4);
         int further = 0;
         for (int i = 0; i < 40; i++) {
-            g.txn(10 + i, "r" + i, READ, 2000);
+            g.txnArrives(10 + i, "r" + i, READ, 2000);
             for (Decision d : of(Kind.SUBMIT, g.decisions(10 + i))) {
                 further += d.submission() > 0 ? 1 : 0;
-                g.ends(10 + i, d.txn(), d.submission(), d.member(), Outcome.ERROR, Role.REPLICA);
+                g.submissionEnds(
+                        10 + i, d.txn(), d.submission(), d.member(), Outcome.ERROR, Role.REPLICA);
             }
         }
         assertThat(further).isLessThan(10);
@@ -352,11 +366,11 @@
         // same.
         Fixtures g =
                 new Fixtures()
-                        .with("may-advise-come-back", true)
-                        .with("longest-come-back", at(500))
-                        .group(1);
-        g.txn(10, "r", READ, 2000);
-        List<Decision> declined = of(Kind.DECLINE, g.until(400));
+                        .withSetting("may-advise-come-back", true)
+                        .withSetting("longest-come-back", millis(500))
+                        .withGroup(1);
+        g.txnArrives(10, "r", READ, 2000);
+        List<Decision> declined = of(Kind.DECLINE, g.decisionsUntil(400));
         assertThat(declined).extracting(Decision::txn).containsExactly("r");
         assertThat(declined.get(0).deadlineOrRetryDelay()).isNull();
     }
@@ -366,12 +380,12 @@
         // Guards against wasting a submission on a replica that was just heard to be far behind.
         Fixtures g =
                 new Fixtures()
-                        .with("members-check", "hold")
-                        .with("members-hold-for", at(20))
-                        .group(1, 2);
-        g.says(3000, 1, Role.REPLICA, 1000);
-        g.says(3000, 2, Role.REPLICA, 1000);
-        g.txn(3001, "r", READ, 2000);
+                        .withSetting("members-check", "hold")
+                        .withSetting("members-hold-for", millis(20))
+                        .withGroup(1, 2);
+        g.memberReports(3000, 1, Role.REPLICA, 1000);
+        g.memberReports(3000, 2, Role.REPLICA, 1000);
+        g.txnArrives(3001, "r", READ, 2000);
         assertThat(of(Kind.SUBMIT, g.decisions(3001))).isEmpty();
     }
 
@@ -379,16 +393,16 @@
     void referencedHeldByAFormerPrimaryMovesToTheNewOne() {
         Fixtures g =
                 new Fixtures()
-                        .type(WRITE, "referenced", "update", 600, 9000)
-                        .group(1, 2)
-                        .roles(5, 2);
-        g.txn(10, "a", WRITE, 9000);
+                        .withTxnType(WRITE, "referenced", "update", 600, 9000)
+                        .withGroup(1, 2)
+                        .rolesReported(5, 2);
+        g.txnArrives(10, "a", WRITE, 9000);
         g.decisions(10);
-        g.says(500, 2, Role.PRIMARY, 499);
+        g.memberReports(500, 2, Role.PRIMARY, 499);
         assertThat(of(Kind.CANCEL, g.decisions(500)))
                 .extracting(Decision::txn)
                 .containsExactly("a");
-        g.ends(505, "a", 0, 1, Outcome.CANCELLED, Role.UNKNOWN);
+        g.submissionEnds(505, "a", 0, 1, Outcome.CANCELLED, Role.UNKNOWN);
         assertThat(of(Kind.SUBMIT, g.decisions(505)))
                 .extracting(Decision::member)
                 .containsExactly(2L);
@@ -396,33 +410,33 @@
 
     @Test
     void aLapsedTxnGetsNoAnswer() {
-        Fixtures g = new Fixtures().group(1, 2);
-        g.txn(10, "w", WRITE, 1000);
-        g.router.txnAbandoned(at(20), "w");
-        assertThat(g.until(2000)).noneMatch(d -> "w".equals(d.txn()));
+        Fixtures g = new Fixtures().withGroup(1, 2);
+        g.txnArrives(10, "w", WRITE, 1000);
+        g.router.txnAbandoned(millis(20), "w");
+        assertThat(g.decisionsUntil(2000)).noneMatch(d -> "w".equals(d.txn()));
     }
 
     @Test
     void readsSentToACrowdedGroupFollowThoseAnsweredInTime() {
         // Guards against many drivers that each keep little out and together crowd a group.
-        Fixtures g = new Fixtures().group(1, 2, 3).roles(5, 2, 3);
+        Fixtures g = new Fixtures().withGroup(1, 2, 3).rolesReported(5, 2, 3);
         int sent = 0;
         for (int i = 10; i < 8000; i += 100) {
-            g.txn(i, "r" + i, READ, 2000);
-            g.says(i, 2, Role.REPLICA, i);
-            g.says(i, 3, Role.REPLICA, i);
+            g.txnArrives(i, "r" + i, READ, 2000);
+            g.memberReports(i, 2, Role.REPLICA, i);
+            g.memberReports(i, 3, Role.REPLICA, i);
             for (Decision d : of(Kind.SUBMIT, g.decisions(i))) {
                 sent++;
                 g.router.submissionEnded(
-                        at(i),
+                        millis(i),
                         d.txn(),
                         d.submission(),
                         d.member(),
                         Outcome.COMMITTED,
-                        at(900),
+                        millis(900),
                         true,
                         Role.REPLICA,
-                        at(i));
+                        millis(i));
             }
         }
         assertThat(sent).isBetween(3, 20);
@@ -432,39 +446,39 @@
     void aSearchAsksAgainOnlyWhileWritesAreHeld() {
         // Guards a group against the probes of many drivers that wait for nothing, just as its
         // primary comes.
-        Fixtures g = new Fixtures().group(1, 2).roles(5, 2);
-        g.says(100, 1, Role.REPLICA, 100);
+        Fixtures g = new Fixtures().withGroup(1, 2).rolesReported(5, 2);
+        g.memberReports(100, 1, Role.REPLICA, 100);
         assertThat(of(Kind.PROBE, g.decisions(100))).hasSize(2);
-        g.router.probeEnded(at(110), 1, true, at(1));
-        g.router.probeEnded(at(110), 2, true, at(1));
-        assertThat(of(Kind.PROBE, g.until(1000))).isEmpty();
-        g.txn(1001, "w", WRITE, 3000);
+        g.router.probeEnded(millis(110), 1, true, millis(1));
+        g.router.probeEnded(millis(110), 2, true, millis(1));
+        assertThat(of(Kind.PROBE, g.decisionsUntil(1000))).isEmpty();
+        g.txnArrives(1001, "w", WRITE, 3000);
         assertThat(of(Kind.PROBE, g.decisions(1001))).hasSize(2);
     }
 
     @Test
     void fastProbesRunOnlyWhileWorkIsOutAtTheNewPrimary() {
         // Guards against the sum of all drivers' probes after a change of primary.
-        Fixtures g = new Fixtures().group(1, 2).roles(5, 2);
-        g.says(100, 2, Role.PRIMARY, 100);
-        assertThat(of(Kind.PROBE, g.until(2000))).isEmpty();
-        g.txn(2001, "w", WRITE, 3000);
-        assertThat(of(Kind.PROBE, g.until(2001))).hasSize(1);
+        Fixtures g = new Fixtures().withGroup(1, 2).rolesReported(5, 2);
+        g.memberReports(100, 2, Role.PRIMARY, 100);
+        assertThat(of(Kind.PROBE, g.decisionsUntil(2000))).isEmpty();
+        g.txnArrives(2001, "w", WRITE, 3000);
+        assertThat(of(Kind.PROBE, g.decisionsUntil(2001))).hasSize(1);
     }
 
     @Test
     void timeOutsAtACrowdedReplicaBringItsShareDown() {
         // Guards against a replica that answers nothing in time any more and is sent as much as
         // before.
-        Fixtures g = new Fixtures().group(1, 2).roles(5, 2);
+        Fixtures g = new Fixtures().withGroup(1, 2).rolesReported(5, 2);
         int sent = 0;
         for (int i = 10; i < 6000; i += 100) {
-            g.says(i, 2, Role.REPLICA, i);
-            g.txn(i, "a" + i, READ, 2000);
-            g.txn(i, "b" + i, READ, 2000);
+            g.memberReports(i, 2, Role.REPLICA, i);
+            g.txnArrives(i, "a" + i, READ, 2000);
+            g.txnArrives(i, "b" + i, READ, 2000);
             for (Decision d : of(Kind.SUBMIT, g.decisions(i))) {
                 boolean sign = d.member() != 2 || sent++ % 2 == 0;
-                g.ends(
+                g.submissionEnds(
                         i + (sign ? 1 : 2),
                         d.txn(),
                         d.submission(),
@@ -479,77 +493,83 @@
     @Test
     void aFreshDriverWithAnEmptyListHoldsAndThenDeclines() {
         // Guards against a fault where a driver restarts while the list calls all members gone.
-        Fixtures g = new Fixtures().group();
-        g.txn(10, "r", READ, 2000);
-        g.txn(10, "w", WRITE, 3000);
-        assertThat(of(Kind.DECLINE, g.until(4000)))
+        Fixtures g = new Fixtures().withGroup();
+        g.txnArrives(10, "r", READ, 2000);
+        g.txnArrives(10, "w", WRITE, 3000);
+        assertThat(of(Kind.DECLINE, g.decisionsUntil(4000)))
                 .extracting(Decision::txn)
                 .containsExactly("r", "w");
     }
 
     @Test
     void whatIsOutForAClientThatLeftIsCalledOff() {
-        Fixtures g = new Fixtures().group(1, 2).roles(5, 2);
-        g.txn(10, "w", WRITE, 3000);
+        Fixtures g = new Fixtures().withGroup(1, 2).rolesReported(5, 2);
+        g.txnArrives(10, "w", WRITE, 3000);
         assertThat(of(Kind.SUBMIT, g.decisions(10))).hasSize(1);
-        g.router.txnAbandoned(at(20), "w");
+        g.router.txnAbandoned(millis(20), "w");
         assertThat(of(Kind.CANCEL, g.decisions(20))).extracting(Decision::txn).containsExactly("w");
-        g.ends(21, "w", 0, 1, Outcome.CANCELLED, Role.UNKNOWN);
+        g.submissionEnds(21, "w", 0, 1, Outcome.CANCELLED, Role.UNKNOWN);
         assertThat(g.decisions(21)).isEmpty();
     }
 
     @Test
     void whatWaitedForItsConnectionGoesOnlyWhileTheRulesAllowIt() {
-        Fixtures g = new Fixtures().group(1, 2, 3).roles(5, 2, 3);
-        g.txn(10, "r", READ, 2000);
+        Fixtures g = new Fixtures().withGroup(1, 2, 3).rolesReported(5, 2, 3);
+        g.txnArrives(10, "r", READ, 2000);
         long m = of(Kind.SUBMIT, g.decisions(10)).get(0).member();
-        assertThat(g.router.mayStillSend(at(200), "r", m)).isTrue();
-        assertThat(g.router.mayStillSend(at(1100), "r", m))
+        assertThat(g.router.mayStillSend(millis(200), "r", m)).isTrue();
+        assertThat(g.router.mayStillSend(millis(1100), "r", m))
                 .as("its data is too old by then")
                 .isFalse();
-        assertThat(g.router.mayStillSend(at(1100), "r", 1)).as("the primary's never is").isTrue();
-        g.router.memberListStarted(at(300), false);
-        g.listed(300, m, true, null);
-        g.router.memberListEnded(at(300));
-        assertThat(g.router.mayStillSend(at(300), "r", m)).as("it drains").isFalse();
-        g.router.txnAbandoned(at(301), "r");
-        assertThat(g.router.mayStillSend(at(301), "r", 1)).as("nobody waits for it").isFalse();
+        assertThat(g.router.mayStillSend(millis(1100), "r", 1))
+                .as("the primary's never is")
+                .isTrue();
+        g.router.memberListStarted(millis(300), false);
+        g.memberListed(300, m, true, null);
+        g.router.memberListEnded(millis(300));
+        assertThat(g.router.mayStillSend(millis(300), "r", m)).as("it drains").isFalse();
+        g.router.txnAbandoned(millis(301), "r");
+        assertThat(g.router.mayStillSend(millis(301), "r", 1)).as("nobody waits for it").isFalse();
     }
 
     @Test
     void aMemberThatIsGoneIsLetGoOnceItHoldsNothing() {
-        Fixtures g = new Fixtures().group(1, 2).roles(5, 2);
-        g.txn(10, "r", READ, 2000);
+        Fixtures g = new Fixtures().withGroup(1, 2).rolesReported(5, 2);
+        g.txnArrives(10, "r", READ, 2000);
         assertThat(of(Kind.SUBMIT, g.decisions(10)))
                 .extracting(Decision::member)
                 .containsExactly(2L);
         gone(g, 20);
         assertThat(g.router.knowsMember(2)).isTrue();
-        g.ends(30, "r", 0, 2, Outcome.COMMITTED, Role.REPLICA);
+        g.submissionEnds(30, "r", 0, 2, Outcome.COMMITTED, Role.REPLICA);
         gone(g, 40);
         assertThat(g.router.knowsMember(2)).isFalse();
         // Under its id it may come again, and then it is what the list says of it.
-        g.listed(50, 2, true, null);
-        g.router.memberListEnded(at(50));
-        g.says(60, 2, Role.REPLICA, 60);
-        g.txn(70, "s", READ, 2000);
+        g.memberListed(50, 2, true, null);
+        g.router.memberListEnded(millis(50));
+        g.memberReports(60, 2, Role.REPLICA, 60);
+        g.txnArrives(70, "s", READ, 2000);
         assertThat(of(Kind.SUBMIT, g.decisions(70)))
                 .extracting(Decision::member)
                 .doesNotContain(2L);
     }
 
     private static void gone(Fixtures g, long now) {
-        g.router.memberListStarted(at(now), false);
-        g.router.memberListed(at(now), 2, 7, 0, 0, 1, false, false, true, null);
-        g.router.memberListEnded(at(now));
+        g.router.memberListStarted(millis(now), false);
+        g.router.memberListed(millis(now), 2, 7, 0, 0, 1, false, false, true, null);
+        g.router.memberListEnded(millis(now));
     }
 
     @Test
     void whereTheListDoesNotBindOneThatIsGoneStaysUntilItIsLost() {
-        Fixtures g = new Fixtures().with("removal-not-binding", true).group(1, 2).roles(5, 2);
+        Fixtures g =
+                new Fixtures()
+                        .withSetting("removal-not-binding", true)
+                        .withGroup(1, 2)
+                        .rolesReported(5, 2);
         gone(g, 20);
         assertThat(g.router.knowsMember(2)).isTrue();
-        g.router.probeEnded(at(30), 2, false, at(250));
+        g.router.probeEnded(millis(30), 2, false, millis(250));
         gone(g, 9000);
         assertThat(g.router.knowsMember(2)).isTrue();
         gone(g, 20_000);
@@ -560,80 +580,89 @@
     void sessionsWhoseLastWriteIsLongAgoAreHeldToTheLatestOfThoseTogether() {
         Fixtures g =
                 new Fixtures()
-                        .with("session-marks", "router")
-                        .type(READ, "repeatable", "own-writes", 600, 2000);
-        g.group(1, 2).roles(5, 2);
+                        .withSetting("session-marks", "router")
+                        .withTxnType(READ, "repeatable", "own-writes", 600, 2000);
+        g.withGroup(1, 2).rolesReported(5, 2);
         committed(g, 100, "w", 5);
         committed(g, 70_000, "x", 6);
-        g.says(70_010, 2, Role.REPLICA, 90);
+        g.memberReports(70_010, 2, Role.REPLICA, 90);
         // Its own write is no longer known, so it must see what any of that time wrote.
-        g.router.txnArrived(at(70_020), "r", READ, 7, at(2000), 99, null, false, at(0));
+        g.router.txnArrived(millis(70_020), "r", READ, 7, millis(2000), 99, null, false, millis(0));
         assertThat(of(Kind.SUBMIT, g.decisions(70_020)))
                 .extracting(Decision::member)
                 .doesNotContain(2L);
-        g.says(70_030, 2, Role.REPLICA, 200);
+        g.memberReports(70_030, 2, Role.REPLICA, 200);
         assertThat(of(Kind.SUBMIT, g.decisions(70_030)))
                 .extracting(Decision::member)
                 .doesNotContain(1L);
     }
 
     private static void committed(Fixtures g, long now, String id, long session) {
-        g.router.txnArrived(at(now), id, WRITE, 7, at(3000), session, null, false, at(0));
+        g.router.txnArrived(
+                millis(now), id, WRITE, 7, millis(3000), session, null, false, millis(0));
         g.decisions(now);
         g.router.submissionEnded(
-                at(now + 5), id, 0, 1, Outcome.COMMITTED, at(5), true, Role.PRIMARY, at(now));
+                millis(now + 5),
+                id,
+                0,
+                1,
+                Outcome.COMMITTED,
+                millis(5),
+                true,
+                Role.PRIMARY,
+                millis(now));
         g.decisions(now + 5);
     }
 
     @Test
     void aReadAsksAPrimaryThatIsSilentOnOneConnection() {
-        Fixtures g = new Fixtures().group(1, 2).roles(5, 2);
-        g.txn(10, "stuck", WRITE, 3000);
+        Fixtures g = new Fixtures().withGroup(1, 2).rolesReported(5, 2);
+        g.txnArrives(10, "stuck", WRITE, 3000);
         g.decisions(10);
-        g.txn(1400, "held", WRITE, 3000);
+        g.txnArrives(1400, "held", WRITE, 3000);
         assertThat(of(Kind.SUBMIT, g.decisions(1400))).isEmpty();
-        g.txn(1410, "r", READ, 2000);
-        g.txn(1410, "s", READ, 2000);
+        g.txnArrives(1410, "r", READ, 2000);
+        g.txnArrives(1410, "s", READ, 2000);
         // One read, not more, and its answer proves the primary; the stuck write counts for nothing
         // from then on.
         List<Decision> submitted = of(Kind.SUBMIT, g.decisions(1410));
         assertThat(submitted).extracting(Decision::member).containsOnlyOnce(1L);
         String test = submitted.stream().filter(d -> d.member() == 1).findFirst().get().txn();
-        g.ends(1420, test, 0, 1, Outcome.COMMITTED, Role.PRIMARY);
+        g.submissionEnds(1420, test, 0, 1, Outcome.COMMITTED, Role.PRIMARY);
         assertThat(of(Kind.SUBMIT, g.decisions(1420))).extracting(Decision::txn).contains("held");
-        g.ends(1430, "held", 0, 1, Outcome.COMMITTED, Role.PRIMARY);
-        g.txn(2900, "next", WRITE, 3000);
+        g.submissionEnds(1430, "held", 0, 1, Outcome.COMMITTED, Role.PRIMARY);
+        g.txnArrives(2900, "next", WRITE, 3000);
         assertThat(of(Kind.SUBMIT, g.decisions(2900))).extracting(Decision::txn).contains("next");
     }
 
     @Test
     void aPrimaryInDoubtServesReadsAsFarAsItsPositionIsProven() {
-        Fixtures g = new Fixtures().group(1, 2).roles(5);
-        g.txn(10, "w", WRITE, 3000);
+        Fixtures g = new Fixtures().withGroup(1, 2).rolesReported(5);
+        g.txnArrives(10, "w", WRITE, 3000);
         g.decisions(10);
-        g.ends(20, "w", 0, 1, Outcome.RESET, Role.UNKNOWN);
+        g.submissionEnds(20, "w", 0, 1, Outcome.RESET, Role.UNKNOWN);
         // Nothing is known of the replica; the primary's position is proven for 5, which the bound
         // of 1000 allows yet.
-        g.txn(30, "r", READ, 2000);
+        g.txnArrives(30, "r", READ, 2000);
         assertThat(of(Kind.SUBMIT, g.decisions(30)))
                 .extracting(Decision::member)
                 .containsExactly(1L);
-        g.txn(1100, "late", READ, 2000);
+        g.txnArrives(1100, "late", READ, 2000);
         assertThat(of(Kind.SUBMIT, g.decisions(1100))).isEmpty();
     }
 
     @Test
     void aNewerYesEndsBeingLeftAloneForBrokenConnections() {
-        Fixtures g = new Fixtures().group(1, 2).roles(5, 2);
+        Fixtures g = new Fixtures().withGroup(1, 2).rolesReported(5, 2);
         for (int i = 0; i < 2; i++) {
-            g.txn(10 + i, "w" + i, WRITE, 3000);
+            g.txnArrives(10 + i, "w" + i, WRITE, 3000);
         }
         g.decisions(12);
-        g.ends(20, "w0", 0, 1, Outcome.RESET, Role.UNKNOWN);
-        g.ends(21, "w1", 0, 1, Outcome.RESET, Role.UNKNOWN);
-        g.txn(30, "next", WRITE, 3000);
+        g.submissionEnds(20, "w0", 0, 1, Outcome.RESET, Role.UNKNOWN);
+        g.submissionEnds(21, "w1", 0, 1, Outcome.RESET, Role.UNKNOWN);
+        g.txnArrives(30, "next", WRITE, 3000);
         assertThat(of(Kind.SUBMIT, g.decisions(30))).isEmpty();
-        g.says(40, 1, Role.PRIMARY, 38);
+        g.memberReports(40, 1, Role.PRIMARY, 38);
         assertThat(of(Kind.SUBMIT, g.decisions(40)))
                 .extracting(Decision::txn)
                 .containsExactly("next");
@@ -641,11 +670,19 @@
 
     @Test
     void oneConnectionThatCouldNotBeMadeIsNoLoss() {
-        Fixtures g = new Fixtures().group(1, 2).roles(5, 2);
-        g.txn(10, "r", READ, 2000);
+        Fixtures g = new Fixtures().withGroup(1, 2).rolesReported(5, 2);
+        g.txnArrives(10, "r", READ, 2000);
         g.decisions(10);
         g.router.submissionEnded(
-                at(200), "r", 0, 2, Outcome.UNREACHABLE, at(190), false, Role.UNKNOWN, null);
+                millis(200),
+                "r",
+                0,
+                2,
+                Outcome.UNREACHABLE,
+                millis(190),
+                false,
+                Role.UNKNOWN,
+                null);
         assertThat(of(Kind.SUBMIT, g.decisions(200)))
                 .extracting(Decision::member)
                 .containsExactly(2L);
@@ -655,13 +692,15 @@
     void timeAtTheDoorCountsAsTheTxnsOwn() {
         // Nobody can serve either of them: each is given up at half of its SLA time, counted from
         // its arrival.
-        Fixtures g = new Fixtures().group(1);
-        g.router.txnArrived(at(1000), "waited", READ, 7, at(1800), -1, null, false, at(200));
-        g.router.txnArrived(at(1000), "fresh", READ, 7, at(2000), -1, null, false, at(0));
-        assertThat(of(Kind.DECLINE, g.until(1150)))
+        Fixtures g = new Fixtures().withGroup(1);
+        g.router.txnArrived(
+                millis(1000), "waited", READ, 7, millis(1800), -1, null, false, millis(200));
+        g.router.txnArrived(
+                millis(1000), "fresh", READ, 7, millis(2000), -1, null, false, millis(0));
+        assertThat(of(Kind.DECLINE, g.decisionsUntil(1150)))
                 .extracting(Decision::txn)
                 .containsExactly("waited");
-        assertThat(of(Kind.DECLINE, g.until(1299)))
+        assertThat(of(Kind.DECLINE, g.decisionsUntil(1299)))
                 .extracting(Decision::txn)
                 .containsExactly("fresh");
     }
@@ -672,9 +711,12 @@
      */
     @Test
     void aReadThatMustBeCurrentGoesToThePrimaryAlone() {
-        Fixtures g = new Fixtures().type(WRITE, "repeatable", "latest", 600, 2000).group(1, 2);
-        g.says(4000, 1, Role.PRIMARY, 3000);
-        g.txn(4010, "r", WRITE, 2000);
+        Fixtures g =
+                new Fixtures()
+                        .withTxnType(WRITE, "repeatable", "latest", 600, 2000)
+                        .withGroup(1, 2);
+        g.memberReports(4000, 1, Role.PRIMARY, 3000);
+        g.txnArrives(4010, "r", WRITE, 2000);
         assertThat(of(Kind.SUBMIT, g.decisions(4010)))
                 .extracting(Decision::member)
                 .containsExactly(1L);
@@ -686,22 +728,22 @@
      */
     @Test
     void writesSentToACrowdedPrimaryFollowThoseAnsweredInTime() {
-        Fixtures g = new Fixtures().group(1, 2).roles(5, 2);
+        Fixtures g = new Fixtures().withGroup(1, 2).rolesReported(5, 2);
         int sent = 0;
         for (int i = 10; i < 8000; i += 100) {
-            g.txn(i, "w" + i, WRITE, 3000);
+            g.txnArrives(i, "w" + i, WRITE, 3000);
             for (Decision d : of(Kind.SUBMIT, g.decisions(i))) {
                 sent++;
                 g.router.submissionEnded(
-                        at(i),
+                        millis(i),
                         d.txn(),
                         d.submission(),
                         d.member(),
                         Outcome.COMMITTED,
-                        at(2500),
+                        millis(2500),
                         true,
                         Role.PRIMARY,
-                        at(i));
+                        millis(i));
             }
         }
         assertThat(sent).isBetween(3, 20);
@@ -709,12 +751,12 @@
 
     private static void turnedAway(Fixtures g, long now, String id, int submission, long member) {
         g.router.submissionEnded(
-                at(now),
+                millis(now),
                 id,
                 submission,
                 member,
                 Outcome.UNREACHABLE,
-                at(0),
+                millis(0),
                 false,
                 Role.UNKNOWN,
                 null);
@@ -726,15 +768,17 @@
      */
     @Test
     void aPrimaryThatTurnsAConnectionAwayAtOnceIsAskedAloneAndKept() {
-        Fixtures g = new Fixtures().group(1, 2, 3).roles(5, 2, 3);
-        g.txn(10, "w", WRITE, 3000);
+        Fixtures g = new Fixtures().withGroup(1, 2, 3).rolesReported(5, 2, 3);
+        g.txnArrives(10, "w", WRITE, 3000);
         g.decisions(10);
         turnedAway(g, 11, "w", 0, 1);
         assertThat(of(Kind.PROBE, g.decisions(11)))
                 .extracting(Decision::member)
                 .containsExactly(1L);
-        g.says(13, 1, Role.PRIMARY, 5);
-        assertThat(of(Kind.SUBMIT, g.until(400))).extracting(Decision::member).containsExactly(1L);
+        g.memberReports(13, 1, Role.PRIMARY, 5);
+        assertThat(of(Kind.SUBMIT, g.decisionsUntil(400)))
+                .extracting(Decision::member)
+                .containsExactly(1L);
         assertThat(g.log).noneMatch(line -> line.contains("search"));
     }
 
@@ -744,12 +788,12 @@
      */
     @Test
     void aPrimaryThatTurnsAConnectionAwayAndAnswersNoProbeIsSearchedFor() {
-        Fixtures g = new Fixtures().group(1, 2, 3).roles(5, 2, 3);
-        g.txn(10, "w", WRITE, 3000);
+        Fixtures g = new Fixtures().withGroup(1, 2, 3).rolesReported(5, 2, 3);
+        g.txnArrives(10, "w", WRITE, 3000);
         g.decisions(10);
         turnedAway(g, 11, "w", 0, 1);
         g.decisions(11);
-        g.router.probeEnded(at(13), 1, false, at(2));
+        g.router.probeEnded(millis(13), 1, false, millis(2));
         assertThat(of(Kind.PROBE, g.decisions(13)))
                 .extracting(Decision::member)
                 .containsExactly(1L, 2L, 3L);
@@ -763,20 +807,30 @@
     }
 
     private static int sentAtALimitOfTwo(double drivers) {
-        Fixtures g = new Fixtures().with("drivers", drivers).group(1, 2).roles(5, 2);
+        Fixtures g =
+                new Fixtures().withSetting("drivers", drivers).withGroup(1, 2).rolesReported(5, 2);
         for (String id : List.of("a", "b", "c")) {
-            g.txn(10, id, READ, 2000);
+            g.txnArrives(10, id, READ, 2000);
         }
         g.decisions(10);
         g.router.submissionEnded(
-                at(710), "a", 0, 2, Outcome.COMMITTED, at(700), true, Role.REPLICA, at(710));
+                millis(710),
+                "a",
+                0,
+                2,
+                Outcome.COMMITTED,
+                millis(700),
+                true,
+                Role.REPLICA,
+                millis(710));
         int sent = 0;
         for (int i = 711; i < 717; i++) {
-            g.txn(i, "d" + i, READ, 2000);
+            g.txnArrives(i, "d" + i, READ, 2000);
             for (Decision d : of(Kind.SUBMIT, g.decisions(i))) {
                 sent++;
-                g.router.txnAbandoned(at(i), d.txn());
-                g.ends(i, d.txn(), d.submission(), d.member(), Outcome.CANCELLED, Role.UNKNOWN);
+                g.router.txnAbandoned(millis(i), d.txn());
+                g.submissionEnds(
+                        i, d.txn(), d.submission(), d.member(), Outcome.CANCELLED, Role.UNKNOWN);
             }
         }
         return sent;
@@ -787,27 +841,32 @@
      */
     @Test
     void atRestManyDriversProbeAPrimaryLessOftenEach() {
-        Fixtures few = new Fixtures().with("drivers", 8.0).group(1, 2).roles(5, 2);
+        Fixtures few =
+                new Fixtures().withSetting("drivers", 8.0).withGroup(1, 2).rolesReported(5, 2);
         few.decisions(5);
-        assertThat(of(Kind.PROBE, few.until(24_000))).hasSize(1);
-        Fixtures many = new Fixtures().with("drivers", 250.0).group(1, 2).roles(5, 2);
+        assertThat(of(Kind.PROBE, few.decisionsUntil(24_000))).hasSize(1);
+        Fixtures many =
+                new Fixtures().withSetting("drivers", 250.0).withGroup(1, 2).rolesReported(5, 2);
         many.decisions(5);
-        assertThat(of(Kind.PROBE, many.until(24_000))).isEmpty();
-        assertThat(of(Kind.PROBE, many.until(26_000)))
+        assertThat(of(Kind.PROBE, many.decisionsUntil(24_000))).isEmpty();
+        assertThat(of(Kind.PROBE, many.decisionsUntil(26_000)))
                 .extracting(Decision::member)
                 .containsExactly(1L);
     }
 
     @Test
     void afterAChangeManyDriversProbeTheNewPrimaryLessOftenEach() {
-        Fixtures g = new Fixtures().with("drivers", 250.0).group(1, 2).roles(5, 2);
-        g.txn(10, "w", WRITE, 3000);
+        Fixtures g =
+                new Fixtures().withSetting("drivers", 250.0).withGroup(1, 2).rolesReported(5, 2);
+        g.txnArrives(10, "w", WRITE, 3000);
         g.decisions(10);
-        g.ends(20, "w", 0, 1, Outcome.MISSED, Role.REPLICA);
+        g.submissionEnds(20, "w", 0, 1, Outcome.MISSED, Role.REPLICA);
         g.decisions(20);
-        g.says(30, 2, Role.PRIMARY, 28);
+        g.memberReports(30, 2, Role.PRIMARY, 28);
         g.decisions(30);
-        assertThat(of(Kind.PROBE, g.until(135))).extracting(Decision::member).doesNotContain(2L);
+        assertThat(of(Kind.PROBE, g.decisionsUntil(135)))
+                .extracting(Decision::member)
+                .doesNotContain(2L);
     }
 
     /**
@@ -816,14 +875,15 @@
      */
     @Test
     void aMemberThatReportsMoreWaitingThanItAnswersInTimeGetsNothing() {
-        Fixtures g = new Fixtures().with("drivers", 250.0).group(1, 2).roles(5, 2);
-        g.router.memberReported(at(8), 2, Role.REPLICA, at(8), Double.NaN, 20, 0.3);
-        g.txn(10, "r", READ, 2000);
+        Fixtures g =
+                new Fixtures().withSetting("drivers", 250.0).withGroup(1, 2).rolesReported(5, 2);
+        g.router.memberReported(millis(8), 2, Role.REPLICA, millis(8), Double.NaN, 20, 0.3);
+        g.txnArrives(10, "r", READ, 2000);
         assertThat(of(Kind.SUBMIT, g.decisions(10)))
                 .extracting(Decision::member)
                 .doesNotContain(2L);
-        g.router.memberReported(at(20), 2, Role.REPLICA, at(20), Double.NaN, 0, 0.3);
-        g.txn(21, "s", READ, 2000);
+        g.router.memberReported(millis(20), 2, Role.REPLICA, millis(20), Double.NaN, 0, 0.3);
+        g.txnArrives(21, "s", READ, 2000);
         assertThat(of(Kind.SUBMIT, g.decisions(21))).extracting(Decision::member).contains(2L);
     }
 
@@ -833,21 +893,21 @@
      */
     @Test
     void whereConnectionsAreRefusedOneThatIsNoLongerNeededIsReleased() {
-        Fixtures g = new Fixtures().group(1, 2, 3).roles(5, 2, 3);
-        g.txn(10, "a", READ, 2000);
+        Fixtures g = new Fixtures().withGroup(1, 2, 3).rolesReported(5, 2, 3);
+        g.txnArrives(10, "a", READ, 2000);
         Decision first = of(Kind.SUBMIT, g.decisions(10)).get(0);
-        g.ends(20, "a", 0, first.member(), Outcome.COMMITTED, Role.REPLICA);
+        g.submissionEnds(20, "a", 0, first.member(), Outcome.COMMITTED, Role.REPLICA);
         assertThat(of(Kind.RELEASE, g.decisions(20))).isEmpty();
         for (String id : List.of("b", "c")) {
-            g.txn(30, id, READ, 2000);
+            g.txnArrives(30, id, READ, 2000);
             Decision refused = of(Kind.SUBMIT, g.decisions(30)).get(0);
             turnedAway(g, 31, id, 0, refused.member());
-            g.router.txnAbandoned(at(31), id);
+            g.router.txnAbandoned(millis(31), id);
         }
         g.decisions(31);
-        g.txn(400, "d", READ, 2000);
+        g.txnArrives(400, "d", READ, 2000);
         Decision last = of(Kind.SUBMIT, g.decisions(400)).get(0);
-        g.ends(410, "d", 0, last.member(), Outcome.COMMITTED, Role.REPLICA);
+        g.submissionEnds(410, "d", 0, last.member(), Outcome.COMMITTED, Role.REPLICA);
         assertThat(of(Kind.RELEASE, g.decisions(410)))
                 .extracting(Decision::member)
                 .containsExactly(last.member());
@@ -861,16 +921,16 @@
     void aLowMemberNotHeardOfLatelyIsAskedBeforeAReadGoesThere() {
         Fixtures g =
                 new Fixtures()
-                        .with("drivers", 250.0)
-                        .type(READ, "repeatable", "loose", 600, 2000)
-                        .group(1, 2)
-                        .roles(5, 2);
-        g.router.memberReported(at(8), 2, Role.REPLICA, at(8), Double.NaN, 0, 0.3);
-        g.txn(10, "a", READ, 2000);
+                        .withSetting("drivers", 250.0)
+                        .withTxnType(READ, "repeatable", "loose", 600, 2000)
+                        .withGroup(1, 2)
+                        .rolesReported(5, 2);
+        g.router.memberReported(millis(8), 2, Role.REPLICA, millis(8), Double.NaN, 0, 0.3);
+        g.txnArrives(10, "a", READ, 2000);
         g.decisions(10);
         g.router.submissionEnded(
-                at(700), "a", 0, 2, Outcome.TIMED_OUT, at(690), false, Role.UNKNOWN, null);
-        g.router.txnAbandoned(at(701), "a");
+                millis(700), "a", 0, 2, Outcome.TIMED_OUT, millis(690), false, Role.UNKNOWN, null);
+        g.router.txnAbandoned(millis(701), "a");
         // Work for it is saved up slowly; until there is enough, nothing is sent and nobody is
         // asked.
         List<Decision> all = List.of();
@@ -879,16 +939,17 @@
                 now < 200_000 && of(Kind.PROBE, all).stream().noneMatch(d -> d.member() == 2);
                 now += 1000) {
             assertThat(of(Kind.SUBMIT, all)).extracting(Decision::member).doesNotContain(2L);
-            g.txn(now, "b" + now, READ, 2000);
+            g.txnArrives(now, "b" + now, READ, 2000);
             all = g.decisions(now);
             for (Decision d : of(Kind.SUBMIT, all)) {
-                g.ends(now, d.txn(), d.submission(), d.member(), Outcome.COMMITTED, Role.PRIMARY);
+                g.submissionEnds(
+                        now, d.txn(), d.submission(), d.member(), Outcome.COMMITTED, Role.PRIMARY);
             }
         }
         assertThat(of(Kind.SUBMIT, all)).extracting(Decision::member).doesNotContain(2L);
-        g.router.memberReported(at(now), 2, Role.REPLICA, at(now), Double.NaN, 0, 0.3);
-        g.router.probeEnded(at(now), 2, true, at(1));
-        g.txn(now, "c", READ, 2000);
+        g.router.memberReported(millis(now), 2, Role.REPLICA, millis(now), Double.NaN, 0, 0.3);
+        g.router.probeEnded(millis(now), 2, true, millis(1));
+        g.txnArrives(now, "c", READ, 2000);
         assertThat(of(Kind.SUBMIT, g.decisions(now))).extracting(Decision::member).contains(2L);
     }
 
@@ -900,16 +961,16 @@
     void aReadThatMustBeCurrentIsNotSentToWhatIsNoLongerThePrimary() {
         Fixtures g =
                 new Fixtures()
-                        .type(READ, "repeatable", "latest", 600, 2000)
-                        .group(1, 2)
-                        .roles(5, 2);
-        g.txn(10, "r", READ, 2000);
+                        .withTxnType(READ, "repeatable", "latest", 600, 2000)
+                        .withGroup(1, 2)
+                        .rolesReported(5, 2);
+        g.txnArrives(10, "r", READ, 2000);
         assertThat(of(Kind.SUBMIT, g.decisions(10)))
                 .extracting(Decision::member)
                 .containsExactly(1L);
-        assertThat(g.router.mayStillSend(at(20), "r", 1)).isTrue();
-        g.says(30, 2, Role.PRIMARY, 28);
-        assertThat(g.router.mayStillSend(at(40), "r", 1)).isFalse();
+        assertThat(g.router.mayStillSend(millis(20), "r", 1)).isTrue();
+        g.memberReports(30, 2, Role.PRIMARY, 28);
+        assertThat(g.router.mayStillSend(millis(40), "r", 1)).isFalse();
     }
 
     /**
@@ -918,13 +979,16 @@
      */
     @Test
     void aCrowdedPrimaryIsAskedAgainWhileWritesWaitAndUsedOnceItReportsLittle() {
-        Fixtures g = new Fixtures().with("drivers", 250.0).group(1, 2).roles(5, 2);
-        g.router.memberReported(at(8), 1, Role.PRIMARY, at(8), Double.NaN, 20, 0.3);
-        g.txn(10, "w", WRITE, 3000);
+        Fixtures g =
+                new Fixtures().withSetting("drivers", 250.0).withGroup(1, 2).rolesReported(5, 2);
+        g.router.memberReported(millis(8), 1, Role.PRIMARY, millis(8), Double.NaN, 20, 0.3);
+        g.txnArrives(10, "w", WRITE, 3000);
         assertThat(of(Kind.SUBMIT, g.decisions(10))).isEmpty();
-        assertThat(of(Kind.PROBE, g.until(700))).extracting(Decision::member).containsExactly(1L);
-        g.router.memberReported(at(702), 1, Role.PRIMARY, at(702), Double.NaN, 0, 0.3);
-        g.router.probeEnded(at(702), 1, true, at(1));
+        assertThat(of(Kind.PROBE, g.decisionsUntil(700)))
+                .extracting(Decision::member)
+                .containsExactly(1L);
+        g.router.memberReported(millis(702), 1, Role.PRIMARY, millis(702), Double.NaN, 0, 0.3);
+        g.router.probeEnded(millis(702), 1, true, millis(1));
         assertThat(of(Kind.SUBMIT, g.decisions(702)))
                 .extracting(Decision::member)
                 .containsExactly(1L);
@@ -940,23 +1004,23 @@
     void aRepeatIsNotSentOnceItsWindowIsOver() {
         Fixtures g =
                 new Fixtures()
-                        .type(WRITE, "referenced", "update", 600, 3000)
-                        .with("txn-type.1.window", at(300))
-                        .group(1, 2)
-                        .roles(5, 2);
-        g.txn(10, "w", WRITE, 3000);
+                        .withTxnType(WRITE, "referenced", "update", 600, 3000)
+                        .withSetting("txn-type.1.window", millis(300))
+                        .withGroup(1, 2)
+                        .rolesReported(5, 2);
+        g.txnArrives(10, "w", WRITE, 3000);
         assertThat(of(Kind.SUBMIT, g.decisions(10))).hasSize(1);
-        assertThat(g.router.mayStillSend(at(400), "w", 1))
+        assertThat(g.router.mayStillSend(millis(400), "w", 1))
                 .as("the first attempt is bound by no window")
                 .isTrue();
-        g.ends(200, "w", 0, 1, Outcome.ERROR, Role.PRIMARY);
-        g.says(205, 1, Role.PRIMARY, 205);
+        g.submissionEnds(200, "w", 0, 1, Outcome.ERROR, Role.PRIMARY);
+        g.memberReports(205, 1, Role.PRIMARY, 205);
         assertThat(of(Kind.SUBMIT, g.decisions(206)))
                 .extracting(Decision::submission)
                 .containsExactly(1);
-        assertThat(g.router.mayStillSend(at(290), "w", 1)).isTrue();
-        assertThat(g.router.mayStillSend(at(310), "w", 1)).isFalse();
-        g.ends(310, "w", 1, 1, Outcome.MOOT, Role.UNKNOWN);
+        assertThat(g.router.mayStillSend(millis(290), "w", 1)).isTrue();
+        assertThat(g.router.mayStillSend(millis(310), "w", 1)).isFalse();
+        g.submissionEnds(310, "w", 1, 1, Outcome.MOOT, Role.UNKNOWN);
         assertThat(g.decisions(311))
                 .extracting(Decision::kind)
                 .contains(Kind.ROLL_BACK)
@@ -967,15 +1031,15 @@
     void aRepeatableReadGoesAgainWhateverTheWindow() {
         Fixtures g =
                 new Fixtures()
-                        .type(READ, "repeatable", "loose", 600, 2000)
-                        .with("txn-type.0.window", at(100))
-                        .group(1, 2, 3)
-                        .roles(5, 2, 3);
-        g.txn(10, "r", READ, 2000);
+                        .withTxnType(READ, "repeatable", "loose", 600, 2000)
+                        .withSetting("txn-type.0.window", millis(100))
+                        .withGroup(1, 2, 3)
+                        .rolesReported(5, 2, 3);
+        g.txnArrives(10, "r", READ, 2000);
         long first = of(Kind.SUBMIT, g.decisions(10)).get(0).member();
-        g.ends(50, "r", 0, first, Outcome.RESET, Role.UNKNOWN);
+        g.submissionEnds(50, "r", 0, first, Outcome.RESET, Role.UNKNOWN);
         Decision again = of(Kind.SUBMIT, g.decisions(50)).get(0);
-        assertThat(g.router.mayStillSend(at(400), "r", again.member())).isTrue();
+        assertThat(g.router.mayStillSend(millis(400), "r", again.member())).isTrue();
     }
 
     /**
@@ -983,15 +1047,15 @@
      */
     @Test
     void aWriteIsNotSentToWhatIsNoLongerThePrimary() {
-        Fixtures g = new Fixtures().group(1, 2).roles(5, 2);
-        g.txn(10, "w", WRITE, 3000);
+        Fixtures g = new Fixtures().withGroup(1, 2).rolesReported(5, 2);
+        g.txnArrives(10, "w", WRITE, 3000);
         assertThat(of(Kind.SUBMIT, g.decisions(10)))
                 .extracting(Decision::member)
                 .containsExactly(1L);
-        assertThat(g.router.mayStillSend(at(20), "w", 1)).isTrue();
-        g.says(30, 2, Role.PRIMARY, 28);
-        assertThat(g.router.mayStillSend(at(40), "w", 1)).isFalse();
-        g.ends(40, "w", 0, 1, Outcome.MOOT, Role.UNKNOWN);
+        assertThat(g.router.mayStillSend(millis(20), "w", 1)).isTrue();
+        g.memberReports(30, 2, Role.PRIMARY, 28);
+        assertThat(g.router.mayStillSend(millis(40), "w", 1)).isFalse();
+        g.submissionEnds(40, "w", 0, 1, Outcome.MOOT, Role.UNKNOWN);
         assertThat(of(Kind.SUBMIT, g.decisions(40)))
                 .extracting(Decision::member)
                 .containsExactly(2L);
@@ -1005,22 +1069,22 @@
     void whereTheHostEndsAllThatIsOpenHasItsAnswerByThen() {
         Fixtures g =
                 new Fixtures()
-                        .type(WRITE, "once-only", "update", 600, 60_000)
-                        .group(1, 2)
-                        .roles(5, 2);
-        g.txn(10, "out", WRITE, 60_000);
+                        .withTxnType(WRITE, "once-only", "update", 600, 60_000)
+                        .withGroup(1, 2)
+                        .rolesReported(5, 2);
+        g.txnArrives(10, "out", WRITE, 60_000);
         assertThat(of(Kind.SUBMIT, g.decisions(10))).hasSize(1);
         g.router.memberReported(
-                at(20), 1, Role.REPLICA, at(20), Double.NaN, Double.NaN, Double.NaN);
-        g.txn(30, "held", WRITE, 60_000);
-        g.txn(30, "short", WRITE, 500);
-        assertThat(of(Kind.SUBMIT, g.until(40))).isEmpty();
-        g.router.answerAllBy(at(50), at(3000));
-        assertThat(g.until(2900))
+                millis(20), 1, Role.REPLICA, millis(20), Double.NaN, Double.NaN, Double.NaN);
+        g.txnArrives(30, "held", WRITE, 60_000);
+        g.txnArrives(30, "short", WRITE, 500);
+        assertThat(of(Kind.SUBMIT, g.decisionsUntil(40))).isEmpty();
+        g.router.answerAllBy(millis(50), millis(3000));
+        assertThat(g.decisionsUntil(2900))
                 .extracting(Decision::txn)
                 .doesNotContain("out", "held")
                 .contains("short");
-        List<Decision> last = g.until(3000);
+        List<Decision> last = g.decisionsUntil(3000);
         assertThat(of(Kind.ROLL_BACK, last)).extracting(Decision::txn).containsExactly("out");
         assertThat(of(Kind.DECLINE, last)).extracting(Decision::txn).containsExactly("held");
     }
@@ -1033,14 +1097,14 @@
     void aFailedCallWhereListsArePushedAsksForNothing() {
         Fixtures g =
                 new Fixtures()
-                        .with("ask-within", Duration.ZERO)
-                        .with("member-list", "push")
-                        .group(1, 2)
-                        .roles(5, 2);
+                        .withSetting("ask-within", Duration.ZERO)
+                        .withSetting("member-list", "push")
+                        .withGroup(1, 2)
+                        .rolesReported(5, 2);
         g.decisions(10);
-        g.router.memberListFailed(at(20));
+        g.router.memberListFailed(millis(20));
         for (long now = 20; now < 40; now++) {
-            Decision d = g.router.nextDecision(at(now));
+            Decision d = g.router.nextDecision(millis(now));
             assertThat(d == null ? null : d.kind()).isNotEqualTo(Kind.FOLLOW_LIST);
         }
     }
@@ -1051,18 +1115,18 @@
      */
     @Test
     void aConfirmationThatIsOlderThanTheNewPrimarysIsNone() {
-        Fixtures g = new Fixtures().group(1, 2, 3).roles(5, 2, 3);
-        g.txn(10, "w", WRITE, 3000);
+        Fixtures g = new Fixtures().withGroup(1, 2, 3).rolesReported(5, 2, 3);
+        g.txnArrives(10, "w", WRITE, 3000);
         g.decisions(10);
-        g.ends(20, "w", 0, 1, Outcome.MISSED, Role.REPLICA);
+        g.submissionEnds(20, "w", 0, 1, Outcome.MISSED, Role.REPLICA);
         g.decisions(20);
-        g.says(60, 2, Role.PRIMARY, 55);
+        g.memberReports(60, 2, Role.PRIMARY, 55);
         assertThat(of(Kind.SUBMIT, g.decisions(60)))
                 .extracting(Decision::member)
                 .containsExactly(2L);
         // The former one's word from before, late.
-        g.says(70, 1, Role.PRIMARY, 15);
-        g.txn(71, "x", WRITE, 3000);
+        g.memberReports(70, 1, Role.PRIMARY, 15);
+        g.txnArrives(71, "x", WRITE, 3000);
         assertThat(of(Kind.SUBMIT, g.decisions(71)))
                 .extracting(Decision::member)
                 .containsExactly(2L);
@@ -1073,17 +1137,20 @@
      */
     @Test
     void writesThatAreWokenTwiceGoOutOnce() {
-        Fixtures g = new Fixtures().group(1, 2, 3).roles(5, 2, 3);
-        g.router.memberReported(at(8), 1, Role.REPLICA, at(8), Double.NaN, Double.NaN, Double.NaN);
-        g.txn(10, "w", WRITE, 3000);
+        Fixtures g = new Fixtures().withGroup(1, 2, 3).rolesReported(5, 2, 3);
+        g.router.memberReported(
+                millis(8), 1, Role.REPLICA, millis(8), Double.NaN, Double.NaN, Double.NaN);
+        g.txnArrives(10, "w", WRITE, 3000);
         assertThat(of(Kind.SUBMIT, g.decisions(10))).isEmpty();
-        g.says(30, 2, Role.PRIMARY, 28);
-        g.says(30, 2, Role.PRIMARY, 29);
+        g.memberReports(30, 2, Role.PRIMARY, 28);
+        g.memberReports(30, 2, Role.PRIMARY, 29);
         assertThat(of(Kind.SUBMIT, g.decisions(30)))
                 .extracting(Decision::member)
                 .containsExactly(2L);
-        g.says(31, 3, Role.PRIMARY, 30);
-        assertThat(of(Kind.SUBMIT, g.until(200))).extracting(Decision::txn).doesNotContain("w");
+        g.memberReports(31, 3, Role.PRIMARY, 30);
+        assertThat(of(Kind.SUBMIT, g.decisionsUntil(200)))
+                .extracting(Decision::txn)
+                .doesNotContain("w");
     }
 
     /**
@@ -1092,14 +1159,15 @@
      */
     @Test
     void aSearchWhoseLastWriteHasLeftEndsWithoutIt() {
-        Fixtures g = new Fixtures().group(1, 2).roles(5, 2);
-        g.router.memberReported(at(8), 1, Role.REPLICA, at(8), Double.NaN, Double.NaN, Double.NaN);
-        g.txn(10, "gone", WRITE, 3000);
+        Fixtures g = new Fixtures().withGroup(1, 2).rolesReported(5, 2);
+        g.router.memberReported(
+                millis(8), 1, Role.REPLICA, millis(8), Double.NaN, Double.NaN, Double.NaN);
+        g.txnArrives(10, "gone", WRITE, 3000);
         g.decisions(10);
-        g.router.txnAbandoned(at(29), "gone");
-        g.says(30, 2, Role.PRIMARY, 28);
+        g.router.txnAbandoned(millis(29), "gone");
+        g.memberReports(30, 2, Role.PRIMARY, 28);
         assertThat(of(Kind.SUBMIT, g.decisions(30))).isEmpty();
-        g.txn(31, "next", WRITE, 3000);
+        g.txnArrives(31, "next", WRITE, 3000);
         assertThat(of(Kind.SUBMIT, g.decisions(31)))
                 .extracting(Decision::txn)
                 .containsExactly("next");
@@ -1120,15 +1188,23 @@
                     Outcome.MOOT,
                     Outcome.ERROR
                 }) {
-            Fixtures g = new Fixtures().group(1, 2, 3).roles(5, 2, 3);
-            g.txn(10, "r", READ, 2000);
+            Fixtures g = new Fixtures().withGroup(1, 2, 3).rolesReported(5, 2, 3);
+            g.txnArrives(10, "r", READ, 2000);
             Decision first = of(Kind.SUBMIT, g.decisions(10)).get(0);
-            g.router.txnAbandoned(at(20), "r");
+            g.router.txnAbandoned(millis(20), "r");
             assertThat(of(Kind.CANCEL, g.decisions(20))).hasSize(1);
-            assertThat(g.router.mayStillSend(at(21), "r", first.member())).isFalse();
+            assertThat(g.router.mayStillSend(millis(21), "r", first.member())).isFalse();
             g.router.submissionEnded(
-                    at(30), "r", 0, first.member(), late, at(20), false, Role.UNKNOWN, null);
-            assertThat(g.until(3000))
+                    millis(30),
+                    "r",
+                    0,
+                    first.member(),
+                    late,
+                    millis(20),
+                    false,
+                    Role.UNKNOWN,
+                    null);
+            assertThat(g.decisionsUntil(3000))
                     .as(late.name())
                     .extracting(Decision::kind)
                     .doesNotContain(Kind.SUBMIT, Kind.DECLINE, Kind.ROLL_BACK, Kind.CANCEL);
@@ -1143,26 +1219,28 @@
     void aSilentPrimaryThatHasSaidItIsAReplicaIsAskedNoMore() {
         Fixtures g =
                 new Fixtures()
-                        .type(READ, "repeatable", "recent", 600, 3000)
-                        .with("txn-type.0.oldest-data", at(1000))
-                        .group(1, 2, 3)
-                        .roles(5, 2, 3);
-        g.txn(10, "w", WRITE, 5000);
+                        .withTxnType(READ, "repeatable", "recent", 600, 3000)
+                        .withSetting("txn-type.0.oldest-data", millis(1000))
+                        .withGroup(1, 2, 3)
+                        .rolesReported(5, 2, 3);
+        g.txnArrives(10, "w", WRITE, 5000);
         assertThat(of(Kind.SUBMIT, g.decisions(10))).hasSize(1);
         // It answers none of what it holds: writes are held, and a repeatable read asks it all the
         // same.
-        g.until(1900);
-        g.txn(1900, "v", WRITE, 5000);
-        g.txn(1900, "r", READ, 3000);
+        g.decisionsUntil(1900);
+        g.txnArrives(1900, "v", WRITE, 5000);
+        g.txnArrives(1900, "r", READ, 3000);
         assertThat(of(Kind.SUBMIT, g.decisions(1900)))
                 .extracting(Decision::txn, Decision::member)
                 .containsExactly(Tuple.tuple("r", 1L));
-        g.ends(1950, "r", 0, 1, Outcome.RESET, Role.UNKNOWN);
+        g.submissionEnds(1950, "r", 0, 1, Outcome.RESET, Role.UNKNOWN);
         // Back from its pause it is a replica, with data from before; its write has not answered
         // yet.
-        g.says(2000, 1, Role.REPLICA, 20);
-        g.txn(2001, "s", READ, 3000);
-        assertThat(of(Kind.SUBMIT, g.until(2010))).extracting(Decision::member).doesNotContain(1L);
+        g.memberReports(2000, 1, Role.REPLICA, 20);
+        g.txnArrives(2001, "s", READ, 3000);
+        assertThat(of(Kind.SUBMIT, g.decisionsUntil(2010)))
+                .extracting(Decision::member)
+                .doesNotContain(1L);
     }
 
     /**
@@ -1174,20 +1252,20 @@
         for (String reads : new String[] {"recent", "latest"}) {
             Fixtures g =
                     new Fixtures()
-                            .type(READ, "repeatable", reads, 600, 3000)
-                            .with("txn-type.0.oldest-data", at(1000))
-                            .group(1)
-                            .roles(5);
-            g.says(100, 1, Role.PRIMARY, 100);
-            g.txn(110, "r", READ, 3000);
+                            .withTxnType(READ, "repeatable", reads, 600, 3000)
+                            .withSetting("txn-type.0.oldest-data", millis(1000))
+                            .withGroup(1)
+                            .rolesReported(5);
+            g.memberReports(100, 1, Role.PRIMARY, 100);
+            g.txnArrives(110, "r", READ, 3000);
             assertThat(of(Kind.SUBMIT, g.decisions(110))).as(reads).hasSize(1);
-            g.ends(150, "r", 0, 1, Outcome.COMMITTED, Role.UNKNOWN);
-            g.until(1999);
-            g.says(2000, 1, Role.REPLICA, 90);
-            g.txn(2001, "s", READ, 3000);
-            assertThat(of(Kind.SUBMIT, g.until(2010))).as(reads).isEmpty();
-            g.says(2050, 1, Role.PRIMARY, 2045);
-            assertThat(of(Kind.SUBMIT, g.until(2060)))
+            g.submissionEnds(150, "r", 0, 1, Outcome.COMMITTED, Role.UNKNOWN);
+            g.decisionsUntil(1999);
+            g.memberReports(2000, 1, Role.REPLICA, 90);
+            g.txnArrives(2001, "s", READ, 3000);
+            assertThat(of(Kind.SUBMIT, g.decisionsUntil(2010))).as(reads).isEmpty();
+            g.memberReports(2050, 1, Role.PRIMARY, 2045);
+            assertThat(of(Kind.SUBMIT, g.decisionsUntil(2060)))
                     .as(reads)
                     .extracting(Decision::txn)
                     .containsExactly("s");
@@ -1200,16 +1278,16 @@
         for (String reads : new String[] {"recent", "latest"}) {
             Fixtures g =
                     new Fixtures()
-                            .type(READ, "repeatable", reads, 600, 3000)
-                            .with("txn-type.0.oldest-data", at(1000))
-                            .group(1)
-                            .roles(5);
-            g.says(2000, 1, Role.PRIMARY, 2000);
-            g.txn(2010, "r", READ, 3000);
+                            .withTxnType(READ, "repeatable", reads, 600, 3000)
+                            .withSetting("txn-type.0.oldest-data", millis(1000))
+                            .withGroup(1)
+                            .rolesReported(5);
+            g.memberReports(2000, 1, Role.PRIMARY, 2000);
+            g.txnArrives(2010, "r", READ, 3000);
             assertThat(of(Kind.SUBMIT, g.decisions(2010))).hasSize(1);
-            assertThat(g.router.mayStillSend(at(2015), "r", 1)).isTrue();
-            g.says(2020, 1, Role.REPLICA, 90);
-            assertThat(g.router.mayStillSend(at(3100), "r", 1)).as(reads).isFalse();
+            assertThat(g.router.mayStillSend(millis(2015), "r", 1)).isTrue();
+            g.memberReports(2020, 1, Role.REPLICA, 90);
+            assertThat(g.router.mayStillSend(millis(3100), "r", 1)).as(reads).isFalse();
         }
     }
 
@@ -1221,23 +1299,24 @@
     void manyThatStartAtOnceEachGetNoMoreThanTheirWarmPartBears() {
         Fixtures g =
                 new Fixtures()
-                        .type(READ, "repeatable", "loose", 600, 2000)
-                        .group(1, 2, 3, 4, 5, 6, 7, 8, 9, 10)
-                        .roles(5, 2, 3, 4, 5, 6, 7, 8, 9, 10);
+                        .withTxnType(READ, "repeatable", "loose", 600, 2000)
+                        .withGroup(1, 2, 3, 4, 5, 6, 7, 8, 9, 10)
+                        .rolesReported(5, 2, 3, 4, 5, 6, 7, 8, 9, 10);
         // 200 reads in a second, each answered at once: some 22 a replica.
         int[] perMember = new int[11];
         for (int ms = 10; ms < 6000; ms += 5) {
             if (ms == 5000) {
-                g.router.memberListStarted(at(ms), false);
+                g.router.memberListStarted(millis(ms), false);
                 for (long m = 2; m <= 10; m++) {
-                    g.listed(ms, m, false, at(ms));
+                    g.memberListed(ms, m, false, millis(ms));
                 }
-                g.router.memberListEnded(at(ms));
+                g.router.memberListEnded(millis(ms));
             }
-            g.txn(ms, "r" + ms, READ, 2000);
+            g.txnArrives(ms, "r" + ms, READ, 2000);
             for (Decision d : of(Kind.SUBMIT, g.decisions(ms))) {
                 perMember[(int) d.member()] += ms < 5000 ? 0 : 1;
-                g.ends(ms, d.txn(), d.submission(), d.member(), Outcome.COMMITTED, Role.UNKNOWN);
+                g.submissionEnds(
+                        ms, d.txn(), d.submission(), d.member(), Outcome.COMMITTED, Role.UNKNOWN);
             }
         }
         // Twice what a quarter to a third of a warm one's 22 comes to: at 0.35 of them, 15.
--- a/src/test/java/wingroad/work/WorkIT.java
+++ b/src/test/java/wingroad/work/WorkIT.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.parallel.ExecutionMode;
 
 import wingroad.Fixtures;
-import wingroad.Fixtures.Client;
+import wingroad.Fixtures.TestClient;
 import wingroad.fleet.FleetClient;
 import wingroad.fleet.FleetConfig;
 import wingroad.operator.OperatorFile;
@@ -48,7 +48,7 @@
                 }
             """;
     private static final String SETTINGS =
-            Fixtures.SETTINGS.replace("\"cold\":16000", "\"cold\":1000");
+            Fixtures.SETTINGS_JSON.replace("\"cold\":16000", "\"cold\":1000");
 
     /** The same with a txn type that may take a quarter of a minute. */
     private static final String LONG =
@@ -330,9 +330,10 @@
                 .anyMatch(l -> l.contains("view of the plan has ended"));
         serve(200);
         nothingSince(m2, out);
-        try (Client c = new Client(cut.port())) {
-            c.startup().heard();
-            assertThat(c.ask(Fixtures.read("served")).heard()).containsExactly("row value");
+        try (TestClient c = new TestClient(cut.port())) {
+            c.sendStartup().readResponses();
+            assertThat(c.query(Fixtures.readStatement("served")).readResponses())
+                    .containsExactly("row value");
         }
         rig.partitionFromVoters(cut.name, false);
         cut.awaitLog(from, l -> l.contains("work: the plan is known"));
@@ -418,22 +419,23 @@
         long out = System.currentTimeMillis();
         serve(100);
         nothingSince(m2, out);
-        try (Client c = new Client(cut.port())) {
-            c.startup().heard();
-            assertThat(c.ask(Fixtures.read("declined")).heard()).doesNotContain("row value");
+        try (TestClient c = new TestClient(cut.port())) {
+            c.sendStartup().readResponses();
+            assertThat(c.query(Fixtures.readStatement("declined")).readResponses())
+                    .doesNotContain("row value");
         }
         rig.partitionFromVoters(cut.name, false);
         cut.awaitLog("work: the plan is known");
     }
 
     /** Reads by d3 that stay at the members until they are let go; one at least is at m2. */
-    private List<Client> slowReads() throws Exception {
-        List<Client> slow = new ArrayList<>();
+    private List<TestClient> slowReads() throws Exception {
+        List<TestClient> slow = new ArrayList<>();
         for (int i = 0; i < 16; i++) {
-            Client c = new Client(rig.driver("d3").port());
+            TestClient c = new TestClient(rig.driver("d3").port());
             slow.add(c);
-            c.startup().heard();
-            c.ask(Fixtures.read("slow" + i).replace("c=look,d=3000", "c=long,d=20000"));
+            c.sendStartup().readResponses();
+            c.query(Fixtures.readStatement("slow" + i).replace("c=look,d=3000", "c=long,d=20000"));
         }
         m2.awaitTxn("slow");
         return slow;
@@ -442,7 +444,7 @@
     @Test
     void aLongTxnHoldsUpOutAndAWholeFleetThatIsKilledMeanwhileGoesOn() throws Exception {
         start(RULES, LONG);
-        List<Client> slow = slowReads();
+        List<TestClient> slow = slowReads();
         assertThat(want("B")).isEmpty();
         awaitWork(
                 w ->
@@ -467,7 +469,7 @@
         load.excludedDrivers.clear();
         serve(200);
         nothingSince(m2, out);
-        for (Client c : slow) {
+        for (TestClient c : slow) {
             c.close();
         }
         for (FencedMember m : List.of(m1, m2, m3)) {
@@ -599,8 +601,8 @@
     @Test
     void allIsHeldWithinASecondAndGoesOn() throws Exception {
         start(RULES, LONG);
-        Client c = new Client(rig.driver("d1").port());
-        c.startup().heard();
+        TestClient c = new TestClient(rig.driver("d1").port());
+        c.sendStartup().readResponses();
         assertThat(want("B")).isEmpty();
         awaitWork(w -> !at(w, "B", "asked"));
         long at = System.nanoTime();
@@ -710,7 +712,7 @@
     @Test
     void thePrimaryDiesWhileAReplicasMachineDrainsWhichIsPutBackAndCanLead() throws Exception {
         start(RULES, LONG);
-        List<Client> slow = slowReads();
+        List<TestClient> slow = slowReads();
         assertThat(want("B")).isEmpty();
         awaitStage("B", "draining");
         rig.setReachable(m1, false);
@@ -722,11 +724,11 @@
                                 .isPresent());
         m1.setPrimary(false);
         m2.setPrimary(true);
-        try (Client c = new Client(rig.driver("d1").port())) {
-            c.startup().heard();
+        try (TestClient c = new TestClient(rig.driver("d1").port())) {
+            c.sendStartup().readResponses();
             List<String> heard = List.of();
             for (int i = 0; i < 100 && !heard.contains("row value"); i++) {
-                heard = c.ask(Fixtures.write("lead" + i)).heard();
+                heard = c.query(Fixtures.writeStatement("lead" + i)).readResponses();
             }
             assertThat(heard).containsExactly("row value");
         }
@@ -734,7 +736,7 @@
         for (FencedMember m : List.of(m1, m2, m3)) {
             m.releaseSlowReads();
         }
-        for (Client c : slow) {
+        for (TestClient c : slow) {
             c.close();
         }
     }
