--- a/src/test/java/wingroad/routing/TxnRouterTest.java
+++ b/src/test/java/wingroad/routing/TxnRouterTest.java
@@ -5,7 +5,7 @@
 
 import static wingroad.Fixtures.READ;
 import static wingroad.Fixtures.WRITE;
-import static wingroad.Fixtures.at;
+import static wingroad.Fixtures.millis;
 
 import org.assertj.core.groups.Tuple;
 import org.junit.jupiter.api.Test;
@@ -23,7 +23,7 @@
  * milliseconds since its start, and checks the decisions that follow.
  */
 class TxnRouterTest {
-    /** The group of {@link Fixtures#group}. */
+    /** The group of {@link Fixtures#withGroup}. */
     private static final int GROUP_ID = 7;
 
     private static final long NO_SESSION = -1;
@@ -34,8 +34,8 @@
 
     @Test
     void firstWriteIsHeldAndAllMembersAreProbed() {
-        Fixtures fixture = new Fixtures().group(1, 2, 3);
-        fixture.txn(10, "w", WRITE, 3000);
+        Fixtures fixture = new Fixtures().withGroup(1, 2, 3);
+        fixture.txnArrives(10, "w", WRITE, 3000);
         List<Decision> decisions = fixture.decisions(10);
         assertThat(ofKind(Kind.SUBMIT, decisions)).isEmpty();
         assertThat(ofKind(Kind.PROBE, decisions))
@@ -45,11 +45,11 @@
 
     @Test
     void heldWritesAreSubmittedTogetherOnceThePrimaryIsConfirmed() {
-        Fixtures fixture = new Fixtures().group(1, 2, 3);
-        fixture.txn(10, "a", WRITE, 3000);
-        fixture.txn(11, "b", WRITE, 3000);
+        Fixtures fixture = new Fixtures().withGroup(1, 2, 3);
+        fixture.txnArrives(10, "a", WRITE, 3000);
+        fixture.txnArrives(11, "b", WRITE, 3000);
         fixture.decisions(11);
-        fixture.says(20, 2, Role.PRIMARY, 18);
+        fixture.memberReports(20, 2, Role.PRIMARY, 18);
         assertThat(ofKind(Kind.SUBMIT, fixture.decisions(20)))
                 .extracting(Decision::txn, Decision::member)
                 .containsExactly(tuple("a", 2L), tuple("b", 2L));
@@ -57,12 +57,12 @@
 
     @Test
     void newPrimaryIsProbedAtTheFastRate() {
-        Fixtures fixture = new Fixtures().group(1, 2).roles(5, 2);
-        fixture.txn(10, "w", WRITE, 3000);
+        Fixtures fixture = new Fixtures().withGroup(1, 2).rolesReported(5, 2);
+        fixture.txnArrives(10, "w", WRITE, 3000);
         fixture.decisions(10);
-        fixture.ends(20, "w", 0, 1, Outcome.MISSED, Role.REPLICA);
+        fixture.submissionEnds(20, "w", 0, 1, Outcome.MISSED, Role.REPLICA);
         fixture.decisions(20);
-        fixture.says(30, 2, Role.PRIMARY, 28);
+        fixture.memberReports(30, 2, Role.PRIMARY, 28);
         fixture.decisions(30);
         assertThat(ofKind(Kind.PROBE, fixture.decisions(135)))
                 .extracting(Decision::member)
@@ -71,35 +71,35 @@
 
     @Test
     void primaryFoundByTheFirstSearchIsProbedAtTheSteadyRate() {
-        Fixtures fixture = new Fixtures().group(1, 2);
-        fixture.txn(10, "w", WRITE, 3000);
+        Fixtures fixture = new Fixtures().withGroup(1, 2);
+        fixture.txnArrives(10, "w", WRITE, 3000);
         fixture.decisions(10);
-        fixture.says(20, 1, Role.PRIMARY, 18);
-        fixture.says(20, 2, Role.REPLICA, 18);
+        fixture.memberReports(20, 1, Role.PRIMARY, 18);
+        fixture.memberReports(20, 2, Role.REPLICA, 18);
         assertThat(ofKind(Kind.PROBE, fixture.decisions(135))).isEmpty();
-        fixture.ends(140, "w", 0, 1, Outcome.COMMITTED, Role.PRIMARY);
-        assertThat(ofKind(Kind.PROBE, fixture.until(5100)))
+        fixture.submissionEnds(140, "w", 0, 1, Outcome.COMMITTED, Role.PRIMARY);
+        assertThat(ofKind(Kind.PROBE, fixture.decisionsUntil(5100)))
                 .extracting(Decision::member)
                 .containsExactly(1L);
     }
 
     @Test
     void writerSearchProbesAgainUntilAPrimaryIsFound() {
-        Fixtures fixture = new Fixtures().group(1, 2);
-        fixture.txn(10, "w", WRITE, 3000);
+        Fixtures fixture = new Fixtures().withGroup(1, 2);
+        fixture.txnArrives(10, "w", WRITE, 3000);
         fixture.decisions(10);
-        fixture.says(20, 1, Role.REPLICA, 5);
-        fixture.says(20, 2, Role.REPLICA, 5);
-        assertThat(ofKind(Kind.PROBE, fixture.until(115))).hasSize(2);
+        fixture.memberReports(20, 1, Role.REPLICA, 5);
+        fixture.memberReports(20, 2, Role.REPLICA, 5);
+        assertThat(ofKind(Kind.PROBE, fixture.decisionsUntil(115))).hasSize(2);
     }
 
     @Test
     void writeErrorStartsAWriterSearchAndHoldsTheNextWrite() {
-        Fixtures fixture = new Fixtures().group(1, 2).roles(5, 2);
-        fixture.txn(10, "a", WRITE, 3000);
+        Fixtures fixture = new Fixtures().withGroup(1, 2).rolesReported(5, 2);
+        fixture.txnArrives(10, "a", WRITE, 3000);
         fixture.decisions(10);
-        fixture.ends(20, "a", 0, 1, Outcome.ERROR, Role.UNKNOWN);
-        fixture.txn(21, "b", WRITE, 3000);
+        fixture.submissionEnds(20, "a", 0, 1, Outcome.ERROR, Role.UNKNOWN);
+        fixture.txnArrives(21, "b", WRITE, 3000);
         List<Decision> decisions = fixture.decisions(21);
         assertThat(ofKind(Kind.SUBMIT, decisions)).isEmpty();
         assertThat(ofKind(Kind.PROBE, decisions)).hasSize(2);
@@ -107,11 +107,11 @@
 
     @Test
     void onceOnlyTxnThatMayHaveRunIsRolledBackNotDeclined() {
-        Fixtures fixture = new Fixtures().group(1, 2).roles(5, 2);
-        fixture.txn(10, "a", WRITE, 3000);
+        Fixtures fixture = new Fixtures().withGroup(1, 2).rolesReported(5, 2);
+        fixture.txnArrives(10, "a", WRITE, 3000);
         fixture.decisions(10);
-        fixture.ends(20, "a", 0, 1, Outcome.RESET, Role.UNKNOWN);
-        List<Decision> decisions = fixture.until(3100);
+        fixture.submissionEnds(20, "a", 0, 1, Outcome.RESET, Role.UNKNOWN);
+        List<Decision> decisions = fixture.decisionsUntil(3100);
         assertThat(ofKind(Kind.ROLL_BACK, decisions))
                 .extracting(Decision::txn)
                 .containsExactly("a");
@@ -121,21 +121,21 @@
 
     @Test
     void outstandingOnceOnlyTxnIsAnsweredBeforeItsExpiry() {
-        Fixtures fixture = new Fixtures().group(1, 2).roles(5, 2);
-        fixture.txn(10, "a", WRITE, 1000);
+        Fixtures fixture = new Fixtures().withGroup(1, 2).rolesReported(5, 2);
+        fixture.txnArrives(10, "a", WRITE, 1000);
         fixture.decisions(10);
-        assertThat(ofKind(Kind.ROLL_BACK, fixture.until(1004))).isEmpty();
-        assertThat(ofKind(Kind.ROLL_BACK, fixture.until(1009))).hasSize(1);
+        assertThat(ofKind(Kind.ROLL_BACK, fixture.decisionsUntil(1004))).isEmpty();
+        assertThat(ofKind(Kind.ROLL_BACK, fixture.decisionsUntil(1009))).hasSize(1);
     }
 
     @Test
     void missedOnceOnlyTxnIsResubmittedAfterTheWriterSearch() {
-        Fixtures fixture = new Fixtures().group(1, 2).roles(5, 2);
-        fixture.txn(10, "a", WRITE, 3000);
+        Fixtures fixture = new Fixtures().withGroup(1, 2).rolesReported(5, 2);
+        fixture.txnArrives(10, "a", WRITE, 3000);
         fixture.decisions(10);
-        fixture.ends(20, "a", 0, 1, Outcome.MISSED, Role.REPLICA);
+        fixture.submissionEnds(20, "a", 0, 1, Outcome.MISSED, Role.REPLICA);
         assertThat(ofKind(Kind.SUBMIT, fixture.decisions(20))).isEmpty();
-        fixture.says(40, 2, Role.PRIMARY, 38);
+        fixture.memberReports(40, 2, Role.PRIMARY, 38);
         assertThat(ofKind(Kind.SUBMIT, fixture.decisions(40)))
                 .extracting(Decision::member)
                 .containsExactly(2L);
@@ -143,9 +143,9 @@
 
     @Test
     void heldWriteThatNoMemberCanTakeIsDeclined() {
-        Fixtures fixture = new Fixtures().group(1, 2);
-        fixture.txn(10, "a", WRITE, 1000);
-        assertThat(ofKind(Kind.DECLINE, fixture.until(1010)))
+        Fixtures fixture = new Fixtures().withGroup(1, 2);
+        fixture.txnArrives(10, "a", WRITE, 1000);
+        assertThat(ofKind(Kind.DECLINE, fixture.decisionsUntil(1010)))
                 .extracting(Decision::txn)
                 .containsExactly("a");
     }
@@ -154,13 +154,13 @@
     void referencedTxnIsNotRepeatedAfterItsRepeatWindow() {
         Fixtures fixture =
                 new Fixtures()
-                        .type(WRITE, "referenced", "update", 600, 9000)
-                        .group(1, 2)
-                        .roles(5, 2);
-        fixture.txn(10, "a", WRITE, 9000);
+                        .withTxnType(WRITE, "referenced", "update", 600, 9000)
+                        .withGroup(1, 2)
+                        .rolesReported(5, 2);
+        fixture.txnArrives(10, "a", WRITE, 9000);
         fixture.decisions(10);
-        fixture.ends(4500, "a", 0, 1, Outcome.TIMED_OUT, Role.UNKNOWN);
-        List<Decision> decisions = fixture.until(4500);
+        fixture.submissionEnds(4500, "a", 0, 1, Outcome.TIMED_OUT, Role.UNKNOWN);
+        List<Decision> decisions = fixture.decisionsUntil(4500);
         assertThat(ofKind(Kind.SUBMIT, decisions)).isEmpty();
         assertThat(ofKind(Kind.ROLL_BACK, decisions)).hasSize(1);
     }
@@ -168,10 +168,13 @@
     @Test
     void noSecondSubmissionWhileOneIsOutstandingIfSecondCopiesAreOff() {
         Fixtures fixture =
-                new Fixtures().with("second-copies", false).group(1, 2, 3).roles(5, 2, 3);
-        fixture.txn(10, "r", READ, 2000);
+                new Fixtures()
+                        .withSetting("second-copies", false)
+                        .withGroup(1, 2, 3)
+                        .rolesReported(5, 2, 3);
+        fixture.txnArrives(10, "r", READ, 2000);
         fixture.decisions(10);
-        List<Decision> decisions = fixture.until(560);
+        List<Decision> decisions = fixture.decisionsUntil(560);
         assertThat(ofKind(Kind.SUBMIT, decisions)).isEmpty();
     }
 
@@ -179,22 +182,22 @@
     void readAtAnUnresponsiveReplicaIsResubmittedElsewhere() {
         Fixtures fixture =
                 new Fixtures()
-                        .type(READ, "repeatable", "recent", 2000, 4000)
-                        .with("txn-type.0.oldest-data", at(3000))
-                        .group(1, 2, 3)
-                        .roles(5, 2, 3);
+                        .withTxnType(READ, "repeatable", "recent", 2000, 4000)
+                        .withSetting("txn-type.0.oldest-data", millis(3000))
+                        .withGroup(1, 2, 3)
+                        .rolesReported(5, 2, 3);
         for (int i = 0; i < 4; i++) {
-            fixture.txn(10, "r" + i, READ, 4000);
+            fixture.txnArrives(10, "r" + i, READ, 4000);
         }
         List<Decision> firstSubmissions = ofKind(Kind.SUBMIT, fixture.decisions(10));
         long unresponsiveId = firstSubmissions.get(0).member();
         for (Decision decision : firstSubmissions) {
             if (decision.member() != unresponsiveId) {
-                fixture.ends(
+                fixture.submissionEnds(
                         20, decision.txn(), 0, decision.member(), Outcome.COMMITTED, Role.REPLICA);
             }
         }
-        assertThat(ofKind(Kind.SUBMIT, fixture.until(1500)))
+        assertThat(ofKind(Kind.SUBMIT, fixture.decisionsUntil(1500)))
                 .isNotEmpty()
                 .allMatch(
                         decision ->
@@ -203,9 +206,9 @@
 
     @Test
     void readsGoToReplicasOnly() {
-        Fixtures fixture = new Fixtures().group(1, 2, 3).roles(5, 2, 3);
+        Fixtures fixture = new Fixtures().withGroup(1, 2, 3).rolesReported(5, 2, 3);
         for (int i = 0; i < 6; i++) {
-            fixture.txn(10, "r" + i, READ, 2000);
+            fixture.txnArrives(10, "r" + i, READ, 2000);
         }
         assertThat(ofKind(Kind.SUBMIT, fixture.decisions(10)))
                 .hasSize(6)
@@ -214,12 +217,12 @@
 
     @Test
     void readIsNotSentToAReplicaWhosePositionIsTooOld() {
-        Fixtures fixture = new Fixtures().group(1, 2).roles(5, 2);
-        fixture.txn(1003, "r", READ, 2000);
+        Fixtures fixture = new Fixtures().withGroup(1, 2).rolesReported(5, 2);
+        fixture.txnArrives(1003, "r", READ, 2000);
         List<Decision> decisions = fixture.decisions(1003);
         assertThat(ofKind(Kind.SUBMIT, decisions)).isEmpty();
         assertThat(ofKind(Kind.PROBE, decisions)).extracting(Decision::member).contains(2L);
-        fixture.says(1010, 2, Role.REPLICA, 990);
+        fixture.memberReports(1010, 2, Role.REPLICA, 990);
         assertThat(ofKind(Kind.SUBMIT, fixture.decisions(1010)))
                 .extracting(Decision::member)
                 .containsExactly(2L);
@@ -231,24 +234,24 @@
      */
     @Test
     void slowReplicaThatFallsBehindGetsFewerReads() {
-        Fixtures fixture = new Fixtures().group(1, 2).roles(5, 2);
+        Fixtures fixture = new Fixtures().withGroup(1, 2).rolesReported(5, 2);
         for (int i = 0; i < 30; i++) {
             long nowMs = 10 + 50 * i;
-            fixture.txn(nowMs, "r" + i, READ, 2000);
+            fixture.txnArrives(nowMs, "r" + i, READ, 2000);
             fixture.decisions(nowMs);
             fixture.router.submissionEnded(
-                    at(nowMs + 40),
+                    millis(nowMs + 40),
                     "r" + i,
                     0,
                     2,
                     Outcome.COMMITTED,
-                    at(400),
+                    millis(400),
                     true,
                     Role.REPLICA,
-                    at(nowMs + 40 - 260 - i));
+                    millis(nowMs + 40 - 260 - i));
         }
         for (int i = 0; i < 8; i++) {
-            fixture.txn(1600, "x" + i, READ, 2000);
+            fixture.txnArrives(1600, "x" + i, READ, 2000);
         }
         assertThat(
                         ofKind(Kind.SUBMIT, fixture.decisions(1600)).stream()
@@ -258,12 +261,12 @@
 
     @Test
     void staleReportDoesNotOverrideANewerAnswer() {
-        Fixtures fixture = new Fixtures().group(1, 2).roles(5, 2);
-        fixture.txn(10, "a", WRITE, 3000);
+        Fixtures fixture = new Fixtures().withGroup(1, 2).rolesReported(5, 2);
+        fixture.txnArrives(10, "a", WRITE, 3000);
         fixture.decisions(10);
-        fixture.ends(500, "a", 0, 1, Outcome.COMMITTED, Role.PRIMARY);
-        fixture.says(510, 2, Role.PRIMARY, 300);
-        fixture.txn(520, "b", WRITE, 3000);
+        fixture.submissionEnds(500, "a", 0, 1, Outcome.COMMITTED, Role.PRIMARY);
+        fixture.memberReports(510, 2, Role.PRIMARY, 300);
+        fixture.txnArrives(520, "b", WRITE, 3000);
         assertThat(ofKind(Kind.SUBMIT, fixture.decisions(520)))
                 .extracting(Decision::member)
                 .containsExactly(1L);
@@ -275,18 +278,18 @@
      */
     @Test
     void writesAreHeldWhileThePrimaryIsUnresponsive() {
-        Fixtures fixture = new Fixtures().group(1, 2).roles(5, 2);
+        Fixtures fixture = new Fixtures().withGroup(1, 2).rolesReported(5, 2);
         for (int i = 0; i < 4; i++) {
-            fixture.txn(10, "w" + i, WRITE, 3000);
+            fixture.txnArrives(10, "w" + i, WRITE, 3000);
         }
         assertThat(ofKind(Kind.SUBMIT, fixture.decisions(10))).hasSize(4);
-        fixture.txn(700, "late", WRITE, 3000);
+        fixture.txnArrives(700, "late", WRITE, 3000);
         assertThat(ofKind(Kind.SUBMIT, fixture.decisions(700))).isEmpty();
         // A successful probe does not prove that the primary serves txns; an answer to a submission
         // does.
-        fixture.says(710, 1, Role.PRIMARY, 709);
+        fixture.memberReports(710, 1, Role.PRIMARY, 709);
         assertThat(ofKind(Kind.SUBMIT, fixture.decisions(710))).isEmpty();
-        fixture.ends(720, "w0", 0, 1, Outcome.COMMITTED, Role.PRIMARY);
+        fixture.submissionEnds(720, "w0", 0, 1, Outcome.COMMITTED, Role.PRIMARY);
         assertThat(ofKind(Kind.SUBMIT, fixture.decisions(720)))
                 .extracting(Decision::txn)
                 .containsExactly("late");
@@ -294,12 +297,12 @@
 
     @Test
     void drainingReplicaGetsNoNewSubmissions() {
-        Fixtures fixture = new Fixtures().group(1, 2, 3).roles(5, 2, 3);
-        fixture.router.memberListStarted(at(10), false);
-        fixture.listed(10, 2, true, null);
-        fixture.router.memberListEnded(at(10));
+        Fixtures fixture = new Fixtures().withGroup(1, 2, 3).rolesReported(5, 2, 3);
+        fixture.router.memberListStarted(millis(10), false);
+        fixture.memberListed(10, 2, true, null);
+        fixture.router.memberListEnded(millis(10));
         for (int i = 0; i < 5; i++) {
-            fixture.txn(11, "r" + i, READ, 2000);
+            fixture.txnArrives(11, "r" + i, READ, 2000);
         }
         assertThat(ofKind(Kind.SUBMIT, fixture.decisions(11)))
                 .isNotEmpty()
@@ -308,14 +311,14 @@
 
     @Test
     void drainingPrimaryIsUsedOnlyWithinTheDrainGrace() {
-        Fixtures fixture = new Fixtures().group(1, 2).roles(5, 2);
-        fixture.router.memberListStarted(at(10), false);
-        fixture.listed(10, 1, true, null);
-        fixture.router.memberListEnded(at(10));
-        fixture.txn(500, "a", WRITE, 3000);
+        Fixtures fixture = new Fixtures().withGroup(1, 2).rolesReported(5, 2);
+        fixture.router.memberListStarted(millis(10), false);
+        fixture.memberListed(10, 1, true, null);
+        fixture.router.memberListEnded(millis(10));
+        fixture.txnArrives(500, "a", WRITE, 3000);
         assertThat(ofKind(Kind.SUBMIT, fixture.decisions(500))).hasSize(1);
-        fixture.ends(600, "a", 0, 1, Outcome.COMMITTED, Role.PRIMARY);
-        fixture.txn(1001, "b", WRITE, 3000);
+        fixture.submissionEnds(600, "a", 0, 1, Outcome.COMMITTED, Role.PRIMARY);
+        fixture.txnArrives(1001, "b", WRITE, 3000);
         assertThat(ofKind(Kind.SUBMIT, fixture.decisions(1001))).isEmpty();
     }
 
@@ -326,18 +329,19 @@
      */
     @Test
     void memberInWarmUpIsRateLimitedEvenIfItMissesQuickly() {
-        Fixtures fixture = new Fixtures().with("members-check", "hold").group(1).roles(5);
-        fixture.router.memberListStarted(at(6), false);
-        fixture.listed(6, 2, false, at(6));
-        fixture.router.memberListEnded(at(6));
+        Fixtures fixture =
+                new Fixtures().withSetting("members-check", "hold").withGroup(1).rolesReported(5);
+        fixture.router.memberListStarted(millis(6), false);
+        fixture.memberListed(6, 2, false, millis(6));
+        fixture.router.memberListEnded(millis(6));
         int submittedCount = 0;
         int earlyCount = 0;
         for (int nowMs = 10; nowMs < 9000; nowMs += 20) {
-            fixture.txn(nowMs, "r" + nowMs, READ, 2000);
+            fixture.txnArrives(nowMs, "r" + nowMs, READ, 2000);
             for (Decision decision : ofKind(Kind.SUBMIT, fixture.decisions(nowMs))) {
                 submittedCount += decision.member() == 2 ? 1 : 0;
                 earlyCount += decision.member() == 2 && nowMs < 500 ? 1 : 0;
-                fixture.ends(
+                fixture.submissionEnds(
                         nowMs,
                         decision.txn(),
                         decision.submission(),
@@ -352,10 +356,10 @@
 
     @Test
     void singleConnectionResetStartsNoBackoff() {
-        Fixtures fixture = new Fixtures().group(1, 2).roles(5, 2);
-        fixture.txn(10, "a", READ, 2000);
+        Fixtures fixture = new Fixtures().withGroup(1, 2).rolesReported(5, 2);
+        fixture.txnArrives(10, "a", READ, 2000);
         fixture.decisions(10);
-        fixture.ends(15, "a", 0, 2, Outcome.RESET, Role.UNKNOWN);
+        fixture.submissionEnds(15, "a", 0, 2, Outcome.RESET, Role.UNKNOWN);
         assertThat(ofKind(Kind.SUBMIT, fixture.decisions(15)))
                 .extracting(Decision::member)
                 .containsExactly(2L);
@@ -363,11 +367,11 @@
 
     @Test
     void failedMemberListSubscriptionIsRetriedAfterABackoff() {
-        Fixtures fixture = new Fixtures().with("member-list", "ask").group(1, 2);
+        Fixtures fixture = new Fixtures().withSetting("member-list", "ask").withGroup(1, 2);
         assertThat(ofKind(Kind.FOLLOW_LIST, fixture.decisions(1))).hasSize(1);
-        fixture.router.memberListFailed(at(1000));
+        fixture.router.memberListFailed(millis(1000));
         assertThat(ofKind(Kind.FOLLOW_LIST, fixture.decisions(1000))).isEmpty();
-        assertThat(ofKind(Kind.FOLLOW_LIST, fixture.until(2000))).hasSize(1);
+        assertThat(ofKind(Kind.FOLLOW_LIST, fixture.decisionsUntil(2000))).hasSize(1);
     }
 
     /**
@@ -377,13 +381,16 @@
     @Test
     void retriesStopIfNoSubmissionSucceeds() {
         Fixtures fixture =
-                new Fixtures().with("members-check", "hold").group(1, 2, 3, 4).roles(5, 2, 3, 4);
+                new Fixtures()
+                        .withSetting("members-check", "hold")
+                        .withGroup(1, 2, 3, 4)
+                        .rolesReported(5, 2, 3, 4);
         int retryCount = 0;
         for (int i = 0; i < 40; i++) {
-            fixture.txn(10 + i, "r" + i, READ, 2000);
+            fixture.txnArrives(10 + i, "r" + i, READ, 2000);
             for (Decision decision : ofKind(Kind.SUBMIT, fixture.decisions(10 + i))) {
                 retryCount += decision.submission() > 0 ? 1 : 0;
-                fixture.ends(
+                fixture.submissionEnds(
                         10 + i,
                         decision.txn(),
                         decision.submission(),
@@ -403,11 +410,11 @@
     void readThatNoMemberCanTakeIsDeclinedWhileARetryCanMeetTheSlaTime() {
         Fixtures fixture =
                 new Fixtures()
-                        .with("may-advise-come-back", true)
-                        .with("longest-come-back", at(500))
-                        .group(1);
-        fixture.txn(10, "r", READ, 2000);
-        List<Decision> declines = ofKind(Kind.DECLINE, fixture.until(400));
+                        .withSetting("may-advise-come-back", true)
+                        .withSetting("longest-come-back", millis(500))
+                        .withGroup(1);
+        fixture.txnArrives(10, "r", READ, 2000);
+        List<Decision> declines = ofKind(Kind.DECLINE, fixture.decisionsUntil(400));
         assertThat(declines).extracting(Decision::txn).containsExactly("r");
         assertThat(declines.get(0).deadlineOrRetryDelay()).isNull();
     }
@@ -417,12 +424,12 @@
     void readIsNotSentToAReplicaThatIsCertainToMiss() {
         Fixtures fixture =
                 new Fixtures()
-                        .with("members-check", "hold")
-                        .with("members-hold-for", at(20))
-                        .group(1, 2);
-        fixture.says(3000, 1, Role.REPLICA, 1000);
-        fixture.says(3000, 2, Role.REPLICA, 1000);
-        fixture.txn(3001, "r", READ, 2000);
+                        .withSetting("members-check", "hold")
+                        .withSetting("members-hold-for", millis(20))
+                        .withGroup(1, 2);
+        fixture.memberReports(3000, 1, Role.REPLICA, 1000);
+        fixture.memberReports(3000, 2, Role.REPLICA, 1000);
+        fixture.txnArrives(3001, "r", READ, 2000);
         assertThat(ofKind(Kind.SUBMIT, fixture.decisions(3001))).isEmpty();
     }
 
@@ -430,16 +437,16 @@
     void referencedTxnOutstandingAtTheFormerPrimaryIsRepeatedAtTheNewOne() {
         Fixtures fixture =
                 new Fixtures()
-                        .type(WRITE, "referenced", "update", 600, 9000)
-                        .group(1, 2)
-                        .roles(5, 2);
-        fixture.txn(10, "a", WRITE, 9000);
+                        .withTxnType(WRITE, "referenced", "update", 600, 9000)
+                        .withGroup(1, 2)
+                        .rolesReported(5, 2);
+        fixture.txnArrives(10, "a", WRITE, 9000);
         fixture.decisions(10);
-        fixture.says(500, 2, Role.PRIMARY, 499);
+        fixture.memberReports(500, 2, Role.PRIMARY, 499);
         assertThat(ofKind(Kind.CANCEL, fixture.decisions(500)))
                 .extracting(Decision::txn)
                 .containsExactly("a");
-        fixture.ends(505, "a", 0, 1, Outcome.CANCELLED, Role.UNKNOWN);
+        fixture.submissionEnds(505, "a", 0, 1, Outcome.CANCELLED, Role.UNKNOWN);
         assertThat(ofKind(Kind.SUBMIT, fixture.decisions(505)))
                 .extracting(Decision::member)
                 .containsExactly(2L);
@@ -447,10 +454,10 @@
 
     @Test
     void abandonedTxnGetsNoDecisions() {
-        Fixtures fixture = new Fixtures().group(1, 2);
-        fixture.txn(10, "w", WRITE, 1000);
-        fixture.router.txnAbandoned(at(20), "w");
-        assertThat(fixture.until(2000)).noneMatch(decision -> "w".equals(decision.txn()));
+        Fixtures fixture = new Fixtures().withGroup(1, 2);
+        fixture.txnArrives(10, "w", WRITE, 1000);
+        fixture.router.txnAbandoned(millis(20), "w");
+        assertThat(fixture.decisionsUntil(2000)).noneMatch(decision -> "w".equals(decision.txn()));
     }
 
     /**
@@ -459,24 +466,24 @@
      */
     @Test
     void readRateToAnOverloadedGroupFollowsItsTimelyAnswers() {
-        Fixtures fixture = new Fixtures().group(1, 2, 3).roles(5, 2, 3);
+        Fixtures fixture = new Fixtures().withGroup(1, 2, 3).rolesReported(5, 2, 3);
         int submittedCount = 0;
         for (int nowMs = 10; nowMs < 8000; nowMs += 100) {
-            fixture.txn(nowMs, "r" + nowMs, READ, 2000);
-            fixture.says(nowMs, 2, Role.REPLICA, nowMs);
-            fixture.says(nowMs, 3, Role.REPLICA, nowMs);
+            fixture.txnArrives(nowMs, "r" + nowMs, READ, 2000);
+            fixture.memberReports(nowMs, 2, Role.REPLICA, nowMs);
+            fixture.memberReports(nowMs, 3, Role.REPLICA, nowMs);
             for (Decision decision : ofKind(Kind.SUBMIT, fixture.decisions(nowMs))) {
                 submittedCount++;
                 fixture.router.submissionEnded(
-                        at(nowMs),
+                        millis(nowMs),
                         decision.txn(),
                         decision.submission(),
                         decision.member(),
                         Outcome.COMMITTED,
-                        at(900),
+                        millis(900),
                         true,
                         Role.REPLICA,
-                        at(nowMs));
+                        millis(nowMs));
             }
         }
         assertThat(submittedCount).isBetween(3, 20);
@@ -488,38 +495,38 @@
      */
     @Test
     void writerSearchProbesFastOnlyWhileWritesAreHeld() {
-        Fixtures fixture = new Fixtures().group(1, 2).roles(5, 2);
-        fixture.says(100, 1, Role.REPLICA, 100);
+        Fixtures fixture = new Fixtures().withGroup(1, 2).rolesReported(5, 2);
+        fixture.memberReports(100, 1, Role.REPLICA, 100);
         assertThat(ofKind(Kind.PROBE, fixture.decisions(100))).hasSize(2);
-        fixture.router.probeEnded(at(110), 1, true, at(1));
-        fixture.router.probeEnded(at(110), 2, true, at(1));
-        assertThat(ofKind(Kind.PROBE, fixture.until(1000))).isEmpty();
-        fixture.txn(1001, "w", WRITE, 3000);
+        fixture.router.probeEnded(millis(110), 1, true, millis(1));
+        fixture.router.probeEnded(millis(110), 2, true, millis(1));
+        assertThat(ofKind(Kind.PROBE, fixture.decisionsUntil(1000))).isEmpty();
+        fixture.txnArrives(1001, "w", WRITE, 3000);
         assertThat(ofKind(Kind.PROBE, fixture.decisions(1001))).hasSize(2);
     }
 
     /** Guards a new primary against the sum of all drivers' fast probes. */
     @Test
     void newPrimaryIsProbedFastOnlyWhileSubmissionsAreOutstandingThere() {
-        Fixtures fixture = new Fixtures().group(1, 2).roles(5, 2);
-        fixture.says(100, 2, Role.PRIMARY, 100);
-        assertThat(ofKind(Kind.PROBE, fixture.until(2000))).isEmpty();
-        fixture.txn(2001, "w", WRITE, 3000);
-        assertThat(ofKind(Kind.PROBE, fixture.until(2001))).hasSize(1);
+        Fixtures fixture = new Fixtures().withGroup(1, 2).rolesReported(5, 2);
+        fixture.memberReports(100, 2, Role.PRIMARY, 100);
+        assertThat(ofKind(Kind.PROBE, fixture.decisionsUntil(2000))).isEmpty();
+        fixture.txnArrives(2001, "w", WRITE, 3000);
+        assertThat(ofKind(Kind.PROBE, fixture.decisionsUntil(2001))).hasSize(1);
     }
 
     /** Guards against a replica that no longer answers in time and gets as many reads as before. */
     @Test
     void timeoutsReduceTheReadsSentToAnOverloadedReplica() {
-        Fixtures fixture = new Fixtures().group(1, 2).roles(5, 2);
+        Fixtures fixture = new Fixtures().withGroup(1, 2).rolesReported(5, 2);
         int submittedCount = 0;
         for (int nowMs = 10; nowMs < 6000; nowMs += 100) {
-            fixture.says(nowMs, 2, Role.REPLICA, nowMs);
-            fixture.txn(nowMs, "a" + nowMs, READ, 2000);
-            fixture.txn(nowMs, "b" + nowMs, READ, 2000);
+            fixture.memberReports(nowMs, 2, Role.REPLICA, nowMs);
+            fixture.txnArrives(nowMs, "a" + nowMs, READ, 2000);
+            fixture.txnArrives(nowMs, "b" + nowMs, READ, 2000);
             for (Decision decision : ofKind(Kind.SUBMIT, fixture.decisions(nowMs))) {
                 boolean answered = decision.member() != 2 || submittedCount++ % 2 == 0;
-                fixture.ends(
+                fixture.submissionEnds(
                         nowMs + (answered ? 1 : 2),
                         decision.txn(),
                         decision.submission(),
@@ -537,24 +544,24 @@
      */
     @Test
     void emptyFirstMemberListHoldsTxnsUntilTheyAreDeclined() {
-        Fixtures fixture = new Fixtures().group();
-        fixture.txn(10, "r", READ, 2000);
-        fixture.txn(10, "w", WRITE, 3000);
-        assertThat(ofKind(Kind.DECLINE, fixture.until(4000)))
+        Fixtures fixture = new Fixtures().withGroup();
+        fixture.txnArrives(10, "r", READ, 2000);
+        fixture.txnArrives(10, "w", WRITE, 3000);
+        assertThat(ofKind(Kind.DECLINE, fixture.decisionsUntil(4000)))
                 .extracting(Decision::txn)
                 .containsExactly("r", "w");
     }
 
     @Test
     void outstandingSubmissionIsCancelledIfTheClientDisconnects() {
-        Fixtures fixture = new Fixtures().group(1, 2).roles(5, 2);
-        fixture.txn(10, "w", WRITE, 3000);
+        Fixtures fixture = new Fixtures().withGroup(1, 2).rolesReported(5, 2);
+        fixture.txnArrives(10, "w", WRITE, 3000);
         assertThat(ofKind(Kind.SUBMIT, fixture.decisions(10))).hasSize(1);
-        fixture.router.txnAbandoned(at(20), "w");
+        fixture.router.txnAbandoned(millis(20), "w");
         assertThat(ofKind(Kind.CANCEL, fixture.decisions(20)))
                 .extracting(Decision::txn)
                 .containsExactly("w");
-        fixture.ends(21, "w", 0, 1, Outcome.CANCELLED, Role.UNKNOWN);
+        fixture.submissionEnds(21, "w", 0, 1, Outcome.CANCELLED, Role.UNKNOWN);
         assertThat(fixture.decisions(21)).isEmpty();
     }
 
@@ -564,62 +571,66 @@
      */
     @Test
     void submissionIsCheckedAgainOnceItsConnectionIsOpen() {
-        Fixtures fixture = new Fixtures().group(1, 2, 3).roles(5, 2, 3);
-        fixture.txn(10, "r", READ, 2000);
+        Fixtures fixture = new Fixtures().withGroup(1, 2, 3).rolesReported(5, 2, 3);
+        fixture.txnArrives(10, "r", READ, 2000);
         long replicaId = ofKind(Kind.SUBMIT, fixture.decisions(10)).get(0).member();
-        assertThat(fixture.router.mayStillSend(at(200), "r", replicaId)).isTrue();
-        assertThat(fixture.router.mayStillSend(at(1100), "r", replicaId))
+        assertThat(fixture.router.mayStillSend(millis(200), "r", replicaId)).isTrue();
+        assertThat(fixture.router.mayStillSend(millis(1100), "r", replicaId))
                 .as("the position of the replica is too old by then")
                 .isFalse();
-        assertThat(fixture.router.mayStillSend(at(1100), "r", 1))
+        assertThat(fixture.router.mayStillSend(millis(1100), "r", 1))
                 .as("the position of the primary is always fresh enough")
                 .isTrue();
-        fixture.router.memberListStarted(at(300), false);
-        fixture.listed(300, replicaId, true, null);
-        fixture.router.memberListEnded(at(300));
-        assertThat(fixture.router.mayStillSend(at(300), "r", replicaId))
+        fixture.router.memberListStarted(millis(300), false);
+        fixture.memberListed(300, replicaId, true, null);
+        fixture.router.memberListEnded(millis(300));
+        assertThat(fixture.router.mayStillSend(millis(300), "r", replicaId))
                 .as("the replica is draining")
                 .isFalse();
-        fixture.router.txnAbandoned(at(301), "r");
-        assertThat(fixture.router.mayStillSend(at(301), "r", 1))
+        fixture.router.txnAbandoned(millis(301), "r");
+        assertThat(fixture.router.mayStillSend(millis(301), "r", 1))
                 .as("the client has disconnected")
                 .isFalse();
     }
 
     @Test
     void goneMemberIsForgottenOnceNothingIsOutstandingThere() {
-        Fixtures fixture = new Fixtures().group(1, 2).roles(5, 2);
-        fixture.txn(10, "r", READ, 2000);
+        Fixtures fixture = new Fixtures().withGroup(1, 2).rolesReported(5, 2);
+        fixture.txnArrives(10, "r", READ, 2000);
         assertThat(ofKind(Kind.SUBMIT, fixture.decisions(10)))
                 .extracting(Decision::member)
                 .containsExactly(2L);
         listMember2AsGone(fixture, 20);
         assertThat(fixture.router.knowsMember(2)).isTrue();
-        fixture.ends(30, "r", 0, 2, Outcome.COMMITTED, Role.REPLICA);
+        fixture.submissionEnds(30, "r", 0, 2, Outcome.COMMITTED, Role.REPLICA);
         listMember2AsGone(fixture, 40);
         assertThat(fixture.router.knowsMember(2)).isFalse();
         // A member may return under the same id and then has the state that the list gives it.
-        fixture.listed(50, 2, true, null);
-        fixture.router.memberListEnded(at(50));
-        fixture.says(60, 2, Role.REPLICA, 60);
-        fixture.txn(70, "s", READ, 2000);
+        fixture.memberListed(50, 2, true, null);
+        fixture.router.memberListEnded(millis(50));
+        fixture.memberReports(60, 2, Role.REPLICA, 60);
+        fixture.txnArrives(70, "s", READ, 2000);
         assertThat(ofKind(Kind.SUBMIT, fixture.decisions(70)))
                 .extracting(Decision::member)
                 .doesNotContain(2L);
     }
 
     private static void listMember2AsGone(Fixtures fixture, long nowMs) {
-        fixture.router.memberListStarted(at(nowMs), false);
-        fixture.router.memberListed(at(nowMs), 2, GROUP_ID, 0, 0, 1, false, false, true, null);
-        fixture.router.memberListEnded(at(nowMs));
+        fixture.router.memberListStarted(millis(nowMs), false);
+        fixture.router.memberListed(millis(nowMs), 2, GROUP_ID, 0, 0, 1, false, false, true, null);
+        fixture.router.memberListEnded(millis(nowMs));
     }
 
     @Test
     void nonBindingRemovalKeepsTheMemberUntilItIsUnreachableForLong() {
-        Fixtures fixture = new Fixtures().with("removal-not-binding", true).group(1, 2).roles(5, 2);
+        Fixtures fixture =
+                new Fixtures()
+                        .withSetting("removal-not-binding", true)
+                        .withGroup(1, 2)
+                        .rolesReported(5, 2);
         listMember2AsGone(fixture, 20);
         assertThat(fixture.router.knowsMember(2)).isTrue();
-        fixture.router.probeEnded(at(30), 2, false, at(250));
+        fixture.router.probeEnded(millis(30), 2, false, millis(250));
         listMember2AsGone(fixture, 9000);
         assertThat(fixture.router.knowsMember(2)).isTrue();
         listMember2AsGone(fixture, 20_000);
@@ -630,20 +641,20 @@
     void forgottenSessionReadsAtTheLatestWriteOfAllForgottenSessions() {
         Fixtures fixture =
                 new Fixtures()
-                        .with("session-marks", "router")
-                        .type(READ, "repeatable", "own-writes", 600, 2000);
-        fixture.group(1, 2).roles(5, 2);
+                        .withSetting("session-marks", "router")
+                        .withTxnType(READ, "repeatable", "own-writes", 600, 2000);
+        fixture.withGroup(1, 2).rolesReported(5, 2);
         commitWrite(fixture, 100, "w", 5);
         commitWrite(fixture, 70_000, "x", 6);
-        fixture.says(70_010, 2, Role.REPLICA, 90);
+        fixture.memberReports(70_010, 2, Role.REPLICA, 90);
         // The router may have forgotten a write of this session, so the read must see the latest of
         // all forgotten writes.
         fixture.router.txnArrived(
-                at(70_020), "r", READ, GROUP_ID, at(2000), 99, null, false, at(0));
+                millis(70_020), "r", READ, GROUP_ID, millis(2000), 99, null, false, millis(0));
         assertThat(ofKind(Kind.SUBMIT, fixture.decisions(70_020)))
                 .extracting(Decision::member)
                 .doesNotContain(2L);
-        fixture.says(70_030, 2, Role.REPLICA, 200);
+        fixture.memberReports(70_030, 2, Role.REPLICA, 200);
         assertThat(ofKind(Kind.SUBMIT, fixture.decisions(70_030)))
                 .extracting(Decision::member)
                 .doesNotContain(1L);
@@ -652,30 +663,38 @@
     /** Runs a write of the session, which the primary, member 1, commits at {@code nowMs}. */
     private static void commitWrite(Fixtures fixture, long nowMs, String txnId, long session) {
         fixture.router.txnArrived(
-                at(nowMs), txnId, WRITE, GROUP_ID, at(3000), session, null, false, at(0));
+                millis(nowMs),
+                txnId,
+                WRITE,
+                GROUP_ID,
+                millis(3000),
+                session,
+                null,
+                false,
+                millis(0));
         fixture.decisions(nowMs);
         fixture.router.submissionEnded(
-                at(nowMs + 5),
+                millis(nowMs + 5),
                 txnId,
                 0,
                 1,
                 Outcome.COMMITTED,
-                at(5),
+                millis(5),
                 true,
                 Role.PRIMARY,
-                at(nowMs));
+                millis(nowMs));
         fixture.decisions(nowMs + 5);
     }
 
     @Test
     void singleReadTestsWhetherAnUnresponsivePrimaryStillAnswers() {
-        Fixtures fixture = new Fixtures().group(1, 2).roles(5, 2);
-        fixture.txn(10, "stuck", WRITE, 3000);
+        Fixtures fixture = new Fixtures().withGroup(1, 2).rolesReported(5, 2);
+        fixture.txnArrives(10, "stuck", WRITE, 3000);
         fixture.decisions(10);
-        fixture.txn(1400, "held", WRITE, 3000);
+        fixture.txnArrives(1400, "held", WRITE, 3000);
         assertThat(ofKind(Kind.SUBMIT, fixture.decisions(1400))).isEmpty();
-        fixture.txn(1410, "r", READ, 2000);
-        fixture.txn(1410, "s", READ, 2000);
+        fixture.txnArrives(1410, "r", READ, 2000);
+        fixture.txnArrives(1410, "s", READ, 2000);
         // Only one read is sent to the primary. Its answer proves that the primary serves txns; the
         // stuck write no longer counts against it.
         List<Decision> submitted = ofKind(Kind.SUBMIT, fixture.decisions(1410));
@@ -686,12 +705,12 @@
                         .findFirst()
                         .get()
                         .txn();
-        fixture.ends(1420, testReadId, 0, 1, Outcome.COMMITTED, Role.PRIMARY);
+        fixture.submissionEnds(1420, testReadId, 0, 1, Outcome.COMMITTED, Role.PRIMARY);
         assertThat(ofKind(Kind.SUBMIT, fixture.decisions(1420)))
                 .extracting(Decision::txn)
                 .contains("held");
-        fixture.ends(1430, "held", 0, 1, Outcome.COMMITTED, Role.PRIMARY);
-        fixture.txn(2900, "next", WRITE, 3000);
+        fixture.submissionEnds(1430, "held", 0, 1, Outcome.COMMITTED, Role.PRIMARY);
+        fixture.txnArrives(2900, "next", WRITE, 3000);
         assertThat(ofKind(Kind.SUBMIT, fixture.decisions(2900)))
                 .extracting(Decision::txn)
                 .contains("next");
@@ -699,32 +718,32 @@
 
     @Test
     void primaryServesReadsDuringAWriterSearchWhileItsPositionIsFreshEnough() {
-        Fixtures fixture = new Fixtures().group(1, 2).roles(5);
-        fixture.txn(10, "w", WRITE, 3000);
+        Fixtures fixture = new Fixtures().withGroup(1, 2).rolesReported(5);
+        fixture.txnArrives(10, "w", WRITE, 3000);
         fixture.decisions(10);
-        fixture.ends(20, "w", 0, 1, Outcome.RESET, Role.UNKNOWN);
+        fixture.submissionEnds(20, "w", 0, 1, Outcome.RESET, Role.UNKNOWN);
         // The replica's position is unknown. The primary's is proven for the time 5 ms, which is
         // within the age limit of 1000 ms for the first read only.
-        fixture.txn(30, "r", READ, 2000);
+        fixture.txnArrives(30, "r", READ, 2000);
         assertThat(ofKind(Kind.SUBMIT, fixture.decisions(30)))
                 .extracting(Decision::member)
                 .containsExactly(1L);
-        fixture.txn(1100, "late", READ, 2000);
+        fixture.txnArrives(1100, "late", READ, 2000);
         assertThat(ofKind(Kind.SUBMIT, fixture.decisions(1100))).isEmpty();
     }
 
     @Test
     void newerReportOfThePrimaryEndsItsBackoffAfterConnectionResets() {
-        Fixtures fixture = new Fixtures().group(1, 2).roles(5, 2);
+        Fixtures fixture = new Fixtures().withGroup(1, 2).rolesReported(5, 2);
         for (int i = 0; i < 2; i++) {
-            fixture.txn(10 + i, "w" + i, WRITE, 3000);
+            fixture.txnArrives(10 + i, "w" + i, WRITE, 3000);
         }
         fixture.decisions(12);
-        fixture.ends(20, "w0", 0, 1, Outcome.RESET, Role.UNKNOWN);
-        fixture.ends(21, "w1", 0, 1, Outcome.RESET, Role.UNKNOWN);
-        fixture.txn(30, "next", WRITE, 3000);
+        fixture.submissionEnds(20, "w0", 0, 1, Outcome.RESET, Role.UNKNOWN);
+        fixture.submissionEnds(21, "w1", 0, 1, Outcome.RESET, Role.UNKNOWN);
+        fixture.txnArrives(30, "next", WRITE, 3000);
         assertThat(ofKind(Kind.SUBMIT, fixture.decisions(30))).isEmpty();
-        fixture.says(40, 1, Role.PRIMARY, 38);
+        fixture.memberReports(40, 1, Role.PRIMARY, 38);
         assertThat(ofKind(Kind.SUBMIT, fixture.decisions(40)))
                 .extracting(Decision::txn)
                 .containsExactly("next");
@@ -732,11 +751,19 @@
 
     @Test
     void singleConnectFailureStartsNoBackoff() {
-        Fixtures fixture = new Fixtures().group(1, 2).roles(5, 2);
-        fixture.txn(10, "r", READ, 2000);
+        Fixtures fixture = new Fixtures().withGroup(1, 2).rolesReported(5, 2);
+        fixture.txnArrives(10, "r", READ, 2000);
         fixture.decisions(10);
         fixture.router.submissionEnded(
-                at(200), "r", 0, 2, Outcome.UNREACHABLE, at(190), false, Role.UNKNOWN, null);
+                millis(200),
+                "r",
+                0,
+                2,
+                Outcome.UNREACHABLE,
+                millis(190),
+                false,
+                Role.UNKNOWN,
+                null);
         assertThat(ofKind(Kind.SUBMIT, fixture.decisions(200)))
                 .extracting(Decision::member)
                 .containsExactly(2L);
@@ -746,15 +773,31 @@
     void timeQueuedByTheHostCountsTowardsTheSlaTime() {
         // No member can take either of them: each is given up at half of its SLA time, counted from
         // its arrival at the host.
-        Fixtures fixture = new Fixtures().group(1);
+        Fixtures fixture = new Fixtures().withGroup(1);
         fixture.router.txnArrived(
-                at(1000), "waited", READ, GROUP_ID, at(1800), NO_SESSION, null, false, at(200));
+                millis(1000),
+                "waited",
+                READ,
+                GROUP_ID,
+                millis(1800),
+                NO_SESSION,
+                null,
+                false,
+                millis(200));
         fixture.router.txnArrived(
-                at(1000), "fresh", READ, GROUP_ID, at(2000), NO_SESSION, null, false, at(0));
-        assertThat(ofKind(Kind.DECLINE, fixture.until(1150)))
+                millis(1000),
+                "fresh",
+                READ,
+                GROUP_ID,
+                millis(2000),
+                NO_SESSION,
+                null,
+                false,
+                millis(0));
+        assertThat(ofKind(Kind.DECLINE, fixture.decisionsUntil(1150)))
                 .extracting(Decision::txn)
                 .containsExactly("waited");
-        assertThat(ofKind(Kind.DECLINE, fixture.until(1299)))
+        assertThat(ofKind(Kind.DECLINE, fixture.decisionsUntil(1299)))
                 .extracting(Decision::txn)
                 .containsExactly("fresh");
     }
@@ -766,9 +809,11 @@
     @Test
     void readOfTheLatestDataGoesToThePrimaryOnly() {
         Fixtures fixture =
-                new Fixtures().type(WRITE, "repeatable", "latest", 600, 2000).group(1, 2);
-        fixture.says(4000, 1, Role.PRIMARY, 3000);
-        fixture.txn(4010, "r", WRITE, 2000);
+                new Fixtures()
+                        .withTxnType(WRITE, "repeatable", "latest", 600, 2000)
+                        .withGroup(1, 2);
+        fixture.memberReports(4000, 1, Role.PRIMARY, 3000);
+        fixture.txnArrives(4010, "r", WRITE, 2000);
         assertThat(ofKind(Kind.SUBMIT, fixture.decisions(4010)))
                 .extracting(Decision::member)
                 .containsExactly(1L);
@@ -780,22 +825,22 @@
      */
     @Test
     void writeRateToAnOverloadedPrimaryFollowsItsTimelyAnswers() {
-        Fixtures fixture = new Fixtures().group(1, 2).roles(5, 2);
+        Fixtures fixture = new Fixtures().withGroup(1, 2).rolesReported(5, 2);
         int submittedCount = 0;
         for (int nowMs = 10; nowMs < 8000; nowMs += 100) {
-            fixture.txn(nowMs, "w" + nowMs, WRITE, 3000);
+            fixture.txnArrives(nowMs, "w" + nowMs, WRITE, 3000);
             for (Decision decision : ofKind(Kind.SUBMIT, fixture.decisions(nowMs))) {
                 submittedCount++;
                 fixture.router.submissionEnded(
-                        at(nowMs),
+                        millis(nowMs),
                         decision.txn(),
                         decision.submission(),
                         decision.member(),
                         Outcome.COMMITTED,
-                        at(2500),
+                        millis(2500),
                         true,
                         Role.PRIMARY,
-                        at(nowMs));
+                        millis(nowMs));
             }
         }
         assertThat(submittedCount).isBetween(3, 20);
@@ -805,12 +850,12 @@
     private static void refuseConnection(
             Fixtures fixture, long nowMs, String txnId, int submission, long memberId) {
         fixture.router.submissionEnded(
-                at(nowMs),
+                millis(nowMs),
                 txnId,
                 submission,
                 memberId,
                 Outcome.UNREACHABLE,
-                at(0),
+                millis(0),
                 false,
                 Role.UNKNOWN,
                 null);
@@ -822,15 +867,15 @@
      */
     @Test
     void primaryThatRefusesAConnectionIsProbedAloneAndKept() {
-        Fixtures fixture = new Fixtures().group(1, 2, 3).roles(5, 2, 3);
-        fixture.txn(10, "w", WRITE, 3000);
+        Fixtures fixture = new Fixtures().withGroup(1, 2, 3).rolesReported(5, 2, 3);
+        fixture.txnArrives(10, "w", WRITE, 3000);
         fixture.decisions(10);
         refuseConnection(fixture, 11, "w", 0, 1);
         assertThat(ofKind(Kind.PROBE, fixture.decisions(11)))
                 .extracting(Decision::member)
                 .containsExactly(1L);
-        fixture.says(13, 1, Role.PRIMARY, 5);
-        assertThat(ofKind(Kind.SUBMIT, fixture.until(400)))
+        fixture.memberReports(13, 1, Role.PRIMARY, 5);
+        assertThat(ofKind(Kind.SUBMIT, fixture.decisionsUntil(400)))
                 .extracting(Decision::member)
                 .containsExactly(1L);
         assertThat(fixture.log).noneMatch(line -> line.contains("search"));
@@ -842,12 +887,12 @@
      */
     @Test
     void primaryThatRefusesAConnectionAndFailsAProbeStartsAWriterSearch() {
-        Fixtures fixture = new Fixtures().group(1, 2, 3).roles(5, 2, 3);
-        fixture.txn(10, "w", WRITE, 3000);
+        Fixtures fixture = new Fixtures().withGroup(1, 2, 3).rolesReported(5, 2, 3);
+        fixture.txnArrives(10, "w", WRITE, 3000);
         fixture.decisions(10);
         refuseConnection(fixture, 11, "w", 0, 1);
         fixture.decisions(11);
-        fixture.router.probeEnded(at(13), 1, false, at(2));
+        fixture.router.probeEnded(millis(13), 1, false, millis(2));
         assertThat(ofKind(Kind.PROBE, fixture.decisions(13)))
                 .extracting(Decision::member)
                 .containsExactly(1L, 2L, 3L);
@@ -865,20 +910,32 @@
      * lowered to about two.
      */
     private static int submissionCountAtConcurrencyLimitOfTwo(double driverCount) {
-        Fixtures fixture = new Fixtures().with("drivers", driverCount).group(1, 2).roles(5, 2);
+        Fixtures fixture =
+                new Fixtures()
+                        .withSetting("drivers", driverCount)
+                        .withGroup(1, 2)
+                        .rolesReported(5, 2);
         for (String txnId : List.of("a", "b", "c")) {
-            fixture.txn(10, txnId, READ, 2000);
+            fixture.txnArrives(10, txnId, READ, 2000);
         }
         fixture.decisions(10);
         fixture.router.submissionEnded(
-                at(710), "a", 0, 2, Outcome.COMMITTED, at(700), true, Role.REPLICA, at(710));
+                millis(710),
+                "a",
+                0,
+                2,
+                Outcome.COMMITTED,
+                millis(700),
+                true,
+                Role.REPLICA,
+                millis(710));
         int submittedCount = 0;
         for (int nowMs = 711; nowMs < 717; nowMs++) {
-            fixture.txn(nowMs, "d" + nowMs, READ, 2000);
+            fixture.txnArrives(nowMs, "d" + nowMs, READ, 2000);
             for (Decision decision : ofKind(Kind.SUBMIT, fixture.decisions(nowMs))) {
                 submittedCount++;
-                fixture.router.txnAbandoned(at(nowMs), decision.txn());
-                fixture.ends(
+                fixture.router.txnAbandoned(millis(nowMs), decision.txn());
+                fixture.submissionEnds(
                         nowMs,
                         decision.txn(),
                         decision.submission(),
@@ -896,13 +953,15 @@
      */
     @Test
     void steadyProbeIntervalGrowsWithTheNumberOfDrivers() {
-        Fixtures fewDrivers = new Fixtures().with("drivers", 8.0).group(1, 2).roles(5, 2);
+        Fixtures fewDrivers =
+                new Fixtures().withSetting("drivers", 8.0).withGroup(1, 2).rolesReported(5, 2);
         fewDrivers.decisions(5);
-        assertThat(ofKind(Kind.PROBE, fewDrivers.until(24_000))).hasSize(1);
-        Fixtures manyDrivers = new Fixtures().with("drivers", 250.0).group(1, 2).roles(5, 2);
+        assertThat(ofKind(Kind.PROBE, fewDrivers.decisionsUntil(24_000))).hasSize(1);
+        Fixtures manyDrivers =
+                new Fixtures().withSetting("drivers", 250.0).withGroup(1, 2).rolesReported(5, 2);
         manyDrivers.decisions(5);
-        assertThat(ofKind(Kind.PROBE, manyDrivers.until(24_000))).isEmpty();
-        assertThat(ofKind(Kind.PROBE, manyDrivers.until(26_000)))
+        assertThat(ofKind(Kind.PROBE, manyDrivers.decisionsUntil(24_000))).isEmpty();
+        assertThat(ofKind(Kind.PROBE, manyDrivers.decisionsUntil(26_000)))
                 .extracting(Decision::member)
                 .containsExactly(1L);
     }
@@ -910,14 +969,15 @@
     /** Guards a new primary against the fast probes of hundreds of drivers. */
     @Test
     void fastProbeIntervalGrowsWithTheNumberOfDrivers() {
-        Fixtures fixture = new Fixtures().with("drivers", 250.0).group(1, 2).roles(5, 2);
-        fixture.txn(10, "w", WRITE, 3000);
+        Fixtures fixture =
+                new Fixtures().withSetting("drivers", 250.0).withGroup(1, 2).rolesReported(5, 2);
+        fixture.txnArrives(10, "w", WRITE, 3000);
         fixture.decisions(10);
-        fixture.ends(20, "w", 0, 1, Outcome.MISSED, Role.REPLICA);
+        fixture.submissionEnds(20, "w", 0, 1, Outcome.MISSED, Role.REPLICA);
         fixture.decisions(20);
-        fixture.says(30, 2, Role.PRIMARY, 28);
+        fixture.memberReports(30, 2, Role.PRIMARY, 28);
         fixture.decisions(30);
-        assertThat(ofKind(Kind.PROBE, fixture.until(135)))
+        assertThat(ofKind(Kind.PROBE, fixture.decisionsUntil(135)))
                 .extracting(Decision::member)
                 .doesNotContain(2L);
     }
@@ -928,14 +988,15 @@
      */
     @Test
     void replicaThatReportsAnOverlongQueueGetsNoReads() {
-        Fixtures fixture = new Fixtures().with("drivers", 250.0).group(1, 2).roles(5, 2);
-        fixture.router.memberReported(at(8), 2, Role.REPLICA, at(8), Double.NaN, 20, 0.3);
-        fixture.txn(10, "r", READ, 2000);
+        Fixtures fixture =
+                new Fixtures().withSetting("drivers", 250.0).withGroup(1, 2).rolesReported(5, 2);
+        fixture.router.memberReported(millis(8), 2, Role.REPLICA, millis(8), Double.NaN, 20, 0.3);
+        fixture.txnArrives(10, "r", READ, 2000);
         assertThat(ofKind(Kind.SUBMIT, fixture.decisions(10)))
                 .extracting(Decision::member)
                 .doesNotContain(2L);
-        fixture.router.memberReported(at(20), 2, Role.REPLICA, at(20), Double.NaN, 0, 0.3);
-        fixture.txn(21, "s", READ, 2000);
+        fixture.router.memberReported(millis(20), 2, Role.REPLICA, millis(20), Double.NaN, 0, 0.3);
+        fixture.txnArrives(21, "s", READ, 2000);
         assertThat(ofKind(Kind.SUBMIT, fixture.decisions(21)))
                 .extracting(Decision::member)
                 .contains(2L);
@@ -947,21 +1008,23 @@
      */
     @Test
     void idleConnectionIsReleasedAfterConnectionRefusals() {
-        Fixtures fixture = new Fixtures().group(1, 2, 3).roles(5, 2, 3);
-        fixture.txn(10, "a", READ, 2000);
+        Fixtures fixture = new Fixtures().withGroup(1, 2, 3).rolesReported(5, 2, 3);
+        fixture.txnArrives(10, "a", READ, 2000);
         Decision firstSubmission = ofKind(Kind.SUBMIT, fixture.decisions(10)).get(0);
-        fixture.ends(20, "a", 0, firstSubmission.member(), Outcome.COMMITTED, Role.REPLICA);
+        fixture.submissionEnds(
+                20, "a", 0, firstSubmission.member(), Outcome.COMMITTED, Role.REPLICA);
         assertThat(ofKind(Kind.RELEASE, fixture.decisions(20))).isEmpty();
         for (String txnId : List.of("b", "c")) {
-            fixture.txn(30, txnId, READ, 2000);
+            fixture.txnArrives(30, txnId, READ, 2000);
             Decision refusedSubmission = ofKind(Kind.SUBMIT, fixture.decisions(30)).get(0);
             refuseConnection(fixture, 31, txnId, 0, refusedSubmission.member());
-            fixture.router.txnAbandoned(at(31), txnId);
+            fixture.router.txnAbandoned(millis(31), txnId);
         }
         fixture.decisions(31);
-        fixture.txn(400, "d", READ, 2000);
+        fixture.txnArrives(400, "d", READ, 2000);
         Decision lastSubmission = ofKind(Kind.SUBMIT, fixture.decisions(400)).get(0);
-        fixture.ends(410, "d", 0, lastSubmission.member(), Outcome.COMMITTED, Role.REPLICA);
+        fixture.submissionEnds(
+                410, "d", 0, lastSubmission.member(), Outcome.COMMITTED, Role.REPLICA);
         assertThat(ofKind(Kind.RELEASE, fixture.decisions(410)))
                 .extracting(Decision::member)
                 .containsExactly(lastSubmission.member());
@@ -975,16 +1038,16 @@
     void memberWithALowLimitAndAnOldReportIsProbedBeforeItGetsARead() {
         Fixtures fixture =
                 new Fixtures()
-                        .with("drivers", 250.0)
-                        .type(READ, "repeatable", "loose", 600, 2000)
-                        .group(1, 2)
-                        .roles(5, 2);
-        fixture.router.memberReported(at(8), 2, Role.REPLICA, at(8), Double.NaN, 0, 0.3);
-        fixture.txn(10, "a", READ, 2000);
+                        .withSetting("drivers", 250.0)
+                        .withTxnType(READ, "repeatable", "loose", 600, 2000)
+                        .withGroup(1, 2)
+                        .rolesReported(5, 2);
+        fixture.router.memberReported(millis(8), 2, Role.REPLICA, millis(8), Double.NaN, 0, 0.3);
+        fixture.txnArrives(10, "a", READ, 2000);
         fixture.decisions(10);
         fixture.router.submissionEnded(
-                at(700), "a", 0, 2, Outcome.TIMED_OUT, at(690), false, Role.UNKNOWN, null);
-        fixture.router.txnAbandoned(at(701), "a");
+                millis(700), "a", 0, 2, Outcome.TIMED_OUT, millis(690), false, Role.UNKNOWN, null);
+        fixture.router.txnAbandoned(millis(701), "a");
         // Its credit grows slowly; until there is enough for a read, it gets neither a read nor a
         // probe.
         List<Decision> decisions = List.of();
@@ -997,10 +1060,10 @@
             assertThat(ofKind(Kind.SUBMIT, decisions))
                     .extracting(Decision::member)
                     .doesNotContain(2L);
-            fixture.txn(nowMs, "b" + nowMs, READ, 2000);
+            fixture.txnArrives(nowMs, "b" + nowMs, READ, 2000);
             decisions = fixture.decisions(nowMs);
             for (Decision decision : ofKind(Kind.SUBMIT, decisions)) {
-                fixture.ends(
+                fixture.submissionEnds(
                         nowMs,
                         decision.txn(),
                         decision.submission(),
@@ -1010,9 +1073,10 @@
             }
         }
         assertThat(ofKind(Kind.SUBMIT, decisions)).extracting(Decision::member).doesNotContain(2L);
-        fixture.router.memberReported(at(nowMs), 2, Role.REPLICA, at(nowMs), Double.NaN, 0, 0.3);
-        fixture.router.probeEnded(at(nowMs), 2, true, at(1));
-        fixture.txn(nowMs, "c", READ, 2000);
+        fixture.router.memberReported(
+                millis(nowMs), 2, Role.REPLICA, millis(nowMs), Double.NaN, 0, 0.3);
+        fixture.router.probeEnded(millis(nowMs), 2, true, millis(1));
+        fixture.txnArrives(nowMs, "c", READ, 2000);
         assertThat(ofKind(Kind.SUBMIT, fixture.decisions(nowMs)))
                 .extracting(Decision::member)
                 .contains(2L);
@@ -1026,16 +1090,16 @@
     void readOfTheLatestDataIsNotSentToAFormerPrimary() {
         Fixtures fixture =
                 new Fixtures()
-                        .type(READ, "repeatable", "latest", 600, 2000)
-                        .group(1, 2)
-                        .roles(5, 2);
-        fixture.txn(10, "r", READ, 2000);
+                        .withTxnType(READ, "repeatable", "latest", 600, 2000)
+                        .withGroup(1, 2)
+                        .rolesReported(5, 2);
+        fixture.txnArrives(10, "r", READ, 2000);
         assertThat(ofKind(Kind.SUBMIT, fixture.decisions(10)))
                 .extracting(Decision::member)
                 .containsExactly(1L);
-        assertThat(fixture.router.mayStillSend(at(20), "r", 1)).isTrue();
-        fixture.says(30, 2, Role.PRIMARY, 28);
-        assertThat(fixture.router.mayStillSend(at(40), "r", 1)).isFalse();
+        assertThat(fixture.router.mayStillSend(millis(20), "r", 1)).isTrue();
+        fixture.memberReports(30, 2, Role.PRIMARY, 28);
+        assertThat(fixture.router.mayStillSend(millis(40), "r", 1)).isFalse();
     }
 
     /**
@@ -1044,15 +1108,17 @@
      */
     @Test
     void overloadedPrimaryIsProbedWhileWritesAreHeldAndUsedOnceItsQueueIsShort() {
-        Fixtures fixture = new Fixtures().with("drivers", 250.0).group(1, 2).roles(5, 2);
-        fixture.router.memberReported(at(8), 1, Role.PRIMARY, at(8), Double.NaN, 20, 0.3);
-        fixture.txn(10, "w", WRITE, 3000);
+        Fixtures fixture =
+                new Fixtures().withSetting("drivers", 250.0).withGroup(1, 2).rolesReported(5, 2);
+        fixture.router.memberReported(millis(8), 1, Role.PRIMARY, millis(8), Double.NaN, 20, 0.3);
+        fixture.txnArrives(10, "w", WRITE, 3000);
         assertThat(ofKind(Kind.SUBMIT, fixture.decisions(10))).isEmpty();
-        assertThat(ofKind(Kind.PROBE, fixture.until(700)))
+        assertThat(ofKind(Kind.PROBE, fixture.decisionsUntil(700)))
                 .extracting(Decision::member)
                 .containsExactly(1L);
-        fixture.router.memberReported(at(702), 1, Role.PRIMARY, at(702), Double.NaN, 0, 0.3);
-        fixture.router.probeEnded(at(702), 1, true, at(1));
+        fixture.router.memberReported(
+                millis(702), 1, Role.PRIMARY, millis(702), Double.NaN, 0, 0.3);
+        fixture.router.probeEnded(millis(702), 1, true, millis(1));
         assertThat(ofKind(Kind.SUBMIT, fixture.decisions(702)))
                 .extracting(Decision::member)
                 .containsExactly(1L);
@@ -1068,23 +1134,23 @@
     void repeatIsNotSentIfItsRepeatWindowEndsWhileConnecting() {
         Fixtures fixture =
                 new Fixtures()
-                        .type(WRITE, "referenced", "update", 600, 3000)
-                        .with("txn-type.1.window", at(300))
-                        .group(1, 2)
-                        .roles(5, 2);
-        fixture.txn(10, "w", WRITE, 3000);
+                        .withTxnType(WRITE, "referenced", "update", 600, 3000)
+                        .withSetting("txn-type.1.window", millis(300))
+                        .withGroup(1, 2)
+                        .rolesReported(5, 2);
+        fixture.txnArrives(10, "w", WRITE, 3000);
         assertThat(ofKind(Kind.SUBMIT, fixture.decisions(10))).hasSize(1);
-        assertThat(fixture.router.mayStillSend(at(400), "w", 1))
+        assertThat(fixture.router.mayStillSend(millis(400), "w", 1))
                 .as("the repeat window does not limit the first submission")
                 .isTrue();
-        fixture.ends(200, "w", 0, 1, Outcome.ERROR, Role.PRIMARY);
-        fixture.says(205, 1, Role.PRIMARY, 205);
+        fixture.submissionEnds(200, "w", 0, 1, Outcome.ERROR, Role.PRIMARY);
+        fixture.memberReports(205, 1, Role.PRIMARY, 205);
         assertThat(ofKind(Kind.SUBMIT, fixture.decisions(206)))
                 .extracting(Decision::submission)
                 .containsExactly(1);
-        assertThat(fixture.router.mayStillSend(at(290), "w", 1)).isTrue();
-        assertThat(fixture.router.mayStillSend(at(310), "w", 1)).isFalse();
-        fixture.ends(310, "w", 1, 1, Outcome.MOOT, Role.UNKNOWN);
+        assertThat(fixture.router.mayStillSend(millis(290), "w", 1)).isTrue();
+        assertThat(fixture.router.mayStillSend(millis(310), "w", 1)).isFalse();
+        fixture.submissionEnds(310, "w", 1, 1, Outcome.MOOT, Role.UNKNOWN);
         assertThat(fixture.decisions(311))
                 .extracting(Decision::kind)
                 .contains(Kind.ROLL_BACK)
@@ -1095,15 +1161,15 @@
     void repeatableReadIsResubmittedAfterItsRepeatWindow() {
         Fixtures fixture =
                 new Fixtures()
-                        .type(READ, "repeatable", "loose", 600, 2000)
-                        .with("txn-type.0.window", at(100))
-                        .group(1, 2, 3)
-                        .roles(5, 2, 3);
-        fixture.txn(10, "r", READ, 2000);
+                        .withTxnType(READ, "repeatable", "loose", 600, 2000)
+                        .withSetting("txn-type.0.window", millis(100))
+                        .withGroup(1, 2, 3)
+                        .rolesReported(5, 2, 3);
+        fixture.txnArrives(10, "r", READ, 2000);
         long firstMemberId = ofKind(Kind.SUBMIT, fixture.decisions(10)).get(0).member();
-        fixture.ends(50, "r", 0, firstMemberId, Outcome.RESET, Role.UNKNOWN);
+        fixture.submissionEnds(50, "r", 0, firstMemberId, Outcome.RESET, Role.UNKNOWN);
         Decision resubmission = ofKind(Kind.SUBMIT, fixture.decisions(50)).get(0);
-        assertThat(fixture.router.mayStillSend(at(400), "r", resubmission.member())).isTrue();
+        assertThat(fixture.router.mayStillSend(millis(400), "r", resubmission.member())).isTrue();
     }
 
     /**
@@ -1111,15 +1177,15 @@
      */
     @Test
     void writeIsNotSentToAFormerPrimary() {
-        Fixtures fixture = new Fixtures().group(1, 2).roles(5, 2);
-        fixture.txn(10, "w", WRITE, 3000);
+        Fixtures fixture = new Fixtures().withGroup(1, 2).rolesReported(5, 2);
+        fixture.txnArrives(10, "w", WRITE, 3000);
         assertThat(ofKind(Kind.SUBMIT, fixture.decisions(10)))
                 .extracting(Decision::member)
                 .containsExactly(1L);
-        assertThat(fixture.router.mayStillSend(at(20), "w", 1)).isTrue();
-        fixture.says(30, 2, Role.PRIMARY, 28);
-        assertThat(fixture.router.mayStillSend(at(40), "w", 1)).isFalse();
-        fixture.ends(40, "w", 0, 1, Outcome.MOOT, Role.UNKNOWN);
+        assertThat(fixture.router.mayStillSend(millis(20), "w", 1)).isTrue();
+        fixture.memberReports(30, 2, Role.PRIMARY, 28);
+        assertThat(fixture.router.mayStillSend(millis(40), "w", 1)).isFalse();
+        fixture.submissionEnds(40, "w", 0, 1, Outcome.MOOT, Role.UNKNOWN);
         assertThat(ofKind(Kind.SUBMIT, fixture.decisions(40)))
                 .extracting(Decision::member)
                 .containsExactly(2L);
@@ -1133,22 +1199,22 @@
     void openTxnsAreAnsweredByTheShutdownDeadline() {
         Fixtures fixture =
                 new Fixtures()
-                        .type(WRITE, "once-only", "update", 600, 60_000)
-                        .group(1, 2)
-                        .roles(5, 2);
-        fixture.txn(10, "out", WRITE, 60_000);
+                        .withTxnType(WRITE, "once-only", "update", 600, 60_000)
+                        .withGroup(1, 2)
+                        .rolesReported(5, 2);
+        fixture.txnArrives(10, "out", WRITE, 60_000);
         assertThat(ofKind(Kind.SUBMIT, fixture.decisions(10))).hasSize(1);
         fixture.router.memberReported(
-                at(20), 1, Role.REPLICA, at(20), Double.NaN, Double.NaN, Double.NaN);
-        fixture.txn(30, "held", WRITE, 60_000);
-        fixture.txn(30, "short", WRITE, 500);
-        assertThat(ofKind(Kind.SUBMIT, fixture.until(40))).isEmpty();
-        fixture.router.answerAllBy(at(50), at(3000));
-        assertThat(fixture.until(2900))
+                millis(20), 1, Role.REPLICA, millis(20), Double.NaN, Double.NaN, Double.NaN);
+        fixture.txnArrives(30, "held", WRITE, 60_000);
+        fixture.txnArrives(30, "short", WRITE, 500);
+        assertThat(ofKind(Kind.SUBMIT, fixture.decisionsUntil(40))).isEmpty();
+        fixture.router.answerAllBy(millis(50), millis(3000));
+        assertThat(fixture.decisionsUntil(2900))
                 .extracting(Decision::txn)
                 .doesNotContain("out", "held")
                 .contains("short");
-        List<Decision> finalDecisions = fixture.until(3000);
+        List<Decision> finalDecisions = fixture.decisionsUntil(3000);
         assertThat(ofKind(Kind.ROLL_BACK, finalDecisions))
                 .extracting(Decision::txn)
                 .containsExactly("out");
@@ -1165,14 +1231,14 @@
     void failedMemberListRequestIsNotRepeatedIfListsArePushed() {
         Fixtures fixture =
                 new Fixtures()
-                        .with("ask-within", Duration.ZERO)
-                        .with("member-list", "push")
-                        .group(1, 2)
-                        .roles(5, 2);
+                        .withSetting("ask-within", Duration.ZERO)
+                        .withSetting("member-list", "push")
+                        .withGroup(1, 2)
+                        .rolesReported(5, 2);
         fixture.decisions(10);
-        fixture.router.memberListFailed(at(20));
+        fixture.router.memberListFailed(millis(20));
         for (long nowMs = 20; nowMs < 40; nowMs++) {
-            Decision decision = fixture.router.nextDecision(at(nowMs));
+            Decision decision = fixture.router.nextDecision(millis(nowMs));
             assertThat(decision == null ? null : decision.kind()).isNotEqualTo(Kind.FOLLOW_LIST);
         }
     }
@@ -1183,18 +1249,18 @@
      */
     @Test
     void reportOlderThanTheNewPrimarysClaimIsIgnored() {
-        Fixtures fixture = new Fixtures().group(1, 2, 3).roles(5, 2, 3);
-        fixture.txn(10, "w", WRITE, 3000);
+        Fixtures fixture = new Fixtures().withGroup(1, 2, 3).rolesReported(5, 2, 3);
+        fixture.txnArrives(10, "w", WRITE, 3000);
         fixture.decisions(10);
-        fixture.ends(20, "w", 0, 1, Outcome.MISSED, Role.REPLICA);
+        fixture.submissionEnds(20, "w", 0, 1, Outcome.MISSED, Role.REPLICA);
         fixture.decisions(20);
-        fixture.says(60, 2, Role.PRIMARY, 55);
+        fixture.memberReports(60, 2, Role.PRIMARY, 55);
         assertThat(ofKind(Kind.SUBMIT, fixture.decisions(60)))
                 .extracting(Decision::member)
                 .containsExactly(2L);
         // A report that the former primary made before the change, received late.
-        fixture.says(70, 1, Role.PRIMARY, 15);
-        fixture.txn(71, "x", WRITE, 3000);
+        fixture.memberReports(70, 1, Role.PRIMARY, 15);
+        fixture.txnArrives(71, "x", WRITE, 3000);
         assertThat(ofKind(Kind.SUBMIT, fixture.decisions(71)))
                 .extracting(Decision::member)
                 .containsExactly(2L);
@@ -1206,18 +1272,18 @@
      */
     @Test
     void heldWriteIsSubmittedOnceIfThePrimaryIsConfirmedTwice() {
-        Fixtures fixture = new Fixtures().group(1, 2, 3).roles(5, 2, 3);
+        Fixtures fixture = new Fixtures().withGroup(1, 2, 3).rolesReported(5, 2, 3);
         fixture.router.memberReported(
-                at(8), 1, Role.REPLICA, at(8), Double.NaN, Double.NaN, Double.NaN);
-        fixture.txn(10, "w", WRITE, 3000);
+                millis(8), 1, Role.REPLICA, millis(8), Double.NaN, Double.NaN, Double.NaN);
+        fixture.txnArrives(10, "w", WRITE, 3000);
         assertThat(ofKind(Kind.SUBMIT, fixture.decisions(10))).isEmpty();
-        fixture.says(30, 2, Role.PRIMARY, 28);
-        fixture.says(30, 2, Role.PRIMARY, 29);
+        fixture.memberReports(30, 2, Role.PRIMARY, 28);
+        fixture.memberReports(30, 2, Role.PRIMARY, 29);
         assertThat(ofKind(Kind.SUBMIT, fixture.decisions(30)))
                 .extracting(Decision::member)
                 .containsExactly(2L);
-        fixture.says(31, 3, Role.PRIMARY, 30);
-        assertThat(ofKind(Kind.SUBMIT, fixture.until(200)))
+        fixture.memberReports(31, 3, Role.PRIMARY, 30);
+        assertThat(ofKind(Kind.SUBMIT, fixture.decisionsUntil(200)))
                 .extracting(Decision::txn)
                 .doesNotContain("w");
     }
@@ -1228,15 +1294,15 @@
      */
     @Test
     void writerSearchEndsAfterItsLastHeldWriteIsAbandoned() {
-        Fixtures fixture = new Fixtures().group(1, 2).roles(5, 2);
+        Fixtures fixture = new Fixtures().withGroup(1, 2).rolesReported(5, 2);
         fixture.router.memberReported(
-                at(8), 1, Role.REPLICA, at(8), Double.NaN, Double.NaN, Double.NaN);
-        fixture.txn(10, "gone", WRITE, 3000);
+                millis(8), 1, Role.REPLICA, millis(8), Double.NaN, Double.NaN, Double.NaN);
+        fixture.txnArrives(10, "gone", WRITE, 3000);
         fixture.decisions(10);
-        fixture.router.txnAbandoned(at(29), "gone");
-        fixture.says(30, 2, Role.PRIMARY, 28);
+        fixture.router.txnAbandoned(millis(29), "gone");
+        fixture.memberReports(30, 2, Role.PRIMARY, 28);
         assertThat(ofKind(Kind.SUBMIT, fixture.decisions(30))).isEmpty();
-        fixture.txn(31, "next", WRITE, 3000);
+        fixture.txnArrives(31, "next", WRITE, 3000);
         assertThat(ofKind(Kind.SUBMIT, fixture.decisions(31)))
                 .extracting(Decision::txn)
                 .containsExactly("next");
@@ -1257,24 +1323,24 @@
                     Outcome.MOOT,
                     Outcome.ERROR
                 }) {
-            Fixtures fixture = new Fixtures().group(1, 2, 3).roles(5, 2, 3);
-            fixture.txn(10, "r", READ, 2000);
+            Fixtures fixture = new Fixtures().withGroup(1, 2, 3).rolesReported(5, 2, 3);
+            fixture.txnArrives(10, "r", READ, 2000);
             Decision firstSubmission = ofKind(Kind.SUBMIT, fixture.decisions(10)).get(0);
-            fixture.router.txnAbandoned(at(20), "r");
+            fixture.router.txnAbandoned(millis(20), "r");
             assertThat(ofKind(Kind.CANCEL, fixture.decisions(20))).hasSize(1);
-            assertThat(fixture.router.mayStillSend(at(21), "r", firstSubmission.member()))
+            assertThat(fixture.router.mayStillSend(millis(21), "r", firstSubmission.member()))
                     .isFalse();
             fixture.router.submissionEnded(
-                    at(30),
+                    millis(30),
                     "r",
                     0,
                     firstSubmission.member(),
                     lateOutcome,
-                    at(20),
+                    millis(20),
                     false,
                     Role.UNKNOWN,
                     null);
-            assertThat(fixture.until(3000))
+            assertThat(fixture.decisionsUntil(3000))
                     .as(lateOutcome.name())
                     .extracting(Decision::kind)
                     .doesNotContain(Kind.SUBMIT, Kind.DECLINE, Kind.ROLL_BACK, Kind.CANCEL);
@@ -1289,25 +1355,25 @@
     void unresponsivePrimaryThatReportsToBeAReplicaGetsNoReads() {
         Fixtures fixture =
                 new Fixtures()
-                        .type(READ, "repeatable", "recent", 600, 3000)
-                        .with("txn-type.0.oldest-data", at(1000))
-                        .group(1, 2, 3)
-                        .roles(5, 2, 3);
-        fixture.txn(10, "w", WRITE, 5000);
+                        .withTxnType(READ, "repeatable", "recent", 600, 3000)
+                        .withSetting("txn-type.0.oldest-data", millis(1000))
+                        .withGroup(1, 2, 3)
+                        .rolesReported(5, 2, 3);
+        fixture.txnArrives(10, "w", WRITE, 5000);
         assertThat(ofKind(Kind.SUBMIT, fixture.decisions(10))).hasSize(1);
         // It answers none of its outstanding submissions: writes are held, and one repeatable read
         // is sent to find out whether it still serves txns.
-        fixture.until(1900);
-        fixture.txn(1900, "v", WRITE, 5000);
-        fixture.txn(1900, "r", READ, 3000);
+        fixture.decisionsUntil(1900);
+        fixture.txnArrives(1900, "v", WRITE, 5000);
+        fixture.txnArrives(1900, "r", READ, 3000);
         assertThat(ofKind(Kind.SUBMIT, fixture.decisions(1900)))
                 .extracting(Decision::txn, Decision::member)
                 .containsExactly(Tuple.tuple("r", 1L));
-        fixture.ends(1950, "r", 0, 1, Outcome.RESET, Role.UNKNOWN);
+        fixture.submissionEnds(1950, "r", 0, 1, Outcome.RESET, Role.UNKNOWN);
         // After its pause it is a replica with old data; its outstanding write has no outcome yet.
-        fixture.says(2000, 1, Role.REPLICA, 20);
-        fixture.txn(2001, "s", READ, 3000);
-        assertThat(ofKind(Kind.SUBMIT, fixture.until(2010)))
+        fixture.memberReports(2000, 1, Role.REPLICA, 20);
+        fixture.txnArrives(2001, "s", READ, 3000);
+        assertThat(ofKind(Kind.SUBMIT, fixture.decisionsUntil(2010)))
                 .extracting(Decision::member)
                 .doesNotContain(1L);
     }
@@ -1322,20 +1388,20 @@
         for (String freshness : new String[] {"recent", "latest"}) {
             Fixtures fixture =
                     new Fixtures()
-                            .type(READ, "repeatable", freshness, 600, 3000)
-                            .with("txn-type.0.oldest-data", at(1000))
-                            .group(1)
-                            .roles(5);
-            fixture.says(100, 1, Role.PRIMARY, 100);
-            fixture.txn(110, "r", READ, 3000);
+                            .withTxnType(READ, "repeatable", freshness, 600, 3000)
+                            .withSetting("txn-type.0.oldest-data", millis(1000))
+                            .withGroup(1)
+                            .rolesReported(5);
+            fixture.memberReports(100, 1, Role.PRIMARY, 100);
+            fixture.txnArrives(110, "r", READ, 3000);
             assertThat(ofKind(Kind.SUBMIT, fixture.decisions(110))).as(freshness).hasSize(1);
-            fixture.ends(150, "r", 0, 1, Outcome.COMMITTED, Role.UNKNOWN);
-            fixture.until(1999);
-            fixture.says(2000, 1, Role.REPLICA, 90);
-            fixture.txn(2001, "s", READ, 3000);
-            assertThat(ofKind(Kind.SUBMIT, fixture.until(2010))).as(freshness).isEmpty();
-            fixture.says(2050, 1, Role.PRIMARY, 2045);
-            assertThat(ofKind(Kind.SUBMIT, fixture.until(2060)))
+            fixture.submissionEnds(150, "r", 0, 1, Outcome.COMMITTED, Role.UNKNOWN);
+            fixture.decisionsUntil(1999);
+            fixture.memberReports(2000, 1, Role.REPLICA, 90);
+            fixture.txnArrives(2001, "s", READ, 3000);
+            assertThat(ofKind(Kind.SUBMIT, fixture.decisionsUntil(2010))).as(freshness).isEmpty();
+            fixture.memberReports(2050, 1, Role.PRIMARY, 2045);
+            assertThat(ofKind(Kind.SUBMIT, fixture.decisionsUntil(2060)))
                     .as(freshness)
                     .extracting(Decision::txn)
                     .containsExactly("s");
@@ -1351,16 +1417,16 @@
         for (String freshness : new String[] {"recent", "latest"}) {
             Fixtures fixture =
                     new Fixtures()
-                            .type(READ, "repeatable", freshness, 600, 3000)
-                            .with("txn-type.0.oldest-data", at(1000))
-                            .group(1)
-                            .roles(5);
-            fixture.says(2000, 1, Role.PRIMARY, 2000);
-            fixture.txn(2010, "r", READ, 3000);
+                            .withTxnType(READ, "repeatable", freshness, 600, 3000)
+                            .withSetting("txn-type.0.oldest-data", millis(1000))
+                            .withGroup(1)
+                            .rolesReported(5);
+            fixture.memberReports(2000, 1, Role.PRIMARY, 2000);
+            fixture.txnArrives(2010, "r", READ, 3000);
             assertThat(ofKind(Kind.SUBMIT, fixture.decisions(2010))).hasSize(1);
-            assertThat(fixture.router.mayStillSend(at(2015), "r", 1)).isTrue();
-            fixture.says(2020, 1, Role.REPLICA, 90);
-            assertThat(fixture.router.mayStillSend(at(3100), "r", 1)).as(freshness).isFalse();
+            assertThat(fixture.router.mayStillSend(millis(2015), "r", 1)).isTrue();
+            fixture.memberReports(2020, 1, Role.REPLICA, 90);
+            assertThat(fixture.router.mayStillSend(millis(3100), "r", 1)).as(freshness).isFalse();
         }
     }
 
@@ -1373,23 +1439,23 @@
     void membersThatStartTogetherEachGetNoMoreThanTheirWarmUpRate() {
         Fixtures fixture =
                 new Fixtures()
-                        .type(READ, "repeatable", "loose", 600, 2000)
-                        .group(1, 2, 3, 4, 5, 6, 7, 8, 9, 10)
-                        .roles(5, 2, 3, 4, 5, 6, 7, 8, 9, 10);
+                        .withTxnType(READ, "repeatable", "loose", 600, 2000)
+                        .withGroup(1, 2, 3, 4, 5, 6, 7, 8, 9, 10)
+                        .rolesReported(5, 2, 3, 4, 5, 6, 7, 8, 9, 10);
         // 200 reads per second, each answered at once: about 22 per replica.
         int[] submittedCounts = new int[11];
         for (int nowMs = 10; nowMs < 6000; nowMs += 5) {
             if (nowMs == 5000) {
-                fixture.router.memberListStarted(at(nowMs), false);
+                fixture.router.memberListStarted(millis(nowMs), false);
                 for (long memberId = 2; memberId <= 10; memberId++) {
-                    fixture.listed(nowMs, memberId, false, at(nowMs));
+                    fixture.memberListed(nowMs, memberId, false, millis(nowMs));
                 }
-                fixture.router.memberListEnded(at(nowMs));
+                fixture.router.memberListEnded(millis(nowMs));
             }
-            fixture.txn(nowMs, "r" + nowMs, READ, 2000);
+            fixture.txnArrives(nowMs, "r" + nowMs, READ, 2000);
             for (Decision decision : ofKind(Kind.SUBMIT, fixture.decisions(nowMs))) {
                 submittedCounts[(int) decision.member()] += nowMs < 5000 ? 0 : 1;
-                fixture.ends(
+                fixture.submissionEnds(
                         nowMs,
                         decision.txn(),
                         decision.submission(),
