--- a/src/main/java/wingroad/driver/Driver.java
+++ b/src/main/java/wingroad/driver/Driver.java
@@ -59,6 +59,14 @@
     /** How many descriptors are left to the process itself; a quarter of them if that is less. */
     private static final int MAX_PROCESS_DESCRIPTORS = 24;
 
+    private static final int PROCESS_DESCRIPTORS_DIVISOR = 4;
+
+    /** Connections may buffer this part of all memory at most. */
+    private static final long BUFFERED_MEMORY_DIVISOR = 8;
+
+    /** Connections may buffer this part of the heap at most. */
+    private static final long BUFFERED_HEAP_DIVISOR = 4;
+
     private final Clock clock = new Clock();
     private final Counters counters = new Counters();
 
@@ -83,7 +91,7 @@
     private FleetAgent fleetAgent;
 
     /** Applies the plan of maintenance work at this driver, or null if none is planned. */
-    private final WorkAgent workAgent;
+    private final MaintenanceAgent maintenanceAgent;
 
     private final List<String> zoneNames;
     private final List<String> kindNames;
@@ -129,8 +137,8 @@
         log = new Log(clock, out);
         zoneNames = configuration.names("azs");
         kindNames = configuration.names("shapes");
-        Map<String, Object> terms = RouterSettings.fromWire(configuration.settings());
-        pullMode = "ask".equals(terms.get("member-list"));
+        Map<String, Object> routerSettings = RouterSettings.fromWire(configuration.settings());
+        pullMode = "ask".equals(routerSettings.get("member-list"));
         // The remaining descriptors are for the process itself: its class archive, its selectors,
         // its log. Connections may buffer a quarter of the heap and an eighth of all memory at
         // most, since a statement is copied while it is processed.
@@ -139,30 +147,35 @@
                         configuration.descriptorLimit()
                                 - Math.min(
                                         MAX_PROCESS_DESCRIPTORS,
-                                        configuration.descriptorLimit() / 4),
+                                        configuration.descriptorLimit()
+                                                / PROCESS_DESCRIPTORS_DIVISOR),
                         Math.min(
-                                configuration.memoryBytes() / 8,
-                                Runtime.getRuntime().maxMemory() / 4),
+                                configuration.memoryBytes() / BUFFERED_MEMORY_DIVISOR,
+                                Runtime.getRuntime().maxMemory() / BUFFERED_HEAP_DIVISOR),
                         log::error);
         Router router =
                 new TxnRouter(
                         operatorFile == null || operatorFile.fleet() == null
-                                ? terms
-                                : ChoreExecutor.withChoreType(terms),
+                                ? routerSettings
+                                : ChoreExecutor.withChoreType(routerSettings),
                         configuration.seed(),
                         log::info);
         dispatcher =
                 new TxnDispatcher(
-                        loop, clock, router, (Duration) terms.get("connect-time-out"), log::error);
+                        loop,
+                        clock,
+                        router,
+                        (Duration) routerSettings.get("connect-time-out"),
+                        log::error);
         clientFrontend =
                 new ClientFrontend(
                         loop,
                         dispatcher,
                         counters,
                         configuration.names("grades"),
-                        terms,
+                        routerSettings,
                         group -> groups.isEmpty() || groups.contains(group));
-        memberPools = new MemberPools(loop, clock, counters, terms, dispatcher);
+        memberPools = new MemberPools(loop, clock, counters, routerSettings, dispatcher);
         discoveryClient =
                 new DiscoveryClient(
                         loop,
@@ -173,21 +186,22 @@
                         this::listFound,
                         () -> dispatcher.router().memberListFailed(clock.now()));
         dispatcher.attach(memberPools, discoveryClient, clientFrontend::closeIdleConnection);
-        workAgent =
+        maintenanceAgent =
                 operatorFile == null
                                 || operatorFile.fleet() == null
                                 || operatorFile.fleet().maintenance() == null
                         ? null
-                        : new WorkAgent(
+                        : new MaintenanceAgent(
                                 loop,
                                 clock,
-                                ChoreExecutor.withDeploymentTerms(operatorFile.fleet(), terms),
-                                TxnType.fromSettings(terms),
+                                ChoreExecutor.withDeploymentSettings(
+                                        operatorFile.fleet(), routerSettings),
+                                TxnType.fromSettings(routerSettings),
                                 memberPools,
                                 this::applyAndLogList,
                                 log::info);
-        if (workAgent != null) {
-            dispatcher.setObserver(workAgent);
+        if (maintenanceAgent != null) {
+            dispatcher.setObserver(maintenanceAgent);
         }
     }
 
@@ -213,7 +227,7 @@
                     signal -> {
                         reloadBeforeStart.set(true);
                         if (started.get() != null) {
-                            started.get().loop.run(started.get()::reload);
+                            started.get().loop.execute(started.get()::reload);
                         }
                     });
             Configuration configuration = Configuration.read(env);
@@ -223,7 +237,7 @@
             // In this order a signal between the two causes two reloads, and none is missed.
             started.set(driver);
             if (reloadBeforeStart.get()) {
-                driver.loop.run(driver::reload);
+                driver.loop.execute(driver::reload);
             }
             driver.start();
             return 0;
@@ -239,16 +253,16 @@
     public static int check(Map<String, String> env, PrintStream out, PrintStream err) {
         try {
             Configuration configuration = Configuration.read(env);
-            Map<String, Object> terms = RouterSettings.fromWire(configuration.settings());
+            Map<String, Object> routerSettings = RouterSettings.fromWire(configuration.settings());
             out.println(
                     "list "
-                            + terms.get("member-list")
+                            + routerSettings.get("member-list")
                             + ", reports "
-                            + terms.get("reports")
+                            + routerSettings.get("reports")
                             + ", members check "
-                            + terms.get("members-check")
+                            + routerSettings.get("members-check")
                             + ", drivers "
-                            + ((Double) terms.get("drivers")).longValue()
+                            + ((Double) routerSettings.get("drivers")).longValue()
                             + ", txn types "
                             + configuration.names("grades").size());
             return 0;
@@ -284,14 +298,14 @@
     private void start() throws IOException {
         Runtime.getRuntime().addShutdownHook(new Thread(this::stop, "stop"));
         CompletableFuture<Void> ready = new CompletableFuture<>();
-        // What discovery's agent holds counts as told from the start of the process, so the list is
-        // fetched before any client is accepted.
-        loop.run(
+        // What discovery's agent holds counts as known from the start of the process, so the list
+        // is fetched before any client is accepted.
+        loop.execute(
                 () -> {
                     applyList(
-                            workAgent == null
+                            maintenanceAgent == null
                                     ? configuration.knownMembers()
-                                    : workAgent.effective(configuration.knownMembers()));
+                                    : maintenanceAgent.effective(configuration.knownMembers()));
                     if (pullMode) {
                         firstFetchDone = true;
                     } else {
@@ -317,9 +331,9 @@
             stopped.countDown();
             throw new IOException(configuration.listen() + ": " + e.getCause().getMessage());
         }
-        loop.after(COUNTERS_LOG_INTERVAL, this::logCounters);
+        loop.schedule(COUNTERS_LOG_INTERVAL, this::logCounters);
         if (operatorFile != null && operatorFile.fleet() != null) {
-            loop.run(this::joinFleet);
+            loop.execute(this::joinFleet);
         }
     }
 
@@ -340,13 +354,13 @@
 
     private void serve() throws IOException {
         enableFairQueues();
-        if (workAgent == null) {
+        if (maintenanceAgent == null) {
             clientFrontend.listen(configuration.listen());
         } else {
             // Until the plan is known hardly any member may be used: clients wait in the backlog,
             // or connect elsewhere.
             clientFrontend.bind(configuration.listen());
-            workAgent.whenKnown(clientFrontend::startAccepting);
+            maintenanceAgent.whenKnown(clientFrontend::startAccepting);
         }
         InetSocketAddress address = clientFrontend.localAddress();
         log.info(
@@ -358,7 +372,7 @@
                         + ", members "
                         + memberPools.memberCount()
                         + ", descriptor limit "
-                        + loop.mostChannels());
+                        + loop.maxChannels());
         serving = true;
         if (reloadRequested) {
             reload();
@@ -368,15 +382,15 @@
     /** Joins the fleet; clients are served even if that fails. */
     private void joinFleet() {
         try {
-            FleetConfig rules =
-                    workAgent == null
+            FleetConfig fleetConfig =
+                    maintenanceAgent == null
                             ? operatorFile.fleet()
-                            : ChoreExecutor.withDeploymentTerms(
+                            : ChoreExecutor.withDeploymentSettings(
                                     operatorFile.fleet(),
                                     RouterSettings.fromWire(configuration.settings()));
             fleetAgent =
                     FleetAgent.start(
-                            rules,
+                            fleetConfig,
                             loop,
                             clock,
                             dispatcher,
@@ -384,7 +398,7 @@
                             configuration,
                             !pullMode,
                             this::listLearnt,
-                            workAgent,
+                            maintenanceAgent,
                             log);
         } catch (IOException e) {
             log.info("fleet: can't start: " + e.getMessage());
@@ -392,20 +406,20 @@
     }
 
     private void enableFairQueues() {
-        if (fairQueues == null && operatorFile != null && operatorFile.door() != null) {
+        if (fairQueues == null && operatorFile != null && operatorFile.fairQueues() != null) {
             fairQueues =
                     new FairQueues(
                             RouterSettings.fromWire(configuration.settings()),
-                            operatorFile.door(),
+                            operatorFile.fairQueues(),
                             configuration.seed(),
                             log::info);
             dispatcher.useFairQueues(fairQueues);
-            clientFrontend.identifyCallers(operatorFile.door());
+            clientFrontend.identifyClients(operatorFile.fairQueues());
             log.info(
                     "door: "
-                            + operatorFile.door().tenants().size()
+                            + operatorFile.fairQueues().tenants().size()
                             + " tenants listed, "
-                            + operatorFile.door().maxQueuedTxns()
+                            + operatorFile.fairQueues().maxQueuedTxns()
                             + " txns may wait");
         }
     }
@@ -418,7 +432,7 @@
     }
 
     private void listLearnt(MemberList list) {
-        applyAndLogList(workAgent == null ? list : workAgent.effective(list));
+        applyAndLogList(maintenanceAgent == null ? list : maintenanceAgent.effective(list));
     }
 
     private void applyAndLogList(MemberList list) {
@@ -427,7 +441,7 @@
             log.info(
                     "list "
                             + list.version()
-                            + (list.whole() ? " whole, " : " changes ")
+                            + (list.complete() ? " whole, " : " changes ")
                             + list.entries().size());
         }
     }
@@ -436,7 +450,7 @@
     private void applyList(MemberList list) {
         Duration now = clock.now();
         Router router = dispatcher.router();
-        router.memberListStarted(now, list.whole());
+        router.memberListStarted(now, list.complete());
         for (MemberList.Entry entry : list.entries()) {
             groups.add(entry.group());
             router.memberListed(
@@ -444,12 +458,12 @@
                     memberPools.updateMember(entry),
                     entry.group(),
                     Math.max(0, zoneNames.indexOf(entry.zone())),
-                    Math.max(0, kindNames.indexOf(entry.kind())),
+                    Math.max(0, kindNames.indexOf(entry.model())),
                     entry.weight(),
                     entry.primary(),
-                    entry.draining(),
-                    entry.gone(),
-                    entry.startedAt() > 0 ? clock.fromUnixMs(entry.startedAt()) : null);
+                    entry.isDraining(),
+                    entry.isGone(),
+                    entry.startedAtMs() > 0 ? clock.fromUnixMs(entry.startedAtMs()) : null);
         }
         router.memberListEnded(now);
         memberPools.removeUnknown(router::knowsMember);
@@ -470,7 +484,7 @@
         if (operatorPath == null) {
             return;
         }
-        OperatorFile.Read read = OperatorFile.read(operatorPath);
+        OperatorFile.LoadResult read = OperatorFile.read(operatorPath);
         if (read.file() == null) {
             log.info(
                     "operator's file not reloaded, the old one stays in force: "
@@ -480,7 +494,7 @@
                                     : ""));
             return;
         }
-        if (read.file().door() == null && fairQueues != null) {
+        if (read.file().fairQueues() == null && fairQueues != null) {
             log.info(
                     "operator's file not reloaded, the old one stays in force: the door can only be"
                             + " removed by a restart");
@@ -489,19 +503,19 @@
         if (!Objects.equals(read.file().fleet(), operatorFile.fleet())) {
             log.info("operator's file: changes of the fleet take effect at the next start");
         }
-        operatorFile = new OperatorFile(read.file().door(), operatorFile.fleet());
+        operatorFile = new OperatorFile(read.file().fairQueues(), operatorFile.fleet());
         if (fairQueues == null) {
             enableFairQueues();
         } else {
-            fairQueues.updateSettings(clock.now(), operatorFile.door());
-            clientFrontend.identifyCallers(operatorFile.door());
+            fairQueues.updateSettings(clock.now(), operatorFile.fairQueues());
+            clientFrontend.identifyClients(operatorFile.fairQueues());
         }
         log.info(
                 "operator's file reloaded"
                         + (fairQueues == null
                                 ? ""
                                 : ", "
-                                        + operatorFile.door().tenants().size()
+                                        + operatorFile.fairQueues().tenants().size()
                                         + " tenants listed, txns waiting "
                                         + fairQueues.queuedCount()));
     }
@@ -541,13 +555,13 @@
         if (queueReport != null) {
             log.info(queueReport);
         }
-        loop.after(COUNTERS_LOG_INTERVAL, this::logCounters);
+        loop.schedule(COUNTERS_LOG_INTERVAL, this::logCounters);
     }
 
     /** Shuts down gracefully; runs as the shutdown hook, so the process exits when it returns. */
     private void stop() {
         if (stopped.getCount() > 0) {
-            loop.run(
+            loop.execute(
                     () -> {
                         stopRequestedAt = clock.now();
                         log.info("told to stop, open txns " + dispatcher.openTxnCount());
@@ -567,7 +581,7 @@
                         if (fleetAgent != null) {
                             fleetAgent.leave(
                                     () ->
-                                            loop.run(
+                                            loop.execute(
                                                     () ->
                                                             log.info(
                                                                     "fleet: left after "
@@ -577,7 +591,7 @@
                                                                                     .toMillis()
                                                                             + " ms")));
                         }
-                        loop.after(
+                        loop.schedule(
                                 serveTime.plus(ACCEPT_AFTER_STOP.dividedBy(2)),
                                 clientFrontend::beginClosing);
                         exitWhenDone();
@@ -616,7 +630,7 @@
             }
             stopped.countDown();
         } else {
-            loop.after(SHUTDOWN_CHECK_INTERVAL, this::exitWhenDone);
+            loop.schedule(SHUTDOWN_CHECK_INTERVAL, this::exitWhenDone);
         }
     }
 }
--- a/src/main/java/wingroad/driver/WorkAgent.java
+++ b/src/main/java/wingroad/driver/MaintenanceAgent.java
@@ -33,12 +33,12 @@
 /**
  * Applies the plan of maintenance work at this driver: combines discovery's member lists with the
  * plan into the lists that the router is given, reports which draining machines have no txns of
- * this driver left, and conducts the work while this driver owns that duty. Runs on the event
- * loop's thread, except for the calls of {@link MaintenancePlanListener}.
+ * this driver left, and runs the maintenance controller while this driver owns that duty. Runs on
+ * the event loop's thread, except for the calls of {@link MaintenancePlanListener}.
  */
-final class WorkAgent implements MaintenancePlanListener, TxnDispatcher.Observer {
+final class MaintenanceAgent implements MaintenancePlanListener, TxnDispatcher.Observer {
     /**
-     * How often the conductor probes a member within the duration of a lease, which is how long
+     * How often the controller probes a member within the duration of a lease, which is how long
      * observations of members count.
      */
     private static final int PROBES_PER_LEASE = 3;
@@ -48,26 +48,25 @@
 
     private final EventLoop loop;
     private final Clock clock;
-    private final MaintenanceSettings rules;
+    private final MaintenanceSettings settings;
     private final Collection<String> voters;
     private final TxnType[] types;
     private final MemberPools memberPools;
     private final Consumer<MemberList> onList;
     private final Consumer<String> log;
 
-    /** For how long a lease is held. */
-    private final Duration lease;
+    private final Duration leaseDuration;
 
     private final Duration checkInterval;
     private final Duration probeInterval;
-    private final MemberAvailability view;
+    private final MemberAvailability availability;
     private final PlanCopy planCopy = new PlanCopy();
     private final MemberObservations observations;
 
     /** Discovery's entries by the member's uid. */
     private final Map<String, Entry> discoveredEntries = new TreeMap<>();
 
-    /** What the router was last told of each member, by the member's uid. */
+    /** The entries that the router was last given, by the member's uid. */
     private final Map<String, Entry> effectiveEntries = new TreeMap<>();
 
     /** By machine: since when this driver has known that it drains or is out. */
@@ -79,7 +78,7 @@
     /** The time that submissions have spent at the members of each group, in total. */
     private final Map<Integer, Long> busyMsByGroup = new TreeMap<>();
 
-    /** When the conductor last probed each member, by the member's uid. */
+    /** When the controller last probed each member, by the member's uid. */
     private final Map<String, Duration> probedAt = new TreeMap<>();
 
     /** Null until the driver has joined its fleet. */
@@ -88,19 +87,19 @@
     /** Runs once the plan is known; null if it has run. */
     private Runnable onPlanKnown;
 
-    /** When the effective entries change next even if nothing is heard, or null. */
+    /** When the effective entries change next even without a call from the fleet, or null. */
     private Duration nextRelistAt;
 
-    /** The epoch under which this driver owns the conductor's duty, or 0. */
-    private long epoch;
+    /** The epoch under which this driver owns the controller's duty, or 0. */
+    private long dutyEpoch;
 
-    /** Null while this driver does not conduct. */
-    private MaintenanceController conductor;
+    /** Null while this driver does not own the controller's duty. */
+    private MaintenanceController controller;
 
-    /** The epoch for which {@link #conductor} was created. */
-    private long conductorEpoch;
+    /** The epoch for which {@link #controller} was created. */
+    private long controllerEpoch;
 
-    /** The plan's revision of which the router has been told. */
+    /** The plan's revision that the router's member list reflects. */
     private long knownRevision;
 
     /** Txns committed within their SLA time. */
@@ -112,28 +111,28 @@
     /** Whether the view of the plan was current at the last {@link #relist}. */
     private boolean wasCurrent;
 
-    WorkAgent(
+    MaintenanceAgent(
             EventLoop loop,
             Clock clock,
-            FleetConfig fleet,
+            FleetConfig fleetConfig,
             TxnType[] types,
             MemberPools memberPools,
             Consumer<MemberList> onList,
             Consumer<String> log) {
         this.loop = loop;
         this.clock = clock;
-        this.rules = fleet.maintenance();
-        this.voters = fleet.voterAddresses().keySet();
+        this.settings = fleetConfig.maintenance();
+        this.voters = fleetConfig.voterAddresses().keySet();
         this.types = types;
         this.memberPools = memberPools;
         this.onList = onList;
         this.log = log;
-        lease = fleet.lease().duration();
-        checkInterval = fleet.lease().heartbeatInterval().dividedBy(2);
-        probeInterval = fleet.lease().duration().dividedBy(PROBES_PER_LEASE);
-        view = new MemberAvailability(rules, now(), fleet.lease().duration());
-        observations = new MemberObservations(fleet.lease().duration());
-        nextRelistAt = view.nextChangeAt(now());
+        leaseDuration = fleetConfig.lease().duration();
+        checkInterval = fleetConfig.lease().heartbeatInterval().dividedBy(2);
+        probeInterval = fleetConfig.lease().duration().dividedBy(PROBES_PER_LEASE);
+        availability = new MemberAvailability(settings, now(), fleetConfig.lease().duration());
+        observations = new MemberObservations(fleetConfig.lease().duration());
+        nextRelistAt = availability.nextChangeAt(now());
     }
 
     /** The time by the fleet's clock, in which leases are expressed. */
@@ -144,7 +143,7 @@
     /** Runs the task once the plan is known, but after the duration of a lease at the latest. */
     void whenKnown(Runnable task) {
         onPlanKnown = task;
-        loop.after(lease, this::planKnown);
+        loop.schedule(leaseDuration, this::planKnown);
     }
 
     private void planKnown() {
@@ -164,7 +163,7 @@
 
     /** Applies the plan to a list received from discovery or the list's owner, for the router. */
     MemberList effective(MemberList list) {
-        if (list.whole()) {
+        if (list.complete()) {
             Set<String> listedUids = new TreeSet<>();
             list.entries().forEach(entry -> listedUids.add(entry.uid()));
             for (String uid : List.copyOf(discoveredEntries.keySet())) {
@@ -176,8 +175,9 @@
             }
         }
         for (Entry entry : list.entries()) {
-            observations.updateListing(entry.uid(), entry.group(), entry.gone(), !entry.draining());
-            if (entry.gone()) {
+            observations.updateListing(
+                    entry.uid(), entry.group(), entry.isGone(), !entry.isDraining());
+            if (entry.isGone()) {
                 discoveredEntries.remove(entry.uid());
             } else {
                 discoveredEntries.put(entry.uid(), entry);
@@ -186,42 +186,42 @@
         List<Entry> entries = new ArrayList<>();
         Duration now = now();
         for (Entry entry : list.entries()) {
-            Entry effectiveEntry = entry.gone() ? entry : effective(entry, now);
+            Entry effectiveEntry = entry.isGone() ? entry : effective(entry, now);
             entries.add(effectiveEntry);
-            if (entry.gone()) {
+            if (entry.isGone()) {
                 effectiveEntries.remove(entry.uid());
             } else {
                 effectiveEntries.put(entry.uid(), effectiveEntry);
             }
         }
-        return new MemberList(list.version(), list.whole(), entries);
+        return new MemberList(list.version(), list.complete(), entries);
     }
 
     private Entry effective(Entry entry, Duration now) {
         MemberAvailability.State state =
-                view.state(entry.uid(), () -> groupHasOtherMember(entry), now);
+                availability.state(entry.uid(), () -> groupHasOtherMember(entry), now);
         return switch (state) {
             case AS_LISTED -> entry;
-            case DRAINING -> withState(entry, "draining", entry.startedAt());
-            case GONE -> withState(entry, "gone", entry.startedAt());
+            case DRAINING -> withState(entry, "draining", entry.startedAtMs());
+            case GONE -> withState(entry, "gone", entry.startedAtMs());
             case COLD -> {
-                Duration returnedAt = view.returningSince(entry.uid());
+                Duration returnedAt = availability.returningSince(entry.uid());
                 double startedAtUnixMs =
                         returnedAt == null
-                                ? entry.startedAt()
+                                ? entry.startedAtMs()
                                 : System.currentTimeMillis() - now.minus(returnedAt).toMillis();
-                // What the router is told of the member should not change from list to list.
+                // What the router knows of the member should not change from list to list.
                 Entry previous = effectiveEntries.get(entry.uid());
                 boolean isSteady =
                         previous != null
-                                && Math.abs(previous.startedAt() - startedAtUnixMs)
+                                && Math.abs(previous.startedAtMs() - startedAtUnixMs)
                                         < START_TIME_TOLERANCE_MS;
                 yield withState(
                         entry,
                         entry.state(),
                         Math.max(
-                                entry.startedAt(),
-                                isSteady ? previous.startedAt() : startedAtUnixMs));
+                                entry.startedAtMs(),
+                                isSteady ? previous.startedAtMs() : startedAtUnixMs));
             }
         };
     }
@@ -232,7 +232,7 @@
                 entry.host(),
                 entry.port(),
                 entry.zone(),
-                entry.kind(),
+                entry.model(),
                 entry.group(),
                 state,
                 entry.weight(),
@@ -247,12 +247,15 @@
                         other ->
                                 other.group() == entry.group()
                                         && !other.uid().equals(entry.uid())
-                                        && !other.draining()
-                                        && (view.planCopy() == null
-                                                || view.planCopy().machineOf(other.uid()) == null
-                                                || view.planCopy()
+                                        && !other.isDraining()
+                                        && (availability.planCopy() == null
+                                                || availability.planCopy().machineOf(other.uid())
+                                                        == null
+                                                || availability
+                                                                .planCopy()
                                                                 .entry(
-                                                                        view.planCopy()
+                                                                        availability
+                                                                                .planCopy()
                                                                                 .machineOf(
                                                                                         other.uid())
                                                                                 .name())
@@ -273,19 +276,19 @@
         if (!changed.isEmpty()) {
             onList.accept(new MemberList(0, false, changed));
         }
-        nextRelistAt = view.nextChangeAt(now);
-        boolean current = view.isCurrent(now);
+        nextRelistAt = availability.nextChangeAt(now);
+        boolean current = availability.isCurrent(now);
         if (current != wasCurrent) {
             wasCurrent = current;
             log.accept(
                     current
                             ? "work: the plan is known, revision "
-                                    + view.revision()
+                                    + availability.revision()
                                     + ", "
-                                    + view.planCopy().entries().size()
+                                    + availability.planCopy().entries().size()
                                     + " machines requested"
                             : "work: the view of the plan has expired at revision "
-                                    + view.revision()
+                                    + availability.revision()
                                     + ": "
                                     + loggedStages.values().stream()
                                             .filter(MaintenanceStage::announced)
@@ -293,7 +296,7 @@
                                     + " announced machines are avoided");
         }
         if (current) {
-            knownRevision = view.revision();
+            knownRevision = availability.revision();
             updateDrainingSince(now);
             planKnown();
         }
@@ -301,7 +304,9 @@
 
     private void updateDrainingSince(Duration now) {
         Set<String> drainingMachines = new TreeSet<>();
-        view.drainingEntries().forEach(planEntry -> drainingMachines.add(planEntry.machine()));
+        availability
+                .drainingEntries()
+                .forEach(planEntry -> drainingMachines.add(planEntry.machine()));
         drainingSince.keySet().retainAll(drainingMachines);
         drainingMachines.forEach(machine -> drainingSince.putIfAbsent(machine, now));
     }
@@ -359,14 +364,14 @@
 
     @Override
     public void planUpdated(Map<String, Object> changes, List<?> figures, List<?> liveDrivers) {
-        loop.run(
+        loop.execute(
                 () -> {
                     boolean isNewer = planCopy.applyChanges(changes);
                     if (figures != null) {
                         planCopy.updateFleetFigures(figures, liveDrivers);
                     }
-                    if (isNewer || view.planCopy() == null) {
-                        view.updatePlan(planCopy, now());
+                    if (isNewer || availability.planCopy() == null) {
+                        availability.updatePlan(planCopy, now());
                         logStageChanges();
                         relist();
                         sendReport();
@@ -405,20 +410,20 @@
     }
 
     @Override
-    public void leaseUpdated(Duration leaseEnd, boolean sessionEnded, long conductingEpoch) {
-        loop.run(
+    public void leaseUpdated(Duration leaseEnd, boolean sessionEnded, long conductorEpoch) {
+        loop.execute(
                 () -> {
-                    epoch = sessionEnded ? 0 : conductingEpoch;
+                    dutyEpoch = sessionEnded ? 0 : conductorEpoch;
                     if (sessionEnded) {
-                        view.endLease();
+                        availability.endLease();
                     } else {
-                        view.extendLease(leaseEnd);
+                        availability.extendLease(leaseEnd);
                     }
-                    if (view.isCurrent(now()) != wasCurrent) {
+                    if (availability.isCurrent(now()) != wasCurrent) {
                         relist();
                         sendReport();
                     } else {
-                        nextRelistAt = view.nextChangeAt(now());
+                        nextRelistAt = availability.nextChangeAt(now());
                     }
                 });
     }
@@ -426,24 +431,24 @@
     private void checkPeriodically() {
         beforeRouting();
         sendReport();
-        conduct();
-        loop.after(checkInterval, this::checkPeriodically);
+        controlMaintenance();
+        loop.schedule(checkInterval, this::checkPeriodically);
     }
 
     /** Sends the fleet this driver's state with regard to the plan. */
     private void sendReport() {
-        if (fleet == null || !view.isKnown()) {
+        if (fleet == null || !availability.isKnown()) {
             return;
         }
         Duration now = now();
         Set<String> clearedMachines = new TreeSet<>();
         Map<Integer, String> believedPrimaries = new TreeMap<>();
         Map<Integer, Long> busyMs = new TreeMap<>();
-        if (view.isCurrent(now)) {
+        if (availability.isCurrent(now)) {
             for (Map.Entry<String, Duration> draining : drainingSince.entrySet()) {
                 Machine machine = planCopy.machines().get(draining.getKey());
                 if (machine != null
-                        && now.minus(draining.getValue()).compareTo(rules.drainGrace()) > 0
+                        && now.minus(draining.getValue()).compareTo(settings.drainGrace()) > 0
                         && !memberPools.hasTxnAt(machine::holds)) {
                     clearedMachines.add(draining.getKey());
                 }
@@ -481,53 +486,53 @@
         return groups;
     }
 
-    // ---- conducting ----
+    // ---- control of maintenance work ----
 
-    private void conduct() {
-        if (epoch == 0 || fleet == null || !view.isCurrent(now())) {
-            conductor = null;
+    private void controlMaintenance() {
+        if (dutyEpoch == 0 || fleet == null || !availability.isCurrent(now())) {
+            controller = null;
             return;
         }
-        if (conductor == null || conductorEpoch != epoch) {
-            conductor = new MaintenanceController(rules, voters);
-            conductorEpoch = epoch;
+        if (controller == null || controllerEpoch != dutyEpoch) {
+            controller = new MaintenanceController(settings, voters);
+            controllerEpoch = dutyEpoch;
             log.accept(
-                    "work: conducts in epoch "
-                            + epoch
+                    "work: this driver is the conductor in epoch "
+                            + dutyEpoch
                             + ", "
                             + planCopy.entries().size()
                             + " machines requested");
         }
-        if (!Objects.equals(planCopy.inventoryLines(), rules.toLines())) {
-            fleet.proposeMachines(epoch, rules.toLines());
+        if (!Objects.equals(planCopy.inventoryLines(), settings.toLines())) {
+            fleet.proposeMachines(dutyEpoch, settings.toLines());
             return;
         }
         List<MaintenanceController.Step> steps =
-                conductor.nextSteps(planCopy, observations, System.currentTimeMillis(), now());
+                controller.nextSteps(planCopy, observations, System.currentTimeMillis(), now());
         probeMembers();
-        conductor
+        controller
                 .takeAlerts()
                 .forEach((machine, text) -> log.accept("work: " + machine + " " + text));
         if (!steps.isEmpty()) {
-            fleet.proposeSteps(epoch, steps);
+            fleet.proposeSteps(dutyEpoch, steps);
         }
     }
 
     /**
-     * Probes the members of the groups concerned, since a conductor with few txns of its own
+     * Probes the members of the groups concerned, since a controller with few txns of its own
      * observes too little.
      */
     private void probeMembers() {
         Duration now = now();
-        Set<Integer> groups = conductor.groupsToObserve(planCopy);
+        Set<Integer> groups = controller.groupsToObserve(planCopy);
         probedAt.keySet().retainAll(discoveredEntries.keySet());
         for (Entry entry : discoveredEntries.values()) {
             Duration lastProbeAt = probedAt.get(entry.uid());
             Entry effectiveEntry = effectiveEntries.get(entry.uid());
             if (groups.contains(entry.group())
                     && effectiveEntry != null
-                    && !effectiveEntry.gone()
-                    && !effectiveEntry.draining()
+                    && !effectiveEntry.isGone()
+                    && !effectiveEntry.isDraining()
                     && (lastProbeAt == null
                             || now.minus(lastProbeAt).compareTo(probeInterval) >= 0)) {
                 probedAt.put(entry.uid(), now);
--- a/src/main/java/wingroad/driver/MemberPools.java
+++ b/src/main/java/wingroad/driver/MemberPools.java
@@ -125,17 +125,17 @@
             EventLoop loop,
             Clock clock,
             Counters counters,
-            Map<String, Object> terms,
+            Map<String, Object> routerSettings,
             MemberTransportListener listener) {
         this.loop = loop;
         this.clock = clock;
         this.counters = counters;
         this.listener = listener;
-        this.connectTimeout = (Duration) terms.get("connect-time-out");
+        this.connectTimeout = (Duration) routerSettings.get("connect-time-out");
         // Idle connections are closed one connect timeout before the member may close them, so that
         // no request crosses the close. If little time would remain, half of the member's timeout
         // is used: connections that are never reused cost the members more.
-        Duration memberIdleTimeout = (Duration) terms.get("idle-time");
+        Duration memberIdleTimeout = (Duration) routerSettings.get("idle-time");
         this.idleTimeout =
                 max(memberIdleTimeout.minus(connectTimeout), memberIdleTimeout.dividedBy(2));
     }
@@ -166,8 +166,8 @@
             pool.address = new InetSocketAddress(entry.host(), entry.port());
             pool.closeIdleConnections();
         }
-        pool.removed = entry.gone();
-        if (entry.gone()) {
+        pool.removed = entry.isGone();
+        if (entry.isGone()) {
             pool.closeIdleConnections();
         }
         return pool.id;
@@ -200,9 +200,9 @@
             connection.dispatch(request);
             return;
         }
-        while (loop.channelsLeft() <= loop.mostChannels() / DECLINED_CLIENTS_RESERVE_DIVISOR) {
+        while (loop.availableChannels() <= loop.maxChannels() / DECLINED_CLIENTS_RESERVE_DIVISOR) {
             if (!closeOldestIdle() && !listener.closeIdleClient()) {
-                loop.run(
+                loop.execute(
                         () ->
                                 requestFailed(
                                         request,
@@ -216,7 +216,7 @@
             pool.connections.add(
                     MemberConnection.open(this, pool, pool.address, loop, connectTimeout, request));
         } catch (IOException | RuntimeException cause) {
-            loop.run(
+            loop.execute(
                     () ->
                             requestFailed(
                                     request,
@@ -274,8 +274,7 @@
 
     @Override
     public boolean closeSpareConnection() {
-        return connectionCount() > loop.mostChannels() / MEMBER_RESERVE_DIVISOR
-                && closeOldestIdle();
+        return connectionCount() > loop.maxChannels() / MEMBER_RESERVE_DIVISOR && closeOldestIdle();
     }
 
     private boolean closeOldestIdle() {
@@ -305,7 +304,7 @@
                     // The end is an input to the router, which is being asked for decisions: it is
                     // reported in a later task.
                     connection.markCancelled();
-                    loop.run(
+                    loop.execute(
                             () -> {
                                 if (connection.request() == request) {
                                     connection.cancel();
@@ -325,7 +324,7 @@
         delayedSinceTick.add(connection);
         if (!tickScheduled) {
             tickScheduled = true;
-            loop.after(REUSE_DELAY, this::reuseTick);
+            loop.schedule(REUSE_DELAY, this::reuseTick);
         }
     }
 
@@ -335,13 +334,13 @@
         delayedSinceTick = new ArrayList<>();
         tickScheduled = !delayedBeforeTick.isEmpty();
         if (tickScheduled) {
-            loop.after(REUSE_DELAY, this::reuseTick);
+            loop.schedule(REUSE_DELAY, this::reuseTick);
         }
         reusable.forEach(MemberConnection::reuseDelayElapsed);
     }
 
     void reportError(Throwable error) {
-        loop.bug(error);
+        loop.reportUnexpectedError(error);
     }
 
     boolean mayDispatch(MemberRequest request) {
@@ -359,22 +358,23 @@
                     elapsed,
                     response.probeReport != null ? response.probeReport : response.status.report());
         } else {
-            counters.count(response.end.name());
-            listener.submissionEnded(request, response.end, elapsed, response.status, response.row);
+            counters.count(response.outcome.name());
+            listener.submissionEnded(
+                    request, response.outcome, elapsed, response.status, response.row);
         }
     }
 
-    void requestFailed(MemberRequest request, Outcome end, Duration elapsed, String reason) {
+    void requestFailed(MemberRequest request, Outcome outcome, Duration elapsed, String reason) {
         if (request.isProbe() && request.submission() == ROLE_PROBE_SUBMISSION) {
             listener.roleProbeEnded(request.member(), false, null);
         } else if (request.isProbe()) {
             counters.count("probe " + reason);
             listener.probeEnded(request.member(), false, elapsed, null);
         } else {
-            counters.count(end.name());
+            counters.count(outcome.name());
             counters.count(reason);
             listener.submissionEnded(
-                    request, end, elapsed, TxnDispatcher.MemberStatus.UNKNOWN, null);
+                    request, outcome, elapsed, TxnDispatcher.MemberStatus.UNKNOWN, null);
         }
     }
 
--- a/src/main/java/wingroad/driver/MemberTransportListener.java
+++ b/src/main/java/wingroad/driver/MemberTransportListener.java
@@ -1,11 +1,10 @@
 package wingroad.driver;
 
+import java.time.Duration;
 import wingroad.driver.TxnDispatcher.MemberRequest;
 import wingroad.state.Submission.Outcome;
 
-import java.time.Duration;
-
-/** Is told of the outcome of requests to members, and consulted by their transport. */
+/** Receives the outcome of requests to members; the transport also consults it. */
 interface MemberTransportListener {
     /**
      * A submission has ended.
@@ -15,7 +14,7 @@
      */
     void submissionEnded(
             MemberRequest request,
-            Outcome end,
+            Outcome outcome,
             Duration elapsed,
             TxnDispatcher.MemberStatus status,
             byte[] row);
--- a/src/main/java/wingroad/driver/TxnDispatcher.java
+++ b/src/main/java/wingroad/driver/TxnDispatcher.java
@@ -71,7 +71,7 @@
     }
 
     /**
-     * Is told of responses and txn ends, and called before each run of the router. There is an
+     * Observes responses and txn ends; also called before each run of the router. There is an
      * observer only if maintenance work is planned by the fleet.
      */
     interface Observer {
@@ -268,8 +268,8 @@
     // ---- events from clients ----
 
     /**
-     * Accepts a txn, as {@link #txnArrived(Statement, int, long, TxnCallback, Caller, String)} does
-     * for a client without a caller.
+     * Accepts a txn, as {@link #txnArrived(Statement, int, long, TxnCallback, ClientContext,
+     * String)} does for a client of which nothing else is known.
      */
     String txnArrived(Statement statement, int typeIndex, long sessionId, TxnCallback callback) {
         return txnArrived(statement, typeIndex, sessionId, callback, null, null);
@@ -284,7 +284,7 @@
      * Accepts a client's txn.
      *
      * @param sessionId {@link #NO_SESSION} if it belongs to none
-     * @param caller who asks, for the fair queues; may be null
+     * @param clientContext identifies the client to the fair queues; may be null
      * @param tenantName the tenant that the txn counts for, or null if its address does
      * @return the txn's name within the driver, or null if it can't be processed
      */
@@ -293,10 +293,16 @@
             int typeIndex,
             long sessionId,
             TxnCallback callback,
-            ClientContext caller,
+            ClientContext clientContext,
             String tenantName) {
         return txnArrived(
-                statement, typeIndex, sessionId, callback, caller, tenantName, fairQueues != null);
+                statement,
+                typeIndex,
+                sessionId,
+                callback,
+                clientContext,
+                tenantName,
+                fairQueues != null);
     }
 
     private String txnArrived(
@@ -304,12 +310,12 @@
             int typeIndex,
             long sessionId,
             TxnCallback callback,
-            ClientContext caller,
+            ClientContext clientContext,
             String tenantName,
             boolean throughFairQueues) {
         Duration now = clock.now();
         String txn = "t" + nextTxnNumber++;
-        Duration timeLeft = Duration.ofMillis(statement.left());
+        Duration timeLeft = Duration.ofMillis(statement.timeLeftMs());
         if (answerDeadline != null && now.plus(timeLeft).compareTo(answerDeadline) > 0) {
             timeLeft = answerDeadline.minus(now);
         }
@@ -327,7 +333,7 @@
                                 typeIndex,
                                 statement.group(),
                                 timeLeft,
-                                caller,
+                                clientContext,
                                 tenantName,
                                 statement.retry());
                 scheduleRouting();
@@ -341,7 +347,7 @@
     }
 
     private void passToRouter(Duration now, String txn, OpenTxn openTxn, Duration waited) {
-        Double lastWriteUnixMs = openTxn.statement.after();
+        Double lastWriteUnixMs = openTxn.statement.afterPositionMs();
         router().txnArrived(
                         now,
                         txn,
@@ -378,20 +384,21 @@
     @Override
     public void submissionEnded(
             MemberRequest request,
-            Submission.Outcome end,
+            Submission.Outcome outcome,
             Duration elapsed,
             MemberStatus status,
             byte[] row) {
         Duration now = clock.now();
         passReportToRouter(now, request.member(), status.report());
         if (observer != null) {
-            notifySubmissionEnd(request.member(), end, elapsed, status);
+            notifySubmissionEnd(request.member(), outcome, elapsed, status);
         }
         OpenTxn openTxn = openTxns.get(request.txn());
         if (openTxn != null && openTxn.queuedTxn != null) {
-            fairQueues.onSubmissionEnded(now, openTxn.queuedTxn, end, elapsed);
+            fairQueues.onSubmissionEnded(now, openTxn.queuedTxn, outcome, elapsed);
         }
-        OpenTxn committed = end == Submission.Outcome.COMMITTED ? closeTxn(request.txn()) : null;
+        OpenTxn committed =
+                outcome == Submission.Outcome.COMMITTED ? closeTxn(request.txn()) : null;
         if (committed != null) {
             notifyTxnEnd(committed, now, true);
             committed.callback.committed(row);
@@ -402,7 +409,7 @@
                             request.txn(),
                             request.submission(),
                             request.member(),
-                            end,
+                            outcome,
                             elapsed,
                             committed != null,
                             status.role(),
@@ -434,11 +441,11 @@
     }
 
     private void notifySubmissionEnd(
-            long member, Submission.Outcome end, Duration elapsed, MemberStatus status) {
+            long member, Submission.Outcome outcome, Duration elapsed, MemberStatus status) {
         observer.onSubmissionEnd(member, elapsed);
-        if (end == Submission.Outcome.COMMITTED || status.role() != Member.Role.UNKNOWN) {
+        if (outcome == Submission.Outcome.COMMITTED || status.role() != Member.Role.UNKNOWN) {
             observer.onMemberStatus(member, status.role(), status.position());
-        } else if (end != Submission.Outcome.MOOT && end != Submission.Outcome.CANCELLED) {
+        } else if (outcome != Submission.Outcome.MOOT && outcome != Submission.Outcome.CANCELLED) {
             observer.onMemberFailure(member);
         }
     }
@@ -497,7 +504,7 @@
     private void scheduleRouting() {
         if (!routingScheduled) {
             routingScheduled = true;
-            loop.run(() -> loop.run(this::runRouting));
+            loop.execute(() -> loop.execute(this::runRouting));
         }
     }
 
@@ -532,7 +539,7 @@
             }
             wakeUpAt = nextWakeUp;
             wakeUpTimer =
-                    loop.after(
+                    loop.schedule(
                             nextWakeUp.minus(clock.now()),
                             () -> {
                                 wakeUpAt = null;
@@ -601,7 +608,7 @@
                                     decision.member(),
                                     null,
                                     now);
-                    loop.run(
+                    loop.execute(
                             () ->
                                     submissionEnded(
                                             unsent,
--- a/src/main/java/wingroad/duty/SessionLease.java
+++ b/src/main/java/wingroad/duty/SessionLease.java
@@ -9,15 +9,26 @@
 import java.util.TreeMap;
 
 /**
- * A driver's own side of its session: how long its lease runs, on its own clock from before each
- * beat was sent, and which duties it holds meanwhile. It may act only while {@link #mayAct} says
- * so, asked with a clock read just before.
+ * A driver's view of its session: until when its lease holds, and which duties it owns. The lease
+ * is measured on the driver's own clock from before each heartbeat was sent. The driver may act
+ * only while {@link #mayAct} returns true for a clock reading taken just before.
  */
 public class SessionLease {
-    /** Beats that were sent and not yet settled; more than these are not waited for. */
-    private static final int MOST_OUT = 64;
+    /**
+     * Upper bound for heartbeats that were sent and not yet committed; the oldest ones beyond it
+     * are dropped and never renew the lease.
+     */
+    private static final int MAX_PENDING_HEARTBEATS = 64;
 
-    /** A duty as it is settled. */
+    /**
+     * The committed state of a duty.
+     *
+     * @param owner id of the owning session, or empty
+     * @param epoch the owner's fencing token
+     * @param run number of the newest run, or 0
+     * @param outcome outcome of that run, or empty while it is not known
+     * @param handOverTarget not empty if the owner is asked to release the duty
+     */
     public record DutyState(
             String duty,
             String owner,
@@ -26,116 +37,123 @@
             String outcome,
             String handOverTarget) {}
 
-    private record Beat(long number, Duration askedAt) {}
+    private record PendingHeartbeat(long number, Duration sentAt) {}
 
     private final Lease lease;
     private final String sessionId;
-    private final ArrayDeque<Beat> out = new ArrayDeque<>();
-    private final Map<String, DutyState> current = new TreeMap<>();
-    private long beats;
+    private final ArrayDeque<PendingHeartbeat> pendingHeartbeats = new ArrayDeque<>();
+    private final Map<String, DutyState> dutyStates = new TreeMap<>();
+    private long lastHeartbeat;
     private Duration expiresAt = Duration.ZERO;
     private boolean open;
-    private boolean over;
+    private boolean ended;
 
-    public SessionLease(Lease lease, String session) {
+    public SessionLease(Lease lease, String sessionId) {
         this.lease = lease;
-        this.sessionId = session;
+        this.sessionId = sessionId;
     }
 
     public String sessionId() {
         return sessionId;
     }
 
-    /** The number of the next beat, which goes out now or later. */
+    /**
+     * Returns the number of the next heartbeat. The lease that it obtains is measured from now,
+     * whenever it is sent.
+     */
     public long nextHeartbeat(Duration now) {
-        out.add(new Beat(++beats, now));
-        if (out.size() > MOST_OUT) {
-            out.poll();
+        pendingHeartbeats.add(new PendingHeartbeat(++lastHeartbeat, now));
+        if (pendingHeartbeats.size() > MAX_PENDING_HEARTBEATS) {
+            pendingHeartbeats.poll();
         }
-        return beats;
+        return lastHeartbeat;
     }
 
-    /** The council has settled this beat: the lease runs from when it was asked for. */
-    public void heartbeatCommitted(long beat, Duration now) {
-        while (!out.isEmpty() && out.peek().number <= beat) {
-            Beat b = out.poll();
-            if (b.number == beat) {
-                Duration runs = leaseStart(b.askedAt, now).plus(lease.duration());
-                expiresAt = runs.compareTo(expiresAt) > 0 ? runs : expiresAt;
+    /** Renews the lease from when this heartbeat was sent, since the voters have committed it. */
+    public void heartbeatCommitted(long number, Duration now) {
+        while (!pendingHeartbeats.isEmpty() && pendingHeartbeats.peek().number <= number) {
+            PendingHeartbeat heartbeat = pendingHeartbeats.poll();
+            if (heartbeat.number == number) {
+                Duration expiry = leaseStart(heartbeat.sentAt, now).plus(lease.duration());
+                expiresAt = expiry.compareTo(expiresAt) > 0 ? expiry : expiresAt;
             }
         }
     }
 
-    /** Where a lease begins that was asked for and heard of at these times. */
-    protected Duration leaseStart(Duration askedAt, Duration heardAt) {
-        return askedAt;
+    /** Returns when a lease starts whose heartbeat was sent and confirmed at these times. */
+    protected Duration leaseStart(Duration sentAt, Duration confirmedAt) {
+        return sentAt;
     }
 
-    /** Whether the council knows this session. */
+    /** Records that the voters have opened the session. */
     public void markOpen() {
         open = true;
     }
 
     /**
-     * The council has ended the session, or it has been left: nothing is done under it any more.
+     * Records that the voters have ended the session or the driver has left it: nothing may be done
+     * under it any more.
      */
     public void markEnded() {
-        over = true;
+        ended = true;
     }
 
     public boolean isOpen() {
-        return open && !over;
+        return open && !ended;
     }
 
     public boolean isEnded() {
-        return over;
+        return ended;
     }
 
-    /** A duty as the council has settled it. */
-    public void updateDuty(DutyState duty) {
-        current.put(duty.duty, duty);
+    /** Takes over the committed state of a duty. */
+    public void updateDuty(DutyState state) {
+        dutyStates.put(state.duty, state);
     }
 
+    /** Returns the newest known state of each duty. */
     public Collection<DutyState> current() {
-        return current.values();
+        return dutyStates.values();
     }
 
+    /** Returns the newest known state of the duty, or null. */
     public DutyState current(String duty) {
-        return current.get(duty);
+        return dutyStates.get(duty);
     }
 
     /**
-     * The duties that are this driver's to do, those that it is asked to give up not among them.
+     * Returns the duties that this driver may act for now, without those that it is asked to
+     * release.
      */
     public List<DutyState> ownedDuties(Duration now) {
-        List<DutyState> mine = new ArrayList<>();
-        for (DutyState h : current.values()) {
-            if (mayAct(h.duty, h.epoch, now)) {
-                mine.add(h);
+        List<DutyState> owned = new ArrayList<>();
+        for (DutyState state : dutyStates.values()) {
+            if (mayAct(state.duty, state.epoch, now)) {
+                owned.add(state);
             }
         }
-        return mine;
+        return owned;
     }
 
-    /** The duties that are to be given up. */
+    /** Returns the own duties that the driver is asked to release. */
     public List<DutyState> releaseRequests() {
-        return current.values().stream()
-                .filter(h -> h.owner.equals(sessionId) && !h.handOverTarget.isEmpty())
+        return dutyStates.values().stream()
+                .filter(state -> state.owner.equals(sessionId) && !state.handOverTarget.isEmpty())
                 .toList();
     }
 
-    /** Whether an effect under this epoch may be started at this time. */
+    /** Returns whether an effect of the duty under this epoch may be started now. */
     public boolean mayAct(String duty, long epoch, Duration now) {
-        DutyState h = current.get(duty);
-        return h != null
+        DutyState state = dutyStates.get(duty);
+        return state != null
                 && isOpen()
-                && h.owner.equals(sessionId)
-                && h.epoch == epoch
-                && h.handOverTarget.isEmpty()
+                && state.owner.equals(sessionId)
+                && state.epoch == epoch
+                && state.handOverTarget.isEmpty()
                 && now.compareTo(expiresAt) < 0;
     }
 
-    /** Up to when the lease runs, on the driver's own clock. */
+    /** Returns when the lease ends, on the driver's own clock. */
     public Duration expiresAt() {
         return expiresAt;
     }
--- a/src/main/java/wingroad/fleet/ConsensusStatus.java
+++ b/src/main/java/wingroad/fleet/ConsensusStatus.java
@@ -1,15 +1,14 @@
 package wingroad.fleet;
 
+import java.time.Duration;
+import java.util.List;
+import java.util.Map;
 import wingroad.duty.DutyStateMachine;
 import wingroad.duty.SessionExpiryMonitor;
 import wingroad.work.MaintenancePlan;
 import wingroad.work.MaintenanceSettings;
 
-import java.time.Duration;
-import java.util.List;
-import java.util.Map;
-
-/** What an operator may want to know of what is settled, as plain values. */
+/** Adds the committed state to a voter's status, as plain values for the command line. */
 final class ConsensusStatus {
     private ConsensusStatus() {}
 
@@ -67,13 +66,13 @@
         }
     }
 
-    private static Map<String, Object> planStatus(MaintenancePlan plan, long lateOrders) {
+    private static Map<String, Object> planStatus(MaintenancePlan plan, long staleCommands) {
         return MessageCodec.message(
                 "work",
                 "held",
                 plan.held(),
                 "late-orders",
-                lateOrders,
+                staleCommands,
                 "machines",
                 plan.machines().values().stream()
                         .map(
