--- /dev/null
+++ b/src/main/java/wingroad/cli/package-info.java
@@ -0,0 +1,2 @@
+/** The command line: commands for serving, checking files, and operating a fleet. */
+package wingroad.cli;
--- /dev/null
+++ b/src/main/java/wingroad/operator/package-info.java
@@ -0,0 +1,4 @@
+/**
+ * Reads and validates the operator's file: settings of fair queues, the fleet and maintenance work.
+ */
+package wingroad.operator;
--- a/src/main/java/wingroad/protocol/ClientMessageDecoder.java
+++ b/src/main/java/wingroad/protocol/ClientMessageDecoder.java
@@ -7,11 +7,11 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** What a client sends, cut out of the bytes as they come. */
+/** Decodes the messages that a client sends in PostgreSQL's protocol from a byte stream. */
 public final class ClientMessageDecoder {
     /**
-     * A value of 64 KiB is twice as long when it is written in hex; the rest is for the statement
-     * around it.
+     * The largest message: a value of 64 KiB, which takes twice as many characters in hex, and the
+     * statement around it.
      */
     public static final int MAX_MESSAGE_BYTES = 2 * 64 * 1024 + 4096;
 
@@ -21,7 +21,7 @@
     private static final int SSL_REQUEST_CODE = 80877103;
     private static final int GSSENC_REQUEST_CODE = 80877104;
 
-    /** What a message asks for. */
+    /** The kinds of messages that callers tell apart. */
     public enum Kind {
         STARTUP,
         STARTUP_NEWER_MINOR,
@@ -36,8 +36,10 @@
     }
 
     /**
-     * One message: {@code bytes} is a query's or startup's text, {@code why} tells what broke the
-     * stream.
+     * One decoded message.
+     *
+     * @param body the text of a query, or the parameters of a startup message; null for other kinds
+     * @param reason what is malformed or not supported, or null
      */
     public record Message(Kind kind, byte[] body, String reason) {
         private static Message of(Kind kind) {
@@ -47,7 +49,10 @@
 
     private boolean startupReceived;
 
-    /** The next message, or null until it is whole. After BROKEN there is nothing more to read. */
+    /**
+     * Decodes the next message, or returns null until it is complete. Nothing can be decoded after
+     * a message of kind MALFORMED.
+     */
     public Message next(ByteBuffer in) {
         return startupReceived ? decodeMessage(in) : decodeStartup(in);
     }
@@ -90,7 +95,7 @@
                 null);
     }
 
-    /** The names and values that a startup message holds, as far as they are whole. */
+    /** Parses the parameters of a startup message; a truncated one at the end is ignored. */
     public static Map<String, String> parseStartupParameters(byte[] startupBody) {
         Map<String, String> parameters = new HashMap<>();
         String[] fields = new String(startupBody, StandardCharsets.UTF_8).split("\0", -1);
@@ -101,7 +106,8 @@
     }
 
     private static Message decodeMessage(ByteBuffer in) {
-        // A length without a known type is no message: garbage is told at its first byte.
+        // Checks the type before the length is complete, so that garbage is rejected at its first
+        // byte.
         if (in.hasRemaining() && "QXPBDECHSFpdcf".indexOf(in.get(in.position())) < 0) {
             return malformed("unknown message type");
         }
--- a/src/main/java/wingroad/protocol/ClientMessageEncoder.java
+++ b/src/main/java/wingroad/protocol/ClientMessageEncoder.java
@@ -4,12 +4,12 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 
-/** What a client is told, as the bytes of PostgreSQL's protocol. */
+/** Encodes the messages that are sent to clients in PostgreSQL's protocol. */
 public final class ClientMessageEncoder {
-    /** Codes that tell a client that trying again is harmless. */
+    /** SQLSTATE of a declined txn: nothing was executed, and the client can safely retry. */
     public static final String DECLINED = "53300";
 
-    /** The outcome of the txn is not known: no promise. */
+    /** SQLSTATE of a txn with an unknown outcome: it may or may not have been committed. */
     public static final String ROLLED_BACK = "08007";
 
     public static final String PROTOCOL_VIOLATION = "08P01";
@@ -21,17 +21,22 @@
 
     private final ByteArrayOutputStream buffer = new ByteArrayOutputStream(128);
 
+    /** Returns all messages appended so far. */
     public ByteBuffer toByteBuffer() {
         return ByteBuffer.wrap(buffer.toByteArray());
     }
 
+    /** Appends the answer to an SSLRequest or GSSENCRequest: encryption is not supported. */
     public ClientMessageEncoder encryptionRefused() {
         buffer.write('N');
         return this;
     }
 
     /**
-     * The session is open. {@code newer}: the client asked for a later minor version than there is.
+     * Appends the messages that complete the startup.
+     *
+     * @param negotiateVersion whether the client asked for a newer minor version of the protocol
+     * @param backendId the process id that the client gets for cancel requests
      */
     public ClientMessageEncoder startupComplete(boolean negotiateVersion, int backendId) {
         if (negotiateVersion) {
@@ -61,7 +66,7 @@
         return readyForQuery();
     }
 
-    /** Messages that a member sent, unchanged, and that this side is ready. */
+    /** Returns the given messages of a member unchanged, followed by ReadyForQuery. */
     public static ByteBuffer rowResponse(byte[] messages) {
         return ByteBuffer.allocate(messages.length + READY_FOR_QUERY.length)
                 .put(messages)
@@ -69,12 +74,17 @@
                 .flip();
     }
 
+    /** Appends CommandComplete with the given tag, and ReadyForQuery. */
     public ClientMessageEncoder commandComplete(String tag) {
         writeMessage('C', (tag + '\0').getBytes(StandardCharsets.UTF_8));
         return readyForQuery();
     }
 
-    /** An error; {@code detail} may be null. Not followed by ready: a fatal one needs none. */
+    /**
+     * Appends an error without ReadyForQuery, which a fatal error is not followed by.
+     *
+     * @param detail the detail field, or null
+     */
     public ClientMessageEncoder errorResponse(
             boolean fatal, String sqlState, String text, String detail) {
         String severity = fatal ? "FATAL" : "ERROR";
--- a/src/main/java/wingroad/protocol/FrameDecoder.java
+++ b/src/main/java/wingroad/protocol/FrameDecoder.java
@@ -2,11 +2,14 @@
 
 import java.nio.ByteBuffer;
 
-/**
- * Cuts PostgreSQL's messages (a type, a length, a body) out of a stream as their last bytes come.
- */
+/** Splits a byte stream into PostgreSQL's messages, each made of a type, a length and a body. */
 final class FrameDecoder {
-    /** A message, or why there can be none any more. */
+    /**
+     * One message, or the reason why the stream is malformed.
+     *
+     * @param body a view of the input buffer, or null for a malformed stream
+     * @param error what is malformed, or null
+     */
     record Frame(char type, ByteBuffer body, String error) {
         static Frame error(String reason) {
             return new Frame('\0', null, reason);
@@ -15,7 +18,12 @@
 
     private FrameDecoder() {}
 
-    /** The next message, or null until it is whole; the buffer then stands where it stood. */
+    /**
+     * Decodes the next message. Returns null, and leaves the buffer's position, until the message
+     * is complete.
+     *
+     * @param maxLengthBytes the largest length field accepted
+     */
     static Frame next(ByteBuffer in, int maxLengthBytes) {
         if (in.remaining() < 5) {
             return null;
@@ -32,14 +40,14 @@
         return new Frame(type, readSlice(in, length - 4), null);
     }
 
-    /** Takes so many bytes from the front, as a view of them. */
+    /** Consumes the given number of bytes and returns a view of them. */
     static ByteBuffer readSlice(ByteBuffer in, int count) {
         ByteBuffer body = in.slice(in.position(), count);
         in.position(in.position() + count);
         return body;
     }
 
-    /** The text up to the next zero byte, which is taken as well, or null where there is none. */
+    /** Consumes a zero-terminated string, or returns null if there is no terminator. */
     static String readCString(ByteBuffer in) {
         for (int i = in.position(); i < in.limit(); i++) {
             if (in.get(i) == 0) {
--- a/src/main/java/wingroad/protocol/Gauges.java
+++ b/src/main/java/wingroad/protocol/Gauges.java
@@ -5,7 +5,8 @@
 import java.util.regex.Pattern;
 
 /**
- * A member's report of itself: {@code inflight=7,util=0.61}. What is malformed counts as absent.
+ * Parses the load report of a member, such as {@code inflight=7,util=0.61}. Malformed entries are
+ * ignored.
  */
 public final class Gauges {
     private static final Pattern NUMBER =
@@ -25,7 +26,7 @@
         return gauges;
     }
 
-    /** A finite number, or null. */
+    /** Parses a finite number; returns null if the text is null or no number. */
     public static Double parseNumber(String text) {
         return text != null && NUMBER.matcher(text.strip()).matches()
                 ? Double.valueOf(text.strip())
--- a/src/main/java/wingroad/protocol/HttpResponseDecoder.java
+++ b/src/main/java/wingroad/protocol/HttpResponseDecoder.java
@@ -5,13 +5,13 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Locale;
 
-/** One HTTP/1.1 answer, taken from the bytes as they come. */
+/** Decodes one HTTP/1.1 response incrementally. */
 public final class HttpResponseDecoder {
     public static final int MAX_BODY_BYTES = 4 << 20;
     private static final int MAX_LINE_BYTES = 8 * 1024;
     private static final int MAX_HEADER_LINE_COUNT = 128;
 
-    /** How far it has come. */
+    /** The state of the response. */
     public enum State {
         INCOMPLETE,
         COMPLETE,
@@ -40,6 +40,7 @@
     private boolean connectionCloses;
     private String malformedReason;
 
+    /** Encodes a GET request that accepts JSON. */
     public static ByteBuffer encodeGetRequest(String host, String path) {
         return ByteBuffer.wrap(
                 ("GET "
@@ -50,7 +51,7 @@
                         .getBytes(StandardCharsets.US_ASCII));
     }
 
-    /** Takes bytes up to the answer's end. */
+    /** Consumes bytes up to the end of the response. */
     public State decode(ByteBuffer in) {
         while (malformedReason == null && phase != Phase.DONE) {
             switch (phase) {
@@ -63,7 +64,7 @@
                                     ? in.remaining()
                                     : (int) Math.min(remainingBytes, in.remaining());
                     if (body.size() + count > MAX_BODY_BYTES) {
-                        malformedReason = "a body without end";
+                        malformedReason = "response body too long";
                         break;
                     }
                     byte[] bytes = new byte[count];
@@ -87,12 +88,12 @@
         return malformedReason != null ? State.MALFORMED : State.COMPLETE;
     }
 
-    /** The stream has ended: some answers end with it. */
+    /** Handles the end of the stream, which completes a response without a length. */
     public State endOfStream() {
         if (phase == Phase.BODY_UNTIL_CLOSE) {
             phase = Phase.DONE;
         }
-        malformedReason = phase == Phase.DONE ? malformedReason : "it ends early";
+        malformedReason = phase == Phase.DONE ? malformedReason : "response truncated";
         return malformedReason != null ? State.MALFORMED : State.COMPLETE;
     }
 
@@ -111,7 +112,7 @@
                 return completeLine;
             }
             if (lineBuffer.length() >= MAX_LINE_BYTES) {
-                malformedReason = "a line without end";
+                malformedReason = "header line too long";
                 return null;
             }
             lineBuffer.append(c);
@@ -122,13 +123,13 @@
     private void decodeLine(String line) {
         if ((phase == Phase.STATUS_LINE || phase == Phase.HEADERS || phase == Phase.TRAILERS)
                 && ++headerLineCount > MAX_HEADER_LINE_COUNT) {
-            malformedReason = "headers without end";
+            malformedReason = "too many header lines";
             return;
         }
         switch (phase) {
             case STATUS_LINE -> {
                 if (!line.matches("HTTP/1\\.[01] [0-9]{3}( .*)?")) {
-                    malformedReason = "no status line";
+                    malformedReason = "invalid status line";
                     return;
                 }
                 status = Integer.parseInt(line.substring(9, 12));
@@ -139,14 +140,14 @@
             case CHUNK_SIZE -> {
                 String size = line.split(";", 2)[0].strip();
                 if (!size.matches("[0-9a-fA-F]{1,7}")) {
-                    malformedReason = "no chunk size";
+                    malformedReason = "invalid chunk size";
                     return;
                 }
                 remainingBytes = Integer.parseInt(size, 16);
                 phase = remainingBytes == 0 ? Phase.TRAILERS : Phase.CHUNK_DATA;
             }
             case CHUNK_END -> {
-                malformedReason = line.isEmpty() ? null : "a chunk longer than it says";
+                malformedReason = line.isEmpty() ? null : "chunk exceeds its size";
                 phase = Phase.CHUNK_SIZE;
             }
             default -> {
@@ -174,7 +175,7 @@
         }
         int colon = line.indexOf(':');
         if (colon <= 0) {
-            malformedReason = "a header without a name";
+            malformedReason = "header without a name";
             return;
         }
         String value = line.substring(colon + 1).strip();
@@ -182,7 +183,8 @@
             case "content-length" -> {
                 if (!value.matches("[0-9]{1,9}") || Integer.parseInt(value) > MAX_BODY_BYTES) {
                     malformedReason =
-                            "a length of " + (value.length() < 20 ? value : "too many digits");
+                            "invalid content-length "
+                                    + (value.length() < 20 ? value : "with too many digits");
                 } else {
                     remainingBytes = Integer.parseInt(value);
                 }
@@ -191,7 +193,7 @@
                     chunked = value.toLowerCase(Locale.ROOT).endsWith("chunked");
             case "connection" -> connectionCloses |= value.equalsIgnoreCase("close");
             default -> {
-                // of no use here
+                // Other headers are ignored.
             }
         }
     }
@@ -204,11 +206,12 @@
         return body.toByteArray();
     }
 
-    /** The connection can't be used again. */
+    /** Whether the connection can't be reused after this response. */
     public boolean connectionCloses() {
         return connectionCloses;
     }
 
+    /** What is malformed in the response, or null. */
     public String malformedReason() {
         return malformedReason;
     }
--- a/src/main/java/wingroad/protocol/Json.java
+++ b/src/main/java/wingroad/protocol/Json.java
@@ -12,9 +12,9 @@
 import java.util.List;
 import java.util.Map;
 
-/** Reads JSON values from a token stream, and the figures in them. */
+/** Reads JSON values and accesses the members of JSON objects with type checks. */
 public final class Json {
-    /** What is nested deeper than anything agreed is an error, long before the stack ends. */
+    /** Input nested more deeply is rejected long before it could overflow the stack. */
     private static final JsonFactory FACTORY =
             JsonFactory.builder()
                     .streamReadConstraints(
@@ -23,7 +23,12 @@
 
     private Json() {}
 
-    /** The object that the text is. */
+    /**
+     * Parses a JSON object.
+     *
+     * @param description names the value in error messages
+     * @param text the JSON document in UTF-8
+     */
     public static Map<String, Object> object(byte[] text, String description) throws IOException {
         try (JsonParser parser = FACTORY.createParser(text)) {
             parser.nextToken();
@@ -31,7 +36,10 @@
         }
     }
 
-    /** The value that the parser stands on: Map, List, String, Long, Double, Boolean or null. */
+    /**
+     * Reads the value at the parser's current token: Map, List, String, Long, Double, Boolean or
+     * null.
+     */
     public static Object readValue(JsonParser parser) throws IOException {
         JsonToken token = parser.currentToken();
         if (token == null) {
@@ -75,15 +83,17 @@
         }
     }
 
-    /** Milliseconds as a Duration, to the microsecond. */
+    /** Converts milliseconds to a Duration, rounded to the microsecond. */
     public static Duration durationOfMillis(Number millis) {
         return Duration.ofNanos(Math.round(millis.doubleValue() * 1000) * 1000);
     }
 
+    /** Converts a Duration to milliseconds, rounded to the microsecond. */
     public static double toMillis(Duration duration) {
         return Math.round(duration.toNanos() / 1000.0) / 1000.0;
     }
 
+    /** Returns the named member; throws if it is absent or null. */
     public static Object required(Map<String, Object> object, String name) {
         Object value = object.get(name);
         if (value == null) {
@@ -125,7 +135,7 @@
         throw new MalformedJsonException("'" + name + "' is no list");
     }
 
-    /** The text is not of the shape that was agreed. */
+    /** Thrown for JSON that does not have the expected structure. */
     public static final class MalformedJsonException extends RuntimeException {
         private static final long serialVersionUID = 1L;
 
--- a/src/main/java/wingroad/protocol/MemberList.java
+++ b/src/main/java/wingroad/protocol/MemberList.java
@@ -5,15 +5,25 @@
 import java.util.List;
 import java.util.Map;
 
-/** Discovery's list: whole, or the entries that changed since an earlier version. */
+/**
+ * The member list of the discovery service: complete, or the entries that changed since an earlier
+ * version.
+ */
 public record MemberList(long version, boolean complete, List<Entry> entries) {
-    /** Numbers only: to look a name up would hold up everything else. */
+    /** Only numeric addresses are accepted: a name lookup would block the event loop. */
     private static final String OCTET = "(25[0-5]|2[0-4][0-9]|1?[0-9]?[0-9])";
 
     private static final String IP_LITERAL =
             OCTET + "(\\." + OCTET + "){3}|\\[[0-9a-fA-F:.]*:[0-9a-fA-F:.]*\\]";
 
-    /** One member; {@code startedAt} is in Unix milliseconds, 0 for long ago. */
+    /**
+     * One member.
+     *
+     * @param startedAtMs Unix time in milliseconds at which the member started, 0 if that is long
+     *     ago
+     * @param model the hardware model, empty if unknown
+     * @param zone the availability zone, empty if unknown
+     */
     public record Entry(
             String uid,
             String host,
@@ -34,25 +44,25 @@
         }
     }
 
-    /** A list, or why there is none. */
+    /** A parsed list, or the reason why it could not be parsed; the other one is null. */
     public record Parsed(MemberList list, String error) {}
 
     public static Parsed parse(byte[] text) {
         try {
             return new Parsed(fromJson(Json.object(text, "the list")), null);
         } catch (IOException e) {
-            return new Parsed(null, "no JSON");
+            return new Parsed(null, "invalid JSON");
         } catch (Json.MalformedJsonException e) {
             return new Parsed(null, e.getMessage());
         }
     }
 
-    /** Whether this names a host by its number. */
+    /** Whether the host is an IPv4 address or a bracketed IPv6 address. */
     public static boolean isIpLiteral(String host) {
         return host.matches(IP_LITERAL);
     }
 
-    /** The list in an object that has been read already. */
+    /** Converts a parsed JSON object. */
     public static MemberList fromJson(Map<String, Object> root) {
         List<Entry> entries = new ArrayList<>();
         for (Object target : Json.list(root, "targets")) {
--- a/src/main/java/wingroad/protocol/MemberMessageEncoder.java
+++ b/src/main/java/wingroad/protocol/MemberMessageEncoder.java
@@ -3,7 +3,7 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 
-/** What a member is sent. */
+/** Encodes the messages that are sent to members in PostgreSQL's protocol. */
 public final class MemberMessageEncoder {
     private static final byte[] STARTUP_PARAMETERS =
             "user\0svc\0database\0main\0\0".getBytes(StandardCharsets.UTF_8);
@@ -27,7 +27,7 @@
                 .flip();
     }
 
-    /** Asks for the member's own report. */
+    /** Encodes the query for the member's load report. */
     public static ByteBuffer gaugesQuery() {
         return query("SHOW gauges".getBytes(StandardCharsets.UTF_8));
     }
--- a/src/main/java/wingroad/protocol/MemberResponseDecoder.java
+++ b/src/main/java/wingroad/protocol/MemberResponseDecoder.java
@@ -11,30 +11,31 @@
 import java.util.regex.Pattern;
 
 /**
- * What a member sends, one answer after the other: the first one is to the startup message, the
- * others to one query each. An answer is taken whole.
+ * Decodes the responses of a member: one to the startup message, then one for each query. The
+ * messages of a response are kept until it is complete.
  */
 public final class MemberResponseDecoder {
     /**
-     * The largest row. Values of 400 KB were met; what all of them may hold together is bounded by
-     * the loop.
+     * The largest message, which is a row: values of 400 KB occur. The total over all connections
+     * is bounded by the event loop's limit on buffered bytes.
      */
     public static final int MAX_MESSAGE_BYTES = 2 << 20;
 
-    /** A value that is text, as a report is. */
+    /** The largest value that is kept as text, as that of a report. */
     private static final int MAX_TEXT_VALUE_BYTES = 4096;
 
-    /** The largest message that is no row. */
+    /** The largest message other than a row. */
     private static final int MAX_NON_ROW_MESSAGE_BYTES = 16 * 1024;
 
     /**
-     * What may come beside one answer's row in all; an answer that goes on for longer has no end.
+     * Limits all messages of one response other than the row, so that a response cannot go on
+     * without end.
      */
     private static final int MAX_NON_ROW_RESPONSE_BYTES = 16 * MAX_NON_ROW_MESSAGE_BYTES;
 
     private static final Pattern COMMAND_TAG = Pattern.compile("[A-Z]{2,20}( [0-9]{1,10}){0,2}");
 
-    /** How far an answer has come. */
+    /** The state of the response. */
     public enum State {
         INCOMPLETE,
         COMPLETE,
@@ -52,12 +53,12 @@
     private String malformedReason;
     private final Map<String, String> parameters = new HashMap<>();
 
-    /** The row's messages, one after the other. */
+    /** The messages of the row: RowDescription, DataRow and CommandComplete. */
     private final List<byte[]> rowMessages = new ArrayList<>(3);
 
     /**
-     * Takes what it can from the buffer. WHOLE: one answer is there, to be read and then to be
-     * cleared.
+     * Consumes complete messages from the buffer. COMPLETE: one response is available, to be read
+     * and then cleared with {@link #reset}.
      */
     public State decode(ByteBuffer in) {
         while (malformedReason == null) {
@@ -87,11 +88,11 @@
                         default -> body.remaining() >= 8;
                     };
             if (!wellFormed) {
-                return malformed("a malformed " + frame.type());
+                return malformed("malformed message of type " + frame.type());
             }
             nonRowBytes += frame.type() == 'D' ? 0 : in.position() - messageStart;
             if (nonRowBytes > MAX_NON_ROW_RESPONSE_BYTES) {
-                return malformed("an answer without end");
+                return malformed("response too long");
             }
             if ("TDC".indexOf(frame.type()) >= 0) {
                 byte[] message = new byte[in.position() - messageStart];
@@ -106,8 +107,8 @@
     }
 
     /**
-     * What can be told wrong of a message before all of it is there, or null: a spoilt one may
-     * never come whole.
+     * Checks a message's type and lengths before all of it has arrived, as a corrupt message may
+     * never be complete. Returns what is wrong, or null.
      */
     private String checkMessageHeader(ByteBuffer in) {
         if (!in.hasRemaining()) {
@@ -127,18 +128,18 @@
                     default -> false;
                 };
         if (!inSequence) {
-            return "a message out of turn";
+            return "unexpected message";
         }
         if (in.remaining() < 5) {
             return null;
         }
         int length = in.getInt(headerStart + 1);
         if (length > MAX_NON_ROW_MESSAGE_BYTES && type != 'D') {
-            return "a message of a wrong length";
+            return "invalid message length";
         }
-        // A row has one column: the two lengths tell the same.
+        // A row has one column, so its length field and the column's must agree.
         return type == 'D' && in.remaining() >= 11 && in.getInt(headerStart + 7) != length - 10
-                ? "a row of a wrong length"
+                ? "invalid row length"
                 : null;
     }
 
@@ -210,7 +211,7 @@
         return State.MALFORMED;
     }
 
-    /** Makes ready for the next answer. */
+    /** Prepares for the next response. */
     public void reset() {
         nonRowBytes = 0;
         startupAnswered = true;
@@ -223,32 +224,34 @@
         rowMessages.clear();
     }
 
-    /** The row and its end are there, whether or not the member went on to say that it is ready. */
+    /** Whether the row and its end have arrived, with or without ReadyForQuery. */
     public boolean rowComplete() {
         return rowReceived && commandCompleted && errorSqlState == null;
     }
 
-    /** Anything but notices has come of an answer. */
+    /**
+     * Whether any message other than notices and parameters has arrived for the current response.
+     */
     public boolean responseStarted() {
         return rowDescribed || commandCompleted || errorSqlState != null;
     }
 
-    /** The code of the error that it answered with, or null. */
+    /** The SQLSTATE of the error response, or null. */
     public String errorSqlState() {
         return errorSqlState;
     }
 
-    /** After it nothing more comes. */
+    /** Whether the member reported a fatal error, after which nothing more is received. */
     public boolean fatal() {
         return fatal;
     }
 
-    /** What is wrong with the stream, or null. */
+    /** What is malformed in the stream, or null. */
     public String malformedReason() {
         return malformedReason;
     }
 
-    /** The row's messages as they came. */
+    /** The messages of the row, concatenated as received. */
     public byte[] rowMessages() {
         int length = 0;
         for (byte[] message : rowMessages) {
@@ -259,11 +262,12 @@
         return concatenated.array();
     }
 
+    /** The row's value as text; null without a row, or if it is too long to be kept as text. */
     public String value() {
         return value == null ? null : new String(value, StandardCharsets.UTF_8);
     }
 
-    /** What it said of itself, or null. */
+    /** The value of a parameter that the member reported with this response, or null. */
     public String parameter(String name) {
         return parameters.get(name);
     }
--- a/src/main/java/wingroad/protocol/Statement.java
+++ b/src/main/java/wingroad/protocol/Statement.java
@@ -7,8 +7,12 @@
 import java.util.regex.Pattern;
 
 /**
- * A client's statement: the comment that tells what it is, and the text that members get. {@code
- * after} is the position that a read must see, in Unix milliseconds, or null.
+ * A client's statement: the parameters in its leading comment, and the text for members.
+ *
+ * @param timeLeftMs the time left for the txn, in milliseconds
+ * @param afterPositionMs the position that a read must see, in Unix milliseconds, or null
+ * @param timeLeftStart index in the text of the first byte of the time left
+ * @param timeLeftEnd index in the text after the last byte of the time left
  */
 public record Statement(
         String id,
@@ -23,10 +27,10 @@
         int timeLeftStart,
         int timeLeftEnd) {
 
-    /** A statement, or why there is none. */
+    /** A parsed statement, or the reason why it was rejected; the other one is null. */
     public record Parsed(Statement statement, String error) {}
 
-    /** A comment's names beyond this are not looked for. */
+    /** {@link #commentValue} ignores the comment beyond this length. */
     private static final int MAX_SEARCHED_COMMENT_BYTES = 2048;
 
     private static final int MAX_TIME_LEFT_MS = 24 * 3600 * 1000;
@@ -36,10 +40,11 @@
     private static final String WRITE_SUFFIX = "') RETURNING v";
 
     /**
-     * Reads a query's text. Whatever is not of the one agreed form is turned away, with the reason.
+     * Parses a query's text. Everything but the two supported statements is rejected with a reason.
      */
     public static Parsed parse(byte[] text) {
-        // One byte, one char: positions in the text are positions in the bytes.
+        // ISO 8859-1 maps each byte to one char, so positions in the string are positions in the
+        // bytes.
         String query = new String(text, StandardCharsets.ISO_8859_1);
         int commentEnd = query.indexOf("*/");
         if (!query.startsWith("/*") || commentEnd < 0 || query.indexOf('\0') >= 0) {
@@ -120,7 +125,7 @@
                 null);
     }
 
-    /** The value that the comment gives to a name, or null. */
+    /** The value of a parameter in the leading comment, or null if it is absent or empty. */
     public String commentValue(String name) {
         String comment =
                 new String(
@@ -139,7 +144,7 @@
         return null;
     }
 
-    /** The key of a write whose text is whole and of the agreed form, or null. */
+    /** Extracts the key of a complete write statement; returns null for any other text. */
     private static String parseWriteKey(String query, int bodyStart) {
         if (!query.startsWith(WRITE_PREFIX, bodyStart) || !query.endsWith(WRITE_SUFFIX)) {
             return null;
@@ -168,7 +173,7 @@
         return query.substring(keyStart, keyEnd);
     }
 
-    /** The text for a member: as it came, but for the time that is left. */
+    /** Returns the text for a member, in which the time left is replaced. */
     public byte[] withTimeLeft(long timeLeftMs) {
         byte[] digits = Long.toString(timeLeftMs).getBytes(StandardCharsets.ISO_8859_1);
         byte[] rewritten = new byte[timeLeftStart + digits.length + text.length - timeLeftEnd];
@@ -183,7 +188,7 @@
         return rewritten;
     }
 
-    /** A number that stands for the quoted key, never negative. */
+    /** A non-negative hash (FNV-1a, with the sign bit cleared) of the key. */
     public long keyHash() {
         long hash = 0xcbf29ce484222325L;
         for (int i = 0; i < key.length(); i++) {
--- a/src/main/java/wingroad/transport/Connection.java
+++ b/src/main/java/wingroad/transport/Connection.java
@@ -10,55 +10,54 @@
 import java.util.Arrays;
 
 /**
- * One connection. It has one buffer for what comes in, which grows as it needs up to a bound and is
- * compacted in place, and a queue for what goes out. All calls and all of the owner's calls are on
- * the loop's thread.
+ * A TCP connection on the event loop. It has one input buffer, which grows on demand up to a limit
+ * and is compacted in place, and a queue of output buffers. All methods and handler callbacks run
+ * on the loop's thread.
  */
 public final class Connection {
     private static final int INITIAL_BUFFER_BYTES = 1024;
 
     /**
-     * Read ahead in any case for an owner that does not take it yet. The other side's end stands
-     * behind all that it has sent: as long as there is memory to spare, all of it is read, up to
-     * the bound, so that the end is seen.
+     * Bytes that are read ahead even if the handler does not accept input yet. The peer's end of
+     * stream follows all that it has sent, so more is read ahead, up to the limit, while memory is
+     * available, in order to detect it.
      */
     private static final int READ_AHEAD_BYTES = 4096;
 
-    /**
-     * One call reads or writes no more: the system's side copies all that it is given, each time.
-     */
+    /** Limits one read or write: the JDK copies the whole buffer passed to it for each call. */
     private static final int MAX_BYTES_PER_CALL = 64 * 1024;
 
-    /** Who a connection belongs to. */
+    /** Receives the events of a connection. */
     public interface Handler {
-        /** The connection is up; only where it was opened from here. */
+        /** Called once an outgoing connection is established. */
         default void onConnected() {}
 
         /**
-         * Bytes are there; the owner takes from the front what it can use, and the rest is offered
-         * again.
+         * Called with received bytes. The handler consumes what it can use from the front; the rest
+         * is delivered again.
          */
         void onBytes(ByteBuffer in);
 
         /**
-         * Whether it takes what comes now; while it does not, what is read ahead gives way to
-         * others' bytes.
+         * Whether the handler accepts input now. While it does not, its read-ahead yields memory to
+         * other connections.
          */
         default boolean acceptsInput() {
             return true;
         }
 
-        /** All that was handed over has been written. */
+        /** Called once all queued bytes have been written. */
         default void onAllWritten() {}
 
-        /** There is no memory for more of what comes in; nothing more is read. */
+        /** Called when there is no memory for more input; nothing more is read. */
         void onInputMemoryExhausted();
 
         /**
-         * The connection is no more, and not by the owner's own closing. {@code unwritten}: how
-         * many of the bytes handed over were certainly not written. {@code endOfStream}: the other
-         * side said that no more comes; where it did not, as at a reset, what has come may be a
-         * part of it.
+         * Called when the connection was closed other than by {@link #close}.
+         *
+         * @param unwrittenBytes how many of the queued bytes were certainly not written
+         * @param endOfStream whether the peer ended its output in order; if not, as after a reset,
+         *     the received data may be incomplete
          */
         void onClosed(int unwrittenBytes, boolean endOfStream, String reason);
     }
@@ -69,7 +68,9 @@
     private final int maxBufferBytes;
     private final byte[] emptyBuffer = new byte[0];
 
-    /** What has come in is from start to end; a read that is out fills what is behind it. */
+    /**
+     * Unread input is between unreadStart and unreadEnd; a pending read fills the space after it.
+     */
     private byte[] buffer = emptyBuffer;
 
     private int unreadStart;
@@ -85,7 +86,9 @@
     private boolean readingStopped;
     private boolean closed;
 
-    /** Why it broke, while a write that is out must still tell how far it came. */
+    /**
+     * Why the connection failed. Kept while a pending write has yet to report how much was written.
+     */
     private String failure;
 
     private boolean endOfStream;
@@ -104,11 +107,11 @@
         try {
             channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
         } catch (IOException e) {
-            fail("no options: " + e.getMessage());
+            fail("setting socket options failed: " + e.getMessage());
         }
     }
 
-    /** The other side's address, without its port; empty where it has gone already. */
+    /** The peer's IP address without its port; empty if the peer has disconnected. */
     public String remoteHost() {
         try {
             return channel.getRemoteAddress() instanceof InetSocketAddress a
@@ -119,7 +122,7 @@
         }
     }
 
-    /** Takes over an accepted channel; reading begins with {@link #startReading}. */
+    /** Wraps an accepted channel; reading starts with {@link #startReading}. */
     static Connection accepted(
             EventLoop loop,
             AsynchronousSocketChannel channel,
@@ -129,8 +132,8 @@
     }
 
     /**
-     * Opens a connection; the owner hears {@code up} or {@code ended} later, never within this
-     * call.
+     * Opens a connection; the handler's {@code onConnected} or {@code onClosed} is called later,
+     * never within this call.
      */
     public static Connection open(
             EventLoop loop, InetSocketAddress remoteAddress, Handler handler, int maxBufferBytes)
@@ -174,14 +177,14 @@
 
     private void connectFailed(Throwable cause) {
         connecting = false;
-        fail("not connected: " + cause.getMessage());
+        fail("connect failed: " + cause.getMessage());
     }
 
     public void startReading() {
         read();
     }
 
-    /** Offers again what is still in the buffer, after the owner has become able to take it. */
+    /** Delivers buffered input again once the handler can accept it. */
     public void redeliver() {
         loop.execute(
                 () -> {
@@ -245,13 +248,13 @@
                     readHandler);
         } catch (RuntimeException e) {
             reading = false;
-            loop.execute(() -> fail("cannot read: " + e.getMessage()));
+            loop.execute(() -> fail("read failed: " + e.getMessage()));
         }
         inChannelCall = false;
     }
 
-    // A completion can come within the call that asked for it, so neither handler goes on from
-    // there.
+    // A completion handler may be invoked within the call that started the operation, so it does
+    // not continue directly in that case.
     private final CompletionHandler<Integer, Void> readHandler =
             new CompletionHandler<>() {
                 @Override
@@ -268,7 +271,7 @@
                     loop.execute(
                             () -> {
                                 reading = false;
-                                fail("read: " + cause.getMessage());
+                                fail("read failed: " + cause.getMessage());
                             });
                 }
             };
@@ -277,7 +280,7 @@
         reading = false;
         if (count < 0) {
             endOfStream = !closed;
-            fail("ended by the other side");
+            fail("closed by peer");
             return;
         }
         unreadEnd += count;
@@ -285,7 +288,7 @@
         read();
     }
 
-    /** Hands bytes over to be written, after those handed over before. */
+    /** Queues bytes to be written after those queued before. */
     public void send(ByteBuffer bytes) {
         if (closed) {
             return;
@@ -308,7 +311,7 @@
             channel.write(chunk, null, writeHandler);
         } catch (RuntimeException e) {
             writing = false;
-            loop.execute(() -> fail("cannot write: " + e.getMessage()));
+            loop.execute(() -> fail("write failed: " + e.getMessage()));
         }
         inChannelCall = false;
     }
@@ -317,8 +320,8 @@
             new CompletionHandler<>() {
                 @Override
                 public void completed(Integer count, Void nothing) {
-                    // No longer a way than a read's: an answer must not seem to come before its
-                    // query was written.
+                    // Takes the same path as a read's completion: otherwise a response could be
+                    // processed before its query counts as written.
                     if (inChannelCall) {
                         loop.execute(() -> writeCompleted(count));
                     } else {
@@ -331,7 +334,7 @@
                     loop.execute(
                             () -> {
                                 writing = false;
-                                fail("write: " + cause.getMessage());
+                                fail("write failed: " + cause.getMessage());
                             });
                 }
             };
@@ -356,17 +359,17 @@
         }
     }
 
-    /** How many bytes have been written so far. */
+    /** The number of bytes written so far. */
     public long writtenBytes() {
         return writtenBytes;
     }
 
-    /** True while bytes that were handed over have not been written. */
+    /** Whether queued bytes have not been written yet. */
     public boolean hasUnsentBytes() {
         return !writeQueue.isEmpty();
     }
 
-    /** True while bytes that came in have not been taken. */
+    /** Whether received bytes have not been consumed yet. */
     public boolean hasUnreadBytes() {
         return unreadStart != unreadEnd;
     }
@@ -379,8 +382,8 @@
         if (!closed) {
             failure = reason;
             closeChannel();
-            // Only the write that is out knows whether its last byte went: its handler comes now
-            // for certain.
+            // Only a pending write knows how many bytes were sent; its completion handler is
+            // certain to be called now.
             if (!writing) {
                 reportClosed();
             }
@@ -402,8 +405,8 @@
     }
 
     /**
-     * Writes what was handed over, then tells the other side that no more comes; its own end ends
-     * it all.
+     * Writes the queued bytes, then shuts down the output; the peer's end of stream closes the
+     * connection.
      */
     public void shutdownOutput() {
         outputShutdownRequested = true;
@@ -411,20 +414,17 @@
             try {
                 channel.shutdownOutput();
             } catch (IOException e) {
-                fail("cannot end: " + e.getMessage());
+                fail("shutdown of output failed: " + e.getMessage());
             }
         }
     }
 
-    /**
-     * Reads nothing more: what still comes is held up at the other side until the connection is
-     * closed.
-     */
+    /** Stops reading: flow control stops the peer until the connection is closed. */
     public void stopReading() {
         readingStopped = true;
     }
 
-    /** Ends it from here; the owner hears nothing more. */
+    /** Closes the connection; the handler gets no further callbacks. */
     public void close() {
         closeReported = true;
         closeChannel();
@@ -441,19 +441,19 @@
             try {
                 channel.close();
             } catch (IOException e) {
-                // it is gone either way
+                // The channel is closed in any case.
             }
         }
     }
 
-    /** An exception in the owner's code ends this connection and nothing else. */
+    /** Runs a handler callback; an exception in it closes only this connection. */
     private void runGuarded(Runnable call) {
         try {
             call.run();
         } catch (RuntimeException | StackOverflowError | OutOfMemoryError error) {
             loop.reportUnexpectedError(error);
             if (!closed) {
-                fail("fault of its own");
+                fail("internal error");
             }
         }
     }
--- a/src/main/java/wingroad/transport/EventLoop.java
+++ b/src/main/java/wingroad/transport/EventLoop.java
@@ -9,9 +9,9 @@
 import java.util.function.Consumer;
 
 /**
- * The one thread that owns the module and all connections. Tasks, timers and the channels'
- * completion handlers run on it, in the order in which they came. It also counts the descriptors
- * that its channels hold.
+ * A single-threaded event loop that owns the routing module and all connections. Tasks, timers and
+ * completion handlers of channels run on its thread in order of arrival. It also counts open
+ * channels, and so file descriptors, and buffered bytes.
  */
 public final class EventLoop {
     private final ScheduledThreadPoolExecutor executor;
@@ -23,17 +23,19 @@
     final AsynchronousChannelGroup group;
 
     /**
+     * Creates the loop and starts its thread.
+     *
      * @param maxChannels how many channels may be open at once
-     * @param maxBufferedBytes how many bytes all connections may hold that came in or wait to go
-     *     out
-     * @param onUnexpectedError hears of what escapes a task
+     * @param maxBufferedBytes how many bytes of input and queued output all connections may hold
+     *     together
+     * @param onUnexpectedError called with what a task throws
      */
     public EventLoop(int maxChannels, long maxBufferedBytes, Consumer<Throwable> onUnexpectedError)
             throws IOException {
         this("wingroad", maxChannels, maxBufferedBytes, onUnexpectedError);
     }
 
-    /** The same with the thread's name, for a part that has a thread of its own. */
+    /** Creates a loop with a thread name, for a component that has its own thread. */
     public EventLoop(
             String name,
             int maxChannels,
@@ -45,18 +47,20 @@
         this.maxBufferedBytes = maxBufferedBytes;
         this.onUnexpectedError = onUnexpectedError;
         executor.setRemoveOnCancelPolicy(true);
-        // Not a fixed pool: its own threads poll in here, and no task of ours could run on them.
-        // With this one
-        // the channels poll on a thread of theirs and hand every completion to ours.
+        // With a fixed pool, the pool's own threads poll in the channel group and could not run
+        // other tasks. With this one, the channels poll on an internal thread and pass each
+        // completion to the executor.
         group = AsynchronousChannelGroup.withThreadPool(executor);
     }
 
-    /** Runs the task on the loop's thread, after what waits there already. From any thread. */
+    /**
+     * Runs the task on the loop's thread after those queued before. May be called from any thread.
+     */
     public void execute(Runnable task) {
         executor.execute(() -> runGuarded(task));
     }
 
-    /** Runs the task after the wait, unless the timer is cancelled first. */
+    /** Runs the task after the delay, unless the timer is cancelled first. */
     public Timer schedule(Duration delay, Runnable task) {
         ScheduledFuture<?> future =
                 executor.schedule(
@@ -77,7 +81,7 @@
         }
     }
 
-    /** Something went wrong that a caller has dealt with. */
+    /** Reports an unexpected error that the caller has handled. */
     public void reportUnexpectedError(Throwable error) {
         onUnexpectedError.accept(error);
     }
@@ -95,7 +99,7 @@
         return maxChannels;
     }
 
-    /** Counts bytes that are held from now on, or with a negative number no more. */
+    /** Adds to the count of buffered bytes; a negative number subtracts. */
     public void addBufferedBytes(long bytes) {
         bufferedBytes += bytes;
     }
@@ -104,7 +108,10 @@
         return bufferedBytes + bytes <= maxBufferedBytes;
     }
 
-    /** Whether so many may be held for later: half of the room is kept for what is under way. */
+    /**
+     * Whether so many bytes may be buffered for read-ahead: half of the memory is reserved for
+     * requests in progress.
+     */
     boolean canReadAhead(long bytes) {
         return bufferedBytes + bytes <= maxBufferedBytes / 2;
     }
@@ -121,7 +128,7 @@
         openChannels--;
     }
 
-    /** A task that has not run yet. */
+    /** A scheduled task. */
     public interface Timer {
         void cancel();
     }
--- a/src/main/java/wingroad/transport/Listener.java
+++ b/src/main/java/wingroad/transport/Listener.java
@@ -11,7 +11,10 @@
 import java.util.function.Consumer;
 import java.util.function.Function;
 
-/** The listening socket. One accept is out at a time, and only while the guest list has room. */
+/**
+ * A listening socket. One accept is pending at a time, and only while there is capacity for another
+ * connection.
+ */
 public final class Listener {
     private static final int BACKLOG = 1024;
 
@@ -25,8 +28,12 @@
     private int consecutiveFailures;
 
     /**
-     * @param canAccept asked before each accept; when it says no, {@link #acceptNext} goes on later
-     * @param onAccepted gets each accepted connection, as a function from its owner to its link
+     * Opens the socket.
+     *
+     * @param canAccept asked before each accept; after it has returned false, {@link #acceptNext}
+     *     resumes
+     * @param onAccepted gets each accepted connection, as a function from its handler to the
+     *     connection
      */
     public Listener(
             EventLoop loop,
@@ -54,12 +61,13 @@
         return (InetSocketAddress) channel.getLocalAddress();
     }
 
-    /** Accepts the next connection, when there is room and none is being accepted. */
+    /** Starts an accept if there is capacity and none is pending. */
     public void acceptNext() {
         if (accepting || closed) {
             return;
         }
-        // Making room closes a connection, and its end asks for the next accept: that is this one.
+        // Freeing capacity closes a connection, whose end calls this method again; the flag makes
+        // that call a no-op.
         accepting = true;
         if (!canAccept.getAsBoolean()) {
             accepting = false;
@@ -91,8 +99,8 @@
                                 () -> {
                                     accepting = false;
                                     consecutiveFailures++;
-                                    // Guards against spinning where the system has no descriptor
-                                    // left: a longer wait each time.
+                                    // Backs off exponentially, so that accepts do not spin while
+                                    // no file descriptor is available.
                                     loop.schedule(
                                             Duration.ofMillis(
                                                     1L << Math.min(consecutiveFailures, 8)),
@@ -109,7 +117,7 @@
             try {
                 channel.close();
             } catch (IOException e) {
-                // it is gone either way
+                // The channel is closed in any case.
             }
         }
     }
--- /dev/null
+++ b/src/main/java/wingroad/transport/package-info.java
@@ -0,0 +1,2 @@
+/** The event loop, its TCP connections and its listening sockets. */
+package wingroad.transport;
