--- a/src/main/antlr4/wingroad/kdl/Kdl.g4
+++ b/src/main/antlr4/wingroad/kdl/Kdl.g4
@@ -1,4 +1,4 @@
-// KDL 2.0, written from the public specification of the language. What no grammar of this kind can say (a multi-line string's
+// KDL 2.0, after the public specification of the language. What this grammar cannot express (a multi-line string's
 // indent, numbers out of range, which escapes are right) is checked by KdlReader, with the same positions.
 grammar Kdl;
 
@@ -60,13 +60,13 @@
 fragment BLANK: SPACE | NL ;
 fragment NL: '\r\n' | [\r\n\u0085\u000B\u000C\u2028\u2029] ;
 
-// As many signs behind it as before it: the rule takes them off in pairs.
+// A raw string ends with as many # signs as it starts with; the recursive rule matches them in pairs.
 RAW_MULTI: '#' RAW_MULTI_BODY '#' ;
 fragment RAW_MULTI_BODY: '#' RAW_MULTI_BODY '#' | '"""' NL .*? '"""' ;
 RAW: '#' RAW_BODY '#' ;
 fragment RAW_BODY: '#' RAW_BODY '#' | '"' ~[\r\n\u0085\u000B\u000C\u2028\u2029]*? '"' ;
 
-// A name without quotes begins with no digit, nor with a sign or a point before one.
+// An unquoted name does not begin with a digit, nor with a sign or a point followed by a digit.
 WORD: ([+-] | [+-]? '.' | [+-]? '.'? WORD_START PART* | [+-] '.'? PART_AFTER_SIGN PART*) ;
 fragment PART_AFTER_SIGN: [+-] | WORD_START ;
 fragment WORD_START: ~[ \t\u00A0\u1680\u2000-\u200A\u202F\u205F\u3000\uFEFF\r\n\u0085\u000B\u000C\u2028\u2029\\/(){}[\];"#=0-9+.\-\u0000-\u0008\u000E-\u001F\u007F\u200E\u200F\u202A-\u202E\u2066-\u2069] ;
--- a/src/main/java/wingroad/Main.java
+++ b/src/main/java/wingroad/Main.java
@@ -6,7 +6,7 @@
 
 import java.io.IOException;
 
-/** The program's subcommands. */
+/** The program's entry point. */
 public final class Main {
     private Main() {}
 
@@ -24,8 +24,8 @@
         if (args.length == 1 && args[0].equals("rehearse")) {
             System.exit(Driver.rehearse(System.getenv(), System.err));
         }
-        // All else is the command line's. The three above stay clear of it: they cost no class of
-        // it, nor its start.
+        // All other commands are handled by the command line parser. The three above avoid loading
+        // its classes and the time that takes.
         int status = WingroadCommand.run(args);
         if (status != 0) {
             System.exit(status);
--- a/src/main/java/wingroad/cli/FleetCommand.java
+++ b/src/main/java/wingroad/cli/FleetCommand.java
@@ -24,13 +24,13 @@
 import java.util.UUID;
 import java.util.concurrent.Callable;
 
-/** What operators ask of a fleet that runs, through any voter that answers. */
+/** Commands for a running fleet, answered by any reachable voter. */
 @Command(
         name = "fleet",
         mixinStandardHelpOptions = true,
         description =
-                "Asks a running fleet: who is there, who owns which duty; hands duties over. See"
-                        + " docs/operators/fleet.md.",
+                "Shows the status of a running fleet, its drivers and the owners of duties; hands"
+                    + " duties over. See docs/operators/fleet.md.",
         subcommands = {
             FleetCommand.Status.class,
             FleetCommand.Watch.class,
@@ -41,7 +41,7 @@
 final class FleetCommand implements Callable<Integer> {
     private static final int EXIT_INVALID_INPUT = 2;
 
-    /** Nobody could say. */
+    /** Exit status when no voter answers. */
     private static final int EXIT_NO_ANSWER = 3;
 
     private static final int EXIT_REFUSED = 1;
@@ -54,19 +54,19 @@
         return EXIT_INVALID_INPUT;
     }
 
-    /** One that speaks to the fleet of an operator's file. */
+    /** A command that queries or changes the fleet of an operator's file. */
     abstract static class VoterCommand implements Callable<Integer> {
         @Option(
                 names = "--operator",
                 paramLabel = "FILE",
                 required = true,
-                description = "An operator's file of the fleet; its voters are asked.")
+                description = "The operator's file of the fleet, which lists its voters.")
         Path operatorFile;
 
         @Option(names = "--json", description = "Prints JSON.")
         boolean json;
 
-        /** What is asked of one voter. */
+        /** A request to one voter. */
         interface VoterRequest<T> {
             T send(FleetClient client) throws IOException;
         }
@@ -91,7 +91,7 @@
             }
         }
 
-        /** Asks the voters in turn until one answers. */
+        /** Sends the request to the voters in turn until one answers. */
         static <T> T firstResponse(FleetConfig config, VoterRequest<T> request) throws IOException {
             List<String> failures = new ArrayList<>();
             for (String voter : config.voterAddresses().keySet()) {
@@ -107,7 +107,10 @@
             throw new IOException(String.join("; ", failures));
         }
 
-        /** What the voter says that is the furthest. */
+        /**
+         * Returns the status with the highest revision of all voters that answer; key {@code
+         * silent} lists the failures of the others.
+         */
         static Map<String, Object> newestStatus(FleetConfig config) throws IOException {
             Map<String, Object> newest = null;
             List<String> failures = new ArrayList<>();
@@ -139,8 +142,8 @@
             name = "status",
             mixinStandardHelpOptions = true,
             description =
-                    "Who is there, who votes and leads, who owns which duty. Exit status 3: no"
-                            + " voter answers.")
+                    "Shows drivers, voters, the leader and the owners of duties. Exit status 3: no"
+                        + " voter answers.")
     static final class Status extends VoterCommand {
         @Override
         int execute(FleetConfig config) throws IOException {
@@ -153,16 +156,16 @@
     @Command(
             name = "watch",
             mixinStandardHelpOptions = true,
-            description = "The status again and again, until interrupted.")
+            description = "Shows the status repeatedly until interrupted.")
     static final class Watch extends VoterCommand {
         @Option(
                 names = "--every",
                 paramLabel = "S",
                 defaultValue = "2",
-                description = "Seconds between; ${DEFAULT-VALUE}.")
+                description = "Interval in seconds; default ${DEFAULT-VALUE}.")
         double intervalSeconds;
 
-        @Option(names = "--times", paramLabel = "N", description = "Ends after so many.")
+        @Option(names = "--times", paramLabel = "N", description = "Ends after this many rounds.")
         int maxRounds;
 
         @Override
@@ -197,7 +200,7 @@
     @Command(
             name = "history",
             mixinStandardHelpOptions = true,
-            description = "What is remembered of a duty, the newest last.")
+            description = "Shows the history of a duty, oldest first.")
     static final class History extends VoterCommand {
         @Parameters(
                 paramLabel = "DUTY",
@@ -235,8 +238,8 @@
             name = "hand-over",
             mixinStandardHelpOptions = true,
             description =
-                    "Has a duty go to another driver; answered once that is settled. Exit status 1:"
-                            + " refused.")
+                    "Hands a duty over to another driver; returns once the request is committed."
+                        + " Exit status 1: refused.")
     static final class HandOver extends VoterCommand {
         @Parameters(
                 paramLabel = "DUTY",
@@ -247,12 +250,12 @@
                 names = "--to",
                 paramLabel = "DRIVER",
                 defaultValue = "",
-                description = "To this one; else to any other.")
+                description = "The new owner; default: any other driver.")
         String targetDriver;
 
         @Override
         int execute(FleetConfig config) throws IOException {
-            // Under one name with every voter: however often it is asked, it is done once.
+            // All voters get the same request id, so that a retried request is applied once.
             String requestId = UUID.randomUUID().toString();
             String refusal =
                     firstResponse(config, client -> client.handOver(duty, targetDriver, requestId));
@@ -270,19 +273,22 @@
             name = "voters",
             mixinStandardHelpOptions = true,
             description =
-                    "Changes who votes, one at a time; 'status' shows when it is settled. Exit"
-                            + " status 1: refused.")
+                    "Adds or removes one voter; 'status' shows when the change has taken effect."
+                        + " Exit status 1: refused.")
     static final class Voters extends VoterCommand {
-        /** What to do with one. */
+        /** The change to the set of voters. */
         enum Change {
             add,
             remove
         }
 
-        @Parameters(index = "0", paramLabel = "add|remove", description = "What to do.")
+        @Parameters(index = "0", paramLabel = "add|remove", description = "The change.")
         Change change;
 
-        @Parameters(index = "1", paramLabel = "DRIVER", description = "Its name in the fleet.")
+        @Parameters(
+                index = "1",
+                paramLabel = "DRIVER",
+                description = "The driver's name in the fleet.")
         String driver;
 
         @Parameters(
@@ -290,7 +296,7 @@
                 paramLabel = "ADDRESS",
                 arity = "0..1",
                 defaultValue = "",
-                description = "Where it listens; only with add.")
+                description = "The address on which it listens; only with add.")
         String address;
 
         @Override
@@ -313,7 +319,7 @@
         }
     }
 
-    // ---- pages ----
+    // ---- output ----
 
     private static long longValue(Map<String, Object> object, String name) {
         return object.get(name) instanceof Number n ? n.longValue() : 0;
--- a/src/main/java/wingroad/cli/WingroadCommand.java
+++ b/src/main/java/wingroad/cli/WingroadCommand.java
@@ -14,12 +14,15 @@
 import java.util.Map;
 import java.util.concurrent.Callable;
 
-/** The command line. What the benches start does not come by here: see Main. */
+/**
+ * The root of the command line. The commands that the benches start are handled in Main, without
+ * these classes.
+ */
 @Command(
         name = "wingroad",
         versionProvider = WingroadCommand.Version.class,
         mixinStandardHelpOptions = true,
-        description = "Stands before groups of database members and decides where every txn goes.",
+        description = "Routes txns to the members of database groups.",
         subcommands = {
             WingroadCommand.Serve.class,
             WingroadCommand.Check.class,
@@ -32,18 +35,23 @@
 public final class WingroadCommand implements Callable<Integer> {
     private static final int EXIT_INVALID_INPUT = 2;
 
-    /** The build's, from the jar's manifest. */
+    /** Reads the version from the jar's manifest. */
     static final class Version implements CommandLine.IVersionProvider {
         @Override
         public String[] getVersion() {
             String version = WingroadCommand.class.getPackage().getImplementationVersion();
-            return new String[] {"wingroad " + (version == null ? "(not from its jar)" : version)};
+            return new String[] {
+                "wingroad "
+                        + (version == null
+                                ? "(unknown version: not started from the jar)"
+                                : version)
+            };
         }
     }
 
     @CommandLine.Spec CommandLine.Model.CommandSpec spec;
 
-    /** Returns the exit status; what serves goes on behind it. */
+    /** Runs a command and returns its exit status; a server's threads keep running after a 0. */
     public static int run(String... args) {
         return new CommandLine(new WingroadCommand())
                 .setCaseInsensitiveEnumValuesAllowed(true)
@@ -66,7 +74,7 @@
                 paramLabel = "FILE",
                 description =
                         "The operator's own file, in KDL; read again on SIGHUP. See"
-                            + " docs/operators/fair-queues.md.")
+                                + " docs/operators/fair-queues.md.")
         Path operatorFile;
 
         @Override
@@ -87,15 +95,15 @@
             name = "check",
             mixinStandardHelpOptions = true,
             description =
-                    "Reads an operator's file and prints all that is wrong with it. Exit status 0:"
-                        + " it can be used; 2: it can't.")
+                    "Reads an operator's file and prints all problems in it. Exit status 0: it is"
+                        + " valid; 2: it is not.")
     static final class Check implements Callable<Integer> {
         @Parameters(paramLabel = "FILE", description = "The file.")
         Path file;
 
         @Option(
                 names = "--print",
-                description = "Prints all settings in force, those left out of the file as well.")
+                description = "Prints all effective settings, including defaults.")
         boolean print;
 
         @Override
@@ -114,8 +122,8 @@
             name = "check-config",
             mixinStandardHelpOptions = true,
             description =
-                    "Reads a configuration as a start would and prints its shape. Exit status 0: it"
-                        + " can be used; 2: it can't.")
+                    "Reads a configuration as a start would and prints a summary. Exit status 0: it"
+                        + " is valid; 2: it is not.")
     static final class CheckConfig implements Callable<Integer> {
         @Parameters(paramLabel = "FILE", description = "The configuration.")
         Path file;
@@ -130,7 +138,7 @@
             name = "simhost",
             mixinStandardHelpOptions = true,
             description =
-                    "Serves the simulator's wire on standard input and output until the input"
+                    "Serves the simulator's protocol on standard input and output until the input"
                         + " ends.")
     static final class Simhost implements Callable<Integer> {
         @Override
@@ -143,8 +151,8 @@
             name = "rehearse",
             mixinStandardHelpOptions = true,
             description =
-                    "Plays the rehearsal that each start begins with, for an archive of the classes"
-                        + " that serving takes.")
+                    "Runs the warm-up that each start begins with, to record an archive of the"
+                        + " classes that serving loads.")
     static final class Rehearse implements Callable<Integer> {
         @Override
         public Integer call() {
--- a/src/main/java/wingroad/cli/WorkCommand.java
+++ b/src/main/java/wingroad/cli/WorkCommand.java
@@ -17,13 +17,13 @@
 import java.util.UUID;
 import java.util.concurrent.Callable;
 
-/** What operators ask of a fleet about work on machines, through any voter that answers. */
+/** Commands for maintenance work on machines, answered by any reachable voter. */
 @Command(
         name = "work",
         mixinStandardHelpOptions = true,
         description =
-                "Takes machines out for work and brings them back, in an order that the drivers"
-                        + " settle. See docs/operators/work.md.",
+                "Takes machines out of service for maintenance and back, in an order that the"
+                    + " drivers agree on. See docs/operators/work.md.",
         subcommands = {
             WorkCommand.Ask.class,
             WorkCommand.Plan.class,
@@ -48,21 +48,29 @@
         return EXIT_INVALID_INPUT;
     }
 
-    /** One that changes something: asked under one id until it is settled. */
+    /**
+     * A command that changes the plan. It is retried under the same request id until it is
+     * committed or times out.
+     */
     abstract static class ChangeCommand extends FleetCommand.VoterCommand {
         @Option(
                 names = "--id",
-                description = "The id of the request: the same again is done once; a new one else.")
+                description =
+                        "The request id: a repeated request with the same id is applied once;"
+                            + " default: a new id.")
         String id;
 
         @Option(
                 names = "--within",
                 paramLabel = "S",
                 defaultValue = "10",
-                description = "Tries for so many seconds; ${DEFAULT-VALUE}.")
+                description = "Retries for this many seconds; default ${DEFAULT-VALUE}.")
         double timeoutSeconds;
 
-        /** Asks for one machine until that is settled; empty, or why it is refused. */
+        /**
+         * Sends the request for one machine until it is committed; returns an empty string, or why
+         * it was refused.
+         */
         String submitUntilSettled(FleetConfig config, String machine, VoterRequest<String> request)
                 throws IOException {
             long deadlineNanos = System.nanoTime() + (long) (timeoutSeconds * 1e9);
@@ -109,8 +117,8 @@
             name = "ask",
             mixinStandardHelpOptions = true,
             description =
-                    "Wants machines out. Answered once that is settled; exit status 1: one can"
-                            + " never be had, with the reason.")
+                    "Requests machines for maintenance; returns once the request is committed. Exit"
+                        + " status 1: one was refused, with the reason.")
     static final class Ask extends ChangeCommand {
         @Parameters(
                 paramLabel = "MACHINE",
@@ -122,23 +130,26 @@
                 names = "--for",
                 paramLabel = "SPAN",
                 defaultValue = "0s",
-                description = "How long work takes, such as 20m; who is out for longer is told.")
+                description =
+                        "How long the work takes, such as 20m; a machine that is out for longer is"
+                            + " reported.")
         String duration;
 
-        @Option(names = "--why", defaultValue = "", description = "For people.")
+        @Option(names = "--why", defaultValue = "", description = "The reason, shown to operators.")
         String why;
 
         @Option(
                 names = "--before",
                 paramLabel = "TIME",
-                description = "It has to be out before, such as 2026-12-06T06:00:00Z.")
+                description =
+                        "The time before which it has to be out, such as 2026-12-06T06:00:00Z.")
         String deadline;
 
         @Option(
                 names = "--after",
                 paramLabel = "MACHINE",
                 arity = "1",
-                description = "Not while this one is asked for.")
+                description = "Starts only once the request for this machine has ended.")
         List<String> predecessors = List.of();
 
         @Override
@@ -154,7 +165,7 @@
                 System.err.println(
                         "wingroad: '"
                                 + e.getParsedString()
-                                + "' is no span, such as 20m, or no time");
+                                + "' is no duration, such as 20m, or no time");
                 return EXIT_INVALID_INPUT;
             }
             Map<String, String> refusals = new LinkedHashMap<>();
@@ -178,7 +189,7 @@
         }
     }
 
-    /** A word on one machine, or several. */
+    /** A command for one or more machines. */
     abstract static class MachinesCommand extends ChangeCommand {
         @Parameters(
                 paramLabel = "MACHINE",
@@ -209,7 +220,9 @@
     @Command(
             name = "done",
             mixinStandardHelpOptions = true,
-            description = "Work on it is done and it runs again: it is brought back.")
+            description =
+                    "Reports that the work is done and the machine runs again, so that it returns"
+                        + " to service.")
     static final class Done extends MachinesCommand {
         @Override
         String operatorCommand() {
@@ -220,7 +233,7 @@
     @Command(
             name = "back",
             mixinStandardHelpOptions = true,
-            description = "It is to be back, however far it has come.")
+            description = "Returns a machine to service, whatever the stage of its maintenance.")
     static final class Back extends MachinesCommand {
         @Override
         String operatorCommand() {
@@ -231,7 +244,7 @@
     @Command(
             name = "cancel",
             mixinStandardHelpOptions = true,
-            description = "It is no more asked for; not once it is out.")
+            description = "Withdraws a request; refused once the machine is out.")
     static final class Cancel extends MachinesCommand {
         @Override
         String operatorCommand() {
@@ -243,8 +256,8 @@
             name = "gone",
             mixinStandardHelpOptions = true,
             description =
-                    "Drivers without a session have ended for certain: nobody waits for them any"
-                            + " more.")
+                    "Confirms that drivers without a session have stopped, so that the plan no"
+                        + " longer waits for them.")
     static final class Gone extends MachinesCommand {
         @Override
         String operatorCommand() {
@@ -252,7 +265,7 @@
         }
     }
 
-    /** A word on machines, or on all. */
+    /** A command for one or more machines, or for all. */
     abstract static class MachinesOrAllCommand extends ChangeCommand {
         @Parameters(
                 paramLabel = "MACHINE",
@@ -260,7 +273,7 @@
                 description = "As the operator's file names them.")
         List<String> machines = List.of();
 
-        @Option(names = "--all", description = "All, those not yet asked for as well.")
+        @Option(names = "--all", description = "All machines, including those requested later.")
         boolean all;
 
         abstract String operatorCommand();
@@ -268,7 +281,7 @@
         @Override
         int execute(FleetConfig config) throws IOException {
             if (all == !machines.isEmpty()) {
-                System.err.println("wingroad: machines, or --all");
+                System.err.println("wingroad: name machines or give --all");
                 return EXIT_INVALID_INPUT;
             }
             Map<String, String> refusals = new LinkedHashMap<>();
@@ -291,8 +304,8 @@
             name = "hold",
             mixinStandardHelpOptions = true,
             description =
-                    "Nothing more is begun, and what drains is put back at once; what is out stays"
-                            + " out.")
+                    "Starts no more maintenance and returns draining machines to service at once;"
+                        + " machines that are out stay out.")
     static final class Hold extends MachinesOrAllCommand {
         @Override
         String operatorCommand() {
@@ -300,7 +313,7 @@
         }
     }
 
-    @Command(name = "go", mixinStandardHelpOptions = true, description = "The end of a hold.")
+    @Command(name = "go", mixinStandardHelpOptions = true, description = "Ends a hold.")
     static final class Go extends MachinesOrAllCommand {
         @Override
         String operatorCommand() {
@@ -311,7 +324,7 @@
     @Command(
             name = "plan",
             mixinStandardHelpOptions = true,
-            description = "All that is asked for, how far it is, what it waits for.")
+            description = "Shows all requests, their stages and what they wait for.")
     static final class Plan extends FleetCommand.VoterCommand {
         @Override
         int execute(FleetConfig config) throws IOException {
@@ -355,7 +368,7 @@
     @Command(
             name = "show",
             mixinStandardHelpOptions = true,
-            description = "One machine: what it holds, how far it is, what was.")
+            description = "Shows one machine: its members and drivers, its stage and its history.")
     static final class Show extends FleetCommand.VoterCommand {
         @Parameters(paramLabel = "MACHINE", description = "As the operator's file names it.")
         String machine;
--- a/src/main/java/wingroad/kdl/KdlReader.java
+++ b/src/main/java/wingroad/kdl/KdlReader.java
@@ -20,13 +20,11 @@
 import java.util.Map;
 import java.util.Set;
 
-/**
- * Reads KDL 2.0 into nodes; what is wrong is told with its place and with what was expected there.
- */
+/** Parses KDL 2.0 into nodes. Each problem tells its position and what was expected there. */
 public final class KdlReader {
     private static final int MAX_PROBLEM_COUNT = 50;
 
-    /** Deeper than any document that is meant; the parser calls itself for each block. */
+    /** Limits nesting, since the parser recurses for each block. */
     private static final int MAX_NESTING_DEPTH = 64;
 
     private static final int MAX_CONSECUTIVE_HASHES = 16;
@@ -34,7 +32,7 @@
     private static final String SPACES_PATTERN =
             "[ \\t\u00a0\u1680\u2000-\u200a\u202f\u205f\u3000\ufeff]*";
 
-    /** A document as far as it could be read. */
+    /** A parsed document; it has no nodes if there are problems. */
     public record Document(List<Node> nodes, List<Problem> problems) {}
 
     private final List<Problem> problems = new ArrayList<>();
@@ -75,8 +73,8 @@
     }
 
     /**
-     * Guards the stack: brackets in strings and comments count too, which only matters to what is
-     * absurd anyway.
+     * Guards against stack overflow. Brackets in strings and comments count too, which matters only
+     * for absurd input.
      */
     private boolean exceedsNestingDepth(String text) {
         int depth = 0;
@@ -99,7 +97,7 @@
         return false;
     }
 
-    /** Guards the lexer, which counts the signs of a raw string by calling itself. */
+    /** Guards the lexer, which matches the # signs of a raw string recursively. */
     private boolean exceedsConsecutiveHashes(String text) {
         int position = text.indexOf("#".repeat(MAX_CONSECUTIVE_HASHES + 1));
         if (position >= 0) {
@@ -147,8 +145,8 @@
             case "/" -> " (a comment without its end, or a name with a slash: that needs quotes)";
             case "#" ->
                     " (words after # are #true, #false, #null, #inf, #-inf and #nan; a raw string"
-                        + " needs its end)";
-            case "\\" -> " (a line goes on only where nothing but a comment stands behind)";
+                            + " needs its end)";
+            case "\\" -> " (a line continuation can be followed only by a comment)";
             default -> "";
         };
     }
@@ -195,7 +193,7 @@
                 addProblemAt(
                         statement,
                         "found a second node on the line, expected the end of the line or ';'"
-                            + " before it");
+                                + " before it");
             }
             previous = statement;
             if (statement.SLASHDASH() == null) {
@@ -317,14 +315,14 @@
         return context.MULTI() != null ? unescape(context, dedented) : dedented;
     }
 
-    /** A multi-line string: what stands before the closing quotes is taken off every line. */
+    /** Removes the indentation of the closing quotes from every line of a multi-line string. */
     private String dedent(KdlParser.StringContext context, String body) {
         String[] lines = body.split(NEWLINE_PATTERN, -1);
         String indent = lines[lines.length - 1];
         if (!indent.matches(SPACES_PATTERN)) {
             addProblemAt(
                     context,
-                    "the closing quotes of a multi-line string stand on a line of their own");
+                    "the closing quotes of a multi-line string must be on a line of their own");
             return "";
         }
         StringBuilder result = new StringBuilder();
--- a/src/main/java/wingroad/kdl/KdlWriter.java
+++ b/src/main/java/wingroad/kdl/KdlWriter.java
@@ -3,8 +3,7 @@
 import java.util.List;
 
 /**
- * Writes nodes in one plain form: four spaces a level, quotes only where a word needs them,
- * properties as they came.
+ * Formats nodes: four spaces per level, quotes only where needed, properties in their given order.
  */
 public final class KdlWriter {
     private KdlWriter() {}
--- a/src/main/java/wingroad/kdl/Node.java
+++ b/src/main/java/wingroad/kdl/Node.java
@@ -5,8 +5,10 @@
 import java.util.Set;
 
 /**
- * A node with its place. Of a property that stands twice the last one counts, as the language says;
- * {@code repeatedProperties} has the names of such.
+ * A node and its position. If a property is repeated, the last one applies, as KDL specifies.
+ *
+ * @param type the type annotation, or null
+ * @param repeatedProperties names of properties that occur more than once
  */
 public record Node(
         String name,
@@ -17,7 +19,7 @@
         List<Node> children,
         int line,
         int column) {
-    /** One that was not read but made. */
+    /** Creates a node that was not read from a document. */
     public Node(
             String name,
             List<Value> arguments,
--- a/src/main/java/wingroad/kdl/Problem.java
+++ b/src/main/java/wingroad/kdl/Problem.java
@@ -1,6 +1,6 @@
 package wingroad.kdl;
 
-/** What is wrong with a document, and where: lines and columns count from 1. */
+/** A problem in a document; lines and columns count from 1. */
 public record Problem(int line, int column, String message) implements Comparable<Problem> {
     @Override
     public int compareTo(Problem other) {
--- a/src/main/java/wingroad/kdl/Value.java
+++ b/src/main/java/wingroad/kdl/Value.java
@@ -1,11 +1,13 @@
 package wingroad.kdl;
 
 /**
- * A value with its place: a String, a Double or Long, a Boolean, or null; {@code type} is its
- * annotation or null.
+ * A value and its position.
+ *
+ * @param value a String, Double, Long or Boolean, or null
+ * @param type the type annotation, or null
  */
 public record Value(Object value, String type, int line, int column) {
-    /** What it is, for a reader. */
+    /** Describes the value for messages. */
     public String describe() {
         return value == null
                 ? "#null"
--- a/src/main/java/wingroad/operator/FleetSection.java
+++ b/src/main/java/wingroad/operator/FleetSection.java
@@ -19,12 +19,12 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The node {@code fleet} of the operator's file. */
+/** Reads and writes the {@code fleet} node of the operator's file. */
 final class FleetSection {
-    /** Names stand in sessions and in file names. */
+    /** Names appear in session ids and file names. */
     private static final String NAME_PATTERN = "[A-Za-z0-9][A-Za-z0-9._-]{0,62}";
 
-    /** A change of leaders takes up to 3 s; a lease that is shorter would run out with each one. */
+    /** A leader election takes up to 3 s; a shorter lease would expire during each one. */
     private static final int MIN_LEASE_MS = 3000;
 
     private static final int DEFAULT_LEASE_MS = 5000;
@@ -35,7 +35,7 @@
 
     private FleetSection() {}
 
-    /** The fleet's rules; what is wrong stands in the section's problems. */
+    /** Reads the fleet's settings; problems are added to the reader's list. */
     static FleetConfig read(NodeReader fleet) {
         String name = nameArgument(fleet, "the fleet's name");
         String driver = "";
@@ -116,14 +116,14 @@
         }
         fleet.reportUnexpected(true);
         if (stateFolder == null) {
-            fleet.addProblem("'fleet' needs state, the folder for what must outlive the process");
+            fleet.addProblem("'fleet' needs state, the folder for persistent state");
         }
         if (voters.isEmpty() || voters.size() > 5 || voters.size() % 2 == 0) {
             fleet.addProblem(
                     "found "
                             + voters.size()
-                            + " voters, expected 1, 3 or 5: an even number bears no more losses"
-                            + " than one less");
+                            + " voters, expected 1, 3 or 5: an even number tolerates no more"
+                            + " failures than one less");
         }
         if (voters.containsKey(driver) && listen == null) {
             fleet.addProblem("'" + driver + "' is a voter and needs listen");
@@ -156,7 +156,10 @@
     private static String nameArgument(NodeReader node, String description) {
         String name = node.stringArgument(description);
         if (name != null && !name.matches(NAME_PATTERN)) {
-            node.addProblem("'" + name + "' is no name: letters, digits and . _ - are");
+            node.addProblem(
+                    "'"
+                            + name
+                            + "' is no name: only letters, digits, '.', '_' and '-' are allowed");
         }
         return name;
     }
@@ -190,8 +193,8 @@
         }
         if (!statement.contains("{epoch}")) {
             node.addProblem(
-                    "a chore's statement needs {epoch}: without it the member can't tell an owner"
-                            + " that woke up late");
+                    "a chore's statement needs {epoch}: without it the member can't reject a stale"
+                        + " owner");
         }
         if (statement.length() > MAX_STATEMENT_CHARS
                 || statement.contains("*/")
@@ -199,7 +202,7 @@
             node.addProblem(
                     "a statement has at most "
                             + MAX_STATEMENT_CHARS
-                            + " characters, and no comment's end");
+                            + " characters, and no '*/' or zero byte");
         }
         if (chores.size() >= MAX_CHORE_COUNT) {
             node.addProblem("more than " + MAX_CHORE_COUNT + " chores");
@@ -215,7 +218,7 @@
                         statement));
     }
 
-    /** All settings in force, in the file's own form. */
+    /** Returns all effective settings, defaults included, in the file's own form. */
     static Node toNode(FleetConfig config) {
         List<Node> children = new ArrayList<>();
         children.add(node("driver", List.of(value(config.driver())), Map.of()));
--- a/src/main/java/wingroad/operator/NodeReader.java
+++ b/src/main/java/wingroad/operator/NodeReader.java
@@ -12,8 +12,9 @@
 import java.util.Set;
 
 /**
- * One node of the operator's file while it is read: what is asked for is checked by kind and range,
- * and what nobody asked for is a problem too. Every problem says where it is and what was expected.
+ * Reads and validates one node of the operator's file. Arguments, properties and children are
+ * checked for type and range; those not read are reported as problems too. Each problem tells its
+ * position and what was expected.
  */
 final class NodeReader {
     private final Node node;
@@ -34,7 +35,7 @@
         problems.add(new Problem(at.line(), at.column(), text));
     }
 
-    /** The next argument, a string; null where it is missing or none. */
+    /** Reads the next argument, a non-empty string; returns null if it is missing or invalid. */
     String stringArgument(String description) {
         if (argumentsRead >= node.arguments().size()) {
             argumentsRead++;
@@ -53,7 +54,10 @@
         return argumentsRead < node.arguments().size();
     }
 
-    /** The one argument, a whole number within the range; {@code absent} where it is wrong. */
+    /**
+     * Reads the next argument, an integer within the range; returns the default if it is missing or
+     * invalid.
+     */
     long integerArgument(String description, long min, long max, long defaultValue) {
         if (argumentsRead >= node.arguments().size()) {
             argumentsRead++;
@@ -78,7 +82,9 @@
         return defaultValue;
     }
 
-    /** A property, a number within the range; {@code absent} where it is missing or wrong. */
+    /**
+     * Reads a property, a number within the range; returns the default if it is missing or invalid.
+     */
     double numberProperty(String name, double min, double max, double defaultValue) {
         readPropertyNames.add(name);
         Value value = node.properties().get(name);
@@ -101,7 +107,7 @@
         return defaultValue;
     }
 
-    /** A property, a string that is not empty; {@code absent} where it is missing or wrong. */
+    /** Reads a property, a non-empty string; returns the default if it is missing or invalid. */
     String stringProperty(String name, String description, String defaultValue) {
         readPropertyNames.add(name);
         Value value = node.properties().get(name);
@@ -115,7 +121,9 @@
         return defaultValue;
     }
 
-    /** The one argument, #true or #false; {@code absent} where it is wrong. */
+    /**
+     * Reads the next argument, #true or #false; returns the default if it is missing or invalid.
+     */
     boolean booleanArgument(boolean defaultValue) {
         if (argumentsRead >= node.arguments().size()) {
             argumentsRead++;
@@ -130,7 +138,10 @@
         return defaultValue;
     }
 
-    /** The one argument, a number within the range; {@code absent} where it is wrong. */
+    /**
+     * Reads the next argument, a number within the range; returns the default if it is missing or
+     * invalid.
+     */
     double numberArgument(String description, double min, double max, double defaultValue) {
         if (argumentsRead >= node.arguments().size()) {
             argumentsRead++;
@@ -166,7 +177,10 @@
         return number == Math.rint(number) ? Long.toString((long) number) : Double.toString(number);
     }
 
-    /** Which of the words it is, or null. */
+    /**
+     * Reads the next argument, one of the given words; returns the word's value, or null if it is
+     * missing or invalid.
+     */
     <T> T choiceArgument(String description, Map<String, T> choices) {
         int index = argumentsRead;
         String word =
@@ -185,8 +199,9 @@
     }
 
     /**
-     * The nodes within, each of a name that is known; {@code once}: those that may stand there one
-     * time only.
+     * Returns the children with an allowed name and reports the others.
+     *
+     * @param singletons names that may occur only once
      */
     List<NodeReader> children(Set<String> allowedNames, Set<String> singletons) {
         List<NodeReader> children = new ArrayList<>();
@@ -224,7 +239,7 @@
         return children;
     }
 
-    /** Says what stands there that nobody asked for. */
+    /** Reports arguments, properties, children and a type annotation that were not expected. */
     void reportUnexpected(boolean mayHaveChildren) {
         for (int i = argumentsRead; i < node.arguments().size(); i++) {
             Value value = node.arguments().get(i);
--- a/src/main/java/wingroad/operator/OperatorFile.java
+++ b/src/main/java/wingroad/operator/OperatorFile.java
@@ -27,27 +27,35 @@
 import java.util.Set;
 
 /**
- * The operator's own file: what is switched on, and how. {@code fairQueues} and {@code fleet} are
- * null where there is to be none.
+ * The operator's file, which enables optional features and configures them.
+ *
+ * @param fairQueues settings of the fair queues (node {@code door}), or null if they are disabled
+ * @param fleet settings of the fleet, or null if there is none
  */
 public record OperatorFile(FairQueueSettings fairQueues, FleetConfig fleet) {
-    /** A file without end must not fill the memory. */
+    /** Limits the memory that reading a file can take. */
     private static final int MAX_FILE_BYTES = 1 << 20;
 
     private static final int MAX_TENANT_COUNT = 1024;
 
-    /** What was read, or why it can't be used: one of the two is empty. */
+    /**
+     * A file that was read, or the problems that make it unusable.
+     *
+     * @param file null if there are problems
+     * @param problems empty if the file is usable
+     */
     public record LoadResult(OperatorFile file, List<Problem> problems) {}
 
+    /** Reads and validates a file. */
     public static LoadResult read(Path path) {
         try (InputStream in = Files.newInputStream(path)) {
             byte[] bytes = in.readNBytes(MAX_FILE_BYTES + 1);
             if (bytes.length == 0) {
-                // Guards against a start in the moment in which the file is written anew: all would
-                // be off without a word.
+                // The file may be read while it is being rewritten; an empty one would silently
+                // disable everything.
                 return unreadable(
-                        "empty: is it being written? A file that is to switch nothing on has a"
-                                + " comment at least");
+                        "empty: it may be being rewritten; a file that enables nothing needs at"
+                            + " least a comment");
             }
             if (bytes.length > MAX_FILE_BYTES) {
                 return unreadable("longer than " + MAX_FILE_BYTES + " bytes");
@@ -57,7 +65,7 @@
         } catch (CharacterCodingException e) {
             return unreadable("no UTF-8");
         } catch (IOException e) {
-            return unreadable("can't be read: " + e);
+            return unreadable("cannot be read: " + e);
         }
     }
 
@@ -65,6 +73,7 @@
         return new LoadResult(null, List.of(new Problem(1, 1, reason)));
     }
 
+    /** Validates the text of a file. */
     public static LoadResult read(String text) {
         KdlReader.Document document = KdlReader.read(text);
         List<Problem> problems = new ArrayList<>(document.problems());
@@ -181,7 +190,7 @@
         return new TenantSettings(weight, cap);
     }
 
-    /** All settings that are in force, those left out as well, in the file's own form. */
+    /** Returns all effective settings, defaults included, in the file's own form. */
     public String toKdl() {
         String disabledComment = fairQueues == null ? "// the door is off\n" : "";
         List<Node> nodes = new ArrayList<>();
--- a/src/main/java/wingroad/operator/WorkSection.java
+++ b/src/main/java/wingroad/operator/WorkSection.java
@@ -19,11 +19,11 @@
 import java.util.Set;
 
 /**
- * The node {@code work} of the operator's fleet: the machines that there are, and the limits of
- * work on them.
+ * Reads and writes the {@code work} node within {@code fleet}: the machines, and the limits of
+ * maintenance work on them.
  */
 final class WorkSection {
-    /** Names of machines, zones and members stand in lines that blanks, commas and signs part. */
+    /** Names appear in text lines where blanks, commas and operators are separators. */
     private static final String NAME_PATTERN = "[A-Za-z0-9][A-Za-z0-9._:-]{0,62}\\*?";
 
     private static final int MAX_MACHINE_COUNT = 4096;
@@ -35,7 +35,7 @@
 
     private WorkSection() {}
 
-    /** The rules; what is wrong stands in the section's problems. */
+    /** Reads the maintenance settings; problems are added to the reader's list. */
     static MaintenanceSettings read(NodeReader work) {
         int maxConcurrent = 1;
         LostViewPolicy lostViewPolicy = LostViewPolicy.STEADY;
@@ -74,29 +74,32 @@
                     }
                     LostViewPolicy policy =
                             section.choiceArgument(
-                                    "what a driver does whose view has ended", policiesByName);
+                                    "what a driver does when its view has expired", policiesByName);
                     lostViewPolicy = policy == null ? lostViewPolicy : policy;
                     strictHorizonS = section.numberProperty("horizon", 5, 86_400, strictHorizonS);
                 }
                 case "watch" ->
                         watchPeriodS =
                                 section.numberArgument(
-                                        "how many seconds must be without harm",
+                                        "how many seconds must pass without harm",
                                         0.5,
                                         3600,
                                         watchPeriodS);
                 case "harm" ->
                         maxHarmIncrease =
                                 section.numberArgument(
-                                        "the part of the txns", 0, 1, maxHarmIncrease);
+                                        "the share of the txns", 0, 1, maxHarmIncrease);
                 case "lag-ms" ->
                         maxLagMs =
                                 section.integerArgument(
-                                        "how far behind the log", 1, 3_600_000, maxLagMs);
+                                        "the replication lag in milliseconds",
+                                        1,
+                                        3_600_000,
+                                        maxLagMs);
                 case "room" ->
                         memberCapacityTxns =
                                 section.numberArgument(
-                                        "how many txns a member has room for",
+                                        "how many txns a member can run at once",
                                         0,
                                         100_000,
                                         memberCapacityTxns);
@@ -134,7 +137,7 @@
         String name = nameArgument(node, "the machine's name");
         String zone = node.stringProperty("zone", "the machine's zone", "");
         if (!zone.matches(NAME_PATTERN)) {
-            node.addProblem("a machine needs zone: no two zones are worked on together");
+            node.addProblem("a machine needs zone: maintenance runs in one zone at a time");
         }
         List<MemberPattern> members = new ArrayList<>();
         List<String> drivers = new ArrayList<>();
@@ -186,13 +189,17 @@
     private static String nameArgument(NodeReader node, String description) {
         String name = node.stringArgument(description);
         if (name != null && !name.matches(NAME_PATTERN)) {
-            node.addProblem("'" + name + "' is no name: letters, digits and . _ : - are");
+            node.addProblem(
+                    "'"
+                            + name
+                            + "' is no name: only letters, digits, '.', '_', ':' and '-' are"
+                            + " allowed");
             return null;
         }
         return name;
     }
 
-    /** All settings in force, in the file's own form. */
+    /** Returns all effective settings, defaults included, in the file's own form. */
     static Node toNode(MaintenanceSettings settings) {
         List<Node> children = new ArrayList<>();
         children.add(singleValueNode("at-once", (long) settings.maxConcurrent()));
