--- a/src/main/java/wingroad/kdl/KdlReader.java
+++ b/src/main/java/wingroad/kdl/KdlReader.java
@@ -27,6 +27,9 @@
     /** Limits nesting, since the parser recurses for each block. */
     private static final int MAX_NESTING_DEPTH = 64;
 
+    /** The longest excerpt of the document that a message contains. */
+    private static final int MAX_QUOTED_CHARS = 30;
+
     private static final int MAX_CONSECUTIVE_HASHES = 16;
     private static final String NEWLINE_PATTERN = "\r\n|[\r\n\u0085\u000b\u000c\u2028\u2029]";
     private static final String SPACES_PATTERN =
@@ -153,7 +156,9 @@
 
     private static String abbreviate(String text) {
         String line = text.replaceAll("[\\r\\n].*", "...");
-        return line.length() > 30 ? line.substring(0, 30) + "..." : line;
+        return line.length() > MAX_QUOTED_CHARS
+                ? line.substring(0, MAX_QUOTED_CHARS) + "..."
+                : line;
     }
 
     private static String describeExpected(IntervalSet tokenTypes) {
--- a/src/main/java/wingroad/operator/FleetSection.java
+++ b/src/main/java/wingroad/operator/FleetSection.java
@@ -27,9 +27,12 @@
     /** A leader election takes up to 3 s; a shorter lease would expire during each one. */
     private static final int MIN_LEASE_MS = 3000;
 
+    private static final int MAX_LEASE_MS = 600_000;
     private static final int DEFAULT_LEASE_MS = 5000;
+    private static final double MAX_ALLOWED_CLOCK_DRIFT = 0.2;
     private static final double DEFAULT_MAX_CLOCK_DRIFT = 0.01;
     private static final int DEFAULT_LIST_CHECK_S = 60;
+    private static final int MAX_VOTER_COUNT = 5;
     private static final int MAX_CHORE_COUNT = 256;
     private static final int MAX_STATEMENT_CHARS = 4096;
 
@@ -83,13 +86,16 @@
                 case "lease-ms" ->
                         leaseMs =
                                 section.integerArgument(
-                                        "how long a lease lasts", MIN_LEASE_MS, 600_000, leaseMs);
+                                        "how long a lease lasts",
+                                        MIN_LEASE_MS,
+                                        MAX_LEASE_MS,
+                                        leaseMs);
                 case "drift" ->
                         maxClockDrift =
                                 section.numberArgument(
                                         "how far a clock may run fast or slow",
                                         0,
-                                        0.2,
+                                        MAX_ALLOWED_CLOCK_DRIFT,
                                         maxClockDrift);
                 case "trusted-network" -> trustedNetwork = section.booleanArgument(false);
                 case "voter" -> {
@@ -118,7 +124,7 @@
         if (stateFolder == null) {
             fleet.addProblem("'fleet' needs state, the folder for persistent state");
         }
-        if (voters.isEmpty() || voters.size() > 5 || voters.size() % 2 == 0) {
+        if (voters.isEmpty() || voters.size() > MAX_VOTER_COUNT || voters.size() % 2 == 0) {
             fleet.addProblem(
                     "found "
                             + voters.size()
@@ -194,7 +200,7 @@
         if (!statement.contains("{epoch}")) {
             node.addProblem(
                     "a chore's statement needs {epoch}: without it the member can't reject a stale"
-                        + " owner");
+                            + " owner");
         }
         if (statement.length() > MAX_STATEMENT_CHARS
                 || statement.contains("*/")
--- a/src/main/java/wingroad/operator/OperatorFile.java
+++ b/src/main/java/wingroad/operator/OperatorFile.java
@@ -36,6 +36,8 @@
     /** Limits the memory that reading a file can take. */
     private static final int MAX_FILE_BYTES = 1 << 20;
 
+    private static final int MAX_NAMES_PER_ADDRESS = 16;
+    private static final int MAX_QUEUED_TXNS = 2048;
     private static final int MAX_TENANT_COUNT = 1024;
 
     /**
@@ -55,7 +57,7 @@
                 // disable everything.
                 return unreadable(
                         "empty: it may be being rewritten; a file that enables nothing needs at"
-                            + " least a comment");
+                                + " least a comment");
             }
             if (bytes.length > MAX_FILE_BYTES) {
                 return unreadable("longer than " + MAX_FILE_BYTES + " bytes");
@@ -120,12 +122,15 @@
                         maxNamesPerAddress =
                                 (int)
                                         child.integerArgument(
-                                                "how many names", 0, 16, maxNamesPerAddress);
+                                                "how many names",
+                                                0,
+                                                MAX_NAMES_PER_ADDRESS,
+                                                maxNamesPerAddress);
                 case "most-waiting" ->
                         maxQueuedTxns =
                                 (int)
                                         child.integerArgument(
-                                                "how many txns", 1, 2048, maxQueuedTxns);
+                                                "how many txns", 1, MAX_QUEUED_TXNS, maxQueuedTxns);
                 case "others" -> defaultTenant = readTenant(child);
                 default -> {
                     String name = child.stringArgument("a name");
--- a/src/main/java/wingroad/protocol/ClientMessageDecoder.java
+++ b/src/main/java/wingroad/protocol/ClientMessageDecoder.java
@@ -15,6 +15,7 @@
      */
     public static final int MAX_MESSAGE_BYTES = 2 * 64 * 1024 + 4096;
 
+    private static final String MESSAGE_TYPES = "QXPBDECHSFpdcf";
     private static final int MAX_STARTUP_MESSAGE_BYTES = 10_000;
     private static final int PROTOCOL_VERSION_3_0 = 3 << 16;
     private static final int CANCEL_REQUEST_CODE = 80877102;
@@ -108,7 +109,7 @@
     private static Message decodeMessage(ByteBuffer in) {
         // Checks the type before the length is complete, so that garbage is rejected at its first
         // byte.
-        if (in.hasRemaining() && "QXPBDECHSFpdcf".indexOf(in.get(in.position())) < 0) {
+        if (in.hasRemaining() && MESSAGE_TYPES.indexOf(in.get(in.position())) < 0) {
             return malformed("unknown message type");
         }
         Frame frame = FrameDecoder.next(in, MAX_MESSAGE_BYTES);
--- a/src/main/java/wingroad/protocol/Json.java
+++ b/src/main/java/wingroad/protocol/Json.java
@@ -15,10 +15,14 @@
 /** Reads JSON values and accesses the members of JSON objects with type checks. */
 public final class Json {
     /** Input nested more deeply is rejected long before it could overflow the stack. */
+    private static final int MAX_NESTING_DEPTH = 64;
+
     private static final JsonFactory FACTORY =
             JsonFactory.builder()
                     .streamReadConstraints(
-                            StreamReadConstraints.builder().maxNestingDepth(64).build())
+                            StreamReadConstraints.builder()
+                                    .maxNestingDepth(MAX_NESTING_DEPTH)
+                                    .build())
                     .build();
 
     private Json() {}
--- a/src/main/java/wingroad/protocol/MemberMessageEncoder.java
+++ b/src/main/java/wingroad/protocol/MemberMessageEncoder.java
@@ -5,6 +5,7 @@
 
 /** Encodes the messages that are sent to members in PostgreSQL's protocol. */
 public final class MemberMessageEncoder {
+    private static final int PROTOCOL_VERSION_3_0 = 3 << 16;
     private static final byte[] STARTUP_PARAMETERS =
             "user\0svc\0database\0main\0\0".getBytes(StandardCharsets.UTF_8);
 
@@ -13,7 +14,7 @@
     public static ByteBuffer startup() {
         return ByteBuffer.allocate(8 + STARTUP_PARAMETERS.length)
                 .putInt(8 + STARTUP_PARAMETERS.length)
-                .putInt(3 << 16)
+                .putInt(PROTOCOL_VERSION_3_0)
                 .put(STARTUP_PARAMETERS)
                 .flip();
     }
--- a/src/main/java/wingroad/protocol/MemberResponseDecoder.java
+++ b/src/main/java/wingroad/protocol/MemberResponseDecoder.java
@@ -33,6 +33,8 @@
      */
     private static final int MAX_NON_ROW_RESPONSE_BYTES = 16 * MAX_NON_ROW_MESSAGE_BYTES;
 
+    private static final int MAX_PARAMETER_COUNT = 64;
+
     private static final Pattern COMMAND_TAG = Pattern.compile("[A-Z]{2,20}( [0-9]{1,10}){0,2}");
 
     /** The state of the response. */
@@ -146,7 +148,7 @@
     private boolean decodeParameterStatus(ByteBuffer body) {
         String name = FrameDecoder.readCString(body);
         String value = name == null ? null : FrameDecoder.readCString(body);
-        if (value == null || body.hasRemaining() || parameters.size() >= 64) {
+        if (value == null || body.hasRemaining() || parameters.size() >= MAX_PARAMETER_COUNT) {
             return false;
         }
         parameters.put(name, value);
--- a/src/main/java/wingroad/protocol/Statement.java
+++ b/src/main/java/wingroad/protocol/Statement.java
@@ -33,6 +33,15 @@
     /** {@link #commentValue} ignores the comment beyond this length. */
     private static final int MAX_SEARCHED_COMMENT_BYTES = 2048;
 
+    private static final int MAX_ID_CHARS = 64;
+    private static final int MAX_KEY_CHARS = 256;
+
+    /** A value has at most 64 KiB, each byte written as two hex digits. */
+    private static final int MAX_VALUE_HEX_CHARS = 2 * 64 * 1024;
+
+    private static final long FNV_OFFSET_BASIS = 0xcbf29ce484222325L;
+    private static final long FNV_PRIME = 0x100000001b3L;
+
     private static final int MAX_TIME_LEFT_MS = 24 * 3600 * 1000;
     private static final Pattern READ_STATEMENT =
             Pattern.compile(" SELECT v FROM records WHERE k = '([^'\\\\]{1,256})'");
@@ -77,7 +86,7 @@
         Long group = parseUnsigned(parameters.get("cluster"));
         String retryFlag = parameters.get("r");
         Double afterPositionMs = null;
-        if (id == null || id.isEmpty() || id.length() > 64) {
+        if (id == null || id.isEmpty() || id.length() > MAX_ID_CHARS) {
             return invalid("the comment has no id");
         }
         if (txnType == null) {
@@ -154,7 +163,7 @@
         String separator = "', '\\x";
         int valueEnd = query.length() - WRITE_SUFFIX.length();
         if (keyEnd <= keyStart
-                || keyEnd - keyStart > 256
+                || keyEnd - keyStart > MAX_KEY_CHARS
                 || !query.startsWith(separator, keyEnd)
                 || query.lastIndexOf('\\', keyEnd) >= keyStart) {
             return null;
@@ -162,7 +171,7 @@
         int valueStart = keyEnd + separator.length();
         if (valueStart > valueEnd
                 || (valueEnd - valueStart) % 2 != 0
-                || valueEnd - valueStart > 2 * 64 * 1024) {
+                || valueEnd - valueStart > MAX_VALUE_HEX_CHARS) {
             return null;
         }
         for (int i = valueStart; i < valueEnd; i++) {
@@ -190,9 +199,9 @@
 
     /** A non-negative hash (FNV-1a, with the sign bit cleared) of the key. */
     public long keyHash() {
-        long hash = 0xcbf29ce484222325L;
+        long hash = FNV_OFFSET_BASIS;
         for (int i = 0; i < key.length(); i++) {
-            hash = (hash ^ key.charAt(i)) * 0x100000001b3L;
+            hash = (hash ^ key.charAt(i)) * FNV_PRIME;
         }
         return hash & Long.MAX_VALUE;
     }
--- a/src/main/java/wingroad/transport/Listener.java
+++ b/src/main/java/wingroad/transport/Listener.java
@@ -18,6 +18,9 @@
 public final class Listener {
     private static final int BACKLOG = 1024;
 
+    /** The wait after a failed accept is at most 2 to this power, in milliseconds. */
+    private static final int MAX_BACKOFF_EXPONENT = 8;
+
     private final EventLoop loop;
     private final AsynchronousServerSocketChannel channel;
     private final BooleanSupplier canAccept;
@@ -103,7 +106,10 @@
                                     // no file descriptor is available.
                                     loop.schedule(
                                             Duration.ofMillis(
-                                                    1L << Math.min(consecutiveFailures, 8)),
+                                                    1L
+                                                            << Math.min(
+                                                                    consecutiveFailures,
+                                                                    MAX_BACKOFF_EXPONENT)),
                                             Listener.this::acceptNext);
                                 });
                     }
--- a/src/test/java/wingroad/Fixtures.java
+++ b/src/test/java/wingroad/Fixtures.java
@@ -29,8 +29,8 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * What the tests share: terms of a small deployment, a router and short ways to tell it things, and
- * stand-ins for members, discovery and clients on sockets.
+ * Shared test fixtures: settings of a small deployment, a router with helpers that feed it events,
+ * and fake members, discovery services and clients on sockets.
  */
 public final class Fixtures {
     public static final int READ = 0;
@@ -81,7 +81,9 @@
         return this;
     }
 
-    /** A router whose list names these members of group 7, all long up, in zone 0. */
+    /**
+     * Creates a router whose member list has these members of group 7, started long ago, in zone 0.
+     */
     public Fixtures withGroup(long... members) {
         router = new TxnRouter(settings, 42, log::add);
         router.memberListStarted(millis(0), true);
@@ -96,14 +98,14 @@
         router.memberListed(millis(nowMs), member, 7, 0, 0, 1, false, draining, false, startedAt);
     }
 
-    /** A probe's answer: the member's role and position, as of now. */
+    /** Reports a successful probe: the member's role and position, as of now. */
     public void memberReports(long nowMs, long member, Role role, long position) {
         router.memberReported(
                 millis(nowMs), member, role, millis(position), Double.NaN, Double.NaN, Double.NaN);
         router.probeEnded(millis(nowMs), member, true, millis(1));
     }
 
-    /** Member 1 is the primary, the others are replicas; all as of now. */
+    /** Reports member 1 as the primary and the others as replicas, as of now. */
     public Fixtures rolesReported(long nowMs, long... replicas) {
         memberReports(nowMs, 1, Role.PRIMARY, nowMs);
         for (long replica : replicas) {
@@ -141,7 +143,7 @@
         return decisions;
     }
 
-    /** Lets the time pass, calling the router whenever it asks to be. */
+    /** Advances the time, calling the router whenever it asks to be. */
     public List<Decision> decisionsUntil(long nowMs) {
         List<Decision> decisions = new ArrayList<>();
         while (router.wakeAt() != null && router.wakeAt().compareTo(millis(nowMs)) <= 0) {
@@ -155,23 +157,23 @@
         return Duration.ofMillis(ms);
     }
 
-    // ---- stand-ins on sockets, after the public protocols ----
+    // ---- fakes on sockets, which follow the public protocols ----
 
     private static final long TIMEOUT_S = 20;
 
-    /** What a stand-in member does with one query. */
+    /** Handles one query at a fake member. */
     public interface QueryHandler {
         void onQuery(String sql, FakeMemberSession s) throws IOException;
     }
 
-    /** One connection that a stand-in member has accepted. */
+    /** One connection that a fake member has accepted. */
     public static final class FakeMemberSession {
         private final DataInputStream in;
         private final Socket socket;
 
         private FakeMemberSession(Socket socket) throws IOException {
             this.socket = socket;
-            // As PostgreSQL's servers do: what is written goes out at once.
+            // PostgreSQL's servers send without Nagle's delay too.
             socket.setTcpNoDelay(true);
             this.in = new DataInputStream(socket.getInputStream());
         }
@@ -180,12 +182,12 @@
             socket.getOutputStream().write(concat(parts));
         }
 
-        /** A row of one value, what the member says of itself, and ready. */
+        /** Sends a row of one value, the member's parameters and ReadyForQuery. */
         public void sendRow(String value, boolean primary) throws IOException {
             sendRow(value, primary, new byte[0]);
         }
 
-        /** The same, and in the same piece what nobody asked for. */
+        /** Does the same and appends unsolicited bytes to the same write. */
         public void sendRow(String value, boolean primary, byte[] trailingBytes)
                 throws IOException {
             send(
@@ -214,12 +216,12 @@
             socket.close();
         }
 
-        /** Waits until the other side has ended the connection. */
+        /** Waits until the peer has closed the connection. */
         public void awaitPeerClose() throws IOException {
             try {
                 assertThat(in.read()).isIn(-1, (int) 'X');
             } catch (SocketException reset) {
-                // that is an end as well
+                // A reset closes the connection too.
             }
         }
     }
@@ -264,8 +266,8 @@
     }
 
     /**
-     * A member on a port of its own: it lets everybody in, answers probes, and does the rest by its
-     * script.
+     * A fake member on its own port: it accepts every startup, answers probes, and passes other
+     * queries to its handler.
      */
     public static final class FakeMember implements AutoCloseable {
         private final ServerSocket serverSocket =
@@ -274,7 +276,7 @@
         public final AtomicInteger connections = new AtomicInteger();
         public volatile boolean primary;
 
-        /** How far behind the log it says that it is. */
+        /** The replication lag that it reports. */
         public volatile long replicationLagMs;
 
         public volatile byte[] startupResponse = message('R', new byte[4]);
@@ -333,15 +335,15 @@
         }
     }
 
-    /** A member list on a port of its own: each watch waits until there is a newer list. */
+    /** A fake discovery service on its own port: each long poll waits for a newer list. */
     public static final class FakeDiscovery implements AutoCloseable {
         private final ServerSocket serverSocket =
                 new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
 
-        /** What calls get instead of an answer, one each. */
+        /** Responses that replace the list, one for each call. */
         public final BlockingQueue<String> cannedResponses = new LinkedBlockingQueue<>();
 
-        /** The version that each call named. */
+        /** The version that each call sent. */
         public final BlockingQueue<Integer> requestedVersions = new LinkedBlockingQueue<>();
 
         private String list = "";
@@ -411,7 +413,7 @@
         }
     }
 
-    /** An entry of discovery's list. */
+    /** An entry of the member list. */
     public static String listEntry(String uid, int port, String state) {
         return "{\"uid\":\""
                 + uid
@@ -423,7 +425,7 @@
                 + "\",\"capacity_hint\":1.0,\"boot_ms\":0}";
     }
 
-    /** A client on a socket; what it reads is told a message at a time. */
+    /** A client that reads one message at a time. */
     public static final class TestClient implements AutoCloseable {
         private final Socket socket;
         private final DataInputStream in;
@@ -435,8 +437,8 @@
         }
 
         /**
-         * Sends all of it at once: what is sent in parts may wait for the other side to confirm the
-         * first.
+         * Sends everything in one write: later parts could be delayed until the peer acknowledges
+         * the first (Nagle's algorithm).
          */
         public TestClient send(byte[]... parts) throws IOException {
             socket.getOutputStream().write(concat(parts));
@@ -451,7 +453,7 @@
             return send(message('Q', cString(sql)));
         }
 
-        /** Something has come that was not read yet. */
+        /** Whether received bytes have not been read yet. */
         public boolean hasUnreadBytes() throws IOException {
             return in.available() > 0;
         }
@@ -460,7 +462,10 @@
             return in.read();
         }
 
-        /** The last message before the next ready, or all that came before the end, as it is. */
+        /**
+         * Returns the body of the last message before the next ReadyForQuery or the end of the
+         * connection.
+         */
         public String readLastMessage() throws IOException {
             String last = "";
             for (int type = in.read(); type >= 0 && type != 'Z'; type = in.read()) {
@@ -471,8 +476,8 @@
         }
 
         /**
-         * What comes up to the next ready, or to the end: rows by their value, errors by their
-         * code.
+         * Reads up to the next ReadyForQuery, or to the end: rows by their value, errors by their
+         * SQLSTATE.
          */
         public List<String> readResponses() throws IOException {
             List<String> responses = new ArrayList<>();
@@ -489,7 +494,7 @@
                                     "error " + text.replaceAll("(?s).*\0C([^\0]*)\0.*", "$1"));
                     case 'I' -> responses.add("empty");
                     default -> {
-                        // descriptions, ends and figures
+                        // Other messages are ignored.
                     }
                 }
             }
@@ -546,7 +551,7 @@
                             try {
                                 task.run();
                             } catch (Exception ended) {
-                                // its socket is closed: the stand-in is done
+                                // The socket was closed: the fake has ended.
                             }
                         });
         thread.setDaemon(true);
--- a/src/test/java/wingroad/ci/KnownRedTest.java
+++ b/src/test/java/wingroad/ci/KnownRedTest.java
@@ -2,31 +2,35 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
-import org.junit.jupiter.api.BeforeEach;
-import org.junit.jupiter.api.Test;
-import org.junit.jupiter.api.io.TempDir;
 
-/** What CI makes of reports and of the list of tests that are known to be red. */
+/** Tests how the CI script evaluates test reports against the list of known failures. */
 class KnownRedTest {
     private static final String KNOWN = "LinkTest#breaks, a reset is missed, issue 7\n";
 
     @TempDir Path dir;
 
-    private record Said(int status, String text) {}
+    private record Result(int status, String text) {}
 
-    /** One test that is red, one that is green, one that was skipped, as Surefire writes them. */
+    /** A failed, a passed and a skipped test in Surefire's format. */
     @BeforeEach
     void report() throws Exception {
         report(
                 "<testcase name=\"breaks\" classname=\"a.LinkTest\" time=\"0.1\">\n"
-                        + "    <failure message=\"x\" type=\"y\"><![CDATA[at]]></failure>\n  </testcase>\n"
-                        + "  <testcase name=\"holds\" classname=\"a.LinkTest\" time=\"0.1\"/>\n"
-                        + "  <testcase name=\"later\" classname=\"a.LinkTest\" time=\"0\">\n    <skipped/>\n  </testcase>\n");
+                    + "    <failure message=\"x\" type=\"y\"><![CDATA[at]]></failure>\n"
+                    + "  </testcase>\n"
+                    + "  <testcase name=\"holds\" classname=\"a.LinkTest\" time=\"0.1\"/>\n"
+                    + "  <testcase name=\"later\" classname=\"a.LinkTest\" time=\"0\">\n"
+                    + "    <skipped/>\n"
+                    + "  </testcase>\n");
     }
 
     private void report(String cases) throws Exception {
@@ -37,7 +41,7 @@
                         + "</testsuite>\n");
     }
 
-    private Said says(String known, boolean withReports) throws Exception {
+    private Result runScript(String known, boolean withReports) throws Exception {
         Path file = Files.writeString(dir.resolve("KNOWN-RED.txt"), known);
         List<String> command = new ArrayList<>(List.of("bash", ".ci/known-red", file.toString()));
         if (withReports) {
@@ -46,40 +50,43 @@
         }
         Process p = new ProcessBuilder(command).redirectErrorStream(true).start();
         String text = new String(p.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-        return new Said(p.waitFor(), text);
+        return new Result(p.waitFor(), text);
     }
 
     @Test
-    void justTheKnownOnesMayBeRedAndArePrinted() throws Exception {
-        Said s = says(KNOWN, true);
+    void onlyKnownFailuresPassAndArePrinted() throws Exception {
+        Result s = runScript(KNOWN, true);
         assertThat(s.text()).contains("LinkTest#breaks is red").contains("a reset is missed");
         assertThat(s.status()).isZero();
     }
 
     @Test
-    void anyOtherRedOneFails() throws Exception {
-        Said s = says("LinkTest#holds, a reset is missed, issue 7\n", true);
+    void unknownFailureFails() throws Exception {
+        Result s = runScript("LinkTest#holds, a reset is missed, issue 7\n", true);
         assertThat(s.status()).isEqualTo(1);
         assertThat(s.text())
                 .contains("not known to be: a.LinkTest#breaks")
                 .contains("LinkTest#holds is green");
     }
 
-    /** A line that no longer names a test would let one with that name be red for ever. */
+    /** A stale line would excuse any later failure of a test with that name. */
     @Test
-    void aLineThatNamesNoTestFails() throws Exception {
-        assertThat(says(KNOWN + "LinkTest#gone, moved, issue 8\n", true))
+    void lineWithoutMatchingTestFails() throws Exception {
+        assertThat(runScript(KNOWN + "LinkTest#gone, moved, issue 8\n", true))
                 .isEqualTo(
-                        new Said(
+                        new Result(
                                 1,
-                                "known red: LinkTest#breaks is red\nknown red: no such test has run: LinkTest#gone\n"
-                                        + "known red: LinkTest#breaks, a reset is missed, issue 7\nknown red: LinkTest#gone, moved, issue 8\n"));
-        assertThat(says("inkTest#breaks, a part of a name, issue 8\n", true).status()).isEqualTo(1);
+                                "known red: LinkTest#breaks is red\n"
+                                    + "known red: no such test has run: LinkTest#gone\n"
+                                    + "known red: LinkTest#breaks, a reset is missed, issue 7\n"
+                                    + "known red: LinkTest#gone, moved, issue 8\n"));
+        assertThat(runScript("inkTest#breaks, a part of a name, issue 8\n", true).status())
+                .isEqualTo(1);
     }
 
     @Test
-    void moreThanThreeLinesOrALineOfAnotherFormFail() throws Exception {
-        assertThat(says(KNOWN.repeat(3), false).status()).isZero();
+    void tooManyOrMalformedLinesFail() throws Exception {
+        assertThat(runScript(KNOWN.repeat(3), false).status()).isZero();
         for (String wrong :
                 new String[] {
                     KNOWN.repeat(4),
@@ -87,28 +94,35 @@
                     "LinkTest, all of it, issue 7\n",
                     "LinkTest#breaks, no issue\n"
                 }) {
-            assertThat(says(wrong, false).status()).as(wrong).isEqualTo(1);
+            assertThat(runScript(wrong, false).status()).as(wrong).isEqualTo(1);
         }
     }
 
-    /** One that could not even be set up stands under no test, or under its class. */
+    /**
+     * A class that failed to initialize is reported without a test name, or under the class name.
+     */
     @Test
-    void aFailureUnderNoTestAndARunWithoutReportsFail() throws Exception {
+    void failureOutsideOfTestsAndMissingReportsFail() throws Exception {
         report("<error message=\"no class\"/>\n");
-        assertThat(says(KNOWN, true).status()).isEqualTo(1);
+        assertThat(runScript(KNOWN, true).status()).isEqualTo(1);
         report(
-                "<testcase name=\"\" classname=\"a.LinkTest\">\n<error message=\"x\"/>\n</testcase>\n"
-                        + "<testcase name=\"breaks\" classname=\"a.LinkTest\"/>\n");
-        assertThat(says(KNOWN, true).status()).isEqualTo(1);
+                "<testcase name=\"\" classname=\"a.LinkTest\">\n"
+                    + "<error message=\"x\"/>\n"
+                    + "</testcase>\n"
+                    + "<testcase name=\"breaks\" classname=\"a.LinkTest\"/>\n");
+        assertThat(runScript(KNOWN, true).status()).isEqualTo(1);
         Files.delete(dir.resolve("TEST-a.xml"));
-        assertThat(says(KNOWN, true).status()).isEqualTo(1);
+        assertThat(runScript(KNOWN, true).status()).isEqualTo(1);
     }
 
     @Test
-    void oneOfManyRunsOfATestCountsForItsName() throws Exception {
+    void oneFailedInvocationCountsForTheTest() throws Exception {
         report(
-                "<testcase name=\"breaks(boolean)[1]\" classname=\"a.LinkTest\" time=\"0.1\">\n<failure/>\n</testcase>\n"
-                        + "<testcase name=\"breaks(boolean)[2]\" classname=\"a.LinkTest\" time=\"0.1\"/>\n");
-        assertThat(says(KNOWN, true).status()).isZero();
+                "<testcase name=\"breaks(boolean)[1]\" classname=\"a.LinkTest\" time=\"0.1\">\n"
+                    + "<failure/>\n"
+                    + "</testcase>\n"
+                    + "<testcase name=\"breaks(boolean)[2]\" classname=\"a.LinkTest\""
+                    + " time=\"0.1\"/>\n");
+        assertThat(runScript(KNOWN, true).status()).isZero();
     }
 }
--- a/src/test/java/wingroad/kdl/KdlTest.java
+++ b/src/test/java/wingroad/kdl/KdlTest.java
@@ -26,10 +26,10 @@
         Node n =
                 nodes(
                                 "/- kdl-version 2\n"
-                                    + "(t)name 1 (u8)2 a=x b=#null {\n"
-                                    + "  child; other 3\n"
-                                    + "}\n"
-                                    + "// end")
+                                        + "(t)name 1 (u8)2 a=x b=#null {\n"
+                                        + "  child; other 3\n"
+                                        + "}\n"
+                                        + "// end")
                         .get(0);
         assertThat(n.type()).isEqualTo("t");
         assertThat(n.arguments()).extracting(Value::value).containsExactly(1L, 2L);
@@ -80,13 +80,13 @@
         Node n =
                 nodes(
                                 "a /* x /* y */ z */ 1 /- 2 /-k=3 \\ // goes on\n"
-                                    + " 4 /-{ b } {\n"
-                                    + " /- c 1 {\n"
-                                    + "  d\n"
-                                    + " }\n"
-                                    + " e\n"
-                                    + "}\n"
-                                    + "/- f")
+                                        + " 4 /-{ b } {\n"
+                                        + " /- c 1 {\n"
+                                        + "  d\n"
+                                        + " }\n"
+                                        + " e\n"
+                                        + "}\n"
+                                        + "/- f")
                         .get(0);
         assertThat(n.arguments()).extracting(Value::value).containsExactly(1L, 4L);
         assertThat(n.properties()).isEmpty();
@@ -119,14 +119,14 @@
                     a { b } c        | 1:9: found
                     a 1 /* b         | 1:5: found '/' (a comment without its end
                     """)
-    void whatIsWrongIsToldWithItsPlaceAndWhatWasExpected(String text, String begins) {
+    void reportsProblemsWithPositionAndExpectation(String text, String begins) {
         KdlReader.Document d = KdlReader.read(text.replace("\\\\", "\\"));
         assertThat(d.problems()).isNotEmpty();
         assertThat(d.problems().get(0).toString()).startsWith(begins.replace("\\\\", "\\"));
     }
 
     @Test
-    void aMultiLineStringIsHeldToItsIndent() {
+    void checksIndentationOfMultiLineStrings() {
         assertThat(KdlReader.read("a \"\"\"\n  x\n y\n  \"\"\"").problems())
                 .singleElement()
                 .satisfies(p -> assertThat(p.line()).isEqualTo(3));
--- a/src/test/java/wingroad/operator/OperatorFileTest.java
+++ b/src/test/java/wingroad/operator/OperatorFileTest.java
@@ -84,7 +84,7 @@
                     tenant a; tenant a           | 2:11: the tenant 'a' is listed already
                     waiting 3                    | 2:1: 'waiting' is not known in 'door', expected one of most-waiting
                     """)
-    void whatIsWrongIsToldWithItsPlaceAndWhatWasExpected(String line, String begins) {
+    void reportsProblemsWithPositionAndExpectation(String line, String begins) {
         OperatorFile.LoadResult read = OperatorFile.read("door {\n" + line + "\n}");
         assertThat(read.file()).isNull();
         assertThat(read.problems())
@@ -95,7 +95,7 @@
     }
 
     @Test
-    void allThatIsWrongIsToldInItsOrder() {
+    void reportsAllProblemsInOrder() {
         assertThat(OperatorFile.read("door {\n others weight=0\n nothing\n}\nnobody").problems())
                 .extracting(Problem::line)
                 .containsExactly(2, 3, 5);
--- a/src/test/java/wingroad/protocol/HttpReplyTest.java
+++ b/src/test/java/wingroad/protocol/HttpResponseDecoderTest.java
@@ -13,39 +13,39 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 
-class HttpReplyTest {
-    private final HttpResponseDecoder reply = new HttpResponseDecoder();
+class HttpResponseDecoderTest {
+    private final HttpResponseDecoder decoder = new HttpResponseDecoder();
 
-    private State take(String text, int piece) {
-        ByteBuffer all = ByteBuffer.wrap(text.getBytes(StandardCharsets.UTF_8));
+    private State decode(String text, int chunkSize) {
+        ByteBuffer received = ByteBuffer.wrap(text.getBytes(StandardCharsets.UTF_8));
         State state = State.INCOMPLETE;
-        for (int end = 0; end < all.capacity() && state == State.INCOMPLETE; ) {
-            end = Math.min(end + piece, all.capacity());
-            all.limit(end);
-            state = reply.decode(all);
+        for (int end = 0; end < received.capacity() && state == State.INCOMPLETE; ) {
+            end = Math.min(end + chunkSize, received.capacity());
+            received.limit(end);
+            state = decoder.decode(received);
         }
         return state;
     }
 
     private String body() {
-        return new String(reply.body(), StandardCharsets.UTF_8);
+        return new String(decoder.body(), StandardCharsets.UTF_8);
     }
 
     @ParameterizedTest
     @ValueSource(ints = {1, 3, 1000})
-    void aBodyOfStatedLengthIsTakenWhole(int piece) {
-        assertThat(take("HTTP/1.1 200 OK\r\nContent-Length: 5\r\nX: y\r\n\r\nhello", piece))
+    void decodesBodyWithContentLength(int piece) {
+        assertThat(decode("HTTP/1.1 200 OK\r\nContent-Length: 5\r\nX: y\r\n\r\nhello", piece))
                 .isEqualTo(State.COMPLETE);
-        assertThat(reply.status()).isEqualTo(200);
+        assertThat(decoder.status()).isEqualTo(200);
         assertThat(body()).isEqualTo("hello");
-        assertThat(reply.connectionCloses()).isFalse();
+        assertThat(decoder.connectionCloses()).isFalse();
     }
 
     @ParameterizedTest
     @ValueSource(ints = {1, 3, 1000})
-    void aBodyInChunksIsTakenWhole(int piece) {
+    void decodesChunkedBody(int piece) {
         assertThat(
-                        take(
+                        decode(
                                 "HTTP/1.1 200 OK\r\n"
                                         + "Transfer-Encoding: chunked\r\n\r\n"
                                         + "3;x=y\r\n"
@@ -60,16 +60,16 @@
     }
 
     @Test
-    void aBodyWithoutLengthEndsWithItsConnectionAndAnotherMayNot() {
-        assertThat(take("HTTP/1.1 200 OK\r\n\r\nhello", 4)).isEqualTo(State.INCOMPLETE);
-        assertThat(reply.endOfStream()).isEqualTo(State.COMPLETE);
+    void onlyBodyWithoutLengthEndsWithTheConnection() {
+        assertThat(decode("HTTP/1.1 200 OK\r\n\r\nhello", 4)).isEqualTo(State.INCOMPLETE);
+        assertThat(decoder.endOfStream()).isEqualTo(State.COMPLETE);
         assertThat(body()).isEqualTo("hello");
-        HttpResponseDecoder cut = new HttpResponseDecoder();
-        cut.decode(
+        HttpResponseDecoder truncated = new HttpResponseDecoder();
+        truncated.decode(
                 ByteBuffer.wrap(
                         "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhello"
                                 .getBytes(StandardCharsets.UTF_8)));
-        assertThat(cut.endOfStream()).isEqualTo(State.MALFORMED);
+        assertThat(truncated.endOfStream()).isEqualTo(State.MALFORMED);
     }
 
     @ParameterizedTest
@@ -83,27 +83,29 @@
                 "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
                 "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nabc\r\n"
             })
-    void whatMakesNoSenseIsBroken(String text) {
-        assertThat(take(text, 1)).isEqualTo(State.MALFORMED);
-        assertThat(reply.malformedReason()).isNotEmpty();
+    void rejectsMalformedResponses(String text) {
+        assertThat(decode(text, 1)).isEqualTo(State.MALFORMED);
+        assertThat(decoder.malformedReason()).isNotEmpty();
     }
 
     @Test
-    void linesAndBodiesWithoutEndAreBroken() {
-        assertThat(take("HTTP/1.1 200 " + "x".repeat(100_000), 1000)).isEqualTo(State.MALFORMED);
-        HttpResponseDecoder long1 = new HttpResponseDecoder();
+    void limitsLinesAndBodies() {
+        assertThat(decode("HTTP/1.1 200 " + "x".repeat(100_000), 1000)).isEqualTo(State.MALFORMED);
+        HttpResponseDecoder longBody = new HttpResponseDecoder();
         assertThat(
-                        long1.decode(
+                        longBody.decode(
                                 ByteBuffer.wrap(
                                         "HTTP/1.1 200 OK\r\n\r\n"
                                                 .getBytes(StandardCharsets.UTF_8))))
                 .isEqualTo(State.INCOMPLETE);
-        assertThat(long1.decode(ByteBuffer.wrap(new byte[HttpResponseDecoder.MAX_BODY_BYTES + 1])))
+        assertThat(
+                        longBody.decode(
+                                ByteBuffer.wrap(new byte[HttpResponseDecoder.MAX_BODY_BYTES + 1])))
                 .isEqualTo(State.MALFORMED);
     }
 
     @Test
-    void aListIsReadAndABrokenOneIsNone() {
+    void parsesMemberListAndRejectsMalformedOnes() {
         MemberList list =
                 MemberList.parse(
                                 ("{\"rev\":4,\"all\":false,\"targets\":["
@@ -115,7 +117,7 @@
         assertThat(list.complete()).isFalse();
         assertThat(list.entries().get(0).isDraining()).isTrue();
         assertThat(list.entries().get(0).port()).isEqualTo(5433);
-        for (String bad :
+        for (String malformed :
                 new String[] {
                     "",
                     "[]",
@@ -128,29 +130,32 @@
                     "{\"rev\":1,\"targets\":[{\"uid\":\"a\",\"endpoint\":\"256.0.0.1:80\"}]}",
                     "[".repeat(100_000)
                 }) {
-            assertThat(MemberList.parse(bad.getBytes(StandardCharsets.UTF_8)).list())
-                    .as(bad)
+            assertThat(MemberList.parse(malformed.getBytes(StandardCharsets.UTF_8)).list())
+                    .as(malformed)
                     .isNull();
         }
     }
 
     /**
-     * Guards the thread against an answer that goes on for ever with what is none yet, or no more.
+     * Guards against a response that goes on without end with interim responses or trailers, which
+     * would occupy the event loop's thread.
      */
     @Test
-    void interimAnswersAndTrailersHaveAnEnd() {
+    void limitsInterimResponsesAndTrailers() {
         for (String[] endless :
                 new String[][] {
                     {"", "HTTP/1.1 100 Continue\r\n\r\n"},
                     {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n", "a: b\r\n"}
                 }) {
-            HttpResponseDecoder r = new HttpResponseDecoder();
-            r.decode(ByteBuffer.wrap(endless[0].getBytes(StandardCharsets.US_ASCII)));
-            HttpResponseDecoder.State s = HttpResponseDecoder.State.INCOMPLETE;
+            HttpResponseDecoder decoder = new HttpResponseDecoder();
+            decoder.decode(ByteBuffer.wrap(endless[0].getBytes(StandardCharsets.US_ASCII)));
+            HttpResponseDecoder.State state = HttpResponseDecoder.State.INCOMPLETE;
             for (int i = 0; i < 1000; i++) {
-                s = r.decode(ByteBuffer.wrap(endless[1].getBytes(StandardCharsets.US_ASCII)));
+                state =
+                        decoder.decode(
+                                ByteBuffer.wrap(endless[1].getBytes(StandardCharsets.US_ASCII)));
             }
-            assertThat(s).isEqualTo(HttpResponseDecoder.State.MALFORMED);
+            assertThat(state).isEqualTo(HttpResponseDecoder.State.MALFORMED);
         }
     }
 }
--- a/src/test/java/wingroad/protocol/MemberInputTest.java
+++ b/src/test/java/wingroad/protocol/MemberResponseDecoderTest.java
@@ -19,31 +19,33 @@
 import java.nio.ByteBuffer;
 import java.util.Map;
 
-class MemberInputTest {
+class MemberResponseDecoderTest {
     private static final byte[] ROW = message('D', dataRowBody("val"));
 
-    private MemberResponseDecoder input;
+    private MemberResponseDecoder decoder;
 
-    /** An input past its start, given these bytes in pieces of the size. */
-    private State take(int piece, byte[]... parts) {
-        input = new MemberResponseDecoder();
-        input.reset();
-        ByteBuffer seen = ByteBuffer.wrap(concat(parts));
+    /**
+     * Creates a decoder whose startup is done and passes it the bytes in chunks of the given size.
+     */
+    private State decode(int chunkSize, byte[]... parts) {
+        decoder = new MemberResponseDecoder();
+        decoder.reset();
+        ByteBuffer received = ByteBuffer.wrap(concat(parts));
         State state = State.INCOMPLETE;
-        for (int end = 0; end < seen.capacity() && state == State.INCOMPLETE; ) {
-            end = Math.min(end + piece, seen.capacity());
-            seen.limit(end);
-            state = input.decode(seen);
+        for (int end = 0; end < received.capacity() && state == State.INCOMPLETE; ) {
+            end = Math.min(end + chunkSize, received.capacity());
+            received.limit(end);
+            state = decoder.decode(received);
         }
         return state;
     }
 
     @ParameterizedTest
     @ValueSource(ints = {1, 2, 5, 1000})
-    void aRowIsTakenWholeWithWhatTheMemberSaysOfItself(int piece) {
+    void decodesRowWithReportedParameters(int piece) {
         byte[] notice = message('N', cString("Mnothing"), new byte[1]);
         assertThat(
-                        take(
+                        decode(
                                 piece,
                                 notice,
                                 message('T', ROW_DESCRIPTION),
@@ -53,11 +55,11 @@
                                 parameterStatus("caught_up_to", "17"),
                                 READY_FOR_QUERY))
                 .isEqualTo(State.COMPLETE);
-        assertThat(input.rowComplete()).isTrue();
-        assertThat(input.value()).isEqualTo("val");
-        assertThat(input.parameter("part")).isEqualTo("replica");
-        assertThat(input.parameter("caught_up_to")).isEqualTo("17");
-        assertThat(input.rowMessages())
+        assertThat(decoder.rowComplete()).isTrue();
+        assertThat(decoder.value()).isEqualTo("val");
+        assertThat(decoder.parameter("part")).isEqualTo("replica");
+        assertThat(decoder.parameter("caught_up_to")).isEqualTo("17");
+        assertThat(decoder.rowMessages())
                 .startsWith(message('T', ROW_DESCRIPTION))
                 .endsWith(message('C', cString("SELECT 1")))
                 .hasSize(
@@ -67,56 +69,56 @@
     }
 
     @Test
-    void anErrorIsKnownByItsCodeAndAFatalOneNeedsNoReady() {
+    void decodesErrorsAndEndsAfterFatalOnes() {
         assertThat(
-                        take(
+                        decode(
                                 3,
                                 message('E', cString("SERROR"), cString("C25006"), new byte[1]),
                                 READY_FOR_QUERY))
                 .isEqualTo(State.COMPLETE);
-        assertThat(input.errorSqlState()).isEqualTo("25006");
-        assertThat(input.fatal()).isFalse();
-        assertThat(take(3, message('E', cString("SFATAL"), cString("C53300"), new byte[1])))
+        assertThat(decoder.errorSqlState()).isEqualTo("25006");
+        assertThat(decoder.fatal()).isFalse();
+        assertThat(decode(3, message('E', cString("SFATAL"), cString("C53300"), new byte[1])))
                 .isEqualTo(State.COMPLETE);
-        assertThat(input.fatal()).isTrue();
+        assertThat(decoder.fatal()).isTrue();
     }
 
     @Test
-    void aRowWithoutItsEndIsNotServed() {
-        assertThat(take(9, message('T', ROW_DESCRIPTION), ROW)).isEqualTo(State.INCOMPLETE);
-        assertThat(input.rowComplete()).isFalse();
-        assertThat(input.responseStarted()).isTrue();
+    void rowWithoutCommandCompleteIsIncomplete() {
+        assertThat(decode(9, message('T', ROW_DESCRIPTION), ROW)).isEqualTo(State.INCOMPLETE);
+        assertThat(decoder.rowComplete()).isFalse();
+        assertThat(decoder.responseStarted()).isTrue();
     }
 
     @Test
-    void whatComesOutOfTurnBreaksTheStream() {
-        byte[] done = message('C', cString("SELECT 1"));
-        byte[] described = message('T', ROW_DESCRIPTION);
-        byte[][][] bad = {
+    void rejectsMalformedAndUnexpectedMessages() {
+        byte[] commandComplete = message('C', cString("SELECT 1"));
+        byte[] rowDescription = message('T', ROW_DESCRIPTION);
+        byte[][][] malformed = {
             {ROW},
-            {described, described},
-            {described, ROW, ROW},
-            {described, ROW, done, done},
+            {rowDescription, rowDescription},
+            {rowDescription, ROW, ROW},
+            {rowDescription, ROW, commandComplete, commandComplete},
             {READY_FOR_QUERY},
             {message('T', new byte[] {0, 2}), ROW},
             {message('R', new byte[4])},
             {message('?')},
             {{'D', 0, 0, 0, 1}},
             {{'D', 100, 0, 0, 0}},
-            {described, message('D', new byte[] {0, 1, 0, 0, 0, 9, 'x'})},
-            {done, message('E', cString("CXX000"), new byte[1])}
+            {rowDescription, message('D', new byte[] {0, 1, 0, 0, 0, 9, 'x'})},
+            {commandComplete, message('E', cString("CXX000"), new byte[1])}
         };
-        for (byte[][] parts : bad) {
-            assertThat(take(1, parts)).isEqualTo(State.MALFORMED);
-            assertThat(input.rowComplete() && input.malformedReason() == null).isFalse();
-            assertThat(input.decode(ByteBuffer.wrap(READY_FOR_QUERY)))
-                    .as("it stays broken")
+        for (byte[][] parts : malformed) {
+            assertThat(decode(1, parts)).isEqualTo(State.MALFORMED);
+            assertThat(decoder.rowComplete() && decoder.malformedReason() == null).isFalse();
+            assertThat(decoder.decode(ByteBuffer.wrap(READY_FOR_QUERY)))
+                    .as("remains malformed")
                     .isEqualTo(State.MALFORMED);
         }
     }
 
     @Test
-    void malformedFiguresCountAsAbsent() {
+    void ignoresMalformedGauges() {
         assertThat(Gauges.parse("x0=17.5,x1=,busy=abc,=3,rif=-2,q=1e400,zz"))
                 .isEqualTo(Map.of("x0", 17.5, "rif", -2.0));
         assertThat(Gauges.parseNumber("NaN")).isNull();
--- a/src/test/java/wingroad/protocol/StatementTest.java
+++ b/src/test/java/wingroad/protocol/StatementTest.java
@@ -13,34 +13,34 @@
 class StatementTest {
     private static final String SELECT = " SELECT v FROM records WHERE k = 'ab'";
 
-    private static Statement.Parsed parsed(String sql) {
+    private static Statement.Parsed parse(String sql) {
         return Statement.parse(sql.getBytes(StandardCharsets.UTF_8));
     }
 
     @Test
-    void aReadTellsAllThatItsCommentHolds() {
-        Statement s =
-                parsed("/* id=9b1f,c=basket,d=480,r=1,cluster=2,after=1767225600123 */" + SELECT)
+    void parsesAllCommentParameters() {
+        Statement statement =
+                parse("/* id=9b1f,c=basket,d=480,r=1,cluster=2,after=1767225600123 */" + SELECT)
                         .statement();
-        assertThat(s.id()).isEqualTo("9b1f");
-        assertThat(s.txnType()).isEqualTo("basket");
-        assertThat(s.timeLeftMs()).isEqualTo(480);
-        assertThat(s.group()).isEqualTo(2);
-        assertThat(s.afterPositionMs()).isEqualTo(1767225600123.0);
-        assertThat(s.retry()).isTrue();
-        assertThat(s.write()).isFalse();
-        assertThat(s.key()).isEqualTo("ab");
+        assertThat(statement.id()).isEqualTo("9b1f");
+        assertThat(statement.txnType()).isEqualTo("basket");
+        assertThat(statement.timeLeftMs()).isEqualTo(480);
+        assertThat(statement.group()).isEqualTo(2);
+        assertThat(statement.afterPositionMs()).isEqualTo(1767225600123.0);
+        assertThat(statement.retry()).isTrue();
+        assertThat(statement.write()).isFalse();
+        assertThat(statement.key()).isEqualTo("ab");
     }
 
     @Test
-    void onlyTheTimeLeftChangesOnTheWayToAMember() {
-        Statement s =
-                parsed(
+    void withTimeLeftReplacesOnlyTheTimeLeft() {
+        Statement statement =
+                parse(
                                 "/* id=d4000,c=order,d=4000,cluster=2 */ INSERT INTO records (k, v)"
                                         + " VALUES ('d=4000', '\\x9F03') RETURNING v")
                         .statement();
-        assertThat(s.write()).isTrue();
-        assertThat(new String(s.withTimeLeft(17), StandardCharsets.UTF_8))
+        assertThat(statement.write()).isTrue();
+        assertThat(new String(statement.withTimeLeft(17), StandardCharsets.UTF_8))
                 .isEqualTo(
                         "/* id=d4000,c=order,d=17,cluster=2 */ INSERT INTO records (k, v) VALUES"
                                 + " ('d=4000', '\\x9F03') RETURNING v");
@@ -79,14 +79,14 @@
                 "/* id=1,c=a,d=1,cluster=1 */ INSERT INTO records (k, v) VALUES ('a'', '\\x')"
                         + " RETURNING v"
             })
-    void whatIsNotOfTheAgreedFormIsTurnedAwayWithAReason(String sql) {
-        assertThat(parsed(sql).statement()).isNull();
-        assertThat(parsed(sql).error()).isNotEmpty();
+    void rejectsUnsupportedStatementsWithAReason(String sql) {
+        assertThat(parse(sql).statement()).isNull();
+        assertThat(parse(sql).error()).isNotEmpty();
     }
 
     @Test
-    void aReadWithoutOddities() {
-        assertThat(parsed(readStatement("x")).error()).isNull();
-        assertThat(parsed(readStatement("x")).statement().afterPositionMs()).isNull();
+    void parsesPlainRead() {
+        assertThat(parse(readStatement("x")).error()).isNull();
+        assertThat(parse(readStatement("x")).statement().afterPositionMs()).isNull();
     }
 }
--- a/src/test/java/wingroad/transport/ConnectionTest.java
+++ b/src/test/java/wingroad/transport/ConnectionTest.java
@@ -16,121 +16,122 @@
 import java.util.concurrent.TimeUnit;
 
 class ConnectionTest {
-    private final Set<String> threads = ConcurrentHashMap.newKeySet();
-    private final BlockingQueue<String> heard = new LinkedBlockingQueue<>();
+    private final Set<String> callbackThreads = ConcurrentHashMap.newKeySet();
+    private final BlockingQueue<String> events = new LinkedBlockingQueue<>();
 
-    /** An owner that sends these bytes and takes what comes in pieces of five. */
-    private Connection.Handler owner(Connection[] link, byte[] first) {
+    /** A handler that sends the given bytes and consumes input five bytes at a time. */
+    private Connection.Handler handler(Connection[] connection, byte[] first) {
         return new Connection.Handler() {
             @Override
             public void onConnected() {
-                link[0].send(ByteBuffer.wrap(first));
+                connection[0].send(ByteBuffer.wrap(first));
             }
 
             @Override
             public void onBytes(ByteBuffer in) {
-                threads.add(Thread.currentThread().getName());
+                callbackThreads.add(Thread.currentThread().getName());
                 while (in.remaining() >= 5 && in.get(in.position()) != 'x') {
                     byte[] five = new byte[5];
                     in.get(five);
-                    heard.add(new String(five));
+                    events.add(new String(five));
                 }
             }
 
             @Override
             public void onAllWritten() {
-                threads.add(Thread.currentThread().getName());
-                heard.add("written");
+                callbackThreads.add(Thread.currentThread().getName());
+                events.add("written");
             }
 
             @Override
             public void onInputMemoryExhausted() {
-                heard.add("full");
+                events.add("full");
             }
 
             @Override
             public void onClosed(int unwritten, boolean orderly, String how) {
-                heard.add(unwritten > 0 ? "ended, unwritten" : "ended, all written");
+                events.add(unwritten > 0 ? "ended, unwritten" : "ended, all written");
             }
         };
     }
 
-    private String next() throws InterruptedException {
-        return heard.poll(20, TimeUnit.SECONDS);
+    private String nextEvent() throws InterruptedException {
+        return events.poll(20, TimeUnit.SECONDS);
     }
 
-    private EventLoop open(ServerSocket to, byte[] first) throws Exception {
-        return open(to, first, 64, 1 << 20);
+    private EventLoop open(ServerSocket server, byte[] first) throws Exception {
+        return open(server, first, 64, 1 << 20);
     }
 
-    private EventLoop open(ServerSocket to, byte[] first, int bound, long mostHeld)
+    private EventLoop open(
+            ServerSocket server, byte[] first, int maxBufferBytes, long maxBufferedBytes)
             throws Exception {
-        EventLoop loop = new EventLoop(10, mostHeld, bug -> heard.add("bug " + bug));
-        Connection[] link = new Connection[1];
+        EventLoop loop = new EventLoop(10, maxBufferedBytes, error -> events.add("bug " + error));
+        Connection[] connection = new Connection[1];
         loop.execute(
                 () -> {
                     try {
-                        link[0] =
+                        connection[0] =
                                 Connection.open(
                                         loop,
-                                        (InetSocketAddress) to.getLocalSocketAddress(),
-                                        owner(link, first),
-                                        bound);
+                                        (InetSocketAddress) server.getLocalSocketAddress(),
+                                        handler(connection, first),
+                                        maxBufferBytes);
                     } catch (java.io.IOException e) {
-                        heard.add("bug " + e);
+                        events.add("bug " + e);
                     }
                 });
         return loop;
     }
 
     @Test
-    void aBreakBeforeTheLastByteIsToldFromOneAfterIt() throws Exception {
-        try (ServerSocket door = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
-            // More than the system takes in for a reader that never reads.
-            open(door, new byte[64 << 20]);
-            Socket s = door.accept();
-            s.getInputStream().read();
-            s.close();
-            assertThat(next()).isEqualTo("ended, unwritten");
-            open(door, new byte[10]);
-            s = door.accept();
-            assertThat(next()).isEqualTo("written");
-            s.close();
-            assertThat(next()).isEqualTo("ended, all written");
+    void reportsWhetherAllBytesWereWrittenBeforeTheClose() throws Exception {
+        try (ServerSocket server = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
+            // More than the socket buffers hold while the peer does not read.
+            open(server, new byte[64 << 20]);
+            Socket peer = server.accept();
+            peer.getInputStream().read();
+            peer.close();
+            assertThat(nextEvent()).isEqualTo("ended, unwritten");
+            open(server, new byte[10]);
+            peer = server.accept();
+            assertThat(nextEvent()).isEqualTo("written");
+            peer.close();
+            assertThat(nextEvent()).isEqualTo("ended, all written");
         }
     }
 
     @Test
-    void aBufferGrowsOnlyWhileThereIsMemoryForAll() throws Exception {
-        try (ServerSocket door = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
-            open(door, new byte[1], 1 << 20, 5000);
-            try (Socket s = door.accept()) {
-                assertThat(next()).isEqualTo("written");
-                s.getOutputStream().write("x".repeat(20_000).getBytes());
-                assertThat(next()).isEqualTo("full");
+    void bufferGrowthIsLimitedByTheLoopsMemory() throws Exception {
+        try (ServerSocket server = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
+            open(server, new byte[1], 1 << 20, 5000);
+            try (Socket peer = server.accept()) {
+                assertThat(nextEvent()).isEqualTo("written");
+                peer.getOutputStream().write("x".repeat(20_000).getBytes());
+                assertThat(nextEvent()).isEqualTo("full");
             }
         }
     }
 
     @Test
-    void moreThanTheBufferHoldsComesThroughInOrder() throws Exception {
-        try (ServerSocket door = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
-            EventLoop loop = open(door, new byte[1]);
-            Socket s = door.accept();
-            assertThat(next()).isEqualTo("written");
-            StringBuilder all = new StringBuilder();
+    void deliversMoreThanTheBufferHoldsInOrder() throws Exception {
+        try (ServerSocket server = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
+            EventLoop loop = open(server, new byte[1]);
+            Socket peer = server.accept();
+            assertThat(nextEvent()).isEqualTo("written");
+            StringBuilder sent = new StringBuilder();
             for (int i = 10000; i < 12000; i++) {
-                all.append(i);
+                sent.append(i);
             }
-            s.getOutputStream().write(all.toString().getBytes());
+            peer.getOutputStream().write(sent.toString().getBytes());
             for (int i = 10000; i < 12000; i++) {
-                assertThat(next()).isEqualTo(Integer.toString(i));
+                assertThat(nextEvent()).isEqualTo(Integer.toString(i));
             }
-            s.close();
-            assertThat(next()).isEqualTo("ended, all written");
+            peer.close();
+            assertThat(nextEvent()).isEqualTo("ended, all written");
             assertThat(loop.availableChannels()).isEqualTo(10);
             assertThat(loop.bufferedBytes()).isZero();
-            assertThat(threads).containsExactly("wingroad");
+            assertThat(callbackThreads).containsExactly("wingroad");
         }
     }
 }
