--- a/src/main/java/wingroad/protocol/MemberMessageEncoder.java
+++ b/src/main/java/wingroad/protocol/MemberMessageEncoder.java
@@ -3,8 +3,9 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 
-/** What a member is sent. */
+/** Encodes the messages that are sent to members in PostgreSQL's protocol. */
 public final class MemberMessageEncoder {
+    private static final int PROTOCOL_VERSION_3_0 = 3 << 16;
     private static final byte[] STARTUP_PARAMETERS =
             "user\0svc\0database\0main\0\0".getBytes(StandardCharsets.UTF_8);
 
@@ -13,7 +14,7 @@
     public static ByteBuffer startup() {
         return ByteBuffer.allocate(8 + STARTUP_PARAMETERS.length)
                 .putInt(8 + STARTUP_PARAMETERS.length)
-                .putInt(3 << 16)
+                .putInt(PROTOCOL_VERSION_3_0)
                 .put(STARTUP_PARAMETERS)
                 .flip();
     }
@@ -27,7 +28,7 @@
                 .flip();
     }
 
-    /** Asks for the member's own report. */
+    /** Encodes the query for the member's load report. */
     public static ByteBuffer gaugesQuery() {
         return query("SHOW gauges".getBytes(StandardCharsets.UTF_8));
     }
