--- a/src/main/java/wingroad/Main.java
+++ b/src/main/java/wingroad/Main.java
@@ -1,11 +1,12 @@
 package wingroad;
 
-import java.io.IOException;
-import wingroad.cli.Wingroad;
+import wingroad.cli.WingroadCommand;
 import wingroad.driver.Driver;
 import wingroad.simhost.SimHost;
 
-/** The program's subcommands. */
+import java.io.IOException;
+
+/** The program's entry point. */
 public final class Main {
     private Main() {}
 
@@ -23,9 +24,9 @@
         if (args.length == 1 && args[0].equals("rehearse")) {
             System.exit(Driver.rehearse(System.getenv(), System.err));
         }
-        // All else is the command line's. The three above stay clear of it: they cost no class of
-        // it, nor its start.
-        int status = Wingroad.run(args);
+        // All other commands are handled by the command line parser. The three above avoid loading
+        // its classes and the time that takes.
+        int status = WingroadCommand.run(args);
         if (status != 0) {
             System.exit(status);
         }
--- a/src/main/java/wingroad/protocol/Gauges.java
+++ b/src/main/java/wingroad/protocol/Gauges.java
@@ -5,7 +5,8 @@
 import java.util.regex.Pattern;
 
 /**
- * A member's report of itself: {@code inflight=7,util=0.61}. What is malformed counts as absent.
+ * Parses the load report of a member, such as {@code inflight=7,util=0.61}. Malformed entries are
+ * ignored.
  */
 public final class Gauges {
     private static final Pattern NUMBER =
@@ -14,19 +15,19 @@
     private Gauges() {}
 
     public static Map<String, Double> parse(String text) {
-        Map<String, Double> figures = new HashMap<>();
-        for (String part : text.split(",")) {
-            int equals = part.indexOf('=');
-            Double v = equals <= 0 ? null : number(part.substring(equals + 1));
-            if (v != null) {
-                figures.put(part.substring(0, equals).strip(), v);
+        Map<String, Double> gauges = new HashMap<>();
+        for (String gauge : text.split(",")) {
+            int equals = gauge.indexOf('=');
+            Double value = equals <= 0 ? null : parseNumber(gauge.substring(equals + 1));
+            if (value != null) {
+                gauges.put(gauge.substring(0, equals).strip(), value);
             }
         }
-        return figures;
+        return gauges;
     }
 
-    /** A finite number, or null. */
-    public static Double number(String text) {
+    /** Parses a finite number; returns null if the text is null or no number. */
+    public static Double parseNumber(String text) {
         return text != null && NUMBER.matcher(text.strip()).matches()
                 ? Double.valueOf(text.strip())
                 : null;
--- a/src/main/java/wingroad/protocol/MemberOutput.java
+++ b/src/main/java/wingroad/protocol/MemberMessageEncoder.java
@@ -3,18 +3,19 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 
-/** What a member is sent. */
-public final class MemberOutput {
-    private static final byte[] STARTUP =
+/** Encodes the messages that are sent to members in PostgreSQL's protocol. */
+public final class MemberMessageEncoder {
+    private static final int PROTOCOL_VERSION_3_0 = 3 << 16;
+    private static final byte[] STARTUP_PARAMETERS =
             "user\0svc\0database\0main\0\0".getBytes(StandardCharsets.UTF_8);
 
-    private MemberOutput() {}
+    private MemberMessageEncoder() {}
 
     public static ByteBuffer startup() {
-        return ByteBuffer.allocate(8 + STARTUP.length)
-                .putInt(8 + STARTUP.length)
-                .putInt(3 << 16)
-                .put(STARTUP)
+        return ByteBuffer.allocate(8 + STARTUP_PARAMETERS.length)
+                .putInt(8 + STARTUP_PARAMETERS.length)
+                .putInt(PROTOCOL_VERSION_3_0)
+                .put(STARTUP_PARAMETERS)
                 .flip();
     }
 
@@ -27,8 +28,8 @@
                 .flip();
     }
 
-    /** Asks for the member's own report. */
-    public static ByteBuffer gauges() {
+    /** Encodes the query for the member's load report. */
+    public static ByteBuffer gaugesQuery() {
         return query("SHOW gauges".getBytes(StandardCharsets.UTF_8));
     }
 
--- a/src/main/java/wingroad/transport/Listener.java
+++ b/src/main/java/wingroad/transport/Listener.java
@@ -11,57 +11,68 @@
 import java.util.function.Consumer;
 import java.util.function.Function;
 
-/** The listening socket. One accept is out at a time, and only while the guest list has room. */
+/**
+ * A listening socket. One accept is pending at a time, and only while there is capacity for another
+ * connection.
+ */
 public final class Listener {
     private static final int BACKLOG = 1024;
 
+    /** The wait after a failed accept is at most 2 to this power, in milliseconds. */
+    private static final int MAX_BACKOFF_EXPONENT = 8;
+
     private final EventLoop loop;
     private final AsynchronousServerSocketChannel channel;
-    private final BooleanSupplier room;
-    private final Consumer<Function<Connection.Owner, Connection>> guest;
-    private final int bound;
+    private final BooleanSupplier canAccept;
+    private final Consumer<Function<Connection.Handler, Connection>> onAccepted;
+    private final int maxBufferBytes;
     private boolean accepting;
     private boolean closed;
-    private int refusals;
+    private int consecutiveFailures;
 
     /**
-     * @param room asked before each accept; when it says no, {@link #again} goes on later
-     * @param guest gets each accepted connection, as a function from its owner to its link
+     * Opens the socket.
+     *
+     * @param canAccept asked before each accept; after it has returned false, {@link #acceptNext}
+     *     resumes
+     * @param onAccepted gets each accepted connection, as a function from its handler to the
+     *     connection
      */
     public Listener(
             EventLoop loop,
-            InetSocketAddress at,
-            int bound,
-            BooleanSupplier room,
-            Consumer<Function<Connection.Owner, Connection>> guest)
+            InetSocketAddress address,
+            int maxBufferBytes,
+            BooleanSupplier canAccept,
+            Consumer<Function<Connection.Handler, Connection>> onAccepted)
             throws IOException {
         this.loop = loop;
-        this.bound = bound;
-        this.room = room;
-        this.guest = guest;
+        this.maxBufferBytes = maxBufferBytes;
+        this.canAccept = canAccept;
+        this.onAccepted = onAccepted;
         channel = AsynchronousServerSocketChannel.open(loop.group);
         try {
             channel.setOption(StandardSocketOptions.SO_REUSEADDR, true);
-            channel.bind(at, BACKLOG);
+            channel.bind(address, BACKLOG);
         } catch (IOException | RuntimeException e) {
             channel.close();
             throw e;
         }
-        loop.opened();
+        loop.channelOpened();
     }
 
-    public InetSocketAddress at() throws IOException {
+    public InetSocketAddress localAddress() throws IOException {
         return (InetSocketAddress) channel.getLocalAddress();
     }
 
-    /** Accepts the next connection, when there is room and none is being accepted. */
-    public void again() {
+    /** Starts an accept if there is capacity and none is pending. */
+    public void acceptNext() {
         if (accepting || closed) {
             return;
         }
-        // Making room closes a connection, and its end asks for the next accept: that is this one.
+        // Freeing capacity closes a connection, whose end calls this method again; the flag makes
+        // that call a no-op.
         accepting = true;
-        if (!room.getAsBoolean()) {
+        if (!canAccept.getAsBoolean()) {
             accepting = false;
             return;
         }
@@ -70,29 +81,36 @@
                 new CompletionHandler<AsynchronousSocketChannel, Void>() {
                     @Override
                     public void completed(AsynchronousSocketChannel guestChannel, Void nothing) {
-                        loop.run(
+                        loop.execute(
                                 () -> {
                                     accepting = false;
-                                    refusals = 0;
-                                    guest.accept(
+                                    consecutiveFailures = 0;
+                                    onAccepted.accept(
                                             owner ->
                                                     Connection.accepted(
-                                                            loop, guestChannel, owner, bound));
-                                    again();
+                                                            loop,
+                                                            guestChannel,
+                                                            owner,
+                                                            maxBufferBytes));
+                                    acceptNext();
                                 });
                     }
 
                     @Override
                     public void failed(Throwable cause, Void nothing) {
-                        loop.run(
+                        loop.execute(
                                 () -> {
                                     accepting = false;
-                                    refusals++;
-                                    // Guards against spinning where the system has no descriptor
-                                    // left: a longer wait each time.
-                                    loop.after(
-                                            Duration.ofMillis(1L << Math.min(refusals, 8)),
-                                            Listener.this::again);
+                                    consecutiveFailures++;
+                                    // Backs off exponentially, so that accepts do not spin while
+                                    // no file descriptor is available.
+                                    loop.schedule(
+                                            Duration.ofMillis(
+                                                    1L
+                                                            << Math.min(
+                                                                    consecutiveFailures,
+                                                                    MAX_BACKOFF_EXPONENT)),
+                                            Listener.this::acceptNext);
                                 });
                     }
                 });
@@ -101,11 +119,11 @@
     public void close() {
         if (!closed) {
             closed = true;
-            loop.closed();
+            loop.channelClosed();
             try {
                 channel.close();
             } catch (IOException e) {
-                // it is gone either way
+                // The channel is closed in any case.
             }
         }
     }
--- a/src/test/java/wingroad/driver/ClientFrontendTest.java
+++ b/src/test/java/wingroad/driver/ClientFrontendTest.java
@@ -1,10 +1,21 @@
 package wingroad.driver;
 
 import static org.assertj.core.api.Assertions.assertThat;
+
+import static wingroad.Fixtures.cString;
 import static wingroad.Fixtures.message;
-import static wingroad.Fixtures.read;
-import static wingroad.Fixtures.text;
-import static wingroad.Fixtures.write;
+import static wingroad.Fixtures.readStatement;
+import static wingroad.Fixtures.writeStatement;
+
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+
+import wingroad.Fixtures;
+import wingroad.rig.Peer;
+import wingroad.routing.TxnRouter;
+import wingroad.state.Member.Role;
+import wingroad.state.Submission.Outcome;
+import wingroad.transport.EventLoop;
 
 import java.io.IOException;
 import java.net.InetAddress;
@@ -18,14 +29,6 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
-import org.junit.jupiter.api.BeforeEach;
-import org.junit.jupiter.api.Test;
-import wingroad.Fixtures;
-import wingroad.rig.Peer;
-import wingroad.routing.TxnRouter;
-import wingroad.state.Member.Role;
-import wingroad.state.Submission.Outcome;
-import wingroad.transport.EventLoop;
 
 /**
  * Clients that send, disconnect and are disconnected at moments that the test chooses. The test
@@ -51,7 +54,7 @@
             new EventLoop(CHANNEL_LIMIT, MEMORY_LIMIT_BYTES, unexpectedFailures::add);
     private final Clock clock = new Clock();
     private final Fixtures fixtures = new Fixtures();
-    private final TxnRouter router = new TxnRouter(fixtures.terms, 1, line -> {});
+    private final TxnRouter router = new TxnRouter(fixtures.settings, 1, line -> {});
     private final TxnDispatcher dispatcher =
             new TxnDispatcher(loop, clock, router, Duration.ofMillis(250), unexpectedFailures::add);
     private final ClientFrontend frontend =
@@ -60,7 +63,7 @@
                     dispatcher,
                     new Counters(),
                     List.of("look", "change"),
-                    fixtures.terms,
+                    fixtures.settings,
                     group -> true);
     private int port;
 
@@ -107,7 +110,7 @@
                 },
                 () -> false);
         BlockingQueue<Integer> ports = new LinkedBlockingQueue<>();
-        loop.run(
+        loop.execute(
                 () -> {
                     try {
                         frontend.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
@@ -127,7 +130,7 @@
 
     /** Reports the member as the primary, which releases held writes. */
     private void reportPrimary() {
-        loop.run(
+        loop.execute(
                 () ->
                         dispatcher
                                 .router()
@@ -142,13 +145,13 @@
     }
 
     private Peer connectClient() throws IOException {
-        Peer client = Peer.to(port).send(Fixtures.STARTUP);
-        client.until(READY_FOR_QUERY);
+        Peer client = Peer.connect(port).send(Fixtures.STARTUP_MESSAGE);
+        client.readUntil(READY_FOR_QUERY);
         return client;
     }
 
     private static byte[] query(String sql) {
-        return message('Q', text(sql));
+        return message('Q', cString(sql));
     }
 
     /**
@@ -162,17 +165,17 @@
             assertThat(System.nanoTime())
                     .as("deadline for the condition")
                     .isLessThan(deadlineNanos);
-            loop.run(() -> results.add(condition.getAsBoolean()));
+            loop.execute(() -> results.add(condition.getAsBoolean()));
         } while (!results.take());
     }
 
     private void commit(TxnDispatcher.MemberRequest request) {
         byte[] rowMessages =
-                Fixtures.joined(
-                        message('T', Fixtures.DESCRIPTION),
-                        message('D', Fixtures.column("done")),
-                        message('C', text("SELECT 1")));
-        loop.run(
+                Fixtures.concat(
+                        message('T', Fixtures.ROW_DESCRIPTION),
+                        message('D', Fixtures.dataRowBody("done")),
+                        message('C', cString("SELECT 1")));
+        loop.execute(
                 () ->
                         dispatcher.submissionEnded(
                                 request,
@@ -190,10 +193,10 @@
     void disconnectBehindPipelinedStatementsIsDetected() throws Exception {
         for (boolean resets : new boolean[] {false, true}) {
             Peer client = connectClient();
-            client.send(query(write("w" + resets).replace("d=4000", "d=60000")));
+            client.send(query(writeStatement("w" + resets).replace("d=4000", "d=60000")));
             awaitOnLoop(() -> dispatcher.openTxnCount() == 1);
             for (int i = 0; i < 400; i++) {
-                client.send(query(read("r" + resets + i)));
+                client.send(query(readStatement("r" + resets + i)));
             }
             if (resets) {
                 client.reset();
@@ -204,7 +207,7 @@
             reportPrimary();
             awaitOnLoop(() -> frontend.connectionCount() == 0);
             assertThat(dispatched).isEmpty();
-            loop.run(
+            loop.execute(
                     () ->
                             dispatcher
                                     .router()
@@ -227,17 +230,17 @@
     @Test
     void pipelinedStatementsUseHalfOfTheMemoryAtMost() throws Exception {
         Peer client = connectClient();
-        client.send(query(write("w").replace("d=4000", "d=60000")));
+        client.send(query(writeStatement("w").replace("d=4000", "d=60000")));
         awaitOnLoop(() -> dispatcher.openTxnCount() == 1);
-        loop.run(() -> loop.hold(HALF_MEMORY_LIMIT_BYTES - loop.held()));
+        loop.execute(() -> loop.addBufferedBytes(HALF_MEMORY_LIMIT_BYTES - loop.bufferedBytes()));
         for (int i = 0; i < 1000; i++) {
-            client.send(query(read("r" + i)));
+            client.send(query(readStatement("r" + i)));
         }
         reportPrimary();
         commit(dispatched.poll(WAIT_TIMEOUT_SECONDS, TimeUnit.SECONDS));
-        assertThat(client.until(READY_FOR_QUERY)).contains("done");
+        assertThat(client.readUntil(READY_FOR_QUERY)).contains("done");
         BlockingQueue<Long> heldBytes = new LinkedBlockingQueue<>();
-        loop.run(() -> heldBytes.add(loop.held()));
+        loop.execute(() -> heldBytes.add(loop.bufferedBytes()));
         assertThat(heldBytes.poll(WAIT_TIMEOUT_SECONDS, TimeUnit.SECONDS))
                 .isLessThan(HALF_MEMORY_LIMIT_BYTES + 64 * 1024);
         assertThat(dispatched.poll(WAIT_TIMEOUT_SECONDS, TimeUnit.SECONDS).statement().id())
@@ -253,16 +256,16 @@
         reportPrimary();
         Peer clientWithAnswer = connectClient();
         clientWithAnswer.send(query(""));
-        clientWithAnswer.until(READY_FOR_QUERY);
+        clientWithAnswer.readUntil(READY_FOR_QUERY);
         for (Peer client : List.of(clientWithAnswer, connectClient())) {
-            byte[] statement = query(write("half" + (client == clientWithAnswer)));
+            byte[] statement = query(writeStatement("half" + (client == clientWithAnswer)));
             client.send(Arrays.copyOf(statement, 60));
             awaitOnLoop(() -> !frontend.isIdle());
-            loop.run(frontend::beginClosing);
+            loop.execute(frontend::beginClosing);
             client.send(Arrays.copyOfRange(statement, 60, statement.length));
             commit(dispatched.poll(WAIT_TIMEOUT_SECONDS, TimeUnit.SECONDS));
-            assertThat(client.until(READY_FOR_QUERY)).contains("done");
-            assertThat(client.rest()).isEmpty();
+            assertThat(client.readUntil(READY_FOR_QUERY)).contains("done");
+            assertThat(client.readToEnd()).isEmpty();
             client.close();
             awaitOnLoop(frontend::isIdle);
         }
@@ -279,19 +282,20 @@
         Peer client = connectClient();
         // Sent in one write so that all of it is read at once. Statements that are unread when the
         // driver closes its side are not answered; their client sends them to another driver.
-        client.send(Fixtures.joined(query(write("w")), query(read("r")), query("")));
+        client.send(
+                Fixtures.concat(query(writeStatement("w")), query(readStatement("r")), query("")));
         TxnDispatcher.MemberRequest writeRequest =
                 dispatched.poll(WAIT_TIMEOUT_SECONDS, TimeUnit.SECONDS);
-        loop.run(frontend::beginClosing);
+        loop.execute(frontend::beginClosing);
         commit(writeRequest);
-        assertThat(client.until(READY_FOR_QUERY)).contains("done");
+        assertThat(client.readUntil(READY_FOR_QUERY)).contains("done");
         TxnDispatcher.MemberRequest readRequest =
                 dispatched.poll(WAIT_TIMEOUT_SECONDS, TimeUnit.SECONDS);
         assertThat(readRequest.statement().id()).isEqualTo("r");
         commit(readRequest);
-        assertThat(client.until(READY_FOR_QUERY)).contains("done");
-        assertThat(client.until(READY_FOR_QUERY)).startsWith("I");
-        assertThat(client.rest()).isEmpty();
+        assertThat(client.readUntil(READY_FOR_QUERY)).contains("done");
+        assertThat(client.readUntil(READY_FOR_QUERY)).startsWith("I");
+        assertThat(client.readToEnd()).isEmpty();
         client.close();
         awaitOnLoop(() -> frontend.connectionCount() == 0);
     }
@@ -305,17 +309,17 @@
         reportPrimary();
         Peer client = connectClient();
         client.send(query(""));
-        client.until(READY_FOR_QUERY);
+        client.readUntil(READY_FOR_QUERY);
         Peer newClient = connectClient();
-        loop.run(frontend::finishAll);
+        loop.execute(frontend::finishAll);
         // Accepted from the listen backlog after all others were finished: finished at once.
-        Peer pendingClient = Peer.to(port);
-        assertThat(pendingClient.rest()).isEmpty();
+        Peer pendingClient = Peer.connect(port);
+        assertThat(pendingClient.readToEnd()).isEmpty();
         pendingClient.close();
         for (Peer finishedClient : List.of(client, newClient)) {
-            finishedClient.send(query(write("late")));
-            assertThat(finishedClient.rest()).isEmpty();
-            finishedClient.send(query(write("later")));
+            finishedClient.send(query(writeStatement("late")));
+            assertThat(finishedClient.readToEnd()).isEmpty();
+            finishedClient.send(query(writeStatement("later")));
         }
         // Both connections stay open until their clients close them: closing a socket with unread
         // bytes would reset the connection.
@@ -335,11 +339,11 @@
     void unflushedAnswerIsWrittenBeforeFinish() throws Exception {
         reportPrimary();
         Peer client = connectClient();
-        client.send(query(write("large")));
+        client.send(query(writeStatement("large")));
         TxnDispatcher.MemberRequest request =
                 dispatched.poll(WAIT_TIMEOUT_SECONDS, TimeUnit.SECONDS);
         byte[] rowMessages = new byte[32 << 20];
-        loop.run(
+        loop.execute(
                 () -> {
                     dispatcher.submissionEnded(
                             request,
@@ -350,7 +354,7 @@
                     frontend.finishAll();
                 });
         awaitOnLoop(() -> dispatcher.openTxnCount() == 0 && !frontend.isIdle());
-        assertThat(client.rest().length).isGreaterThanOrEqualTo(rowMessages.length);
+        assertThat(client.readToEnd().length).isGreaterThanOrEqualTo(rowMessages.length);
         client.close();
         awaitOnLoop(() -> frontend.connectionCount() == 0);
     }
@@ -367,16 +371,16 @@
             for (int i = 0; i < 300; i++) {
                 client.send(ignoredMessage);
             }
-            assertThat(new String(client.rest(), StandardCharsets.ISO_8859_1))
+            assertThat(new String(client.readToEnd(), StandardCharsets.ISO_8859_1))
                     .contains("too much that is no query");
             client.close();
             awaitOnLoop(() -> frontend.connectionCount() == 0);
         }
         reportPrimary();
         Peer client = connectClient();
-        client.send(query(write("other")));
+        client.send(query(writeStatement("other")));
         commit(dispatched.poll(WAIT_TIMEOUT_SECONDS, TimeUnit.SECONDS));
-        assertThat(client.until(READY_FOR_QUERY)).contains("done");
+        assertThat(client.readUntil(READY_FOR_QUERY)).contains("done");
     }
 
     /**
@@ -386,18 +390,18 @@
     @Test
     void idOfDisconnectedClientIsReusableOnlyIfNothingWasSent() throws Exception {
         Peer client = connectClient();
-        client.send(query(write("same")));
+        client.send(query(writeStatement("same")));
         awaitOnLoop(() -> dispatcher.openTxnCount() == 1);
         client.reset();
         awaitOnLoop(() -> dispatcher.openTxnCount() == 0);
-        Peer retryingClient = connectClient().send(query(write("same")));
+        Peer retryingClient = connectClient().send(query(writeStatement("same")));
         awaitOnLoop(() -> dispatcher.openTxnCount() == 1);
         reportPrimary();
         assertThat(dispatched.poll(WAIT_TIMEOUT_SECONDS, TimeUnit.SECONDS).statement().id())
                 .isEqualTo("same");
         retryingClient.reset();
         awaitOnLoop(() -> dispatcher.openTxnCount() == 0);
-        assertThat(connectClient().send(query(write("same"))).until(READY_FOR_QUERY))
+        assertThat(connectClient().send(query(writeStatement("same"))).readUntil(READY_FOR_QUERY))
                 .contains("42704");
         assertThat(dispatched).isEmpty();
     }
@@ -410,15 +414,15 @@
     void txnIsNotSentIfItsClientDisconnectsWhileConnectionOpens() throws Exception {
         reportPrimary();
         Peer client = connectClient();
-        client.send(query(write("w")));
+        client.send(query(writeStatement("w")));
         TxnDispatcher.MemberRequest request =
                 dispatched.poll(WAIT_TIMEOUT_SECONDS, TimeUnit.SECONDS);
         BlockingQueue<Boolean> results = new LinkedBlockingQueue<>();
-        loop.run(() -> results.add(dispatcher.mayDispatch(request)));
+        loop.execute(() -> results.add(dispatcher.mayDispatch(request)));
         assertThat(results.poll(WAIT_TIMEOUT_SECONDS, TimeUnit.SECONDS)).isTrue();
-        client.endOutput();
+        client.shutdownOutput();
         awaitOnLoop(() -> dispatcher.openTxnCount() == 0);
-        loop.run(() -> results.add(dispatcher.mayDispatch(request)));
+        loop.execute(() -> results.add(dispatcher.mayDispatch(request)));
         assertThat(results.poll(WAIT_TIMEOUT_SECONDS, TimeUnit.SECONDS)).isFalse();
         client.close();
     }
@@ -434,7 +438,7 @@
             Peer client = connectClient();
             CountDownLatch loopBlocked = new CountDownLatch(1);
             CountDownLatch loopReleased = new CountDownLatch(1);
-            loop.run(
+            loop.execute(
                     () -> {
                         loopBlocked.countDown();
                         try {
@@ -444,7 +448,7 @@
                         }
                     });
             loopBlocked.await();
-            client.send(query(write("left" + resets)));
+            client.send(query(writeStatement("left" + resets)));
             if (resets) {
                 client.reset();
             } else {
@@ -461,15 +465,16 @@
     void statementsMayArriveByteByByte() throws Exception {
         reportPrimary();
         Peer client = connectClient();
-        client.trickle(Fixtures.joined(query(write("a")), query(write("b"))));
+        client.sendByteByByte(
+                Fixtures.concat(query(writeStatement("a")), query(writeStatement("b"))));
         for (String id : new String[] {"a", "b"}) {
             TxnDispatcher.MemberRequest request =
                     dispatched.poll(WAIT_TIMEOUT_SECONDS, TimeUnit.SECONDS);
             assertThat(request.statement().id()).isEqualTo(id);
             commit(request);
-            assertThat(client.until(READY_FOR_QUERY)).contains("done");
+            assertThat(client.readUntil(READY_FOR_QUERY)).contains("done");
         }
-        assertThat(new String(client.send(message('X')).rest(), StandardCharsets.ISO_8859_1))
+        assertThat(new String(client.send(message('X')).readToEnd(), StandardCharsets.ISO_8859_1))
                 .isEmpty();
     }
 }
--- a/src/test/java/wingroad/driver/DiscoveryClientTest.java
+++ b/src/test/java/wingroad/driver/DiscoveryClientTest.java
@@ -1,7 +1,17 @@
 package wingroad.driver;
 
 import static org.assertj.core.api.Assertions.assertThat;
-import static wingroad.Fixtures.entry;
+
+import static wingroad.Fixtures.listEntry;
+
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
+
+import wingroad.protocol.MemberList;
+import wingroad.rig.Peer;
+import wingroad.transport.EventLoop;
 
 import java.io.IOException;
 import java.net.InetAddress;
@@ -11,13 +21,6 @@
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
-import org.junit.jupiter.api.AfterEach;
-import org.junit.jupiter.api.Test;
-import org.junit.jupiter.params.ParameterizedTest;
-import org.junit.jupiter.params.provider.ValueSource;
-import wingroad.protocol.MemberList;
-import wingroad.rig.Peer;
-import wingroad.transport.EventLoop;
 
 /**
  * Discovery's watch and fetch against an agent played by the test, which responds, closes, resets
@@ -94,7 +97,7 @@
                 + ",\"all\":"
                 + complete
                 + ",\"targets\":["
-                + entry("s-1", 5433, state)
+                + listEntry("s-1", 5433, state)
                 + "]}";
     }
 
@@ -108,7 +111,7 @@
 
     /** The version that the next request on this connection names, -1 for a fetch. */
     private static long requestedVersion(Peer connection) throws IOException {
-        String request = connection.until("\r\n\r\n");
+        String request = connection.readUntil("\r\n\r\n");
         return request.contains("since=")
                 ? Long.parseLong(request.replaceAll("(?s).*since=([0-9]+).*", "$1"))
                 : -1;
@@ -121,7 +124,7 @@
      */
     @Test
     void responseWithoutLengthIsDiscardedOnReset() throws Exception {
-        loop.run(discovery::watch);
+        loop.execute(discovery::watch);
         Peer firstConnection = agent.accept();
         assertThat(requestedVersion(firstConnection)).isEqualTo(HELD_VERSION);
         firstConnection.send(RESPONSE_HEAD + "\r\n" + list(6, true, "ready"));
@@ -130,7 +133,7 @@
         assertThat(requestedVersion(secondConnection)).isEqualTo(HELD_VERSION);
         assertThat(events).isEmpty();
         secondConnection.send(RESPONSE_HEAD + "\r\n" + list(6, true, "draining")).close();
-        assertThat(awaitList().entries().get(0).draining()).isTrue();
+        assertThat(awaitList().entries().get(0).isDraining()).isTrue();
         assertThat(requestedVersion(agent.accept())).isEqualTo(6);
     }
 
@@ -138,7 +141,7 @@
     @ValueSource(booleans = {true, false})
     void truncatedResponseIsRequestedAgainFromHeldVersion(boolean reset) throws Exception {
         String response = responseWithLength(list(6, true, "ready"));
-        loop.run(discovery::watch);
+        loop.execute(discovery::watch);
         for (int sentLength = 0; sentLength < response.length(); sentLength += 7) {
             Peer connection = agent.accept();
             assertThat(requestedVersion(connection)).isEqualTo(HELD_VERSION);
@@ -151,7 +154,7 @@
         }
         Peer lastConnection = agent.accept();
         assertThat(requestedVersion(lastConnection)).isEqualTo(HELD_VERSION);
-        lastConnection.trickle(response.getBytes(StandardCharsets.ISO_8859_1));
+        lastConnection.sendByteByByte(response.getBytes(StandardCharsets.ISO_8859_1));
         assertThat(awaitList().version()).isEqualTo(6);
         assertThat(events).isEmpty();
         assertThat(requestedVersion(lastConnection)).isEqualTo(6);
@@ -163,7 +166,7 @@
      */
     @Test
     void lostWatchIsReopenedWithinShortestGraceInPushMode() throws Exception {
-        loop.run(discovery::watch);
+        loop.execute(discovery::watch);
         for (int i = 0; i < 6; i++) {
             Peer connection = agent.accept();
             requestedVersion(connection);
@@ -195,8 +198,8 @@
                         events::add,
                         () -> events.add(REQUEST_FAILED));
         BlockingQueue<String> summaries = new LinkedBlockingQueue<>();
-        loop.run(client::watch);
-        loop.after(Duration.ofMillis(600), () -> summaries.add(counters.takeSummary()));
+        loop.execute(client::watch);
+        loop.schedule(Duration.ofMillis(600), () -> summaries.add(counters.takeSummary()));
         String summary = summaries.poll(WAIT_TIMEOUT_SECONDS, TimeUnit.SECONDS);
         assertThat(Integer.parseInt(summary.replaceAll(".* ", ""))).isBetween(1, 7);
         assertThat(events).isEmpty();
@@ -205,12 +208,12 @@
     @Test
     void failedWatchIsLeftToTheRouterInPullMode() throws Exception {
         DiscoveryClient client = createClient(true);
-        loop.run(client::watch);
+        loop.execute(client::watch);
         Peer connection = agent.accept();
-        assertThat(connection.until("\r\n\r\n")).contains("timeout_ms=20000");
+        assertThat(connection.readUntil("\r\n\r\n")).contains("timeout_ms=20000");
         connection.reset();
         assertThat(events.poll(WAIT_TIMEOUT_SECONDS, TimeUnit.SECONDS)).isEqualTo(REQUEST_FAILED);
-        assertThat(agent.nobodyFor(400)).isTrue();
+        assertThat(agent.noConnectionWithin(400)).isTrue();
     }
 
     /**
@@ -219,7 +222,7 @@
      */
     @Test
     void silentWatchIsReopenedInTime() throws Exception {
-        loop.run(discovery::watch);
+        loop.execute(discovery::watch);
         Peer firstConnection = agent.accept();
         requestedVersion(firstConnection);
         firstConnection.send(responseWithLength(list(6, true, "ready")));
@@ -232,8 +235,8 @@
         assertThat(System.nanoTime() - startNanos).isLessThan(TimeUnit.SECONDS.toNanos(5));
         assertThat(requestedVersion(secondConnection)).isEqualTo(6);
         secondConnection.send(responseWithLength(list(7, false, "draining")));
-        assertThat(awaitList().entries().get(0).draining()).isTrue();
-        firstConnection.awaitEnd();
+        assertThat(awaitList().entries().get(0).isDraining()).isTrue();
+        firstConnection.readUntilClosed();
     }
 
     /**
@@ -242,7 +245,7 @@
      */
     @Test
     void unexpectedBytesAfterResponseCloseTheConnection() throws Exception {
-        loop.run(discovery::watch);
+        loop.execute(discovery::watch);
         Peer firstConnection = agent.accept();
         requestedVersion(firstConnection);
         firstConnection.send(
@@ -251,7 +254,7 @@
         assertThat(awaitList().version()).isEqualTo(6);
         Peer secondConnection = agent.accept();
         assertThat(requestedVersion(secondConnection)).isEqualTo(6);
-        firstConnection.awaitEnd();
+        firstConnection.readUntilClosed();
         secondConnection.send(responseWithLength(list(7, false, "draining")));
         assertThat(awaitList().version()).isEqualTo(7);
         assertThat(events).isEmpty();
@@ -259,7 +262,7 @@
 
     @Test
     void indentedListInChunkedEncodingIsRead() throws Exception {
-        loop.run(discovery::watch);
+        loop.execute(discovery::watch);
         Peer connection = agent.accept();
         requestedVersion(connection);
         String indentedList =
@@ -274,7 +277,7 @@
                         + "\r\n"
                         + indentedList
                         + "\r\n0\r\n\r\n");
-        assertThat(awaitList().entries().get(0).draining()).isTrue();
+        assertThat(awaitList().entries().get(0).isDraining()).isTrue();
     }
 
     /**
@@ -283,7 +286,7 @@
      */
     @Test
     void onlyCompleteListMayLowerTheVersion() throws Exception {
-        loop.run(discovery::watch);
+        loop.execute(discovery::watch);
         Peer connection = agent.accept();
         assertThat(requestedVersion(connection)).isEqualTo(HELD_VERSION);
         connection.send(responseWithLength(list(3, false, "ready")));
@@ -298,17 +301,17 @@
     /** The watch may deliver a newer list while an older one is being fetched. */
     @Test
     void fetchedListOlderThanWatchIsIgnored() throws Exception {
-        loop.run(discovery::watch);
+        loop.execute(discovery::watch);
         Peer watch = agent.accept();
         requestedVersion(watch);
-        loop.run(discovery::fetch);
+        loop.execute(discovery::fetch);
         Peer fetch = agent.accept();
         assertThat(requestedVersion(fetch)).isEqualTo(-1);
         watch.send(responseWithLength(list(7, false, "draining")));
         assertThat(awaitList().version()).isEqualTo(7);
         assertThat(requestedVersion(watch)).isEqualTo(7);
         fetch.send(responseWithLength(list(6, true, "ready")));
-        fetch.awaitEnd();
+        fetch.readUntilClosed();
         watch.send(responseWithLength(list(8, false, "draining")));
         assertThat(awaitList().version()).isEqualTo(8);
         assertThat(events).isEmpty();
@@ -320,7 +323,7 @@
      */
     @Test
     void fetchAlwaysReportsItsCompletion() throws Exception {
-        loop.run(discovery::watch);
+        loop.execute(discovery::watch);
         Peer watch = agent.accept();
         requestedVersion(watch);
         watch.send(responseWithLength(list(9, true, "ready")));
@@ -335,7 +338,7 @@
                     "reset",
                     "silent"
                 }) {
-            loop.run(() -> discovery.fetch(() -> events.add(FETCH_DONE)));
+            loop.execute(() -> discovery.fetch(() -> events.add(FETCH_DONE)));
             Peer connection = agent.accept();
             assertThat(requestedVersion(connection)).isEqualTo(-1);
             if (response.equals("reset")) {
@@ -363,20 +366,20 @@
      */
     @Test
     void watchMovesToNewAddressMidResponse() throws Exception {
-        loop.run(discovery::watch);
+        loop.execute(discovery::watch);
         Peer oldConnection = agent.accept();
         requestedVersion(oldConnection);
         String response = responseWithLength(list(6, true, "ready"));
         oldConnection.send(response.substring(0, response.length() - 10));
         try (Peer.Listener newAgent = new Peer.Listener()) {
-            loop.run(() -> discovery.setAddress(addressOf(newAgent)));
+            loop.execute(() -> discovery.setAddress(addressOf(newAgent)));
             Peer newConnection = newAgent.accept();
             assertThat(requestedVersion(newConnection)).isEqualTo(HELD_VERSION);
-            oldConnection.awaitEnd();
+            oldConnection.readUntilClosed();
             newConnection.send(responseWithLength(list(6, true, "draining")));
-            assertThat(awaitList().entries().get(0).draining()).isTrue();
+            assertThat(awaitList().entries().get(0).isDraining()).isTrue();
             // The address changes again right after the list.
-            loop.run(() -> discovery.setAddress(addressOf(agent)));
+            loop.execute(() -> discovery.setAddress(addressOf(agent)));
             assertThat(requestedVersion(agent.accept())).isEqualTo(6);
         }
         assertThat(events).isEmpty();
@@ -385,15 +388,15 @@
     /** The address changes during the retry delay: a single request is sent to the new address. */
     @Test
     void watchMovesToNewAddressBetweenRequests() throws Exception {
-        loop.run(discovery::watch);
+        loop.execute(discovery::watch);
         Peer connection = agent.accept();
         requestedVersion(connection);
         try (Peer.Listener newAgent = new Peer.Listener()) {
             connection.reset();
             requestedVersion(agent.accept());
-            loop.run(() -> discovery.setAddress(addressOf(newAgent)));
+            loop.execute(() -> discovery.setAddress(addressOf(newAgent)));
             assertThat(requestedVersion(newAgent.accept())).isEqualTo(HELD_VERSION);
-            assertThat(newAgent.nobodyFor(300)).isTrue();
+            assertThat(newAgent.noConnectionWithin(300)).isTrue();
         }
     }
 }
--- a/src/test/java/wingroad/driver/DriverIT.java
+++ b/src/test/java/wingroad/driver/DriverIT.java
@@ -1,12 +1,24 @@
 package wingroad.driver;
 
 import static org.assertj.core.api.Assertions.assertThat;
-import static wingroad.Fixtures.DESCRIPTION;
-import static wingroad.Fixtures.entry;
+
+import static wingroad.Fixtures.ROW_DESCRIPTION;
+import static wingroad.Fixtures.cString;
+import static wingroad.Fixtures.listEntry;
 import static wingroad.Fixtures.message;
-import static wingroad.Fixtures.read;
-import static wingroad.Fixtures.text;
-import static wingroad.Fixtures.write;
+import static wingroad.Fixtures.readStatement;
+import static wingroad.Fixtures.writeStatement;
+
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+import org.junit.jupiter.api.parallel.Isolated;
+
+import wingroad.Fixtures;
+import wingroad.Fixtures.FakeDiscovery;
+import wingroad.Fixtures.FakeMember;
+import wingroad.Fixtures.TestClient;
+import wingroad.rig.Peer;
 
 import java.io.BufferedReader;
 import java.io.FileOutputStream;
@@ -26,15 +38,6 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.Semaphore;
 import java.util.concurrent.TimeUnit;
-import org.junit.jupiter.api.AfterEach;
-import org.junit.jupiter.api.Test;
-import org.junit.jupiter.api.io.TempDir;
-import org.junit.jupiter.api.parallel.Isolated;
-import wingroad.Fixtures;
-import wingroad.Fixtures.Client;
-import wingroad.Fixtures.StandInDiscovery;
-import wingroad.Fixtures.StandInMember;
-import wingroad.rig.Peer;
 
 /**
  * Runs the packaged driver as a process of its own, started as deploy/balancer.toml does, and talks
@@ -64,24 +67,24 @@
     private Process driver;
     private int driverPort;
     private final BlockingQueue<String> logLines = new LinkedBlockingQueue<>();
-    private final StandInDiscovery discovery = startDiscovery();
-    private final StandInMember primary = startMember(true);
-    private final StandInMember replica = startMember(false);
+    private final FakeDiscovery discovery = startDiscovery();
+    private final FakeMember primary = startMember(true);
+    private final FakeMember replica = startMember(false);
 
-    private static StandInDiscovery startDiscovery() {
+    private static FakeDiscovery startDiscovery() {
         try {
-            return new StandInDiscovery();
+            return new FakeDiscovery();
         } catch (IOException e) {
             throw new AssertionError(e);
         }
     }
 
-    private static StandInMember startMember(boolean primary) {
+    private static FakeMember startMember(boolean primary) {
         try {
-            return new StandInMember(
+            return new FakeMember(
                     primary,
                     (sql, session) ->
-                            session.row(primary ? "from primary" : "from replica", primary));
+                            session.sendRow(primary ? "from primary" : "from replica", primary));
         } catch (IOException e) {
             throw new AssertionError(e);
         }
@@ -101,13 +104,15 @@
         return builder.start();
     }
 
-    private Client startAndConnect() throws Exception {
+    private TestClient startAndConnect() throws Exception {
         return startAndConnect(DEFAULT_DESCRIPTOR_LIMIT);
     }
 
     private String writeConfiguration(int listenPort, int descriptorLimit) throws IOException {
         String knownMembers =
-                entry("s-1", primary.port(), "ready") + "," + entry("s-2", replica.port(), "ready");
+                listEntry("s-1", primary.port(), "ready")
+                        + ","
+                        + listEntry("s-2", replica.port(), "ready");
         return Files.writeString(
                         tempDir.resolve("config.json"),
                         "{\"name\":\"n\",\"listen\":\"127.0.0.1:"
@@ -121,17 +126,17 @@
                                 + "\"targets\":["
                                 + knownMembers
                                 + "]},\"settings\":"
-                                + Fixtures.SETTINGS
+                                + Fixtures.SETTINGS_JSON
                                 + "}")
                 .toString();
     }
 
-    private Client startAndConnect(int descriptorLimit) throws Exception {
+    private TestClient startAndConnect(int descriptorLimit) throws Exception {
         return startAndConnect(startProcess(writeConfiguration(0, descriptorLimit)));
     }
 
     /** Starts the driver with an operator's file of this text. */
-    private Client startAndConnect(String operatorFileText) throws Exception {
+    private TestClient startAndConnect(String operatorFileText) throws Exception {
         Files.writeString(tempDir.resolve("operator.kdl"), operatorFileText);
         return startAndConnect(
                 startProcess(
@@ -141,7 +146,7 @@
     }
 
     /** Waits until the process serves; returns the first connected client. */
-    private Client startAndConnect(Process process) throws Exception {
+    private TestClient startAndConnect(Process process) throws Exception {
         driver = process;
         BufferedReader output = driver.inputReader(StandardCharsets.UTF_8);
         for (String line = output.readLine(); line != null; line = output.readLine()) {
@@ -157,9 +162,13 @@
     }
 
     /** Repeats a read, each time under a new id, until it gets the expected answer. */
-    private static void askUntilAnswered(Client client, String expectedAnswer) throws IOException {
+    private static void askUntilAnswered(TestClient client, String expectedAnswer)
+            throws IOException {
         int attempts = 0;
-        while (!client.ask(read("again" + attempts++)).heard().get(0).equals(expectedAnswer)) {
+        while (!client.query(readStatement("again" + attempts++))
+                .readResponses()
+                .get(0)
+                .equals(expectedAnswer)) {
             assertThat(attempts).isLessThan(10_000);
         }
     }
@@ -199,9 +208,9 @@
                 .isZero();
     }
 
-    private Client connectClient() throws IOException {
-        Client client = new Client(driverPort).startup();
-        assertThat(client.heard()).isEmpty();
+    private TestClient connectClient() throws IOException {
+        TestClient client = new TestClient(driverPort).sendStartup();
+        assertThat(client.readResponses()).isEmpty();
         return client;
     }
 
@@ -217,91 +226,100 @@
 
     @Test
     void pipelinedStatementsAreAnsweredInOrder() throws Exception {
-        Client client = startAndConnect();
-        assertThat(client.ask("").heard()).containsExactly("empty");
-        client.raw(
-                message('Q', text(read("a"))),
-                message('Q', text(write("b"))),
-                message('Q', text("")),
-                message('Q', text(read("c"))));
-        assertThat(client.heard()).containsExactly("row from replica");
-        assertThat(client.heard()).containsExactly("row from primary");
-        assertThat(client.heard()).containsExactly("empty");
-        assertThat(client.heard()).containsExactly("row from replica");
-        assertThat(primary.await()).startsWith("/* id=b,c=change,d=");
+        TestClient client = startAndConnect();
+        assertThat(client.query("").readResponses()).containsExactly("empty");
+        client.send(
+                message('Q', cString(readStatement("a"))),
+                message('Q', cString(writeStatement("b"))),
+                message('Q', cString("")),
+                message('Q', cString(readStatement("c"))));
+        assertThat(client.readResponses()).containsExactly("row from replica");
+        assertThat(client.readResponses()).containsExactly("row from primary");
+        assertThat(client.readResponses()).containsExactly("empty");
+        assertThat(client.readResponses()).containsExactly("row from replica");
+        assertThat(primary.awaitQuery()).startsWith("/* id=b,c=change,d=");
     }
 
     @Test
     void firstQueryMayFollowStartupMessageImmediately() throws Exception {
         startAndConnect();
-        Client client =
-                new Client(driverPort).raw(Fixtures.STARTUP, message('Q', text(write("x"))));
-        assertThat(client.heard()).isEmpty();
-        assertThat(client.heard()).containsExactly("row from primary");
+        TestClient client =
+                new TestClient(driverPort)
+                        .send(Fixtures.STARTUP_MESSAGE, message('Q', cString(writeStatement("x"))));
+        assertThat(client.readResponses()).isEmpty();
+        assertThat(client.readResponses()).containsExactly("row from primary");
     }
 
     @Test
     void onceOnlyWriteThatMayHaveRunIsRolledBackAndNotRetried() throws Exception {
-        Client client = startAndConnect();
-        primary.script((sql, session) -> session.end());
-        assertThat(client.ask(write("w")).heard()).containsExactly("error 08007");
+        TestClient client = startAndConnect();
+        primary.queryHandler((sql, session) -> session.closeSocket());
+        assertThat(client.query(writeStatement("w")).readResponses())
+                .containsExactly("error 08007");
         assertThat(primary.queries).hasSize(1);
         assertThat(replica.queries).isEmpty();
     }
 
     @Test
     void readIsDeclinedIfNoMemberCanServeIt() throws Exception {
-        Client client = startAndConnect();
+        TestClient client = startAndConnect();
         replica.close();
         primary.close();
-        assertThat(client.ask(read("r")).heard()).containsExactly("error 53300");
+        assertThat(client.query(readStatement("r")).readResponses()).containsExactly("error 53300");
     }
 
     @Test
     void readIsRetriedIfMemberIsLostMidResponse() throws Exception {
-        Client client = startAndConnect();
-        replica.script(
+        TestClient client = startAndConnect();
+        replica.queryHandler(
                 (sql, session) -> {
-                    session.raw(message('T', DESCRIPTION), new byte[] {'D', 0, 0, 0, 90, 0, 1});
-                    replica.script((retriedSql, retrySession) -> retrySession.row("whole", false));
-                    session.end();
+                    session.send(
+                            message('T', ROW_DESCRIPTION), new byte[] {'D', 0, 0, 0, 90, 0, 1});
+                    replica.queryHandler(
+                            (retriedSql, retrySession) -> retrySession.sendRow("whole", false));
+                    session.closeSocket();
                 });
-        assertThat(client.ask(read("r")).heard()).containsExactly("row whole");
+        assertThat(client.query(readStatement("r")).readResponses()).containsExactly("row whole");
         assertThat(replica.queries).hasSize(2);
     }
 
     @Test
     void writesFollowPrimaryAfterFailover() throws Exception {
-        Client client = startAndConnect();
-        assertThat(client.ask(write("a")).heard()).containsExactly("row from primary");
+        TestClient client = startAndConnect();
+        assertThat(client.query(writeStatement("a")).readResponses())
+                .containsExactly("row from primary");
         primary.primary = false;
         replica.primary = true;
-        primary.script((sql, session) -> session.error("25006", false));
-        replica.script((sql, session) -> session.row("from new primary", true));
-        assertThat(client.ask(write("b")).heard()).containsExactly("row from new primary");
+        primary.queryHandler((sql, session) -> session.sendError("25006", false));
+        replica.queryHandler((sql, session) -> session.sendRow("from new primary", true));
+        assertThat(client.query(writeStatement("b")).readResponses())
+                .containsExactly("row from new primary");
     }
 
     @Test
     void memberListUpdatesAreApplied() throws Exception {
-        Client client = startAndConnect();
-        assertThat(client.ask(read("a")).heard()).containsExactly("row from replica");
-        try (StandInMember newMember =
-                new StandInMember(false, (sql, session) -> session.row("from new member", false))) {
-            replica.script((sql, session) -> session.error("53300", false));
-            discovery.tell(
-                    entry("s-1", primary.port(), "ready")
+        TestClient client = startAndConnect();
+        assertThat(client.query(readStatement("a")).readResponses())
+                .containsExactly("row from replica");
+        try (FakeMember newMember =
+                new FakeMember(
+                        false, (sql, session) -> session.sendRow("from new member", false))) {
+            replica.queryHandler((sql, session) -> session.sendError("53300", false));
+            discovery.publish(
+                    listEntry("s-1", primary.port(), "ready")
                             + ","
-                            + entry("s-3", newMember.port(), "ready"));
+                            + listEntry("s-3", newMember.port(), "ready"));
             askUntilAnswered(client, "row from new member");
             int queryCountBefore = replica.queries.size();
-            assertThat(client.ask(read("c")).heard()).containsExactly("row from new member");
+            assertThat(client.query(readStatement("c")).readResponses())
+                    .containsExactly("row from new member");
             assertThat(replica.queries).hasSize(queryCountBefore);
         }
     }
 
     @Test
     void invalidConfigurationIsNotReloaded() throws Exception {
-        Client client = startAndConnect();
+        TestClient client = startAndConnect();
         String validConfiguration = Files.readString(tempDir.resolve("config.json"));
         for (String invalidConfiguration :
                 new String[] {
@@ -319,30 +337,33 @@
         Files.delete(tempDir.resolve("config.json"));
         sendHangUp();
         awaitLogLine("configuration not reloaded");
-        try (StandInMember newMember =
-                new StandInMember(false, (sql, session) -> session.row("from new member", false))) {
-            discovery.tell(
-                    entry("s-1", primary.port(), "ready")
+        try (FakeMember newMember =
+                new FakeMember(
+                        false, (sql, session) -> session.sendRow("from new member", false))) {
+            discovery.publish(
+                    listEntry("s-1", primary.port(), "ready")
                             + ","
-                            + entry("s-3", newMember.port(), "ready"));
+                            + listEntry("s-3", newMember.port(), "ready"));
             awaitLogLine("list 1");
-            assertThat(client.ask(read("r")).heard()).containsExactly("row from new member");
+            assertThat(client.query(readStatement("r")).readResponses())
+                    .containsExactly("row from new member");
         }
     }
 
     @Test
     void reloadedDiscoveryAddressIsWatchedFromHeldVersion() throws Exception {
-        Client client = startAndConnect();
-        discovery.tell(
+        TestClient client = startAndConnect();
+        discovery.publish(
                 41,
-                entry("s-1", primary.port(), "ready")
+                listEntry("s-1", primary.port(), "ready")
                         + ","
-                        + entry("s-2", replica.port(), "ready"));
+                        + listEntry("s-2", replica.port(), "ready"));
         awaitLogLine("list 41");
-        try (StandInDiscovery newDiscovery = new StandInDiscovery();
-                StandInMember newMember =
-                        new StandInMember(
-                                false, (sql, session) -> session.row("from new member", false))) {
+        try (FakeDiscovery newDiscovery = new FakeDiscovery();
+                FakeMember newMember =
+                        new FakeMember(
+                                false,
+                                (sql, session) -> session.sendRow("from new member", false))) {
             Files.writeString(
                     tempDir.resolve("config.json"),
                     Files.readString(tempDir.resolve("config.json"))
@@ -351,36 +372,39 @@
                                     "\"discovery\":\"127.0.0.1:" + newDiscovery.port()));
             sendHangUp();
             sendHangUp();
-            assertThat(newDiscovery.asked.poll(WAIT_TIMEOUT_SECONDS, TimeUnit.SECONDS))
+            assertThat(newDiscovery.requestedVersions.poll(WAIT_TIMEOUT_SECONDS, TimeUnit.SECONDS))
                     .isEqualTo(41);
-            newDiscovery.tell(
+            newDiscovery.publish(
                     42,
-                    entry("s-1", primary.port(), "ready")
+                    listEntry("s-1", primary.port(), "ready")
                             + ","
-                            + entry("s-3", newMember.port(), "ready"));
+                            + listEntry("s-3", newMember.port(), "ready"));
             awaitLogLine("list 42");
-            assertThat(client.ask(read("r")).heard()).containsExactly("row from new member");
+            assertThat(client.query(readStatement("r")).readResponses())
+                    .containsExactly("row from new member");
             // A list at the old address must not be applied.
-            discovery.tell(43, entry("s-2", replica.port(), "ready"));
-            assertThat(newDiscovery.asked.poll(WAIT_TIMEOUT_SECONDS, TimeUnit.SECONDS))
+            discovery.publish(43, listEntry("s-2", replica.port(), "ready"));
+            assertThat(newDiscovery.requestedVersions.poll(WAIT_TIMEOUT_SECONDS, TimeUnit.SECONDS))
                     .isEqualTo(42);
-            assertThat(client.ask(read("s")).heard()).containsExactly("row from new member");
+            assertThat(client.query(readStatement("s")).readResponses())
+                    .containsExactly("row from new member");
         }
     }
 
     @Test
     void memberIsUsedAtItsNewAddress() throws Exception {
-        Client client = startAndConnect();
-        assertThat(client.ask(read("a")).heard()).containsExactly("row from replica");
-        try (StandInMember movedMember =
-                new StandInMember(
-                        false, (sql, session) -> session.row("from new address", false))) {
-            replica.script((sql, session) -> session.end());
+        TestClient client = startAndConnect();
+        assertThat(client.query(readStatement("a")).readResponses())
+                .containsExactly("row from replica");
+        try (FakeMember movedMember =
+                new FakeMember(
+                        false, (sql, session) -> session.sendRow("from new address", false))) {
+            replica.queryHandler((sql, session) -> session.closeSocket());
             replica.close();
-            discovery.tell(
-                    entry("s-1", primary.port(), "ready")
+            discovery.publish(
+                    listEntry("s-1", primary.port(), "ready")
                             + ","
-                            + entry("s-2", movedMember.port(), "ready"));
+                            + listEntry("s-2", movedMember.port(), "ready"));
             askUntilAnswered(client, "row from new address");
         }
     }
@@ -395,44 +419,48 @@
                     "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n{x}",
                     "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n{"
                 }) {
-            discovery.broken.add(invalidResponse);
+            discovery.cannedResponses.add(invalidResponse);
         }
-        Client client = startAndConnect();
-        assertThat(client.ask(read("a")).heard()).containsExactly("row from replica");
-        try (StandInMember newMember =
-                new StandInMember(false, (sql, session) -> session.row("from new member", false))) {
-            discovery.tell(
-                    entry("s-1", primary.port(), "ready")
+        TestClient client = startAndConnect();
+        assertThat(client.query(readStatement("a")).readResponses())
+                .containsExactly("row from replica");
+        try (FakeMember newMember =
+                new FakeMember(
+                        false, (sql, session) -> session.sendRow("from new member", false))) {
+            discovery.publish(
+                    listEntry("s-1", primary.port(), "ready")
                             + ","
-                            + entry("s-3", newMember.port(), "ready"));
+                            + listEntry("s-3", newMember.port(), "ready"));
             askUntilAnswered(client, "row from new member");
         }
-        assertThat(discovery.broken).isEmpty();
+        assertThat(discovery.cannedResponses).isEmpty();
     }
 
     @Test
     void longestValuesPassInBothDirections() throws Exception {
-        Client client = startAndConnect();
+        TestClient client = startAndConnect();
         String value = "7f".repeat(64 * 1024);
         String[] receivedSql = new String[1];
-        primary.script(
+        primary.queryHandler(
                 (sql, session) -> {
                     receivedSql[0] = sql;
-                    session.row("z".repeat(64 * 1024), true);
+                    session.sendRow("z".repeat(64 * 1024), true);
                 });
-        assertThat(client.ask(write("big").replace("9f03", value)).heard())
+        assertThat(client.query(writeStatement("big").replace("9f03", value)).readResponses())
                 .containsExactly("row " + "z".repeat(64 * 1024));
         assertThat(receivedSql[0].replaceAll("d=[0-9]+", "d=4000"))
-                .isEqualTo(write("big").replace("9f03", value));
-        assertThat(client.ask(write("more").replace("9f03", value + "00")).heard())
+                .isEqualTo(writeStatement("big").replace("9f03", value));
+        assertThat(
+                        client.query(writeStatement("more").replace("9f03", value + "00"))
+                                .readResponses())
                 .containsExactly("error 08P01");
     }
 
     @Test
     void slowReaderGetsAllAnswersAndBlocksNoOtherClient() throws Exception {
-        Client otherClient = startAndConnect();
-        Client client = connectClient();
-        byte[] emptyQuery = message('Q', text(""));
+        TestClient otherClient = startAndConnect();
+        TestClient client = connectClient();
+        byte[] emptyQuery = message('Q', cString(""));
         ByteBuffer queries = ByteBuffer.allocate(emptyQuery.length * 20_000);
         while (queries.hasRemaining()) {
             queries.put(emptyQuery);
@@ -441,15 +469,16 @@
                 new Thread(
                         () -> {
                             try {
-                                client.raw(queries.array());
+                                client.send(queries.array());
                             } catch (IOException e) {
                                 throw new AssertionError(e);
                             }
                         });
         sender.start();
-        assertThat(otherClient.ask(read("a")).heard()).containsExactly("row from replica");
+        assertThat(otherClient.query(readStatement("a")).readResponses())
+                .containsExactly("row from replica");
         for (int i = 0; i < 20_000; i++) {
-            assertThat(client.heard()).containsExactly("empty");
+            assertThat(client.readResponses()).containsExactly("empty");
         }
         sender.join();
     }
@@ -457,18 +486,18 @@
     @Test
     void largeWritesToSilentPrimaryStayWithinMemoryLimit() throws Exception {
         startAndConnect();
-        primary.script((sql, session) -> session.awaitEnd());
-        List<Client> clients = new ArrayList<>();
+        primary.queryHandler((sql, session) -> session.awaitPeerClose());
+        List<TestClient> clients = new ArrayList<>();
         for (int i = 0; i < 300; i++) {
             clients.add(
                     connectClient()
-                            .ask(
-                                    write("w" + i)
+                            .query(
+                                    writeStatement("w" + i)
                                             .replace("d=4000", "d=1500")
                                             .replace("9f03", "7f".repeat(64 * 1024))));
         }
-        for (Client client : clients) {
-            assertThat(client.heard().get(0)).isIn("error 53300", "error 08007");
+        for (TestClient client : clients) {
+            assertThat(client.readResponses().get(0)).isIn("error 53300", "error 08007");
         }
         String peakMemoryKb =
                 Files.readAllLines(Path.of("/proc/" + driver.pid() + "/status")).stream()
@@ -479,20 +508,23 @@
         assertThat(Integer.parseInt(peakMemoryKb))
                 .as("peak resident memory in kB")
                 .isBetween(1, 192 * 1024);
-        primary.script((sql, session) -> session.row("still serving", true));
-        assertThat(connectClient().ask(write("x")).heard()).containsExactly("row still serving");
+        primary.queryHandler((sql, session) -> session.sendRow("still serving", true));
+        assertThat(connectClient().query(writeStatement("x")).readResponses())
+                .containsExactly("row still serving");
     }
 
     @Test
     void atDescriptorLimitIdleClientsAreClosedForNewOnes() throws Exception {
         startAndConnect(LOW_DESCRIPTOR_LIMIT);
-        Client lastClient = null;
+        TestClient lastClient = null;
         for (int i = 0; i < 100; i++) {
             lastClient = connectClient();
-            assertThat(lastClient.ask("").heard()).containsExactly("empty");
+            assertThat(lastClient.query("").readResponses()).containsExactly("empty");
         }
-        assertThat(lastClient.ask(read("a")).heard()).containsExactly("row from replica");
-        assertThat(lastClient.ask(write("b")).heard()).containsExactly("row from primary");
+        assertThat(lastClient.query(readStatement("a")).readResponses())
+                .containsExactly("row from replica");
+        assertThat(lastClient.query(writeStatement("b")).readResponses())
+                .containsExactly("row from primary");
         try (var openDescriptors = Files.list(Path.of("/proc/" + driver.pid() + "/fd"))) {
             assertThat(openDescriptors.count()).isLessThanOrEqualTo(LOW_DESCRIPTOR_LIMIT);
         }
@@ -501,15 +533,17 @@
     @Test
     void atDescriptorLimitNoClientIsClosedBeforeItsFirstAnswer() throws Exception {
         startAndConnect(LOW_DESCRIPTOR_LIMIT);
-        List<Client> clients = new ArrayList<>();
+        List<TestClient> clients = new ArrayList<>();
         for (int i = 0; i < 100; i++) {
             clients.add(
-                    new Client(driverPort)
-                            .raw(Fixtures.STARTUP, message('Q', text(read("r" + i)))));
+                    new TestClient(driverPort)
+                            .send(
+                                    Fixtures.STARTUP_MESSAGE,
+                                    message('Q', cString(readStatement("r" + i)))));
         }
-        for (Client client : clients) {
-            assertThat(client.heard()).isEmpty();
-            assertThat(client.heard().get(0))
+        for (TestClient client : clients) {
+            assertThat(client.readResponses()).isEmpty();
+            assertThat(client.readResponses().get(0))
                     .isIn("row from replica", "row from primary", "error 53300");
         }
     }
@@ -517,20 +551,22 @@
     @Test
     void atDescriptorLimitNewClientsAreDeclinedWhileAllOthersAreBusy() throws Exception {
         startAndConnect(LOW_DESCRIPTOR_LIMIT);
-        primary.script((sql, session) -> session.awaitEnd());
-        List<Client> clients = new ArrayList<>();
+        primary.queryHandler((sql, session) -> session.awaitPeerClose());
+        List<TestClient> clients = new ArrayList<>();
         for (int i = 0; i < 100; i++) {
-            String sql = write("w" + i).replace("d=4000", "d=60000");
-            clients.add(new Client(driverPort).raw(Fixtures.STARTUP, message('Q', text(sql))));
+            String sql = writeStatement("w" + i).replace("d=4000", "d=60000");
+            clients.add(
+                    new TestClient(driverPort)
+                            .send(Fixtures.STARTUP_MESSAGE, message('Q', cString(sql))));
         }
         // Accepted clients stay busy for a minute. Most of the others must be declined at once.
         long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
-        List<Client> declinedClients = new ArrayList<>();
+        List<TestClient> declinedClients = new ArrayList<>();
         while (declinedClients.size() < 50 && System.nanoTime() < deadlineNanos) {
-            for (Client client : clients) {
+            for (TestClient client : clients) {
                 if (!declinedClients.contains(client)
-                        && client.isThere()
-                        && client.heard().contains("error 53300")) {
+                        && client.hasUnreadBytes()
+                        && client.readResponses().contains("error 53300")) {
                     declinedClients.add(client);
                 }
             }
@@ -541,45 +577,47 @@
     @Test
     void atDescriptorLimitClientWithoutQueryIsNotClosed() throws Exception {
         startAndConnect(LOW_DESCRIPTOR_LIMIT);
-        primary.script((sql, session) -> session.awaitEnd());
-        List<Client> busyClients = new ArrayList<>();
+        primary.queryHandler((sql, session) -> session.awaitPeerClose());
+        List<TestClient> busyClients = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
-            String sql = write("w" + i).replace("d=4000", "d=60000");
-            busyClients.add(new Client(driverPort).raw(Fixtures.STARTUP, message('Q', text(sql))));
+            String sql = writeStatement("w" + i).replace("d=4000", "d=60000");
+            busyClients.add(
+                    new TestClient(driverPort)
+                            .send(Fixtures.STARTUP_MESSAGE, message('Q', cString(sql))));
         }
-        Client clientWithoutQuery = connectClient();
+        TestClient clientWithoutQuery = connectClient();
         for (int i = 0; i < 20; i++) {
-            assertThat(connectClient().ask("").heard()).containsExactly("empty");
+            assertThat(connectClient().query("").readResponses()).containsExactly("empty");
         }
-        assertThat(clientWithoutQuery.ask("").heard()).containsExactly("empty");
+        assertThat(clientWithoutQuery.query("").readResponses()).containsExactly("empty");
     }
 
     @Test
     void longestIdleClientsAreClosedAboveIdleLimit() throws Exception {
         startAndConnect(LOW_DESCRIPTOR_LIMIT);
-        List<Client> clients = new ArrayList<>();
+        List<TestClient> clients = new ArrayList<>();
         for (int i = 0; i < 16; i++) {
             clients.add(connectClient());
-            assertThat(clients.get(i).ask("").heard()).containsExactly("empty");
+            assertThat(clients.get(i).query("").readResponses()).containsExactly("empty");
         }
         long startNanos = System.nanoTime();
-        assertThat(clients.get(0).heard()).containsExactly("end");
-        assertThat(clients.get(1).heard()).containsExactly("end");
+        assertThat(clients.get(0).readResponses()).containsExactly("end");
+        assertThat(clients.get(1).readResponses()).containsExactly("end");
         assertThat(System.nanoTime() - startNanos).isLessThan(TimeUnit.SECONDS.toNanos(1));
-        assertThat(clients.get(15).ask("").heard()).containsExactly("empty");
+        assertThat(clients.get(15).query("").readResponses()).containsExactly("empty");
     }
 
     @Test
     void clientDisconnectEndsItsSubmission() throws Exception {
         startAndConnect();
         BlockingQueue<String> endedStatements = new LinkedBlockingQueue<>();
-        primary.script(
+        primary.queryHandler(
                 (sql, session) -> {
-                    session.awaitEnd();
+                    session.awaitPeerClose();
                     endedStatements.add(sql);
                 });
-        Client leavingClient = connectClient().ask(write("gone"));
-        primary.await();
+        TestClient leavingClient = connectClient().query(writeStatement("gone"));
+        primary.awaitQuery();
         leavingClient.close();
         assertThat(endedStatements.poll(WAIT_TIMEOUT_SECONDS, TimeUnit.SECONDS))
                 .contains("id=gone");
@@ -587,45 +625,47 @@
 
     @Test
     void shutdownAnswersAcceptedTxnsBeforeExit() throws Exception {
-        Client client = startAndConnect();
-        Client idleClient = connectClient();
-        assertThat(idleClient.ask("").heard()).containsExactly("empty");
-        primary.script(
+        TestClient client = startAndConnect();
+        TestClient idleClient = connectClient();
+        assertThat(idleClient.query("").readResponses()).containsExactly("empty");
+        primary.queryHandler(
                 (sql, session) -> {
                     driver.destroy();
-                    try (Client lateClient = connectClient()) {
-                        assertThat(lateClient.ask(read("late")).heard())
+                    try (TestClient lateClient = connectClient()) {
+                        assertThat(lateClient.query(readStatement("late")).readResponses())
                                 .containsExactly("row from replica");
                         // Connected clients are still served for a while, then disconnected.
-                        assertThat(idleClient.ask(read("idle")).heard())
+                        assertThat(idleClient.query(readStatement("idle")).readResponses())
                                 .containsExactly("row from replica");
                         // Answered before any client is disconnected, so that the txns pipelined
                         // behind this one still have their whole time.
-                        session.row("after shutdown signal", true);
-                        assertThat(lateClient.heard()).containsExactly("end");
+                        session.sendRow("after shutdown signal", true);
+                        assertThat(lateClient.readResponses()).containsExactly("end");
                     }
                 });
-        client.raw(
-                message('Q', text(write("w"))),
-                message('Q', text(read("r"))),
-                message('Q', text("")));
-        assertThat(client.heard()).containsExactly("row after shutdown signal");
-        assertThat(client.heard()).containsExactly("row from replica");
-        assertThat(client.heard()).containsExactly("empty");
-        assertThat(client.heard()).containsExactly("end");
-        assertThat(idleClient.heard()).containsExactly("end");
+        client.send(
+                message('Q', cString(writeStatement("w"))),
+                message('Q', cString(readStatement("r"))),
+                message('Q', cString("")));
+        assertThat(client.readResponses()).containsExactly("row after shutdown signal");
+        assertThat(client.readResponses()).containsExactly("row from replica");
+        assertThat(client.readResponses()).containsExactly("empty");
+        assertThat(client.readResponses()).containsExactly("end");
+        assertThat(idleClient.readResponses()).containsExactly("end");
         assertThat(driver.waitFor(WAIT_TIMEOUT_SECONDS, TimeUnit.SECONDS)).isTrue();
         assertThat(driver.exitValue()).isEqualTo(EXIT_STATUS_SIGTERM);
     }
 
     @Test
     void txnAcceptedDuringShutdownIsAnsweredBeforeKill() throws Exception {
-        Client client = startAndConnect();
-        primary.script((sql, session) -> session.awaitEnd());
+        TestClient client = startAndConnect();
+        primary.queryHandler((sql, session) -> session.awaitPeerClose());
         sendSignal("TERM");
         awaitLogLine("told to stop");
         long startNanos = System.nanoTime();
-        assertThat(client.ask(write("late").replace("d=4000", "d=60000")).heard())
+        assertThat(
+                        client.query(writeStatement("late").replace("d=4000", "d=60000"))
+                                .readResponses())
                 .containsExactly("error 08007");
         assertThat(driver.waitFor(WAIT_TIMEOUT_SECONDS, TimeUnit.SECONDS)).isTrue();
         assertThat(System.nanoTime() - startNanos).isLessThan(TimeUnit.SECONDS.toNanos(20));
@@ -637,14 +677,14 @@
      */
     @Test
     void txnOpenAtShutdownIsAnsweredBeforeKill() throws Exception {
-        Client client = startAndConnect();
-        primary.script((sql, session) -> session.awaitEnd());
-        client.raw(message('Q', text(write("early").replace("d=4000", "d=60000"))));
-        primary.await();
+        TestClient client = startAndConnect();
+        primary.queryHandler((sql, session) -> session.awaitPeerClose());
+        client.send(message('Q', cString(writeStatement("early").replace("d=4000", "d=60000"))));
+        primary.awaitQuery();
         sendSignal("TERM");
         awaitLogLine("told to stop");
-        assertThat(client.heard()).containsExactly("error 08007");
-        assertThat(client.heard()).containsExactly("end");
+        assertThat(client.readResponses()).containsExactly("error 08007");
+        assertThat(client.readResponses()).containsExactly("end");
         assertThat(driver.waitFor(WAIT_TIMEOUT_SECONDS, TimeUnit.SECONDS)).isTrue();
         String lastLine = awaitLogLine("stops after");
         assertThat(Integer.parseInt(lastLine.replaceAll(".*stops after ([0-9]+) ms.*", "$1")))
@@ -705,7 +745,7 @@
             sendSignal("HUP");
             output.write(configuration.getBytes(StandardCharsets.UTF_8));
         }
-        try (StandInDiscovery newDiscovery = new StandInDiscovery();
+        try (FakeDiscovery newDiscovery = new FakeDiscovery();
                 OutputStream output = openPipeForReader(pipe)) {
             output.write(
                     configuration
@@ -714,7 +754,8 @@
                                     "\"discovery\":\"127.0.0.1:" + newDiscovery.port())
                             .getBytes(StandardCharsets.UTF_8));
             output.close();
-            assertThat(newDiscovery.asked.poll(WAIT_TIMEOUT_SECONDS, TimeUnit.SECONDS)).isNotNull();
+            assertThat(newDiscovery.requestedVersions.poll(WAIT_TIMEOUT_SECONDS, TimeUnit.SECONDS))
+                    .isNotNull();
         }
     }
 
@@ -746,10 +787,10 @@
      */
     @Test
     void memberListIsFetchedBeforeClientsAreAccepted() throws Exception {
-        discovery.tell(
-                entry("s-1", primary.port(), "ready")
+        discovery.publish(
+                listEntry("s-1", primary.port(), "ready")
                         + ","
-                        + entry("s-3", primary.port(), "ready"));
+                        + listEntry("s-3", primary.port(), "ready"));
         driver = startProcess(writeConfiguration(0, DEFAULT_DESCRIPTOR_LIMIT));
         List<String> lines = new ArrayList<>();
         BufferedReader output = driver.inputReader(StandardCharsets.UTF_8);
@@ -761,26 +802,27 @@
 
     @Test
     void hangUpAndSecondStopSignalLeaveOpenTxnsAlone() throws Exception {
-        Client client = startAndConnect();
+        TestClient client = startAndConnect();
         Semaphore answerPermits = new Semaphore(0);
-        primary.script(
+        primary.queryHandler(
                 (sql, session) -> {
                     answerPermits.acquireUninterruptibly();
-                    session.row("after shutdown signal", true);
+                    session.sendRow("after shutdown signal", true);
                 });
-        client.raw(message('Q', text(write("w"))));
-        primary.await();
+        client.send(message('Q', cString(writeStatement("w"))));
+        primary.awaitQuery();
         sendSignal("TERM");
         awaitLogLine("told to stop");
         sendHangUp();
         awaitLogLine("configuration reloaded");
         sendSignal("TERM");
-        try (Client lateClient = connectClient()) {
-            assertThat(lateClient.ask(read("late")).heard()).containsExactly("row from replica");
+        try (TestClient lateClient = connectClient()) {
+            assertThat(lateClient.query(readStatement("late")).readResponses())
+                    .containsExactly("row from replica");
         }
         answerPermits.release();
-        assertThat(client.heard()).containsExactly("row after shutdown signal");
-        assertThat(client.heard()).containsExactly("end");
+        assertThat(client.readResponses()).containsExactly("row after shutdown signal");
+        assertThat(client.readResponses()).containsExactly("end");
         assertThat(driver.waitFor(WAIT_TIMEOUT_SECONDS, TimeUnit.SECONDS)).isTrue();
         assertThat(driver.exitValue()).isEqualTo(EXIT_STATUS_SIGTERM);
     }
@@ -814,74 +856,88 @@
 
     @Test
     void invalidInputIsRejectedAndReachesNoMember() throws Exception {
-        Client client = startAndConnect();
+        TestClient client = startAndConnect();
         for (String invalidStatement :
                 new String[] {
                     "SELECT 1",
                     "/* c=look,d=9,cluster=7 */ SELECT v FROM records WHERE k = 'a'",
-                    read("a") + "; " + read("b")
+                    readStatement("a") + "; " + readStatement("b")
                 }) {
-            assertThat(client.ask(invalidStatement).heard()).containsExactly("error 08P01");
+            assertThat(client.query(invalidStatement).readResponses())
+                    .containsExactly("error 08P01");
         }
-        assertThat(client.ask(read("a").replace("c=look", "c=other")).heard())
+        assertThat(client.query(readStatement("a").replace("c=look", "c=other")).readResponses())
                 .containsExactly("error 42704");
-        assertThat(client.ask(read("a").replace("cluster=7", "cluster=8")).heard())
+        assertThat(
+                        client.query(readStatement("a").replace("cluster=7", "cluster=8"))
+                                .readResponses())
                 .containsExactly("error 42704");
-        client.raw(
-                message('P', text(""), text(read("x"))), message('B'), message('E'), message('S'));
-        assertThat(client.heard()).containsExactly("error 0A000");
-        assertThat(client.raw(new byte[] {1, 2, 3}).heard()).containsExactly("error 08P01", "end");
-        Client cancelRequest =
-                new Client(driverPort)
-                        .raw(
+        client.send(
+                message('P', cString(""), cString(readStatement("x"))),
+                message('B'),
+                message('E'),
+                message('S'));
+        assertThat(client.readResponses()).containsExactly("error 0A000");
+        assertThat(client.send(new byte[] {1, 2, 3}).readResponses())
+                .containsExactly("error 08P01", "end");
+        TestClient cancelRequest =
+                new TestClient(driverPort)
+                        .send(
                                 ByteBuffer.allocate(16)
                                         .putInt(16)
                                         .putInt(CANCEL_REQUEST_CODE)
                                         .array());
-        assertThat(cancelRequest.heard()).containsExactly("end");
-        Client sslRequest =
-                new Client(driverPort)
-                        .raw(ByteBuffer.allocate(8).putInt(8).putInt(SSL_REQUEST_CODE).array());
-        assertThat(sslRequest.one()).isEqualTo('N');
-        assertThat(sslRequest.startup().heard()).isEmpty();
+        assertThat(cancelRequest.readResponses()).containsExactly("end");
+        TestClient sslRequest =
+                new TestClient(driverPort)
+                        .send(ByteBuffer.allocate(8).putInt(8).putInt(SSL_REQUEST_CODE).array());
+        assertThat(sslRequest.readByte()).isEqualTo('N');
+        assertThat(sslRequest.sendStartup().readResponses()).isEmpty();
         assertThat(primary.queries).isEmpty();
         assertThat(replica.queries).isEmpty();
-        assertThat(sslRequest.ask(read("good")).heard()).containsExactly("row from replica");
+        assertThat(sslRequest.query(readStatement("good")).readResponses())
+                .containsExactly("row from replica");
     }
 
     @Test
     void duplicateIdIsRejectedAndReachesNoMember() throws Exception {
-        Client client = startAndConnect();
-        Client otherClient = connectClient();
-        primary.script(
+        TestClient client = startAndConnect();
+        TestClient otherClient = connectClient();
+        primary.queryHandler(
                 (sql, session) -> {
-                    assertThat(otherClient.ask(read("w").replace("'ab'", "'cd'")).heard())
+                    assertThat(
+                                    otherClient
+                                            .query(readStatement("w").replace("'ab'", "'cd'"))
+                                            .readResponses())
                             .containsExactly("error 42704");
-                    assertThat(otherClient.ask(write("w")).heard()).containsExactly("error 42704");
-                    session.row("accepted", true);
+                    assertThat(otherClient.query(writeStatement("w")).readResponses())
+                            .containsExactly("error 42704");
+                    session.sendRow("accepted", true);
                 });
-        assertThat(client.ask(write("w")).heard()).containsExactly("row accepted");
+        assertThat(client.query(writeStatement("w")).readResponses())
+                .containsExactly("row accepted");
         assertThat(primary.queries).hasSize(1);
         assertThat(replica.queries).isEmpty();
     }
 
     @Test
     void silentAndStalledClientsTimeOut() throws Exception {
-        Client idleClient = startAndConnect();
-        assertThat(idleClient.ask(read("a")).heard()).containsExactly("row from replica");
+        TestClient idleClient = startAndConnect();
+        assertThat(idleClient.query(readStatement("a")).readResponses())
+                .containsExactly("row from replica");
         long startNanos = System.nanoTime();
-        List<Client> stalledClients =
+        List<TestClient> stalledClients =
                 List.of(
-                        new Client(driverPort),
-                        new Client(driverPort).raw(new byte[] {0, 0, 0, 34, 0, 3}),
-                        connectClient().raw(new byte[] {'Q', 0, 0, 1, 0, '/'}));
-        for (Client client : stalledClients) {
-            assertThat(client.heard()).containsExactly("error 08P01", "end");
+                        new TestClient(driverPort),
+                        new TestClient(driverPort).send(new byte[] {0, 0, 0, 34, 0, 3}),
+                        connectClient().send(new byte[] {'Q', 0, 0, 1, 0, '/'}));
+        for (TestClient client : stalledClients) {
+            assertThat(client.readResponses()).containsExactly("error 08P01", "end");
         }
         // Clients that sent a startup message but no query, or no further one, are disconnected
         // without an error.
-        assertThat(connectClient().heard()).containsExactly("end");
-        assertThat(idleClient.heard()).containsExactly("end");
+        assertThat(connectClient().readResponses()).containsExactly("end");
+        assertThat(idleClient.readResponses()).containsExactly("end");
         assertThat(System.nanoTime() - startNanos).isLessThan(TimeUnit.SECONDS.toNanos(20));
     }
 
@@ -889,29 +945,32 @@
     void rejectedClientCannotKeepSending() throws Exception {
         startAndConnect();
         // The header of a query of 60,000,000 bytes, far above the limit.
-        Client client = connectClient().raw(new byte[] {'Q', 3, (byte) 0x93, (byte) 0x87, 0});
+        TestClient client = connectClient().send(new byte[] {'Q', 3, (byte) 0x93, (byte) 0x87, 0});
         byte[] chunk = new byte[1 << 16];
         long sentBytes = 0;
         try {
             for (; sentBytes < 60_000_000; sentBytes += chunk.length) {
-                client.raw(chunk);
+                client.send(chunk);
             }
         } catch (SocketException connectionClosed) {
             // expected: the driver has closed the connection
         }
         assertThat(sentBytes).isLessThan(60_000_000);
-        assertThat(connectClient().ask(read("r")).heard()).containsExactly("row from replica");
+        assertThat(connectClient().query(readStatement("r")).readResponses())
+                .containsExactly("row from replica");
     }
 
     @Test
     void repeatedInvalidQueriesAreThrottledThenDisconnected() throws Exception {
-        Client client = startAndConnect();
+        TestClient client = startAndConnect();
         long startNanos = System.nanoTime();
         for (int i = 0; i < 7; i++) {
-            assertThat(client.ask(read("a").replace("c=look", "c=other")).heard())
+            assertThat(
+                            client.query(readStatement("a").replace("c=look", "c=other"))
+                                    .readResponses())
                     .containsExactly("error 42704");
         }
-        assertThat(client.ask("nonsense").heard()).containsExactly("error 08P01", "end");
+        assertThat(client.query("nonsense").readResponses()).containsExactly("error 08P01", "end");
         assertThat(System.nanoTime() - startNanos).isGreaterThan(TimeUnit.SECONDS.toNanos(1));
     }
 
@@ -941,11 +1000,11 @@
     /** Makes both members answer only as permits are released. */
     private Semaphore blockMembers() {
         Semaphore answerPermits = new Semaphore(0);
-        for (StandInMember member : List.of(primary, replica)) {
-            member.script(
+        for (FakeMember member : List.of(primary, replica)) {
+            member.queryHandler(
                     (sql, session) -> {
                         answerPermits.acquireUninterruptibly();
-                        session.row("late", member.primary);
+                        session.sendRow("late", member.primary);
                     });
         }
         return answerPermits;
@@ -953,17 +1012,19 @@
 
     @Test
     void doorServesTxnsAndDeclinesWithRetryAdvice() throws Exception {
-        Client client = startAndConnect(DOOR_NODE_START + "}");
-        assertThat(client.ask(read("a")).heard()).containsExactly("row from replica");
-        assertThat(client.ask(write("b")).heard()).containsExactly("row from primary");
+        TestClient client = startAndConnect(DOOR_NODE_START + "}");
+        assertThat(client.query(readStatement("a")).readResponses())
+                .containsExactly("row from replica");
+        assertThat(client.query(writeStatement("b")).readResponses())
+                .containsExactly("row from primary");
         Semaphore answerPermits = blockMembers();
-        List<Client> waitingClients = new ArrayList<>();
+        List<TestClient> waitingClients = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
-            waitingClients.add(connectClient().ask(read("m" + i)));
+            waitingClients.add(connectClient().query(readStatement("m" + i)));
         }
         int declinedCount = 0;
-        for (Client waitingClient : waitingClients) {
-            String answer = waitingClient.wholeAnswer();
+        for (TestClient waitingClient : waitingClients) {
+            String answer = waitingClient.readLastMessage();
             if (answer.contains("53300")) {
                 declinedCount++;
                 int retryAfterMs =
@@ -975,9 +1036,13 @@
         // The router may avoid members that did not respond for up to 2.5 s. Retrying without a
         // pause would use up all attempts before then.
         answerPermits.release(10_000);
-        Client laterClient = connectClient();
+        TestClient laterClient = connectClient();
         for (int attempts = 0;
-                !laterClient.ask(read("again" + attempts)).heard().get(0).equals("row late");
+                !laterClient
+                        .query(readStatement("again" + attempts))
+                        .readResponses()
+                        .get(0)
+                        .equals("row late");
                 attempts++) {
             assertThat(attempts).isLessThan(1000);
             Thread.sleep(20);
@@ -996,8 +1061,9 @@
                         .replace(
                                 "\"drain-grace\":1000",
                                 "\"drain-grace\":250,\"removal-not-binding\":true"));
-        Client client = startAndConnect(startProcess(configPath.toString()));
-        assertThat(client.ask(write("w")).heard()).containsExactly("row from primary");
+        TestClient client = startAndConnect(startProcess(configPath.toString()));
+        assertThat(client.query(writeStatement("w")).readResponses())
+                .containsExactly("row from primary");
         askUntilAnswered(client, "row from replica");
     }
 
@@ -1053,10 +1119,10 @@
 
     @Test
     void hangUpReloadsOperatorFileUnlessItIsInvalid() throws Exception {
-        Client client = startAndConnect(DOOR_NODE_START + " tenant svc weight=2\n}");
+        TestClient client = startAndConnect(DOOR_NODE_START + " tenant svc weight=2\n}");
         Semaphore answerPermits = blockMembers();
-        client.ask(write("w"));
-        primary.await();
+        client.query(writeStatement("w"));
+        primary.awaitQuery();
         Files.writeString(tempDir.resolve("operator.kdl"), "door {");
         sendHangUp();
         assertThat(awaitLogLine("operator's file not reloaded"))
@@ -1067,21 +1133,25 @@
         sendHangUp();
         awaitLogLine("operator's file reloaded, 2 tenants listed");
         answerPermits.release(100);
-        assertThat(client.heard()).containsExactly("row late");
+        assertThat(client.readResponses()).containsExactly("row late");
     }
 
     @Test
     void shutdownWithFullQueueAnswersAllClients() throws Exception {
         startAndConnect(DOOR_NODE_START + "}");
         blockMembers();
-        List<Client> waitingClients = new ArrayList<>();
+        List<TestClient> waitingClients = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
-            waitingClients.add(connectClient().ask(write("w" + i)));
+            waitingClients.add(connectClient().query(writeStatement("w" + i)));
         }
-        primary.await();
+        primary.awaitQuery();
         sendSignal("TERM");
-        for (Client waitingClient : waitingClients) {
-            assertThat(waitingClient.heard()).hasSize(1).first().asString().startsWith("error ");
+        for (TestClient waitingClient : waitingClients) {
+            assertThat(waitingClient.readResponses())
+                    .hasSize(1)
+                    .first()
+                    .asString()
+                    .startsWith("error ");
         }
         awaitLogLine("stops after");
     }
--- a/src/test/java/wingroad/driver/MemberPoolsTest.java
+++ b/src/test/java/wingroad/driver/MemberPoolsTest.java
@@ -1,12 +1,24 @@
 package wingroad.driver;
 
 import static org.assertj.core.api.Assertions.assertThat;
-import static wingroad.Fixtures.DESCRIPTION;
-import static wingroad.Fixtures.READY;
-import static wingroad.Fixtures.column;
-import static wingroad.Fixtures.entry;
+
+import static wingroad.Fixtures.READY_FOR_QUERY;
+import static wingroad.Fixtures.ROW_DESCRIPTION;
+import static wingroad.Fixtures.cString;
+import static wingroad.Fixtures.dataRowBody;
+import static wingroad.Fixtures.listEntry;
 import static wingroad.Fixtures.message;
-import static wingroad.Fixtures.text;
+
+import org.junit.jupiter.api.Test;
+
+import wingroad.Fixtures;
+import wingroad.Fixtures.FakeMember;
+import wingroad.Fixtures.QueryHandler;
+import wingroad.protocol.MemberList;
+import wingroad.protocol.Statement;
+import wingroad.rig.Peer;
+import wingroad.state.Submission.Outcome;
+import wingroad.transport.EventLoop;
 
 import java.io.IOException;
 import java.net.InetAddress;
@@ -21,15 +33,6 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
-import org.junit.jupiter.api.Test;
-import wingroad.Fixtures;
-import wingroad.Fixtures.Script;
-import wingroad.Fixtures.StandInMember;
-import wingroad.protocol.MemberList;
-import wingroad.protocol.Statement;
-import wingroad.rig.Peer;
-import wingroad.state.Submission.Outcome;
-import wingroad.transport.EventLoop;
 
 /**
  * Verifies the outcome of a submission for each way in which a member can respond or fail, and
@@ -145,13 +148,13 @@
     }
 
     private void dispatch(int port, Duration timeout) {
-        loop.run(
+        loop.execute(
                 () -> {
                     long memberId =
                             pools.updateMember(
                                     MemberList.parse(
                                                     ("{\"rev\":1,\"all\":true,\"targets\":["
-                                                                    + entry(
+                                                                    + listEntry(
                                                                             "s-" + port,
                                                                             port,
                                                                             "ready")
@@ -162,7 +165,7 @@
                                             .get(0));
                     Statement statement =
                             Statement.parse(
-                                            Fixtures.read("r" + submissionCount)
+                                            Fixtures.readStatement("r" + submissionCount)
                                                     .getBytes(StandardCharsets.UTF_8))
                                     .statement();
                     pools.dispatch(
@@ -176,8 +179,8 @@
     }
 
     /** Sends one submission to a member with this script; returns how it ended. */
-    private CompletedRequest dispatchTo(Script script) throws Exception {
-        try (StandInMember member = new StandInMember(false, script)) {
+    private CompletedRequest dispatchTo(QueryHandler script) throws Exception {
+        try (FakeMember member = new FakeMember(false, script)) {
             dispatch(member.port(), REQUEST_TIMEOUT);
             return awaitCompletion();
         }
@@ -185,38 +188,39 @@
 
     @Test
     void rowIsCommittedWithRoleAndPosition() throws Exception {
-        CompletedRequest completed = dispatchTo((sql, session) -> session.row("val", true));
+        CompletedRequest completed = dispatchTo((sql, session) -> session.sendRow("val", true));
         assertThat(completed.outcome()).isEqualTo(Outcome.COMMITTED);
         assertThat(completed.status().role().name()).isEqualTo("PRIMARY");
         assertThat(completed.status().position())
                 .isBetween(clock.now().minusSeconds(20), clock.now());
-        assertThat(completed.row()).startsWith(message('T', DESCRIPTION));
+        assertThat(completed.row()).startsWith(message('T', ROW_DESCRIPTION));
     }
 
     @Test
     void eachErrorCodeHasItsOutcome() throws Exception {
-        assertThat(dispatchTo((sql, session) -> session.error("25006", false)).outcome())
+        assertThat(dispatchTo((sql, session) -> session.sendError("25006", false)).outcome())
                 .isEqualTo(Outcome.MISSED);
-        assertThat(dispatchTo((sql, session) -> session.error("72000", false)).outcome())
+        assertThat(dispatchTo((sql, session) -> session.sendError("72000", false)).outcome())
                 .isEqualTo(Outcome.MISSED);
-        assertThat(dispatchTo((sql, session) -> session.error("53300", false)).outcome())
+        assertThat(dispatchTo((sql, session) -> session.sendError("53300", false)).outcome())
                 .isEqualTo(Outcome.FULL);
-        assertThat(dispatchTo((sql, session) -> session.error("XX000", false)).outcome())
+        assertThat(dispatchTo((sql, session) -> session.sendError("XX000", false)).outcome())
                 .isEqualTo(Outcome.ERROR);
-        assertThat(dispatchTo((sql, session) -> session.error("08P01", false)).outcome())
+        assertThat(dispatchTo((sql, session) -> session.sendError("08P01", false)).outcome())
                 .isEqualTo(Outcome.ERROR);
     }
 
     @Test
     void connectionLostAfterSendingIsReset() throws Exception {
-        assertThat(dispatchTo((sql, session) -> session.end()).outcome()).isEqualTo(Outcome.RESET);
+        assertThat(dispatchTo((sql, session) -> session.closeSocket()).outcome())
+                .isEqualTo(Outcome.RESET);
         assertThat(
                         dispatchTo(
                                         (sql, session) -> {
-                                            session.raw(
-                                                    message('T', DESCRIPTION),
+                                            session.send(
+                                                    message('T', ROW_DESCRIPTION),
                                                     new byte[] {'D', 0, 0, 0, 50, 0});
-                                            session.end();
+                                            session.closeSocket();
                                         })
                                 .outcome())
                 .isEqualTo(Outcome.RESET);
@@ -226,16 +230,19 @@
     void invalidResponseIsReportedAsError() throws Exception {
         for (byte[] invalidResponse :
                 new byte[][] {
-                    READY, message('?'), {'D', 127, 0, 0, 0}, message('D', column("x"))
+                    READY_FOR_QUERY,
+                    message('?'),
+                    {'D', 127, 0, 0, 0},
+                    message('D', dataRowBody("x"))
                 }) {
-            assertThat(dispatchTo((sql, session) -> session.raw(invalidResponse)).outcome())
+            assertThat(dispatchTo((sql, session) -> session.send(invalidResponse)).outcome())
                     .isEqualTo(Outcome.ERROR);
         }
     }
 
     @Test
     void invalidResponseIsDetectedBeforeItIsComplete() throws Exception {
-        byte[] rowDescription = message('T', DESCRIPTION);
+        byte[] rowDescription = message('T', ROW_DESCRIPTION);
         // A value of 3 GB, a row longer than its value, an unterminated text, unknown bytes: the
         // rest of none of them may be awaited.
         for (byte[] invalidRest :
@@ -245,15 +252,15 @@
                     {'S', 0, 1, 0, 0, 'x'},
                     {17},
                     {'Q'},
-                    message('S', text("part")),
-                    message('C', text("")),
+                    message('S', cString("part")),
+                    message('C', cString("")),
                     message('D', new byte[] {0, 1, -1, -1, -1, -1})
                 }) {
             assertThat(
                             dispatchTo(
                                             (sql, session) -> {
-                                                session.raw(rowDescription, invalidRest);
-                                                session.awaitEnd();
+                                                session.send(rowDescription, invalidRest);
+                                                session.awaitPeerClose();
                                             })
                                     .outcome())
                     .isEqualTo(Outcome.ERROR);
@@ -263,21 +270,24 @@
     @Test
     void unexpectedBytesAfterResponseAreNotTakenForTheNextOne() throws Exception {
         byte[] completeResponse =
-                Fixtures.joined(
-                        message('T', DESCRIPTION),
-                        message('D', column("old")),
-                        message('C', text("SELECT 1")),
-                        READY);
+                Fixtures.concat(
+                        message('T', ROW_DESCRIPTION),
+                        message('D', dataRowBody("old")),
+                        message('C', cString("SELECT 1")),
+                        READY_FOR_QUERY);
         for (byte[] unexpectedBytes :
                 new byte[][] {
-                    completeResponse, message('S', text("part"), text("master")), {'T', 0, 0}, {17}
+                    completeResponse,
+                    message('S', cString("part"), cString("master")),
+                    {'T', 0, 0},
+                    {17}
                 }) {
             // Sent in one write with the response. Bytes of a later write may arrive after the
             // reuse delay, and can't be told from the next response then.
-            try (StandInMember member =
-                    new StandInMember(
+            try (FakeMember member =
+                    new FakeMember(
                             false,
-                            (sql, session) -> session.row("first", false, unexpectedBytes))) {
+                            (sql, session) -> session.sendRow("first", false, unexpectedBytes))) {
                 dispatch(member.port(), REQUEST_TIMEOUT);
                 assertThat(awaitCompletion().outcome()).isEqualTo(Outcome.COMMITTED);
                 dispatch(member.port(), REQUEST_TIMEOUT);
@@ -297,24 +307,25 @@
     @Test
     void largeRowIsReadCompletelyAndItsBufferReleased() throws Exception {
         String largeValue = "z".repeat(1_000_000);
-        CompletedRequest completed = dispatchTo((sql, session) -> session.row(largeValue, false));
+        CompletedRequest completed =
+                dispatchTo((sql, session) -> session.sendRow(largeValue, false));
         assertThat(completed.outcome()).isEqualTo(Outcome.COMMITTED);
         assertThat(completed.row()).hasSizeGreaterThan(1_000_000);
         // Read by a later task of the event loop: the task that received the response releases its
         // buffer at its end.
         CompletableFuture<Long> heldBytes = new CompletableFuture<>();
-        loop.run(() -> heldBytes.complete(loop.held()));
+        loop.execute(() -> heldBytes.complete(loop.bufferedBytes()));
         assertThat(heldBytes.get(WAIT_TIMEOUT_SECONDS, TimeUnit.SECONDS)).isLessThanOrEqualTo(1024);
     }
 
     @Test
     void unknownMemberIsRemovedWithItsConnections() throws Exception {
-        try (StandInMember member =
-                new StandInMember(false, (sql, session) -> session.row("x", false))) {
+        try (FakeMember member =
+                new FakeMember(false, (sql, session) -> session.sendRow("x", false))) {
             dispatch(member.port(), REQUEST_TIMEOUT);
             assertThat(awaitCompletion().outcome()).isEqualTo(Outcome.COMMITTED);
             BlockingQueue<Integer> connectionCounts = new LinkedBlockingQueue<>();
-            loop.run(
+            loop.execute(
                     () -> {
                         pools.removeUnknown(id -> false);
                         connectionCounts.add(pools.connectionCount());
@@ -338,14 +349,15 @@
             CompletedRequest completed =
                     dispatchTo(
                             (sql, session) ->
-                                    session.raw(
-                                            message('T', DESCRIPTION),
-                                            message('D', column("x")),
-                                            message('C', text("SELECT 1")),
-                                            Fixtures.parameter("caught_up_to", invalidPosition),
-                                            Fixtures.parameter(
+                                    session.send(
+                                            message('T', ROW_DESCRIPTION),
+                                            message('D', dataRowBody("x")),
+                                            message('C', cString("SELECT 1")),
+                                            Fixtures.parameterStatus(
+                                                    "caught_up_to", invalidPosition),
+                                            Fixtures.parameterStatus(
                                                     "gauges", "x0=" + invalidPosition + ",x1=1"),
-                                            READY));
+                                            READY_FOR_QUERY));
             assertThat(completed.outcome()).isEqualTo(Outcome.COMMITTED);
             assertThat(completed.status().position()).isNull();
             assertThat(completed.status().report().position()).isNull();
@@ -357,11 +369,11 @@
         assertThat(
                         dispatchTo(
                                         (sql, session) -> {
-                                            session.raw(
-                                                    message('T', DESCRIPTION),
-                                                    message('D', column("x")),
-                                                    message('C', text("SELECT 1")));
-                                            session.end();
+                                            session.send(
+                                                    message('T', ROW_DESCRIPTION),
+                                                    message('D', dataRowBody("x")),
+                                                    message('C', cString("SELECT 1")));
+                                            session.closeSocket();
                                         })
                                 .outcome())
                 .isEqualTo(Outcome.COMMITTED);
@@ -369,13 +381,14 @@
 
     @Test
     void rejectedConnectionsNeverRunTheStatement() throws Exception {
-        try (StandInMember member =
-                new StandInMember(false, (sql, session) -> session.row("x", false))) {
-            member.welcome =
+        try (FakeMember member =
+                new FakeMember(false, (sql, session) -> session.sendRow("x", false))) {
+            member.startupResponse =
                     new byte[] {'E', 0, 0, 0, 14, 'C', '5', '7', 'P', '0', '3', 0, 0, 0, 0};
             dispatch(member.port(), REQUEST_TIMEOUT);
             assertThat(awaitCompletion().outcome()).isEqualTo(Outcome.UNREACHABLE);
-            member.welcome = message('E', text("SFATAL"), text("C53300"), new byte[1]);
+            member.startupResponse =
+                    message('E', cString("SFATAL"), cString("C53300"), new byte[1]);
             dispatch(member.port(), REQUEST_TIMEOUT);
             assertThat(awaitCompletion().outcome()).isEqualTo(Outcome.FULL);
             assertThat(member.queries).isEmpty();
@@ -400,11 +413,11 @@
     @Test
     void silentMemberTimesOutAndItsConnectionIsClosed() throws Exception {
         BlockingQueue<String> statementsOfClosedConnections = new LinkedBlockingQueue<>();
-        try (StandInMember member =
-                new StandInMember(
+        try (FakeMember member =
+                new FakeMember(
                         false,
                         (sql, session) -> {
-                            session.awaitEnd();
+                            session.awaitPeerClose();
                             statementsOfClosedConnections.add(sql);
                         })) {
             dispatch(member.port(), Duration.ofMillis(100));
@@ -417,16 +430,16 @@
     @Test
     void cancelledSubmissionClosesItsConnection() throws Exception {
         BlockingQueue<String> statementsOfClosedConnections = new LinkedBlockingQueue<>();
-        try (StandInMember member =
-                new StandInMember(
+        try (FakeMember member =
+                new FakeMember(
                         false,
                         (sql, session) -> {
-                            session.awaitEnd();
+                            session.awaitPeerClose();
                             statementsOfClosedConnections.add(sql);
                         })) {
             dispatch(member.port(), REQUEST_TIMEOUT);
-            member.await();
-            loop.run(() -> pools.cancel("t", 0));
+            member.awaitQuery();
+            loop.execute(() -> pools.cancel("t", 0));
             assertThat(awaitCompletion().outcome()).isEqualTo(Outcome.CANCELLED);
             assertThat(statementsOfClosedConnections.poll(WAIT_TIMEOUT_SECONDS, TimeUnit.SECONDS))
                     .contains("id=r0");
@@ -435,17 +448,17 @@
 
     @Test
     void connectionsAreReusedExceptAfterReset() throws Exception {
-        try (StandInMember member =
-                new StandInMember(false, (sql, session) -> session.row("x", false))) {
+        try (FakeMember member =
+                new FakeMember(false, (sql, session) -> session.sendRow("x", false))) {
             for (int i = 0; i < 3; i++) {
                 dispatch(member.port(), REQUEST_TIMEOUT);
                 assertThat(awaitCompletion().outcome()).isEqualTo(Outcome.COMMITTED);
             }
             assertThat(member.connections).hasValue(1);
-            member.script((sql, session) -> session.end());
+            member.queryHandler((sql, session) -> session.closeSocket());
             dispatch(member.port(), REQUEST_TIMEOUT);
             assertThat(awaitCompletion().outcome()).isEqualTo(Outcome.RESET);
-            member.script((sql, session) -> session.error("25006", false));
+            member.queryHandler((sql, session) -> session.sendError("25006", false));
             dispatch(member.port(), REQUEST_TIMEOUT);
             assertThat(awaitCompletion().outcome()).isEqualTo(Outcome.MISSED);
             assertThat(member.connections).hasValue(2);
@@ -456,8 +469,8 @@
     @Test
     void obsoleteRequestIsNotSentOnceItsConnectionIsOpen() throws Exception {
         mayDispatch = false;
-        try (StandInMember member =
-                new StandInMember(false, (sql, session) -> session.row("x", false))) {
+        try (FakeMember member =
+                new FakeMember(false, (sql, session) -> session.sendRow("x", false))) {
             dispatch(member.port(), REQUEST_TIMEOUT);
             assertThat(awaitCompletion().outcome()).isEqualTo(Outcome.MOOT);
             mayDispatch = true;
@@ -470,12 +483,13 @@
 
     @Test
     void memberReceivesRemainingTime() throws Exception {
-        try (StandInMember member =
-                new StandInMember(false, (sql, session) -> session.row("x", false))) {
+        try (FakeMember member =
+                new FakeMember(false, (sql, session) -> session.sendRow("x", false))) {
             dispatch(member.port(), Duration.ofMillis(900));
-            String sql = member.await();
+            String sql = member.awaitQuery();
             assertThat(Integer.parseInt(sql.replaceAll(".*d=([0-9]+).*", "$1"))).isBetween(1, 900);
-            assertThat(sql.replaceAll("d=[0-9]+", "d=3000")).isEqualTo(Fixtures.read("r0"));
+            assertThat(sql.replaceAll("d=[0-9]+", "d=3000"))
+                    .isEqualTo(Fixtures.readStatement("r0"));
         }
     }
 
@@ -485,12 +499,12 @@
      */
     @Test
     void closedIdleConnectionIsReopenedByNextSubmission() throws Exception {
-        try (StandInMember member =
-                new StandInMember(false, (sql, session) -> session.row("val", false))) {
+        try (FakeMember member =
+                new FakeMember(false, (sql, session) -> session.sendRow("val", false))) {
             dispatch(member.port(), REQUEST_TIMEOUT);
             assertThat(awaitCompletion().outcome()).isEqualTo(Outcome.COMMITTED);
             CompletableFuture<Integer> connectionCount = new CompletableFuture<>();
-            loop.run(
+            loop.execute(
                     () -> {
                         pools.closeIdleConnections(1);
                         connectionCount.complete(pools.connectionCount());
@@ -504,12 +518,13 @@
 
     /** Applies a list entry that gives the moving member this port. */
     private void updateMovingMember(int port) {
-        loop.run(
+        loop.execute(
                 () ->
                         pools.updateMember(
                                 MemberList.parse(
                                                 ("{\"rev\":1,\"all\":true,\"targets\":["
-                                                                + entry("s-moves", port, "ready")
+                                                                + listEntry(
+                                                                        "s-moves", port, "ready")
                                                                 + "]}")
                                                         .getBytes(StandardCharsets.UTF_8))
                                         .list()
@@ -518,7 +533,7 @@
     }
 
     private void dispatchToMovingMember() {
-        loop.run(
+        loop.execute(
                 () ->
                         pools.dispatch(
                                 new TxnDispatcher.MemberRequest(
@@ -526,7 +541,8 @@
                                         submissionCount,
                                         MOVING_MEMBER_ID,
                                         Statement.parse(
-                                                        Fixtures.read("r" + submissionCount++)
+                                                        Fixtures.readStatement(
+                                                                        "r" + submissionCount++)
                                                                 .getBytes(StandardCharsets.UTF_8))
                                                 .statement(),
                                         clock.now().plus(REQUEST_TIMEOUT))));
@@ -539,23 +555,23 @@
     @Test
     void busyConnectionIsNotReusedAfterItsMemberMoves() throws Exception {
         try (Peer.Listener oldAddress = new Peer.Listener();
-                StandInMember movedMember =
-                        new StandInMember(false, (sql, session) -> session.row("new", false))) {
+                FakeMember movedMember =
+                        new FakeMember(false, (sql, session) -> session.sendRow("new", false))) {
             updateMovingMember(oldAddress.port());
             dispatchToMovingMember();
             Peer connection = oldAddress.accept();
             connection.read(startupLength(connection) - 4);
-            connection.send(message('R', new byte[4]), READY);
-            connection.until("'\0");
+            connection.send(message('R', new byte[4]), READY_FOR_QUERY);
+            connection.readUntil("'\0");
             updateMovingMember(movedMember.port());
             connection.send(
-                    message('T', DESCRIPTION),
-                    message('D', column("old")),
-                    message('C', text("SELECT 1")),
-                    READY);
+                    message('T', ROW_DESCRIPTION),
+                    message('D', dataRowBody("old")),
+                    message('C', cString("SELECT 1")),
+                    READY_FOR_QUERY);
             assertThat(new String(awaitCompletion().row(), StandardCharsets.ISO_8859_1))
                     .contains("old");
-            connection.awaitEnd();
+            connection.readUntilClosed();
             dispatchToMovingMember();
             assertThat(new String(awaitCompletion().row(), StandardCharsets.ISO_8859_1))
                     .contains("new");
@@ -583,13 +599,13 @@
                 connection.read(startupLength(connection) - 4);
                 updateMovingMember(1);
                 if (connects) {
-                    connection.send(message('R', new byte[4]), READY);
+                    connection.send(message('R', new byte[4]), READY_FOR_QUERY);
                 } else {
                     connection.reset();
                 }
                 assertThat(awaitCompletion().outcome()).isEqualTo(Outcome.MOOT);
                 if (connects) {
-                    assertThat(connection.awaitEnd()).doesNotContain("Q");
+                    assertThat(connection.readUntilClosed()).doesNotContain("Q");
                 }
             }
         }
@@ -606,16 +622,16 @@
             dispatchToMovingMember();
             Peer connection = listener.accept();
             connection.read(startupLength(connection) - 4);
-            connection.send(message('R', new byte[4]), READY);
-            connection.until("'\0");
-            loop.run(() -> pools.removeUnknown(id -> false));
+            connection.send(message('R', new byte[4]), READY_FOR_QUERY);
+            connection.readUntil("'\0");
+            loop.execute(() -> pools.removeUnknown(id -> false));
             connection.send(
-                    message('T', DESCRIPTION),
-                    message('D', column("x")),
-                    message('C', text("SELECT 1")),
-                    READY);
+                    message('T', ROW_DESCRIPTION),
+                    message('D', dataRowBody("x")),
+                    message('C', cString("SELECT 1")),
+                    READY_FOR_QUERY);
             assertThat(awaitCompletion().outcome()).isEqualTo(Outcome.COMMITTED);
-            connection.awaitEnd();
+            connection.readUntilClosed();
         }
     }
 
@@ -632,7 +648,7 @@
             connection.read(startupLength(connection) - 4);
             CountDownLatch loopBlocked = new CountDownLatch(1);
             CountDownLatch loopReleased = new CountDownLatch(1);
-            loop.run(
+            loop.execute(
                     () -> {
                         loopBlocked.countDown();
                         try {
@@ -643,11 +659,11 @@
                         pools.cancel("t", 0);
                     });
             loopBlocked.await();
-            connection.send(message('R', new byte[4]), READY);
+            connection.send(message('R', new byte[4]), READY_FOR_QUERY);
             loopReleased.countDown();
             assertThat(awaitCompletion().outcome()).isEqualTo(Outcome.MOOT);
-            loop.run(() -> pools.removeUnknown(id -> false));
-            assertThat(connection.awaitEnd()).doesNotContain("Q");
+            loop.execute(() -> pools.removeUnknown(id -> false));
+            assertThat(connection.readUntilClosed()).doesNotContain("Q");
         }
     }
 
@@ -658,19 +674,19 @@
     @Test
     void responseTruncatedAtAnyByteHasOneOutcome() throws Exception {
         byte[] response =
-                Fixtures.joined(
-                        message('T', DESCRIPTION),
-                        message('D', column("x")),
-                        message('C', text("SELECT 1")),
-                        READY);
-        int committedLength = response.length - READY.length;
+                Fixtures.concat(
+                        message('T', ROW_DESCRIPTION),
+                        message('D', dataRowBody("x")),
+                        message('C', cString("SELECT 1")),
+                        READY_FOR_QUERY);
+        int committedLength = response.length - READY_FOR_QUERY.length;
         for (int sentLength = 0; sentLength <= response.length; sentLength += 5) {
             byte[] sentPart = Arrays.copyOf(response, sentLength);
             assertThat(
                             dispatchTo(
                                             (sql, session) -> {
-                                                session.raw(sentPart);
-                                                session.end();
+                                                session.send(sentPart);
+                                                session.closeSocket();
                                             })
                                     .outcome())
                     .as(sentLength + " bytes")
@@ -690,21 +706,21 @@
             dispatchToMovingMember();
             Peer connection = member.accept();
             connection.read(startupLength(connection) - 4);
-            connection.send(message('R', new byte[4]), READY);
-            connection.until("'\0");
+            connection.send(message('R', new byte[4]), READY_FOR_QUERY);
+            connection.readUntil("'\0");
             connection.send(
-                    message('T', DESCRIPTION),
-                    message('D', column("x")),
-                    message('C', text("SELECT 1")),
-                    READY);
+                    message('T', ROW_DESCRIPTION),
+                    message('D', dataRowBody("x")),
+                    message('C', cString("SELECT 1")),
+                    READY_FOR_QUERY);
             assertThat(awaitCompletion().outcome()).isEqualTo(Outcome.COMMITTED);
             connection.send(new byte[] {'S', 0, 0});
-            connection.awaitEnd();
+            connection.readUntilClosed();
             dispatchToMovingMember();
             Peer secondConnection = member.accept();
             secondConnection.read(startupLength(secondConnection) - 4);
-            secondConnection.send(message('R', new byte[4]), READY);
-            secondConnection.until("'\0");
+            secondConnection.send(message('R', new byte[4]), READY_FOR_QUERY);
+            secondConnection.readUntil("'\0");
             secondConnection.reset();
             assertThat(awaitCompletion().outcome()).isEqualTo(Outcome.RESET);
         }
@@ -713,17 +729,17 @@
     /** Completes the startup of a connection and waits for its first statement. */
     private static Peer acceptStartup(Peer connection) throws IOException {
         connection.read(startupLength(connection) - 4);
-        connection.send(message('R', new byte[4]), READY);
-        connection.until("'\0");
+        connection.send(message('R', new byte[4]), READY_FOR_QUERY);
+        connection.readUntil("'\0");
         return connection;
     }
 
     private static void sendResponse(Peer connection) throws IOException {
         connection.send(
-                message('T', DESCRIPTION),
-                message('D', column("x")),
-                message('C', text("SELECT 1")),
-                READY);
+                message('T', ROW_DESCRIPTION),
+                message('D', dataRowBody("x")),
+                message('C', cString("SELECT 1")),
+                READY_FOR_QUERY);
     }
 
     /** A client disconnects while its txn waits for a connection in its reuse delay. */
@@ -745,7 +761,7 @@
             assertThat(awaitCompletion().outcome()).isEqualTo(Outcome.MOOT);
             mayDispatch = true;
             dispatchToMovingMember();
-            assertThat(connection.until("'\0"))
+            assertThat(connection.readUntil("'\0"))
                     .contains("id=r" + (submissionCount - 1))
                     .doesNotContain("id=r" + (submissionCount - 2));
             sendResponse(connection);
@@ -759,7 +775,7 @@
                 submissionCount,
                 MOVING_MEMBER_ID,
                 Statement.parse(
-                                Fixtures.read("r" + submissionCount++)
+                                Fixtures.readStatement("r" + submissionCount++)
                                         .getBytes(StandardCharsets.UTF_8))
                         .statement(),
                 clock.now().plus(REQUEST_TIMEOUT));
@@ -777,12 +793,12 @@
             Peer oldConnection = acceptStartup(member.accept());
             sendResponse(oldConnection);
             assertThat(awaitCompletion().outcome()).isEqualTo(Outcome.COMMITTED);
-            loop.run(
+            loop.execute(
                     () ->
                             pools.updateMember(
                                     MemberList.parse(
                                                     ("{\"rev\":2,\"all\":false,\"targets\":["
-                                                                    + entry(
+                                                                    + listEntry(
                                                                             "s-moves",
                                                                             member.port(),
                                                                             "gone")
@@ -791,7 +807,7 @@
                                             .list()
                                             .entries()
                                             .get(0)));
-            oldConnection.awaitEnd();
+            oldConnection.readUntilClosed();
             updateMovingMember(member.port());
             dispatchToMovingMember();
             sendResponse(acceptStartup(member.accept()));
@@ -813,7 +829,7 @@
                 sendResponse(connection);
                 assertThat(awaitCompletion().outcome()).isEqualTo(Outcome.COMMITTED);
                 dispatchToMovingMember();
-                connection.until("'\0");
+                connection.readUntil("'\0");
                 if (resets) {
                     connection.reset();
                 } else {
@@ -835,7 +851,7 @@
             updateMovingMember(member.port());
             dispatchToMovingMember();
             Peer connection = acceptStartup(member.accept());
-            connection.send(message('T', DESCRIPTION));
+            connection.send(message('T', ROW_DESCRIPTION));
             byte[] notice = message('N', new byte[1000]);
             try {
                 while (true) {
@@ -854,8 +870,8 @@
     @Test
     void connectionIsReusedIfIdleTimeoutIsShorterThanConnectTimeout() throws Exception {
         pools = createPools(Duration.ofSeconds(10), Duration.ofSeconds(8));
-        try (StandInMember member =
-                new StandInMember(false, (sql, session) -> session.row("x", false))) {
+        try (FakeMember member =
+                new FakeMember(false, (sql, session) -> session.sendRow("x", false))) {
             for (int i = 0; i < 3; i++) {
                 dispatch(member.port(), REQUEST_TIMEOUT);
                 assertThat(awaitCompletion().outcome()).isEqualTo(Outcome.COMMITTED);
--- a/src/test/java/wingroad/protocol/StatementTest.java
+++ b/src/test/java/wingroad/protocol/StatementTest.java
@@ -1,47 +1,49 @@
 package wingroad.protocol;
 
 import static org.assertj.core.api.Assertions.assertThat;
-import static wingroad.Fixtures.read;
 
-import java.nio.charset.StandardCharsets;
+import static wingroad.Fixtures.readStatement;
+
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
+import java.nio.charset.StandardCharsets;
+
 class StatementTest {
     private static final String SELECT = " SELECT v FROM records WHERE k = 'ab'";
 
-    private static Statement.Parsed parsed(String sql) {
+    private static Statement.Parsed parse(String sql) {
         return Statement.parse(sql.getBytes(StandardCharsets.UTF_8));
     }
 
     @Test
-    void aReadTellsAllThatItsCommentHolds() {
-        Statement s =
-                parsed("/* id=9b1f,c=basket,d=480,r=1,cluster=2,after=1767225600123 */" + SELECT)
+    void parsesAllCommentParameters() {
+        Statement statement =
+                parse("/* id=9b1f,c=basket,d=480,r=1,cluster=2,after=1767225600123 */" + SELECT)
                         .statement();
-        assertThat(s.id()).isEqualTo("9b1f");
-        assertThat(s.type()).isEqualTo("basket");
-        assertThat(s.left()).isEqualTo(480);
-        assertThat(s.group()).isEqualTo(2);
-        assertThat(s.after()).isEqualTo(1767225600123.0);
-        assertThat(s.retry()).isTrue();
-        assertThat(s.writes()).isFalse();
-        assertThat(s.key()).isEqualTo("ab");
+        assertThat(statement.id()).isEqualTo("9b1f");
+        assertThat(statement.txnType()).isEqualTo("basket");
+        assertThat(statement.timeLeftMs()).isEqualTo(480);
+        assertThat(statement.group()).isEqualTo(2);
+        assertThat(statement.afterPositionMs()).isEqualTo(1767225600123.0);
+        assertThat(statement.retry()).isTrue();
+        assertThat(statement.write()).isFalse();
+        assertThat(statement.key()).isEqualTo("ab");
     }
 
     @Test
-    void onlyTheTimeLeftChangesOnTheWayToAMember() {
-        Statement s =
-                parsed(
-                                "/* id=d4000,c=order,d=4000,cluster=2 */ INSERT INTO records (k, v) VALUES ('d=4000', '\\x9F03')"
-                                        + " RETURNING v")
+    void withTimeLeftReplacesOnlyTheTimeLeft() {
+        Statement statement =
+                parse(
+                                "/* id=d4000,c=order,d=4000,cluster=2 */ INSERT INTO records (k, v)"
+                                        + " VALUES ('d=4000', '\\x9F03') RETURNING v")
                         .statement();
-        assertThat(s.writes()).isTrue();
-        assertThat(new String(s.withLeft(17), StandardCharsets.UTF_8))
+        assertThat(statement.write()).isTrue();
+        assertThat(new String(statement.withTimeLeft(17), StandardCharsets.UTF_8))
                 .isEqualTo(
-                        "/* id=d4000,c=order,d=17,cluster=2 */"
-                                + " INSERT INTO records (k, v) VALUES ('d=4000', '\\x9F03') RETURNING v");
+                        "/* id=d4000,c=order,d=17,cluster=2 */ INSERT INTO records (k, v) VALUES"
+                                + " ('d=4000', '\\x9F03') RETURNING v");
     }
 
     @ParameterizedTest
@@ -68,19 +70,23 @@
                 "/* id=1,c=a,d=1,cluster=1 */" + SELECT + "--",
                 "/* id=1,c=a,d=1,cluster=1 */ SELECT v FROM records WHERE k = ''",
                 "/* id=1,c=a,d=1,cluster=1 */ DELETE",
-                "/* id=1,c=a,d=1,cluster=1 */ INSERT INTO records (k, v) VALUES ('a', '\\x9') RETURNING v",
-                "/* id=1,c=a,d=1,cluster=1 */ INSERT INTO records (k, v) VALUES ('a', '\\xzz') RETURNING v",
-                "/* id=1,c=a,d=1,cluster=1 */ INSERT INTO records (k, v) VALUES ('a', '\\x') ') RETURNING v",
-                "/* id=1,c=a,d=1,cluster=1 */ INSERT INTO records (k, v) VALUES ('a'', '\\x') RETURNING v"
+                "/* id=1,c=a,d=1,cluster=1 */ INSERT INTO records (k, v) VALUES ('a', '\\x9')"
+                        + " RETURNING v",
+                "/* id=1,c=a,d=1,cluster=1 */ INSERT INTO records (k, v) VALUES ('a', '\\xzz')"
+                        + " RETURNING v",
+                "/* id=1,c=a,d=1,cluster=1 */ INSERT INTO records (k, v) VALUES ('a', '\\x') ')"
+                        + " RETURNING v",
+                "/* id=1,c=a,d=1,cluster=1 */ INSERT INTO records (k, v) VALUES ('a'', '\\x')"
+                        + " RETURNING v"
             })
-    void whatIsNotOfTheAgreedFormIsTurnedAwayWithAReason(String sql) {
-        assertThat(parsed(sql).statement()).isNull();
-        assertThat(parsed(sql).why()).isNotEmpty();
+    void rejectsUnsupportedStatementsWithAReason(String sql) {
+        assertThat(parse(sql).statement()).isNull();
+        assertThat(parse(sql).error()).isNotEmpty();
     }
 
     @Test
-    void aReadWithoutOddities() {
-        assertThat(parsed(read("x")).why()).isNull();
-        assertThat(parsed(read("x")).statement().after()).isNull();
+    void parsesPlainRead() {
+        assertThat(parse(readStatement("x")).error()).isNull();
+        assertThat(parse(readStatement("x")).statement().afterPositionMs()).isNull();
     }
 }
