--- a/src/test/java/wingroad/driver/ClientFrontendTest.java
+++ b/src/test/java/wingroad/driver/ClientFrontendTest.java
@@ -1,22 +1,11 @@
 package wingroad.driver;
 
 import static org.assertj.core.api.Assertions.assertThat;
-
 import static wingroad.Fixtures.cString;
 import static wingroad.Fixtures.message;
 import static wingroad.Fixtures.readStatement;
 import static wingroad.Fixtures.writeStatement;
 
-import org.junit.jupiter.api.BeforeEach;
-import org.junit.jupiter.api.Test;
-
-import wingroad.Fixtures;
-import wingroad.rig.Peer;
-import wingroad.routing.TxnRouter;
-import wingroad.state.Member.Role;
-import wingroad.state.Submission.Outcome;
-import wingroad.transport.EventLoop;
-
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -29,6 +18,14 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+import wingroad.Fixtures;
+import wingroad.rig.Peer;
+import wingroad.routing.TxnRouter;
+import wingroad.state.Member.Role;
+import wingroad.state.Submission.Outcome;
+import wingroad.transport.EventLoop;
 
 /**
  * Clients that send, disconnect and are disconnected at moments that the test chooses. The test
@@ -239,9 +236,9 @@
         reportPrimary();
         commit(dispatched.poll(WAIT_TIMEOUT_SECONDS, TimeUnit.SECONDS));
         assertThat(client.readUntil(READY_FOR_QUERY)).contains("done");
-        BlockingQueue<Long> heldBytes = new LinkedBlockingQueue<>();
-        loop.execute(() -> heldBytes.add(loop.bufferedBytes()));
-        assertThat(heldBytes.poll(WAIT_TIMEOUT_SECONDS, TimeUnit.SECONDS))
+        BlockingQueue<Long> bufferedBytes = new LinkedBlockingQueue<>();
+        loop.execute(() -> bufferedBytes.add(loop.bufferedBytes()));
+        assertThat(bufferedBytes.poll(WAIT_TIMEOUT_SECONDS, TimeUnit.SECONDS))
                 .isLessThan(HALF_MEMORY_LIMIT_BYTES + 64 * 1024);
         assertThat(dispatched.poll(WAIT_TIMEOUT_SECONDS, TimeUnit.SECONDS).statement().id())
                 .isEqualTo("r0");
--- a/src/test/java/wingroad/driver/MemberPoolsTest.java
+++ b/src/test/java/wingroad/driver/MemberPoolsTest.java
@@ -1,7 +1,6 @@
 package wingroad.driver;
 
 import static org.assertj.core.api.Assertions.assertThat;
-
 import static wingroad.Fixtures.READY_FOR_QUERY;
 import static wingroad.Fixtures.ROW_DESCRIPTION;
 import static wingroad.Fixtures.cString;
@@ -9,17 +8,6 @@
 import static wingroad.Fixtures.listEntry;
 import static wingroad.Fixtures.message;
 
-import org.junit.jupiter.api.Test;
-
-import wingroad.Fixtures;
-import wingroad.Fixtures.FakeMember;
-import wingroad.Fixtures.QueryHandler;
-import wingroad.protocol.MemberList;
-import wingroad.protocol.Statement;
-import wingroad.rig.Peer;
-import wingroad.state.Submission.Outcome;
-import wingroad.transport.EventLoop;
-
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.ServerSocket;
@@ -33,6 +21,15 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
+import org.junit.jupiter.api.Test;
+import wingroad.Fixtures;
+import wingroad.Fixtures.FakeMember;
+import wingroad.Fixtures.QueryHandler;
+import wingroad.protocol.MemberList;
+import wingroad.protocol.Statement;
+import wingroad.rig.Peer;
+import wingroad.state.Submission.Outcome;
+import wingroad.transport.EventLoop;
 
 /**
  * Verifies the outcome of a submission for each way in which a member can respond or fail, and
@@ -313,9 +310,10 @@
         assertThat(completed.row()).hasSizeGreaterThan(1_000_000);
         // Read by a later task of the event loop: the task that received the response releases its
         // buffer at its end.
-        CompletableFuture<Long> heldBytes = new CompletableFuture<>();
-        loop.execute(() -> heldBytes.complete(loop.bufferedBytes()));
-        assertThat(heldBytes.get(WAIT_TIMEOUT_SECONDS, TimeUnit.SECONDS)).isLessThanOrEqualTo(1024);
+        CompletableFuture<Long> bufferedBytes = new CompletableFuture<>();
+        loop.execute(() -> bufferedBytes.complete(loop.bufferedBytes()));
+        assertThat(bufferedBytes.get(WAIT_TIMEOUT_SECONDS, TimeUnit.SECONDS))
+                .isLessThanOrEqualTo(1024);
     }
 
     @Test
