--- a/src/bench/java/wingroad/bench/Fleet.java
+++ b/src/bench/java/wingroad/bench/Fleet.java
@@ -19,59 +19,67 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * A driver as it is packaged, three stand-in members of so many places each, and tenants that ask
- * over sockets.
+ * A packaged driver, three fake members with a limited number of concurrent txns each, and tenants
+ * that send txns over sockets.
  */
 final class Fleet implements AutoCloseable {
-    /** How many txns a member works on at once; may change under way. */
-    static final class Places {
-        private int free;
+    /**
+     * The free slots of a member, which limit its concurrent txns; their number can change during a
+     * run.
+     */
+    static final class Slots {
+        private int available;
 
-        Places(int places) {
-            free = places;
+        Slots(int places) {
+            available = places;
         }
 
-        synchronized void change(int by) {
-            free += by;
+        synchronized void addSlots(int count) {
+            available += count;
             notifyAll();
         }
 
-        private synchronized void take() throws InterruptedException {
-            while (free <= 0) {
+        private synchronized void acquire() throws InterruptedException {
+            while (available <= 0) {
                 wait();
             }
-            free--;
+            available--;
         }
 
-        void work(long ms) throws IOException {
+        void runTxn(long ms) throws IOException {
             try {
-                take();
+                acquire();
                 Thread.sleep(ms);
             } catch (InterruptedException e) {
                 throw new IOException(e);
             } finally {
-                change(1);
+                addSlots(1);
             }
         }
     }
 
     /**
-     * One answer: when it came, what it took, whether the txn was committed, and the advice it came
-     * with, or -1.
+     * One response: when it arrived, how long it took, whether the txn was committed, and the retry
+     * advice that came with it, or -1.
      */
-    record Answer(
-            long at, long took, boolean committed, long advice, boolean returned, boolean write) {}
+    record Response(
+            long atNanos,
+            long tookNanos,
+            boolean committed,
+            long retryAfter,
+            boolean afterAdvice,
+            boolean write) {}
 
-    /** One tenant's connections, all alike. */
+    /** The connections of one tenant, which all behave alike. */
     static final class Tenant {
         final String name;
         final int connections;
         final long thinkMs;
-        final List<Answer> answers = new ArrayList<>();
-        volatile boolean asks = true;
+        final List<Response> responses = new ArrayList<>();
+        volatile boolean active = true;
 
-        /** One of so many of its txns is a write; 0: none. */
-        int writesOneIn;
+        /** Every n-th txn is a write; 0: none. */
+        int writeInterval;
 
         Tenant(String name, int connections, long thinkMs) {
             this.name = name;
@@ -79,37 +87,37 @@
             this.thinkMs = thinkMs;
         }
 
-        synchronized void heard(Answer a) {
-            answers.add(a);
+        synchronized void addResponse(Response a) {
+            responses.add(a);
         }
 
-        synchronized List<Answer> between(long from, long to) {
-            return answers.stream().filter(a -> a.at >= from && a.at < to).toList();
+        synchronized List<Response> between(long from, long to) {
+            return responses.stream().filter(a -> a.atNanos >= from && a.atNanos < to).toList();
         }
     }
 
     private static final AtomicLong IDS = new AtomicLong();
     private static final long AGAIN_MS = 20;
 
-    final Places[] places = new Places[3];
+    final Slots[] memberSlots = new Slots[3];
     private final List<FakeMember> members = new ArrayList<>();
     private final FakeDiscovery discovery = new FakeDiscovery();
     private final Process driver;
     private final int port;
-    private final List<Thread> askers = new ArrayList<>();
+    private final List<Thread> clientThreads = new ArrayList<>();
     final List<String> log = new ArrayList<>();
 
     Fleet(Path dir, String name, String operator, int placesEach, long workMs) throws IOException {
         StringBuilder known = new StringBuilder();
-        for (int i = 0; i < places.length; i++) {
-            Places p = new Places(placesEach);
-            places[i] = p;
+        for (int i = 0; i < memberSlots.length; i++) {
+            Slots p = new Slots(placesEach);
+            memberSlots[i] = p;
             boolean primary = i == 0;
             FakeMember m =
                     new FakeMember(
                             primary,
                             (sql, s) -> {
-                                p.work(workMs);
+                                p.runTxn(workMs);
                                 s.sendRow("v", primary);
                             });
             members.add(m);
@@ -161,11 +169,11 @@
         log.add(line);
     }
 
-    void begin(Tenant t) {
+    void startClients(Tenant t) {
         for (int i = 0; i < t.connections; i++) {
             Thread asker = new Thread(() -> ask(t));
             asker.setDaemon(true);
-            askers.add(asker);
+            clientThreads.add(asker);
             asker.start();
         }
     }
@@ -174,7 +182,7 @@
         ThreadLocalRandom random = ThreadLocalRandom.current();
         try {
             Thread.sleep(random.nextLong(Math.max(1, t.thinkMs)));
-            while (t.asks) {
+            while (t.active) {
                 try (Socket s = new Socket(InetAddress.getLoopbackAddress(), port)) {
                     s.setTcpNoDelay(true);
                     byte[] who =
@@ -205,8 +213,8 @@
                 new DataInputStream(new java.io.BufferedInputStream(s.getInputStream()));
         String first = answer(in);
         boolean returned = false;
-        for (boolean open = first != null; open && t.asks; ) {
-            boolean write = t.writesOneIn > 0 && random.nextInt(t.writesOneIn) == 0;
+        for (boolean open = first != null; open && t.active; ) {
+            boolean write = t.writeInterval > 0 && random.nextInt(t.writeInterval) == 0;
             String id = "b" + IDS.incrementAndGet();
             long at = System.nanoTime();
             s.getOutputStream()
@@ -224,7 +232,7 @@
             long now = System.nanoTime();
             boolean committed = end.equals("row");
             long advice = end.startsWith("53300 ") ? Long.parseLong(end.substring(6)) : -1;
-            t.heard(new Answer(now, now - at, committed, advice, returned, write));
+            t.addResponse(new Response(now, now - at, committed, advice, returned, write));
             returned = !committed && advice >= 0;
             Thread.sleep(
                     committed
