--- a/src/test/java/wingroad/duty/RelayHealthTest.java
+++ b/src/test/java/wingroad/duty/RelayHealthTest.java
@@ -10,56 +10,60 @@
 
 import java.time.Duration;
 
-/** Whether a driver goes by the owner of discovery's list. */
+/** Tests when a driver relies on the lists that the owner of the list duty relays. */
 class RelayHealthTest {
-    private final RelayHealth h =
+    private final RelayHealth relayHealth =
             new RelayHealth(Duration.ofMillis(900), Duration.ofMillis(900), Duration.ofSeconds(60));
 
-    private static Duration at(long ms) {
+    private static Duration atMs(long ms) {
         return Duration.ofMillis(ms);
     }
 
     @Test
-    void anOwnerThatFallsSilentIsNotGoneBy() {
-        assertThat(h.trustsOwner(at(0))).isFalse();
-        h.onOwnerUpdate(5, 3, 3, false, false, at(100));
-        assertThat(h.trustsOwner(at(900))).isTrue();
-        assertThat(h.trustsOwner(at(1000))).isFalse();
+    void doesNotTrustAnOwnerThatIsNoLongerHeard() {
+        assertThat(relayHealth.trustsOwner(atMs(0))).isFalse();
+        relayHealth.onOwnerUpdate(5, 3, 3, false, false, atMs(100));
+        assertThat(relayHealth.trustsOwner(atMs(900))).isTrue();
+        assertThat(relayHealth.trustsOwner(atMs(1000))).isFalse();
     }
 
     @Test
-    void anOldOwnersListIsNotTaken() {
-        assertThat(h.onOwnerUpdate(5, 0, 4, true, true, at(0))).isEqualTo(APPLY);
-        assertThat(h.onOwnerUpdate(4, 0, 9, true, true, at(1)))
+    void ignoresUpdatesOfOlderEpochsAndRevisions() {
+        assertThat(relayHealth.onOwnerUpdate(5, 0, 4, true, true, atMs(0))).isEqualTo(APPLY);
+        assertThat(relayHealth.onOwnerUpdate(4, 0, 9, true, true, atMs(1)))
                 .as("an older epoch")
                 .isEqualTo(IGNORE);
-        assertThat(h.onOwnerUpdate(5, 0, 3, true, true, at(2)))
+        assertThat(relayHealth.onOwnerUpdate(5, 0, 3, true, true, atMs(2)))
                 .as("an older revision")
                 .isEqualTo(IGNORE);
     }
 
     @Test
-    void whatDoesNotGoOnFromWhatIsHeldIsAskedFor() {
-        h.onDirectFetch(3, at(0));
-        assertThat(h.onOwnerUpdate(5, 3, 4, false, true, at(1))).isEqualTo(APPLY);
-        assertThat(h.onOwnerUpdate(5, 5, 6, false, true, at(2)))
-                .as("5 is missing")
+    void fetchesWhenAnUpdateDoesNotContinueFromTheLocalRevision() {
+        relayHealth.onDirectFetch(3, atMs(0));
+        assertThat(relayHealth.onOwnerUpdate(5, 3, 4, false, true, atMs(1))).isEqualTo(APPLY);
+        assertThat(relayHealth.onOwnerUpdate(5, 5, 6, false, true, atMs(2)))
+                .as("revision 5 is missing")
                 .isEqualTo(FETCH);
-        assertThat(h.onOwnerUpdate(5, 7, 7, false, false, at(3)))
-                .as("no news with it")
+        assertThat(relayHealth.onOwnerUpdate(5, 7, 7, false, false, atMs(3)))
+                .as("the update holds no changes")
                 .isEqualTo(FETCH);
     }
 
+    /**
+     * An owner that is cut off from discovery is still heard, but announces an old revision; the
+     * driver's own check shows that.
+     */
     @Test
-    void anOwnerThatOneKnowsBetterThanIsNotGoneByForLong() {
-        h.onOwnerUpdate(5, 3, 3, false, false, at(0));
-        h.onDirectFetch(4, at(10));
-        assertThat(h.trustsOwner(at(20))).isTrue();
-        h.onOwnerUpdate(5, 3, 3, false, false, at(800));
-        assertThat(h.trustsOwner(at(900))).isTrue();
-        h.onOwnerUpdate(5, 3, 3, false, false, at(1000));
-        assertThat(h.trustsOwner(at(1000))).as("behind for too long").isFalse();
-        h.onOwnerUpdate(5, 3, 4, false, true, at(1100));
-        assertThat(h.trustsOwner(at(1200))).isTrue();
+    void doesNotTrustAnOwnerThatStaysBehindTheLocalRevision() {
+        relayHealth.onOwnerUpdate(5, 3, 3, false, false, atMs(0));
+        relayHealth.onDirectFetch(4, atMs(10));
+        assertThat(relayHealth.trustsOwner(atMs(20))).isTrue();
+        relayHealth.onOwnerUpdate(5, 3, 3, false, false, atMs(800));
+        assertThat(relayHealth.trustsOwner(atMs(900))).isTrue();
+        relayHealth.onOwnerUpdate(5, 3, 3, false, false, atMs(1000));
+        assertThat(relayHealth.trustsOwner(atMs(1000))).as("behind for too long").isFalse();
+        relayHealth.onOwnerUpdate(5, 3, 4, false, true, atMs(1100));
+        assertThat(relayHealth.trustsOwner(atMs(1200))).isTrue();
     }
 }
