--- a/src/test/java/wingroad/work/WorkIT.java
+++ b/src/test/java/wingroad/work/WorkIT.java
@@ -30,10 +30,23 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 
-/** Machines taken out by several real processes, with faults between them. */
+/**
+ * Tests maintenance with four drivers as real processes, three of them voters, while clients are
+ * served and processes and connections fail. Each test checks at the members themselves that no
+ * client's txn arrives at a machine after it was reported as out.
+ */
 @Execution(ExecutionMode.CONCURRENT)
 class WorkIT {
-    private static final String RULES =
+    private static final int DRIVER_COUNT = 4;
+    private static final int VOTER_COUNT = 3;
+    private static final long AWAIT_TIMEOUT_NANOS = 40_000_000_000L;
+    private static final long MAX_HOLD_NANOS = 1_000_000_000L;
+
+    /** Pause of each client between two txns. */
+    private static final int LOAD_INTERVAL_MS = 10;
+
+    /** Part of the fleet node of each operator's file. */
+    private static final String FLEET_KDL =
             """
                 lease-ms 3000
                 drift 0.02
@@ -47,11 +60,12 @@
                     machine "C" zone="c" { member "m3" group=7; driver "d1"; }
                 }
             """;
+
     private static final String SETTINGS =
             Fixtures.SETTINGS.replace("\"cold\":16000", "\"cold\":1000");
 
-    /** The same with a txn type that may take a quarter of a minute. */
-    private static final String LONG =
+    /** {@link #SETTINGS} with a txn type {@code long} whose SLA time is 15 s. */
+    private static final String SETTINGS_WITH_LONG_TXN =
             SETTINGS.replace(
                             "\"grades\":[",
                             "\"grades\":[{\"name\":\"long\",\"aim\":15000,"
@@ -63,706 +77,808 @@
     Path dir;
 
     private Rig rig;
-    private FencedMember m1;
-    private FencedMember m2;
-    private FencedMember m3;
+    private FencedMember member1;
+    private FencedMember member2;
+    private FencedMember member3;
     private Load load;
 
-    private void start(String rules) throws Exception {
-        start(rules, SETTINGS);
+    private void start(String fleetKdl) throws Exception {
+        start(fleetKdl, SETTINGS);
     }
 
-    private void start(String rules, String settings) throws Exception {
-        rig = new Rig(dir, 4, 3, rules, settings);
-        m1 = rig.member("m1", 7, true, true);
-        m2 = rig.member("m2", 7, false, true);
-        m3 = rig.member("m3", 7, false, true);
+    private void start(String fleetKdl, String settings) throws Exception {
+        rig = new Rig(dir, DRIVER_COUNT, VOTER_COUNT, fleetKdl, settings);
+        member1 = rig.member("m1", 7, true, true);
+        member2 = rig.member("m2", 7, false, true);
+        member3 = rig.member("m3", 7, false, true);
         rig.member("m2b", 7, false, true);
         rig.later.add("m2b");
         rig.startAll();
-        for (Rig.Driver d : rig.drivers.values()) {
-            d.await("work: the plan is known");
+        for (Rig.Driver driver : rig.drivers.values()) {
+            driver.await("work: the plan is known");
         }
-        load = new Load(rig, List.of(7), 10);
-        awaitMachines();
+        load = new Load(rig, List.of(7), LOAD_INTERVAL_MS);
+        awaitInventory();
     }
 
     @AfterEach
-    void end() throws Exception {
+    void stopAll() throws Exception {
         if (load != null) {
             load.close();
         }
         rig.close();
     }
 
-    private FleetConfig rules() throws IOException {
+    /** Returns the fleet as configured at d1, whose links lead to the voters. */
+    private FleetConfig fleetConfig() throws IOException {
         return OperatorFile.read(rig.driver("d1").operator()).file().fleet();
     }
 
-    private interface Talk<T> {
-        T with(FleetClient c) throws IOException;
+    private interface FleetCall<T> {
+        T call(FleetClient client) throws IOException;
     }
 
-    private <T> T ask(Talk<T> what) throws IOException {
-        IOException last = null;
-        long end = System.nanoTime() + 40_000_000_000L;
-        while (System.nanoTime() < end) {
-            for (String v : rules().voterAddresses().keySet()) {
-                try (FleetClient c = new FleetClient(rules(), v)) {
-                    return what.with(c);
+    /** Calls one voter after another until one answers. */
+    private <T> T callFleet(FleetCall<T> fleetCall) throws IOException {
+        IOException lastError = null;
+        long deadlineNanos = System.nanoTime() + AWAIT_TIMEOUT_NANOS;
+        while (System.nanoTime() < deadlineNanos) {
+            for (String voter : fleetConfig().voterAddresses().keySet()) {
+                try (FleetClient client = new FleetClient(fleetConfig(), voter)) {
+                    return fleetCall.call(client);
                 } catch (IOException e) {
-                    last = e;
+                    lastError = e;
                 }
             }
         }
-        throw last;
+        throw lastError;
     }
 
-    private String want(String machine) throws IOException {
-        String id = UUID.randomUUID().toString();
-        return ask(c -> c.requestMaintenance(machine, "kernel", 0, 0, List.of(), id));
+    private String requestMaintenance(String machine) throws IOException {
+        String requestId = UUID.randomUUID().toString();
+        return callFleet(
+                client -> client.requestMaintenance(machine, "kernel", 0, 0, List.of(), requestId));
     }
 
-    private String wantAs(
-            String machine, String why, long forMs, long before, List<String> after, String id)
+    private String requestMaintenanceWith(
+            String machine,
+            String reason,
+            long durationMs,
+            long deadlineMs,
+            List<String> afterMachines,
+            String requestId)
             throws IOException {
-        return ask(c -> c.requestMaintenance(machine, why, forMs, before, after, id));
+        return callFleet(
+                client ->
+                        client.requestMaintenance(
+                                machine, reason, durationMs, deadlineMs, afterMachines, requestId));
     }
 
-    private String word(String word, String machine) throws IOException {
-        String id = UUID.randomUUID().toString();
-        return ask(c -> c.sendOperatorCommand(word, machine, id));
+    private String sendOperatorCommand(String command, String machine) throws IOException {
+        String requestId = UUID.randomUUID().toString();
+        return callFleet(client -> client.sendOperatorCommand(command, machine, requestId));
     }
 
-    private Map<?, ?> work() throws IOException {
-        return (Map<?, ?>) ask(FleetClient::status).get("work");
+    /** Returns the maintenance part of the status page, or null while there is none. */
+    private Map<?, ?> maintenanceStatus() throws IOException {
+        return (Map<?, ?>) callFleet(FleetClient::status).get("work");
     }
 
-    /** The machines are settled once somebody conducts. */
-    private void awaitMachines() throws Exception {
-        awaitWork(w -> !((List<?>) w.get("machines")).isEmpty());
+    /** Waits until a controller has committed the machines. */
+    private void awaitInventory() throws Exception {
+        awaitStatus(status -> !((List<?>) status.get("machines")).isEmpty());
     }
 
-    private interface Wanted {
-        boolean in(Map<?, ?> work);
+    private interface StatusCondition {
+        boolean holdsFor(Map<?, ?> status);
     }
 
-    private Map<?, ?> awaitWork(Wanted what) throws Exception {
-        long end = System.nanoTime() + 40_000_000_000L;
+    private Map<?, ?> awaitStatus(StatusCondition condition) throws Exception {
+        long deadlineNanos = System.nanoTime() + AWAIT_TIMEOUT_NANOS;
         while (true) {
-            Map<?, ?> w = work();
-            if (w != null && what.in(w)) {
-                return w;
+            Map<?, ?> status = maintenanceStatus();
+            if (status != null && condition.holdsFor(status)) {
+                return status;
             }
-            if (System.nanoTime() > end) {
-                throw new AssertionError("the plan never came to that: " + w);
+            if (System.nanoTime() > deadlineNanos) {
+                throw new AssertionError(
+                        "the maintenance status never met the condition: " + status);
             }
             TimeUnit.MILLISECONDS.sleep(50);
         }
     }
 
-    private static boolean astray(Map<?, ?> work, String driver) {
-        return ((List<?>) work.get("astray"))
-                .stream().anyMatch(a -> a.toString().startsWith(driver + "/"));
+    /** Returns whether the driver counts as lost: without a session, and possibly still running. */
+    private static boolean isLost(Map<?, ?> status, String driver) {
+        return ((List<?>) status.get("astray"))
+                .stream().anyMatch(lostDriver -> lostDriver.toString().startsWith(driver + "/"));
     }
 
-    private static boolean at(Map<?, ?> work, String machine, String stage) {
-        return entry(work, machine)
-                .map(e -> stage.equals(e.get("stage")))
+    /** Returns whether the machine is at the stage; {@code in} if it has no entry. */
+    private static boolean isAtStage(Map<?, ?> status, String machine, String stage) {
+        return entry(status, machine)
+                .map(entry -> stage.equals(entry.get("stage")))
                 .orElse(stage.equals("in"));
     }
 
-    private static java.util.Optional<Map<?, ?>> entry(Map<?, ?> work, String machine) {
-        for (Object o : (List<?>) work.get("entries")) {
-            if (machine.equals(((Map<?, ?>) o).get("machine"))) {
-                return java.util.Optional.of((Map<?, ?>) o);
+    private static java.util.Optional<Map<?, ?>> entry(Map<?, ?> status, String machine) {
+        for (Object item : (List<?>) status.get("entries")) {
+            if (machine.equals(((Map<?, ?>) item).get("machine"))) {
+                return java.util.Optional.of((Map<?, ?>) item);
             }
         }
         return java.util.Optional.empty();
     }
 
     private void awaitStage(String machine, String stage) throws Exception {
-        awaitWork(w -> at(w, machine, stage));
+        awaitStatus(status -> isAtStage(status, machine, stage));
     }
 
-    /** Nothing of a client has come to the member since then, though clients were served. */
-    private static void nothingSince(FencedMember m, long when) {
-        assertThat(m.txns())
-                .as("txns at " + m.uid + " after it was told to be out")
-                .noneMatch(t -> t.at() > when);
+    /** Asserts that no client's txn has arrived at the member since then, in Unix milliseconds. */
+    private static void assertNoTxnsSince(FencedMember member, long sinceMs) {
+        assertThat(member.txns())
+                .as("txns at " + member.uid + " after it was reported as out")
+                .noneMatch(txn -> txn.at() > sinceMs);
     }
 
-    /** So many txns more are served. */
-    private void serve(int more) throws Exception {
-        long from = load.committed.get();
-        long end = System.nanoTime() + 40_000_000_000L;
-        while (load.committed.get() < from + more) {
+    /** Waits until so many more txns have been committed. */
+    private void awaitCommitted(int additionalTxns) throws Exception {
+        long committedBefore = load.committed.get();
+        long deadlineNanos = System.nanoTime() + AWAIT_TIMEOUT_NANOS;
+        while (load.committed.get() < committedBefore + additionalTxns) {
             assertThat(System.nanoTime())
-                    .as("served " + (load.committed.get() - from))
-                    .isLessThan(end);
+                    .as("txns committed meanwhile: " + (load.committed.get() - committedBefore))
+                    .isLessThan(deadlineNanos);
             TimeUnit.MILLISECONDS.sleep(20);
         }
     }
 
     @Test
-    void aMachineIsTakenOutAndBroughtBackWhileClientsAreServed() throws Exception {
-        start(RULES);
-        assertThat(want("B")).isEmpty();
+    void takesAMachineOutAndBackWhileClientsAreServed() throws Exception {
+        start(FLEET_KDL);
+        assertThat(requestMaintenance("B")).isEmpty();
         awaitStage("B", "out");
-        long out = System.currentTimeMillis();
-        serve(300);
-        nothingSince(m2, out);
-        assertThat(m1.txns().size() + m3.txns().size()).isGreaterThan(100);
-        int before = m2.txns().size();
-        assertThat(word("done", "B")).isEmpty();
+        long outAtMs = System.currentTimeMillis();
+        awaitCommitted(300);
+        assertNoTxnsSince(member2, outAtMs);
+        assertThat(member1.txns().size() + member3.txns().size()).isGreaterThan(100);
+        int txnsBefore = member2.txns().size();
+        assertThat(sendOperatorCommand("done", "B")).isEmpty();
         awaitStage("B", "returning");
         awaitStage("B", "in");
-        // It is asked for txns again, once the module has proof of its position.
-        m2.awaitTxns(before + 1);
+        // It is sent txns again once the router knows its position in the log.
+        member2.awaitTxns(txnsBefore + 1);
         assertThat(load.lost.get()).isZero();
         assertThat(load.servedShare()).isGreaterThan(0.99);
     }
 
-    /** The epoch of the conductor's duty, whoever has it; 0 while nobody does. */
-    private long conducts() throws IOException {
-        for (Object o : (List<?>) ask(FleetClient::status).get("duties")) {
-            Map<?, ?> d = (Map<?, ?>) o;
-            if (d.get("name").equals("conductor") && !d.get("owner").equals("")) {
-                return ((Number) d.get("epoch")).longValue();
+    /** Returns the epoch of the controller's duty, or 0 while it has no owner. */
+    private long controllerEpoch() throws IOException {
+        for (Object item : (List<?>) callFleet(FleetClient::status).get("duties")) {
+            Map<?, ?> duty = (Map<?, ?>) item;
+            if (duty.get("name").equals("conductor") && !duty.get("owner").equals("")) {
+                return ((Number) duty.get("epoch")).longValue();
             }
         }
         return 0;
     }
 
-    private Rig.Driver conductor() throws Exception {
-        long end = System.nanoTime() + 40_000_000_000L;
-        while (System.nanoTime() < end) {
-            for (Object o : (List<?>) ask(FleetClient::status).get("duties")) {
-                Map<?, ?> d = (Map<?, ?>) o;
-                if (d.get("name").equals("conductor") && !d.get("owner").equals("")) {
-                    return rig.driver((String) d.get("owner"));
+    /** Waits for a driver to own the controller's duty, and returns it. */
+    private Rig.Driver controllerDriver() throws Exception {
+        long deadlineNanos = System.nanoTime() + AWAIT_TIMEOUT_NANOS;
+        while (System.nanoTime() < deadlineNanos) {
+            for (Object item : (List<?>) callFleet(FleetClient::status).get("duties")) {
+                Map<?, ?> duty = (Map<?, ?>) item;
+                if (duty.get("name").equals("conductor") && !duty.get("owner").equals("")) {
+                    return rig.driver((String) duty.get("owner"));
                 }
             }
         }
-        throw new AssertionError("nobody conducts");
+        throw new AssertionError("no driver owns the controller's duty");
     }
 
+    /**
+     * The command that would take the machine out is held on the network while its sender is killed
+     * and a successor takes over. Delivered under the stale epoch, it must be refused.
+     */
     @Test
-    void aConductorThatIsStoppedBeforeItTellsOutIsLateAndRefused() throws Exception {
-        start(RULES.replace("lease-ms 3000", "lease-ms 9000").replace("driver \"d4\";", ""));
-        Rig.Driver first = conductor();
-        BlockingQueue<Object> held = new LinkedBlockingQueue<>();
-        for (String v : rig.voters()) {
-            // Its own voter is reached by a link as well: what it says goes through the rig in any
-            // case.
+    void delayedCommandOfAFormerControllerIsRefused() throws Exception {
+        start(FLEET_KDL.replace("lease-ms 3000", "lease-ms 9000").replace("driver \"d4\";", ""));
+        Rig.Driver formerController = controllerDriver();
+        BlockingQueue<Object> heldConnections = new LinkedBlockingQueue<>();
+        for (String voter : rig.voters()) {
+            // A driver reaches its own voter by a relayed link too, so each command passes a tap.
             rig.relays
-                    .between(first.name, v)
+                    .between(formerController.name, voter)
                     .tap(
-                            (link, way, bytes, connection) -> {
-                                String text = StandardCharsets.ISO_8859_1.decode(bytes).toString();
-                                return way == Relays.Way.FORTH
-                                        && text.contains("WORK_STEP")
-                                        && text.contains("OUT")
-                                        && held.isEmpty()
-                                        && held.add(connection);
+                            (link, direction, bytes, connection) -> {
+                                String message =
+                                        StandardCharsets.ISO_8859_1.decode(bytes).toString();
+                                return direction == Relays.Way.FORTH
+                                        && message.contains("WORK_STEP")
+                                        && message.contains("OUT")
+                                        && heldConnections.isEmpty()
+                                        && heldConnections.add(connection);
                             });
         }
-        load.away.add(first.name);
-        assertThat(want("B")).isEmpty();
-        Object order = held.poll(30, TimeUnit.SECONDS);
-        assertThat(order).as("its order").isNotNull();
-        long epoch = conducts();
-        // A voter lets go of a connection that is silent for a lease: the successor has to be there
-        // before.
-        first.kill();
-        first.start();
-        while (conducts() <= epoch) {
+        load.away.add(formerController.name);
+        assertThat(requestMaintenance("B")).isEmpty();
+        Object heldConnection = heldConnections.poll(30, TimeUnit.SECONDS);
+        assertThat(heldConnection)
+                .as("a connection held with the controller's command")
+                .isNotNull();
+        long formerEpoch = controllerEpoch();
+        // A voter closes a connection that is silent for the duration of a lease, so the successor
+        // has to take over before that.
+        formerController.kill();
+        formerController.start();
+        while (controllerEpoch() <= formerEpoch) {
             TimeUnit.MILLISECONDS.sleep(20);
         }
-        rig.relays.letGo(order);
-        awaitWork(w -> ((Number) w.get("late-orders")).longValue() > 0);
+        rig.relays.letGo(heldConnection);
+        awaitStatus(status -> ((Number) status.get("late-orders")).longValue() > 0);
         awaitStage("B", "out");
-        long out = System.currentTimeMillis();
-        serve(100);
-        nothingSince(m2, out);
-        assertThat(word("done", "B")).isEmpty();
+        long outAtMs = System.currentTimeMillis();
+        awaitCommitted(100);
+        assertNoTxnsSince(member2, outAtMs);
+        assertThat(sendOperatorCommand("done", "B")).isEmpty();
         awaitStage("B", "in");
     }
 
+    /**
+     * The controller is paused after it has announced a machine; its successor takes the machine
+     * out and back. When the former one resumes with its old state, the machine must stay in
+     * service.
+     */
     @Test
-    void aConductorThatIsStoppedAndWakesUpLateStartsNothingAnew() throws Exception {
-        start(RULES.replace("driver \"d4\";", ""));
-        Rig.Driver first = conductor();
-        long epoch = conducts();
-        load.away.add(first.name);
-        assertThat(want("B")).isEmpty();
-        first.await("work: B planned");
-        first.pause();
+    void pausedControllerTakesNoStepAfterItsSuccessorHasFinished() throws Exception {
+        start(FLEET_KDL.replace("driver \"d4\";", ""));
+        Rig.Driver formerController = controllerDriver();
+        long formerEpoch = controllerEpoch();
+        load.away.add(formerController.name);
+        assertThat(requestMaintenance("B")).isEmpty();
+        formerController.await("work: B planned");
+        formerController.pause();
         awaitStage("B", "out");
-        assertThat(conducts()).isGreaterThan(epoch);
-        assertThat(word("done", "B")).isEmpty();
+        assertThat(controllerEpoch()).isGreaterThan(formerEpoch);
+        assertThat(sendOperatorCommand("done", "B")).isEmpty();
         awaitStage("B", "in");
-        int from = first.lines();
-        first.goOn();
-        first.await(from, l -> l.contains("work: the plan is known"));
-        load.away.remove(first.name);
-        int before = m2.txns().size();
-        m2.awaitTxns(before + 1);
-        assertThat(at(work(), "B", "in")).as("where the late one has left it").isTrue();
-    }
-
+        int fromLine = formerController.lines();
+        formerController.goOn();
+        formerController.await(fromLine, line -> line.contains("work: the plan is known"));
+        load.away.remove(formerController.name);
+        int txnsBefore = member2.txns().size();
+        member2.awaitTxns(txnsBefore + 1);
+        assertThat(isAtStage(maintenanceStatus(), "B", "in"))
+                .as("in service, as before the former controller resumed")
+                .isTrue();
+    }
+
+    /**
+     * A driver that has confirmed the announcement is cut off from the voters. The machine is out
+     * once its lease has ended, and until it is connected again it must serve clients without that
+     * machine.
+     */
     @Test
-    void oneCutOffBehindItsWordLeavesTheMachineAloneAndServesOn() throws Exception {
-        start(RULES);
-        Rig.Driver cut =
-                rig.driver("d2").name.equals(conductor().name)
+    void driverIsolatedAfterConfirmingAvoidsTheMachineAndServesOn() throws Exception {
+        start(FLEET_KDL);
+        Rig.Driver isolatedDriver =
+                rig.driver("d2").name.equals(controllerDriver().name)
                         ? rig.driver("d3")
                         : rig.driver("d2");
-        // The plan is known there, and then the wire is cut: what drains has to wait for its view
-        // to end.
-        assertThat(want("B")).isEmpty();
-        int from = cut.lines();
-        awaitWork(w -> !at(w, "B", "asked") && !at(w, "B", "planned"));
-        rig.cutFromCouncil(cut.name, true);
+        // The driver confirms the announcement and is then cut off: draining has to wait until its
+        // lease has ended.
+        assertThat(requestMaintenance("B")).isEmpty();
+        int fromLine = isolatedDriver.lines();
+        awaitStatus(
+                status -> !isAtStage(status, "B", "asked") && !isAtStage(status, "B", "planned"));
+        rig.cutFromCouncil(isolatedDriver.name, true);
         awaitStage("B", "out");
-        long out = System.currentTimeMillis();
-        assertThat(cut.log().subList(from, cut.lines()))
-                .anyMatch(l -> l.contains("view of the plan has ended"));
-        serve(200);
-        nothingSince(m2, out);
-        try (Client c = new Client(cut.port())) {
-            c.startup().heard();
-            assertThat(c.ask(Fixtures.read("served")).heard()).containsExactly("row value");
+        long outAtMs = System.currentTimeMillis();
+        assertThat(isolatedDriver.log().subList(fromLine, isolatedDriver.lines()))
+                .anyMatch(line -> line.contains("view of the plan has ended"));
+        awaitCommitted(200);
+        assertNoTxnsSince(member2, outAtMs);
+        try (Client client = new Client(isolatedDriver.port())) {
+            client.startup().heard();
+            assertThat(client.ask(Fixtures.read("served")).heard()).containsExactly("row value");
         }
-        rig.cutFromCouncil(cut.name, false);
-        cut.await(from, l -> l.contains("work: the plan is known"));
-        serve(100);
-        nothingSince(m2, out);
+        rig.cutFromCouncil(isolatedDriver.name, false);
+        isolatedDriver.await(fromLine, line -> line.contains("work: the plan is known"));
+        awaitCommitted(100);
+        assertNoTxnsSince(member2, outAtMs);
         assertThat(load.lost.get()).isZero();
     }
 
+    /**
+     * A driver that is cut off before the announcement does not know of it and still sends to the
+     * machine, so the machine must not drain before the driver has confirmed.
+     */
     @Test
-    void oneCutOffBeforeItEverHeardIsWaitedFor() throws Exception {
-        start(RULES);
-        Rig.Driver cut =
-                rig.driver("d2").name.equals(conductor().name)
+    void driverIsolatedBeforeTheAnnouncementIsWaitedFor() throws Exception {
+        start(FLEET_KDL);
+        Rig.Driver isolatedDriver =
+                rig.driver("d2").name.equals(controllerDriver().name)
                         ? rig.driver("d3")
                         : rig.driver("d2");
-        rig.cutFromCouncil(cut.name, true);
-        cut.await("view of the plan has ended");
-        awaitWork(w -> astray(w, cut.name));
-        assertThat(want("B")).isEmpty();
-        awaitWork(
-                w ->
-                        entry(w, "B")
+        rig.cutFromCouncil(isolatedDriver.name, true);
+        isolatedDriver.await("view of the plan has ended");
+        awaitStatus(status -> isLost(status, isolatedDriver.name));
+        assertThat(requestMaintenance("B")).isEmpty();
+        awaitStatus(
+                status ->
+                        entry(status, "B")
                                 .filter(
-                                        e ->
-                                                e.get("waits")
+                                        entry ->
+                                                entry.get("waits")
                                                         .toString()
                                                         .contains(
-                                                                cut.name + " (without a session)"))
+                                                                isolatedDriver.name
+                                                                        + " (without a session)"))
                                 .isPresent());
-        serve(200);
-        assertThat(at(work(), "B", "planned")).isTrue();
-        rig.cutFromCouncil(cut.name, false);
+        awaitCommitted(200);
+        assertThat(isAtStage(maintenanceStatus(), "B", "planned")).isTrue();
+        rig.cutFromCouncil(isolatedDriver.name, false);
         awaitStage("B", "out");
-        long out = System.currentTimeMillis();
-        serve(100);
-        nothingSince(m2, out);
+        long outAtMs = System.currentTimeMillis();
+        awaitCommitted(100);
+        assertNoTxnsSince(member2, outAtMs);
     }
 
+    /**
+     * A killed driver cannot be told from one that is only cut off, so its confirmation is waited
+     * for until an operator declares it gone; that must be safe even if it comes back.
+     */
     @Test
-    void oneThatIsKilledForGoodIsWaitedForUntilAnOperatorSaysSo() throws Exception {
-        start(RULES);
-        Rig.Driver dead = rig.driver("d4");
+    void killedDriverIsWaitedForUntilAnOperatorDeclaresItGone() throws Exception {
+        start(FLEET_KDL);
+        Rig.Driver killedDriver = rig.driver("d4");
         load.away.add("d4");
-        dead.kill();
-        awaitWork(w -> astray(w, "d4"));
-        assertThat(want("C")).isEmpty();
-        awaitWork(
-                w ->
-                        entry(w, "C")
+        killedDriver.kill();
+        awaitStatus(status -> isLost(status, "d4"));
+        assertThat(requestMaintenance("C")).isEmpty();
+        awaitStatus(
+                status ->
+                        entry(status, "C")
                                 .filter(
-                                        e ->
-                                                e.get("waits")
+                                        entry ->
+                                                entry.get("waits")
                                                         .toString()
                                                         .contains("d4 (without a session)"))
                                 .isPresent());
-        assertThat(word("gone", "d4")).isEmpty();
+        assertThat(sendOperatorCommand("gone", "d4")).isEmpty();
         awaitStage("C", "out");
-        long out = System.currentTimeMillis();
-        serve(100);
-        nothingSince(m3, out);
-        // It was not gone after all: it sends nothing before it has learned the plan.
-        dead.start();
-        dead.await("work: the plan is known");
+        long outAtMs = System.currentTimeMillis();
+        awaitCommitted(100);
+        assertNoTxnsSince(member3, outAtMs);
+        // Started again, it sends nothing to the machine before it has received the plan.
+        killedDriver.start();
+        killedDriver.await("work: the plan is known");
         load.away.remove("d4");
-        serve(200);
-        nothingSince(m3, out);
+        awaitCommitted(200);
+        assertNoTxnsSince(member3, outAtMs);
     }
 
+    /**
+     * With the strict lost-view policy, a driver that is cut off uses no machine after the horizon,
+     * so maintenance continues without its confirmation and it declines its clients' txns.
+     */
     @Test
-    void withStrictViewsTheCouncilGoesOnAfterAHorizon() throws Exception {
+    void strictPolicyContinuesAfterTheHorizonWithoutALostDriver() throws Exception {
         start(
-                RULES.replace(
+                FLEET_KDL.replace(
                         "watch 0.5", "watch 0.5\n                lost-view \"strict\" horizon=5"));
-        Rig.Driver cut =
-                rig.driver("d2").name.equals(conductor().name)
+        Rig.Driver isolatedDriver =
+                rig.driver("d2").name.equals(controllerDriver().name)
                         ? rig.driver("d3")
                         : rig.driver("d2");
-        load.away.add(cut.name);
-        rig.cutFromCouncil(cut.name, true);
-        cut.await("view of the plan has ended");
-        assertThat(want("B")).isEmpty();
+        load.away.add(isolatedDriver.name);
+        rig.cutFromCouncil(isolatedDriver.name, true);
+        isolatedDriver.await("view of the plan has ended");
+        assertThat(requestMaintenance("B")).isEmpty();
         awaitStage("B", "out");
-        long out = System.currentTimeMillis();
-        serve(100);
-        nothingSince(m2, out);
-        try (Client c = new Client(cut.port())) {
-            c.startup().heard();
-            assertThat(c.ask(Fixtures.read("declined")).heard()).doesNotContain("row value");
+        long outAtMs = System.currentTimeMillis();
+        awaitCommitted(100);
+        assertNoTxnsSince(member2, outAtMs);
+        try (Client client = new Client(isolatedDriver.port())) {
+            client.startup().heard();
+            assertThat(client.ask(Fixtures.read("declined")).heard()).doesNotContain("row value");
         }
-        rig.cutFromCouncil(cut.name, false);
-        cut.await("work: the plan is known");
+        rig.cutFromCouncil(isolatedDriver.name, false);
+        isolatedDriver.await("work: the plan is known");
     }
 
-    /** Reads by d3 that stay at the members until they are let go; one at least is at m2. */
-    private List<Client> slowReads() throws Exception {
-        List<Client> slow = new ArrayList<>();
+    /** Sends reads by d3 that members answer only when told to; at least one of them is at m2. */
+    private List<Client> startSlowReads() throws Exception {
+        List<Client> slowClients = new ArrayList<>();
         for (int i = 0; i < 16; i++) {
-            Client c = new Client(rig.driver("d3").port());
-            slow.add(c);
-            c.startup().heard();
-            c.ask(Fixtures.read("slow" + i).replace("c=look,d=3000", "c=long,d=20000"));
+            Client client = new Client(rig.driver("d3").port());
+            slowClients.add(client);
+            client.startup().heard();
+            client.ask(Fixtures.read("slow" + i).replace("c=look,d=3000", "c=long,d=20000"));
         }
-        m2.awaitTxn("slow");
-        return slow;
+        member2.awaitTxn("slow");
+        return slowClients;
     }
 
+    /**
+     * A txn that still runs at the machine delays its being out. The stage must survive when all
+     * drivers are killed in the middle of it.
+     */
     @Test
-    void aLongTxnHoldsUpOutAndAWholeFleetThatIsKilledMeanwhileGoesOn() throws Exception {
-        start(RULES, LONG);
-        List<Client> slow = slowReads();
-        assertThat(want("B")).isEmpty();
-        awaitWork(
-                w ->
-                        entry(w, "B")
+    void longTxnDelaysOutAndTheFleetContinuesAfterAllAreKilled() throws Exception {
+        start(FLEET_KDL, SETTINGS_WITH_LONG_TXN);
+        List<Client> slowClients = startSlowReads();
+        assertThat(requestMaintenance("B")).isEmpty();
+        awaitStatus(
+                status ->
+                        entry(status, "B")
                                 .filter(
-                                        e ->
-                                                e.get("waits")
+                                        entry ->
+                                                entry.get("waits")
                                                         .toString()
                                                         .contains("to be drained by: [d3]"))
                                 .isPresent());
-        serve(100);
-        assertThat(at(work(), "B", "draining")).isTrue();
-        for (Rig.Driver d : rig.drivers.values()) {
-            load.away.add(d.name);
-            d.kill();
+        awaitCommitted(100);
+        assertThat(isAtStage(maintenanceStatus(), "B", "draining")).isTrue();
+        for (Rig.Driver driver : rig.drivers.values()) {
+            load.away.add(driver.name);
+            driver.kill();
         }
         for (String name : List.of("d4", "d3", "d2", "d1")) {
             rig.driver(name).start();
         }
         awaitStage("B", "out");
-        long out = System.currentTimeMillis();
+        long outAtMs = System.currentTimeMillis();
         load.away.clear();
-        serve(200);
-        nothingSince(m2, out);
-        for (Client c : slow) {
-            c.close();
+        awaitCommitted(200);
+        assertNoTxnsSince(member2, outAtMs);
+        for (Client client : slowClients) {
+            client.close();
         }
-        for (FencedMember m : List.of(m1, m2, m3)) {
-            m.letSlowGo();
+        for (FencedMember member : List.of(member1, member2, member3)) {
+            member.letSlowGo();
         }
     }
 
+    /**
+     * Two operators request two machines of a group at the same time: the second one must wait
+     * until the first is back in service.
+     */
     @Test
-    void twoOperatorsAtOnceNeverTakeTwoOfAGroup() throws Exception {
-        start(RULES);
-        List<String> answers =
+    void concurrentRequestsNeverTakeTwoMembersOfAGroup() throws Exception {
+        start(FLEET_KDL);
+        List<String> results =
                 List.of("B", "C").parallelStream()
                         .map(
-                                m -> {
+                                machine -> {
                                     try {
-                                        return want(m);
+                                        return requestMaintenance(machine);
                                     } catch (IOException e) {
                                         return e.toString();
                                     }
                                 })
                         .toList();
-        assertThat(answers).containsOnly("");
-        String one =
-                awaitWork(w -> at(w, "B", "out") || at(w, "C", "out")) == null
+        assertThat(results).containsOnly("");
+        String outMachine =
+                awaitStatus(
+                                        status ->
+                                                isAtStage(status, "B", "out")
+                                                        || isAtStage(status, "C", "out"))
+                                == null
                         ? ""
-                        : at(work(), "B", "out") ? "B" : "C";
-        String other = one.equals("B") ? "C" : "B";
-        awaitWork(
-                w ->
-                        entry(w, other)
-                                .filter(e -> e.get("waits").toString().startsWith("zone"))
+                        : isAtStage(maintenanceStatus(), "B", "out") ? "B" : "C";
+        String waitingMachine = outMachine.equals("B") ? "C" : "B";
+        awaitStatus(
+                status ->
+                        entry(status, waitingMachine)
+                                .filter(entry -> entry.get("waits").toString().startsWith("zone"))
                                 .isPresent());
-        serve(100);
-        assertThat(at(work(), other, "asked")).isTrue();
-        assertThat(word("done", one)).isEmpty();
-        awaitStage(other, "out");
-        assertThat(at(work(), one, "in")).isTrue();
+        awaitCommitted(100);
+        assertThat(isAtStage(maintenanceStatus(), waitingMachine, "asked")).isTrue();
+        assertThat(sendOperatorCommand("done", outMachine)).isEmpty();
+        awaitStage(waitingMachine, "out");
+        assertThat(isAtStage(maintenanceStatus(), outMachine, "in")).isTrue();
         assertThat(load.servedShare()).isGreaterThan(0.99);
     }
 
+    /**
+     * Taking out the machine of the primary would end the group's writes: it waits until another
+     * member is the primary.
+     */
     @Test
-    void aMachineWithThePrimaryWaitsUntilItHasMovedAndEverybodyKnows() throws Exception {
-        start(RULES);
-        assertThat(want("A")).isEmpty();
-        awaitWork(
-                w ->
-                        entry(w, "A")
+    void machineWithThePrimaryWaitsUntilItHasMovedAndAllDriversKnow() throws Exception {
+        start(FLEET_KDL);
+        assertThat(requestMaintenance("A")).isEmpty();
+        awaitStatus(
+                status ->
+                        entry(status, "A")
                                 .filter(
-                                        e ->
-                                                e.get("waits")
+                                        entry ->
+                                                entry.get("waits")
                                                         .toString()
                                                         .contains(
                                                                 "the primary of group 7 is here: to"
                                                                         + " be moved to"))
                                 .isPresent());
-        serve(200);
-        assertThat(at(work(), "A", "planned")).isTrue();
-        m1.primary(false);
-        m3.primary(true);
+        awaitCommitted(200);
+        assertThat(isAtStage(maintenanceStatus(), "A", "planned")).isTrue();
+        member1.primary(false);
+        member3.primary(true);
         awaitStage("A", "out");
-        long out = System.currentTimeMillis();
-        serve(200);
-        nothingSince(m1, out);
-        assertThat(word("done", "A")).isEmpty();
+        long outAtMs = System.currentTimeMillis();
+        awaitCommitted(200);
+        assertNoTxnsSince(member1, outAtMs);
+        assertThat(sendOperatorCommand("done", "A")).isEmpty();
         awaitStage("A", "in");
         assertThat(load.lost.get()).isZero();
     }
 
+    /**
+     * A restarted driver knows no plan at first, and discovery still lists the machine's member as
+     * ready: it must neither send to it nor decline clients.
+     */
     @Test
-    void aReleaseThatRestartsAllWhileOneIsOutSendsNothingThere() throws Exception {
-        // A driver lets clients in after a lease at the latest, and declines them where it knows no
-        // plan by then; a read is declined
-        // that can't be in time. Neither is what this is about, so that a slow machine must not
-        // bring them about.
+    void rollingRestartSendsNothingToAMachineThatIsOut() throws Exception {
+        // A driver accepts clients after the duration of a lease at the latest and declines txns
+        // if it does not know the plan by then; reads that cannot finish in time are declined too.
+        // This test is about neither, so a longer lease and SLA time keep a slow machine from
+        // causing them.
         start(
-                RULES.replace("lease-ms 3000", "lease-ms 20000"),
+                FLEET_KDL.replace("lease-ms 3000", "lease-ms 20000"),
                 SETTINGS.replace("\"aim\":750", "\"aim\":3000"));
-        assertThat(want("B")).isEmpty();
+        assertThat(requestMaintenance("B")).isEmpty();
         awaitStage("B", "out");
-        long out = System.currentTimeMillis();
-        for (Rig.Driver d : rig.drivers.values()) {
-            load.away.add(d.name);
-            d.terminate();
-            d.awaitEnd();
-            d.start();
-            // Clients come as soon as it listens: nobody is declined for a plan that is not known
-            // yet.
-            d.await(" serves ");
-            load.away.remove(d.name);
+        long outAtMs = System.currentTimeMillis();
+        for (Rig.Driver driver : rig.drivers.values()) {
+            load.away.add(driver.name);
+            driver.terminate();
+            driver.awaitEnd();
+            driver.start();
+            // Clients connect as soon as it listens: none may be declined because the plan is not
+            // known yet.
+            driver.await(" serves ");
+            load.away.remove(driver.name);
         }
-        serve(200);
-        nothingSince(m2, out);
+        awaitCommitted(200);
+        assertNoTxnsSince(member2, outAtMs);
         assertThat(load.refused.get()).as(() -> load.refusals + "\n" + rig.logs()).isZero();
-        assertThat(at(work(), "B", "out")).isTrue();
-        assertThat(word("done", "B")).isEmpty();
+        assertThat(isAtStage(maintenanceStatus(), "B", "out")).isTrue();
+        assertThat(sendOperatorCommand("done", "B")).isEmpty();
         awaitStage("B", "in");
-        m2.awaitTxns(m2.txns().size() + 1);
+        member2.awaitTxns(member2.txns().size() + 1);
     }
 
+    /**
+     * A member of the group fails while a machine with another one is out: the operator is asked to
+     * bring that machine back, and no other one of the group may be taken out.
+     */
     @Test
-    void aMemberThatFailsMeanwhilePutsBackWhatDrainsAndWantsBackWhatIsOut() throws Exception {
-        start(RULES);
-        assertThat(want("B")).isEmpty();
+    void memberFailureRequestsAMachineBackAndStartsNoOther() throws Exception {
+        start(FLEET_KDL);
+        assertThat(requestMaintenance("B")).isEmpty();
         awaitStage("B", "out");
-        // Nothing else of its group may fail now: that is told at once, and nothing is begun.
-        m3.close();
-        for (Rig.Driver d : rig.drivers.values()) {
-            rig.relays.between(d.name, "m3").leadTo(0);
-            rig.relays.breakOff(rig.relays.between(d.name, "m3"));
+        // The group has no member to spare now: an operator is alerted, and no other goes out.
+        member3.close();
+        for (Rig.Driver driver : rig.drivers.values()) {
+            rig.relays.between(driver.name, "m3").leadTo(0);
+            rig.relays.breakOff(rig.relays.between(driver.name, "m3"));
         }
-        awaitWork(
-                w ->
-                        entry(w, "B")
+        awaitStatus(
+                status ->
+                        entry(status, "B")
                                 .filter(
-                                        e ->
-                                                e.get("waits")
+                                        entry ->
+                                                entry.get("waits")
                                                         .toString()
                                                         .contains(
                                                                 "PAGE: wanted back: group 7: m3 is"
                                                                         + " not fit"))
                                 .isPresent());
-        assertThat(want("A")).isEmpty();
-        assertThat(word("done", "B")).isEmpty();
+        assertThat(requestMaintenance("A")).isEmpty();
+        assertThat(sendOperatorCommand("done", "B")).isEmpty();
         awaitStage("B", "in");
-        serve(100);
-        assertThat(at(work(), "A", "asked")).isTrue();
+        awaitCommitted(100);
+        assertThat(isAtStage(maintenanceStatus(), "A", "asked")).isTrue();
     }
 
     @Test
-    void allIsHeldWithinASecondAndGoesOn() throws Exception {
-        start(RULES, LONG);
-        Client c = new Client(rig.driver("d1").port());
-        c.startup().heard();
-        assertThat(want("B")).isEmpty();
-        awaitWork(w -> !at(w, "B", "asked"));
-        long at = System.nanoTime();
-        assertThat(word("hold", "*")).isEmpty();
-        assertThat(System.nanoTime() - at).isLessThan(1_000_000_000L);
-        assertThat(work().get("held")).isEqualTo(true);
-        // Out it was already, or it is put back; nothing lies between.
-        assertThat(at(work(), "B", "asked") || at(work(), "B", "out")).isTrue();
-        assertThat(word("go", "*")).isEmpty();
+    void holdTakesEffectWithinASecondAndCanBeLifted() throws Exception {
+        start(FLEET_KDL, SETTINGS_WITH_LONG_TXN);
+        Client client = new Client(rig.driver("d1").port());
+        client.startup().heard();
+        assertThat(requestMaintenance("B")).isEmpty();
+        awaitStatus(status -> !isAtStage(status, "B", "asked"));
+        long startNanos = System.nanoTime();
+        assertThat(sendOperatorCommand("hold", "*")).isEmpty();
+        assertThat(System.nanoTime() - startNanos).isLessThan(MAX_HOLD_NANOS);
+        assertThat(maintenanceStatus().get("held")).isEqualTo(true);
+        // Either it was out already, or it was put back; it is at no stage in between.
+        assertThat(
+                        isAtStage(maintenanceStatus(), "B", "asked")
+                                || isAtStage(maintenanceStatus(), "B", "out"))
+                .isTrue();
+        assertThat(sendOperatorCommand("go", "*")).isEmpty();
         awaitStage("B", "out");
-        c.close();
+        client.close();
     }
 
     @Test
-    void whatCanNeverBeIsRefusedAtOnceWithTheReason() throws Exception {
-        start(RULES);
-        assertThat(want("Z")).isEqualTo("there is no machine 'Z'");
-        assertThat(wantAs("B", "", 0, 1, List.of(), "early")).contains("has passed");
-        assertThat(wantAs("B", "", 0, 0, List.of("B"), "self")).contains("comes after");
-        assertThat(word("done", "B")).isEmpty();
-        assertThat(word("cancel", "B")).contains("is not asked for");
-        assertThat(wantAs("B", "", 1000, 0, List.of(), "same")).isEmpty();
-        assertThat(wantAs("B", "", 1000, 0, List.of(), "same")).isEmpty();
-        // Out for longer than was asked: told, not assumed to be back.
-        awaitWork(
-                w ->
-                        entry(w, "B")
+    void impossibleRequestsAreRefusedAtOnceWithTheReason() throws Exception {
+        start(FLEET_KDL);
+        assertThat(requestMaintenance("Z")).isEqualTo("there is no machine 'Z'");
+        assertThat(requestMaintenanceWith("B", "", 0, 1, List.of(), "early"))
+                .contains("has passed");
+        assertThat(requestMaintenanceWith("B", "", 0, 0, List.of("B"), "self"))
+                .contains("comes after");
+        assertThat(sendOperatorCommand("done", "B")).isEmpty();
+        assertThat(sendOperatorCommand("cancel", "B")).contains("is not asked for");
+        assertThat(requestMaintenanceWith("B", "", 1000, 0, List.of(), "same")).isEmpty();
+        assertThat(requestMaintenanceWith("B", "", 1000, 0, List.of(), "same")).isEmpty();
+        // Out for longer than requested: an operator is alerted; it is not assumed to be back.
+        awaitStatus(
+                status ->
+                        entry(status, "B")
                                 .filter(
-                                        e ->
-                                                e.get("waits")
+                                        entry ->
+                                                entry.get("waits")
                                                         .toString()
                                                         .contains("PAGE: out for longer than 1 s"))
                                 .isPresent());
-        assertThat(word("cancel", "B")).contains("brings it back");
+        assertThat(sendOperatorCommand("cancel", "B")).contains("brings it back");
     }
 
+    /**
+     * A duty whose owner is shut down with its machine would have no owner until the lease expires,
+     * so drivers on a draining machine hand over their duties first.
+     */
     @Test
-    void aDriverOnAMachineThatDrainsHandsItsDutiesOver() throws Exception {
+    void driverOnADrainingMachineHandsOverItsDuties() throws Exception {
         start(
-                RULES.replace("driver \"d4\";", "driver \"d1\"; driver \"d4\";")
+                FLEET_KDL
+                        .replace("driver \"d4\";", "driver \"d1\"; driver \"d4\";")
                         .replace(
                                 "member \"m3\" group=7; driver \"d1\";", "member \"m3\" group=7;"));
-        assertThat(want("B")).isEmpty();
+        assertThat(requestMaintenance("B")).isEmpty();
         awaitStage("B", "out");
-        assertThat(List.of("d1", "d4")).doesNotContain(conductor().name);
-        // One voter of three is away: a second one would leave no majority for the next fault.
+        assertThat(List.of("d1", "d4")).doesNotContain(controllerDriver().name);
+        // One voter of three is away; with a second one away there would be no quorum.
         rig.driver("d2").await("work: B out");
-        assertThat(word("done", "B")).isEmpty();
+        assertThat(sendOperatorCommand("done", "B")).isEmpty();
         awaitStage("B", "in");
     }
 
     @Test
-    void discoveryAndThePlanMayDisagreeAndTheStrongerBinds() throws Exception {
-        start(RULES);
+    void stricterOfDiscoveryAndPlanApplies() throws Exception {
+        start(FLEET_KDL);
         rig.tellList(Map.of("m2b", "gone"));
-        assertThat(want("B")).isEmpty();
+        assertThat(requestMaintenance("B")).isEmpty();
         awaitStage("B", "out");
-        long out = System.currentTimeMillis();
+        long outAtMs = System.currentTimeMillis();
         rig.tellList(Map.of("m2b", "gone"));
-        for (Rig.Driver d : rig.drivers.values()) {
-            d.await("list 2 ");
+        for (Rig.Driver driver : rig.drivers.values()) {
+            driver.await("list 2 ");
         }
-        serve(200);
-        nothingSince(m2, out);
-        // The plan has it back, and discovery says that it drains: it is not back before both say
-        // so.
+        awaitCommitted(200);
+        assertNoTxnsSince(member2, outAtMs);
+        // The plan returns the machine while discovery lists its member as draining: it is back in
+        // service only after both agree.
         rig.tellList(Map.of("m2b", "gone", "m2", "draining"));
-        for (Rig.Driver d : rig.drivers.values()) {
-            d.await("list 3 ");
+        for (Rig.Driver driver : rig.drivers.values()) {
+            driver.await("list 3 ");
         }
-        assertThat(word("done", "B")).isEmpty();
-        awaitWork(
-                w ->
-                        entry(w, "B")
+        assertThat(sendOperatorCommand("done", "B")).isEmpty();
+        awaitStatus(
+                status ->
+                        entry(status, "B")
                                 .filter(
-                                        e ->
-                                                e.get("waits")
+                                        entry ->
+                                                entry.get("waits")
                                                         .toString()
                                                         .contains("m2 has not answered"))
                                 .isPresent());
-        serve(100);
-        nothingSince(m2, out);
+        awaitCommitted(100);
+        assertNoTxnsSince(member2, outAtMs);
         rig.tellList(Map.of("m2b", "gone"));
         awaitStage("B", "in");
-        m2.awaitTxns(m2.txns().size() + 1);
+        member2.awaitTxns(member2.txns().size() + 1);
     }
 
+    /**
+     * A machine's member may be replaced by one with a new id while the machine is out. The prefix
+     * in the operator's file must assign the new member to the same machine.
+     */
     @Test
-    void aMachineThatComesBackUnderNewMemberIdsIsTheSameMachine() throws Exception {
-        start(RULES);
+    void machineReturnsWithANewMemberId() throws Exception {
+        start(FLEET_KDL);
         rig.tellList(Map.of("m2b", "gone"));
         FencedMember successor = rig.members.get("m2b");
-        assertThat(want("B")).isEmpty();
+        assertThat(requestMaintenance("B")).isEmpty();
         awaitStage("B", "out");
-        // It is listed before anybody says that it is done: nothing goes there.
+        // The new member is listed before the operator reports the work as done, so it must not be
+        // sent anything yet.
         rig.tellList(Map.of("m2", "gone"));
-        for (Rig.Driver d : rig.drivers.values()) {
-            d.await("list 2 ");
+        for (Rig.Driver driver : rig.drivers.values()) {
+            driver.await("list 2 ");
         }
-        serve(200);
+        awaitCommitted(200);
         assertThat(successor.txns()).isEmpty();
-        assertThat(word("done", "B")).isEmpty();
+        assertThat(sendOperatorCommand("done", "B")).isEmpty();
         awaitStage("B", "in");
         successor.awaitTxns(1);
     }
 
+    /**
+     * The group's primary becomes unreachable while the machine of a replica drains: the machine is
+     * put back, and its member can take over as the primary.
+     */
     @Test
-    void thePrimaryDiesWhileAReplicasMachineDrainsWhichIsPutBackAndCanLead() throws Exception {
-        start(RULES, LONG);
-        List<Client> slow = slowReads();
-        assertThat(want("B")).isEmpty();
+    void primaryFailureWhileAReplicaDrainsPutsItBackForFailover() throws Exception {
+        start(FLEET_KDL, SETTINGS_WITH_LONG_TXN);
+        List<Client> slowClients = startSlowReads();
+        assertThat(requestMaintenance("B")).isEmpty();
         awaitStage("B", "draining");
-        rig.reachable(m1, false);
+        rig.reachable(member1, false);
         awaitStage("B", "asked");
-        awaitWork(
-                w ->
-                        entry(w, "B")
-                                .filter(e -> e.get("waits").toString().contains("m1 is not fit"))
+        awaitStatus(
+                status ->
+                        entry(status, "B")
+                                .filter(
+                                        entry ->
+                                                entry.get("waits")
+                                                        .toString()
+                                                        .contains("m1 is not fit"))
                                 .isPresent());
-        m1.primary(false);
-        m2.primary(true);
-        try (Client c = new Client(rig.driver("d1").port())) {
-            c.startup().heard();
-            List<String> heard = List.of();
-            for (int i = 0; i < 100 && !heard.contains("row value"); i++) {
-                heard = c.ask(Fixtures.write("lead" + i)).heard();
+        member1.primary(false);
+        member2.primary(true);
+        try (Client client = new Client(rig.driver("d1").port())) {
+            client.startup().heard();
+            List<String> response = List.of();
+            for (int i = 0; i < 100 && !response.contains("row value"); i++) {
+                response = client.ask(Fixtures.write("lead" + i)).heard();
             }
-            assertThat(heard).containsExactly("row value");
+            assertThat(response).containsExactly("row value");
         }
-        assertThat(m2.txns()).anyMatch(t -> t.id().startsWith("lead"));
-        for (FencedMember m : List.of(m1, m2, m3)) {
-            m.letSlowGo();
+        assertThat(member2.txns()).anyMatch(txn -> txn.id().startsWith("lead"));
+        for (FencedMember member : List.of(member1, member2, member3)) {
+            member.letSlowGo();
         }
-        for (Client c : slow) {
-            c.close();
+        for (Client client : slowClients) {
+            client.close();
         }
     }
 
+    /**
+     * A driver on the minority side of a network partition must not use the machine while the
+     * majority takes it out, nor after the partition has healed.
+     */
     @Test
-    void aFleetInHalvesGoesOnWhereTheMajorityIs() throws Exception {
-        start(RULES);
-        // B's own driver, d4, is on the small side, without a voter.
-        Rig.Driver small = rig.driver("d4");
-        int from = small.lines();
-        assertThat(want("B")).isEmpty();
-        small.await(from, l -> l.contains("work: B planned"));
-        awaitWork(w -> !at(w, "B", "asked") && !at(w, "B", "planned"));
+    void partitionedFleetContinuesOnTheMajoritySide() throws Exception {
+        start(FLEET_KDL);
+        // d4, the driver on machine B, is on the minority side, which has no voter.
+        Rig.Driver minorityDriver = rig.driver("d4");
+        int fromLine = minorityDriver.lines();
+        assertThat(requestMaintenance("B")).isEmpty();
+        minorityDriver.await(fromLine, line -> line.contains("work: B planned"));
+        awaitStatus(
+                status -> !isAtStage(status, "B", "asked") && !isAtStage(status, "B", "planned"));
         rig.cutFromCouncil("d4", true);
         awaitStage("B", "out");
-        long out = System.currentTimeMillis();
-        serve(200);
-        nothingSince(m2, out);
+        long outAtMs = System.currentTimeMillis();
+        awaitCommitted(200);
+        assertNoTxnsSince(member2, outAtMs);
         rig.cutFromCouncil("d4", false);
-        small.await(from, l -> l.contains("work: the plan is known") || l.contains("work: B out"));
-        serve(100);
-        nothingSince(m2, out);
-        assertThat(word("done", "B")).isEmpty();
+        minorityDriver.await(
+                fromLine,
+                line -> line.contains("work: the plan is known") || line.contains("work: B out"));
+        awaitCommitted(100);
+        assertNoTxnsSince(member2, outAtMs);
+        assertThat(sendOperatorCommand("done", "B")).isEmpty();
         awaitStage("B", "in");
     }
 
-    /** What a call prints, and its exit status last. */
-    private List<String> call(String... words) throws Exception {
+    /** Returns the output lines of a {@code work} command, and its exit status as the last one. */
+    private List<String> runWorkCommand(String... arguments) throws Exception {
         List<String> command =
                 new ArrayList<>(
                         List.of(
@@ -772,30 +888,30 @@
                                 "-jar",
                                 "target/wingroad.jar",
                                 "work"));
-        command.addAll(List.of(words));
+        command.addAll(List.of(arguments));
         command.addAll(List.of("--operator", rig.driver("d1").operator().toString()));
-        Process p = new ProcessBuilder(command).redirectErrorStream(true).start();
-        List<String> lines = new ArrayList<>(p.inputReader().lines().toList());
-        lines.add("exit " + p.waitFor());
-        return lines;
+        Process process = new ProcessBuilder(command).redirectErrorStream(true).start();
+        List<String> output = new ArrayList<>(process.inputReader().lines().toList());
+        output.add("exit " + process.waitFor());
+        return output;
     }
 
     @Test
-    void operatorsAskByTheCommandLine() throws Exception {
-        start(RULES);
-        assertThat(call("ask", "B", "Z", "--for", "20m", "--why", "kernel"))
+    void workCommandsOnTheCommandLine() throws Exception {
+        start(FLEET_KDL);
+        assertThat(runWorkCommand("ask", "B", "Z", "--for", "20m", "--why", "kernel"))
                 .containsExactly("B: settled", "Z: refused: there is no machine 'Z'", "exit 1");
         awaitStage("B", "out");
-        assertThat(call("plan"))
-                .anyMatch(l -> l.matches(" +B +out +kernel; waits: work on it"))
+        assertThat(runWorkCommand("plan"))
+                .anyMatch(line -> line.matches(" +B +out +kernel; waits: work on it"))
                 .contains("exit 0");
-        assertThat(call("show", "B"))
-                .anyMatch(l -> l.contains("members [m2*#7], drivers [d4]"))
-                .anyMatch(l -> l.endsWith("B out: nothing of anybody's is there"));
-        assertThat(call("done", "B", "--json"))
+        assertThat(runWorkCommand("show", "B"))
+                .anyMatch(line -> line.contains("members [m2*#7], drivers [d4]"))
+                .anyMatch(line -> line.endsWith("B out: nothing of anybody's is there"));
+        assertThat(runWorkCommand("done", "B", "--json"))
                 .containsExactly("{\"machine\":\"B\",\"settled\":true,\"why\":\"\"}", "exit 0");
         awaitStage("B", "in");
-        assertThat(call("hold")).contains("exit 2");
-        assertThat(call("ask", "B", "--for", "soon")).contains("exit 2");
+        assertThat(runWorkCommand("hold")).contains("exit 2");
+        assertThat(runWorkCommand("ask", "B", "--for", "soon")).contains("exit 2");
     }
 }
