--- a/src/bench/java/wingroad/work/WorkBench.java
+++ b/src/bench/java/wingroad/work/WorkBench.java
@@ -32,130 +32,243 @@
 import java.util.regex.Pattern;
 
 /**
- * Nine machines of three zones with eighteen members, eight drivers as real processes: no work at
- * all, the plan, the plan with faults, and two baselines (marks in discovery at a fixed pace; each
- * driver by itself). The last line is one JSON object.
+ * Measures which share of txns is served during maintenance, and checks that no txn reaches a
+ * machine that is out. Nine machines in three zones hold eighteen members; eight drivers run as
+ * real processes.
+ *
+ * <p>The cases are: no maintenance at all; all machines by the maintenance plan; the same with
+ * faults; and two baselines without a plan, where machines are marked as draining in discovery at a
+ * fixed pace, seen by all drivers at once or by each after a delay of its own. The last line of
+ * output is one JSON object.
  */
 public final class WorkBench {
     private static final int LEASE_MS = 3000;
-    private static final int DRIVERS = 8;
-    private static final int GROUPS = 6;
-    private static final int MACHINES = 9;
-    private static final long WORK_MS = 2500;
-    private static final long COLD_MS = 3000;
-    private static final long PACE_MS = 1500;
-    private static final FencedMember.Bears BEARS =
-            new FencedMember.Bears(250, COLD_MS, 0.26, 2.5, 1500);
+    private static final int DRIVER_COUNT = 8;
+    private static final int VOTER_COUNT = 5;
+    private static final int ZONE_COUNT = 3;
+    private static final int GROUP_COUNT = 6;
+    private static final int GROUPS_PER_MACHINE = 2;
+    private static final int MACHINE_COUNT = 9;
+
+    /** The first machines hold a driver each. */
+    private static final int MACHINES_WITH_DRIVER_COUNT = 3;
+
+    /** Groups are numbered from here on. */
+    private static final int FIRST_GROUP = 7;
+
+    private static final int DEFAULT_SECONDS = 30;
+    private static final int MAX_SECONDS_WITHOUT_MAINTENANCE = 30;
+    private static final int WARM_UP_SECONDS = 2;
+    private static final int AWAIT_TIMEOUT_SECONDS = 60;
+
+    /** Limits how long the requests of one round may take until all are done. */
+    private static final int ROUND_TIMEOUT_SECONDS = 240;
+
+    private static final int POLL_INTERVAL_MS = 80;
+    private static final int AWAIT_INTERVAL_MS = 40;
+
+    /** Pause of each client between two txns. */
+    private static final int LOAD_INTERVAL_MS = 4;
+
+    private static final int CLIENTS_PER_DRIVER = 2;
+    private static final int TXN_MS = 8;
+    private static final int MEMBER_TXNS_PER_SECOND = 250;
+
+    /** How many txns a member works on at a time. */
+    private static final int MEMBER_CONCURRENCY = 2;
+
+    /** How long the work on a machine takes while it is out. */
+    private static final long MAINTENANCE_MS = 2500;
+
+    private static final long COLD_TIME_MS = 3000;
+
+    /** The fraction of its capacity that a member has when it starts cold, as in the settings. */
+    private static final double COLD_CAPACITY_RATIO = 0.26;
+
+    /** A cold member fails at so many times its capacity, counted over the overload window. */
+    private static final double OVERLOAD_FACTOR = 2.5;
+
+    private static final int OVERLOAD_WINDOW_MS = 1500;
+
+    /** Replication lag of a member that has just started again, and how long it keeps it. */
+    private static final int RESTART_LAG_MS = 1500;
+
+    private static final int CATCH_UP_MS = 1200;
+
+    /** The drain-grace of the fixtures' settings. */
+    private static final int DRAIN_GRACE_MS = 1000;
+
+    /** Baselines: the pause before and after the work on each machine. */
+    private static final long MARK_INTERVAL_MS = 1500;
+
+    /** Baseline with separate lists: the longest delay until a driver's list changes. */
+    private static final int MAX_LIST_DELAY_MS = 4000;
+
+    private static final int MIN_FAULT_INTERVAL_MS = 350;
+    private static final int FAULT_INTERVAL_JITTER_MS = 350;
+
+    /** No further fault is injected while more drivers than this are under fault. */
+    private static final int FAULT_LIMIT_DRIVER_COUNT = 3;
+
+    private static final int FAULT_KIND_COUNT = 11;
+    private static final int MIN_RESTART_DELAY_MS = 300;
+    private static final int RESTART_DELAY_JITTER_MS = 2000;
+    private static final int MIN_CUT_MS = 1000;
+
+    /** What fails at a driver so soon after a pause or a cut is not counted. */
+    private static final int RECOVERY_GRACE_MS = 500;
+
+    private static final int COMMAND_HOLD_MS = 1500;
+
+    /** How long a driver's next controller command is waited for, to be held. */
+    private static final int COMMAND_WAIT_MS = 2500;
+
+    /** States of {@link #holdControllerCommand}. */
+    private static final int HOLD_WAITING = 0;
+
+    private static final int HOLD_HELD = 1;
+    private static final int HOLD_TIMED_OUT = 2;
+
+    private static final FencedMember.Bears COLD_MEMBER =
+            new FencedMember.Bears(
+                    MEMBER_TXNS_PER_SECOND,
+                    COLD_TIME_MS,
+                    COLD_CAPACITY_RATIO,
+                    OVERLOAD_FACTOR,
+                    OVERLOAD_WINDOW_MS);
     private static final String SETTINGS =
             Fixtures.SETTINGS
-                    .replace("\"cold\":16000", "\"cold\":" + COLD_MS)
+                    .replace("\"cold\":16000", "\"cold\":" + COLD_TIME_MS)
                     .replace("\"azs\":[\"a\"]", "\"azs\":[\"a\",\"b\",\"c\"]")
-                    .replace("\"balancers\":1", "\"balancers\":" + DRIVERS);
-    private static final Pattern MOVE =
+                    .replace("\"balancers\":1", "\"balancers\":" + DRIVER_COUNT);
+
+    /** What a machine waits for whose member has to hand over as the primary. */
+    private static final Pattern PRIMARY_MOVE_NOTE =
             Pattern.compile("the primary of group ([0-9]+) is here: to be moved to ([^ ]+).*");
 
     private final Random random;
     private final Rig rig;
-    private final Map<String, List<FencedMember>> machines = new TreeMap<>();
-    private final Set<String> away = ConcurrentHashMap.newKeySet();
-    private final ScheduledExecutorService later = Executors.newScheduledThreadPool(6);
-    private final Map<String, AtomicInteger> counts = new ConcurrentHashMap<>();
-    private final Set<Long> epochs = new HashSet<>();
-    private final List<Object> heldOrders = new ArrayList<>();
-    private final AtomicInteger twoWays = new AtomicInteger();
-    private final FleetConfig fleetRules;
+    private final Map<String, List<FencedMember>> membersByMachine = new TreeMap<>();
+    private final Set<String> driversUnderFault = ConcurrentHashMap.newKeySet();
+    private final ScheduledExecutorService scheduler = Executors.newScheduledThreadPool(6);
+    private final Map<String, AtomicInteger> faultCounts = new ConcurrentHashMap<>();
+    private final Set<Long> controllerEpochs = new HashSet<>();
+    private final List<Object> heldConnections = new ArrayList<>();
+    private final AtomicInteger contradictoryAnswers = new AtomicInteger();
+    private final FleetConfig fleetConfig;
     private Load load;
-    private volatile Map<?, ?> work = Map.of();
-    private volatile String conductor = "";
-    private volatile boolean over;
+    private volatile Map<?, ?> maintenanceStatus = Map.of();
+    private volatile String controllerDriver = "";
+    private volatile boolean finished;
 
-    private WorkBench(long seed, boolean planned) throws Exception {
+    private WorkBench(long seed, boolean withFleet) throws Exception {
         random = new Random(seed);
-        StringBuilder rules =
+        StringBuilder fleetKdl =
                 new StringBuilder(
                         "    lease-ms "
                                 + LEASE_MS
                                 + "\n    drift 0.01\n    work {\n        at-once 3\n"
                                 + "        watch 1\n        harm 0.05\n        lag-ms 400\n");
-        for (int m = 0; m < MACHINES; m++) {
-            rules.append("        machine \"M")
-                    .append(m)
+        for (int machine = 0; machine < MACHINE_COUNT; machine++) {
+            fleetKdl.append("        machine \"M")
+                    .append(machine)
                     .append("\" zone=\"")
-                    .append(zone(m))
+                    .append(zoneOf(machine))
                     .append("\" {");
-            for (int g = 0; g < GROUPS; g++) {
-                if (on(g, m % 3) == m) {
-                    rules.append(" member \"")
-                            .append(uid(g, m % 3))
+            for (int group = 0; group < GROUP_COUNT; group++) {
+                if (machineOf(group, machine % ZONE_COUNT) == machine) {
+                    fleetKdl.append(" member \"")
+                            .append(uidOf(group, machine % ZONE_COUNT))
                             .append("\" group=")
-                            .append(g + 7)
+                            .append(group + FIRST_GROUP)
                             .append(';');
                 }
             }
-            rules.append(m < 3 ? " driver \"d" + (m * 2 + 2) + "\";" : "").append(" }\n");
+            fleetKdl.append(
+                            machine < MACHINES_WITH_DRIVER_COUNT
+                                    ? " driver \"d" + (machine * 2 + 2) + "\";"
+                                    : "")
+                    .append(" }\n");
         }
-        rules.append("    }\n");
+        fleetKdl.append("    }\n");
         rig =
                 new Rig(
                         Files.createTempDirectory("work"),
-                        DRIVERS,
-                        5,
-                        planned ? rules.toString() : null,
+                        DRIVER_COUNT,
+                        VOTER_COUNT,
+                        withFleet ? fleetKdl.toString() : null,
                         SETTINGS);
-        for (int m = 0; m < MACHINES; m++) {
-            machines.put("M" + m, new ArrayList<>());
+        for (int machine = 0; machine < MACHINE_COUNT; machine++) {
+            membersByMachine.put("M" + machine, new ArrayList<>());
         }
-        for (int g = 0; g < GROUPS; g++) {
-            for (int z = 0; z < 3; z++) {
-                FencedMember member = rig.member(uid(g, z), g + 7, z == g % 3, false);
-                member.takes(8);
-                member.starts(new FencedMember.Bears(250, 0, 1, 1, 1), 2);
-                machines.get("M" + on(g, z)).add(member);
+        for (int group = 0; group < GROUP_COUNT; group++) {
+            for (int zone = 0; zone < ZONE_COUNT; zone++) {
+                FencedMember member =
+                        rig.member(
+                                uidOf(group, zone),
+                                group + FIRST_GROUP,
+                                zone == group % ZONE_COUNT,
+                                false);
+                member.takes(TXN_MS);
+                member.starts(
+                        new FencedMember.Bears(MEMBER_TXNS_PER_SECOND, 0, 1, 1, 1),
+                        MEMBER_CONCURRENCY);
+                membersByMachine.get("M" + machineOf(group, zone)).add(member);
             }
         }
-        fleetRules = planned ? OperatorFile.read(rig.driver("d1").operator()).file().fleet() : null;
+        fleetConfig =
+                withFleet ? OperatorFile.read(rig.driver("d1").operator()).file().fleet() : null;
         rig.startAll();
-        for (Rig.Driver d : rig.drivers.values()) {
-            d.await(planned ? "work: the plan is known" : " serves ");
+        for (Rig.Driver driver : rig.drivers.values()) {
+            driver.await(withFleet ? "work: the plan is known" : " serves ");
         }
         List<Integer> groups = new ArrayList<>();
-        for (int g = 0; g < GROUPS; g++) {
-            groups.add(g + 7);
+        for (int group = 0; group < GROUP_COUNT; group++) {
+            groups.add(group + FIRST_GROUP);
         }
-        load = new Load(rig, groups, 4, 2);
-        if (planned) {
-            Thread poll = new Thread(this::poll, "poll");
-            poll.setDaemon(true);
-            poll.start();
-            await(() -> work.get("machines") instanceof List<?> l && l.size() == MACHINES, 60);
+        load = new Load(rig, groups, LOAD_INTERVAL_MS, CLIENTS_PER_DRIVER);
+        if (withFleet) {
+            Thread pollThread = new Thread(this::pollStatus, "poll");
+            pollThread.setDaemon(true);
+            pollThread.start();
+            await(
+                    () ->
+                            maintenanceStatus.get("machines") instanceof List<?> list
+                                    && list.size() == MACHINE_COUNT,
+                    AWAIT_TIMEOUT_SECONDS);
         }
-        TimeUnit.SECONDS.sleep(2);
+        TimeUnit.SECONDS.sleep(WARM_UP_SECONDS);
         load.sent.set(0);
         load.committed.set(0);
         load.refused.set(0);
         load.lost.set(0);
     }
 
-    private static String zone(int machine) {
-        return List.of("a", "b", "c").get(machine % 3);
+    private static String zoneOf(int machine) {
+        return List.of("a", "b", "c").get(machine % ZONE_COUNT);
     }
 
-    private static String uid(int group, int zone) {
+    private static String uidOf(int group, int zone) {
         return "g" + group + "z" + zone;
     }
 
-    /** The machine of a group's member in a zone: three machines a zone, two groups each. */
-    private static int on(int group, int zone) {
-        return group / 2 * 3 + zone;
+    /**
+     * Returns the machine of a group's member in a zone: three machines a zone, two groups each.
+     */
+    private static int machineOf(int group, int zone) {
+        return group / GROUPS_PER_MACHINE * ZONE_COUNT + zone;
     }
 
     /**
-     * {@code [SECONDS [SEED]]}: how long it goes with faults at the least; without work as long, at
-     * most half a minute.
+     * Runs all cases.
+     *
+     * @param args {@code [SECONDS [SEED]]}: the shortest time with faults, 30 seconds by default;
+     *     the case without maintenance takes as long, but no longer than 30 seconds. The seed
+     *     determines the faults; it is 1 by default.
      */
     public static void main(String[] args) {
         try {
-            play(args);
+            run(args);
             System.exit(0);
         } catch (Exception | AssertionError e) {
             e.printStackTrace();
@@ -163,335 +276,383 @@
         }
     }
 
-    private static void play(String[] args) throws Exception {
-        int seconds = args.length > 0 ? Integer.parseInt(args[0]) : 30;
+    private static void run(String[] args) throws Exception {
+        int seconds = args.length > 0 ? Integer.parseInt(args[0]) : DEFAULT_SECONDS;
         long seed = args.length > 1 ? Long.parseLong(args[1]) : 1;
         System.out.println("seed " + seed);
-        Map<String, Object> all = new LinkedHashMap<>();
-        double none = new WorkBench(seed, true).none(Math.min(seconds, 30));
-        all.put("served_no_work", none);
-        System.out.println(all);
-        Map<String, Object> calm = new WorkBench(seed, true).plan(false, 1, 0);
-        System.out.println("calm " + calm);
-        Map<String, Object> faulty = new WorkBench(seed, true).plan(true, 2, seconds);
-        System.out.println("faults " + faulty);
-        double marks = new WorkBench(seed, false).marks(false);
-        System.out.println("marks " + marks);
-        double alone = new WorkBench(seed, false).marks(true);
-        calm.forEach((k, v) -> all.put("calm_" + k, v));
-        all.putAll(faulty);
-        all.put("served_ratio_over_no_work_calm", (double) calm.get("served") / none);
-        all.put("served_ratio_over_no_work_faults", (double) faulty.get("served") / none);
-        all.put("served_ratio_marks_at_a_pace", marks / none);
-        all.put("served_ratio_each_by_itself", alone / none);
+        Map<String, Object> results = new LinkedHashMap<>();
+        double servedWithoutMaintenance =
+                new WorkBench(seed, true)
+                        .runWithoutMaintenance(Math.min(seconds, MAX_SECONDS_WITHOUT_MAINTENANCE));
+        results.put("served_no_work", servedWithoutMaintenance);
+        System.out.println(results);
+        Map<String, Object> calmResults = new WorkBench(seed, true).runPlan(false, 1, 0);
+        System.out.println("calm " + calmResults);
+        Map<String, Object> faultResults = new WorkBench(seed, true).runPlan(true, 2, seconds);
+        System.out.println("faults " + faultResults);
+        double servedWithMarks = new WorkBench(seed, false).runDiscoveryMarks(false);
+        System.out.println("marks " + servedWithMarks);
+        double servedWithSeparateLists = new WorkBench(seed, false).runDiscoveryMarks(true);
+        calmResults.forEach((key, value) -> results.put("calm_" + key, value));
+        results.putAll(faultResults);
+        results.put(
+                "served_ratio_over_no_work_calm",
+                (double) calmResults.get("served") / servedWithoutMaintenance);
+        results.put(
+                "served_ratio_over_no_work_faults",
+                (double) faultResults.get("served") / servedWithoutMaintenance);
+        results.put("served_ratio_marks_at_a_pace", servedWithMarks / servedWithoutMaintenance);
+        results.put(
+                "served_ratio_each_by_itself", servedWithSeparateLists / servedWithoutMaintenance);
         StringBuilder json = new StringBuilder("{");
-        all.forEach(
-                (k, v) ->
+        results.forEach(
+                (key, value) ->
                         json.append(json.length() > 1 ? "," : "")
                                 .append('"')
-                                .append(k)
+                                .append(key)
                                 .append("\":")
                                 .append(
-                                        v instanceof Double d
-                                                ? String.format(Locale.ROOT, "%.5f", d)
-                                                : v));
+                                        value instanceof Double number
+                                                ? String.format(Locale.ROOT, "%.5f", number)
+                                                : value));
         System.out.println(json.append('}'));
     }
 
-    private interface Wanted {
-        boolean now() throws Exception;
+    private interface Condition {
+        boolean isMet() throws Exception;
     }
 
-    private static boolean await(Wanted what, int seconds) throws Exception {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(seconds);
-        while (!what.now()) {
-            if (System.nanoTime() > end) {
+    /** Waits until the condition is met; returns false if it is not in time. */
+    private static boolean await(Condition condition, int seconds) throws Exception {
+        long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(seconds);
+        while (!condition.isMet()) {
+            if (System.nanoTime() > deadlineNanos) {
                 return false;
             }
-            TimeUnit.MILLISECONDS.sleep(40);
+            TimeUnit.MILLISECONDS.sleep(AWAIT_INTERVAL_MS);
         }
         return true;
     }
 
-    private double none(int seconds) throws Exception {
+    /** Returns the share of txns that were served. */
+    private double runWithoutMaintenance(int seconds) throws Exception {
         TimeUnit.SECONDS.sleep(seconds);
-        return close();
+        return closeAndGetServedShare();
     }
 
-    private double close() throws Exception {
-        over = true;
+    private double closeAndGetServedShare() throws Exception {
+        finished = true;
         load.close();
-        later.shutdownNow();
+        scheduler.shutdownNow();
         rig.close();
         return load.servedShare();
     }
 
-    // ---- the plan ----
+    // ---- maintenance by the plan ----
 
-    private Map<String, Object> plan(boolean faulty, int rounds, int seconds) throws Exception {
-        long begun = System.currentTimeMillis();
-        int asked = 0;
-        int done = 0;
-        Thread faults = new Thread(() -> faults(), "faults");
-        if (faulty) {
-            faults.start();
+    /**
+     * Requests all machines in each round and waits until all of them are back in service.
+     *
+     * @param rounds how many rounds are run at least
+     * @param seconds no new round is started after so long, if the rounds are complete
+     */
+    private Map<String, Object> runPlan(boolean withFaults, int rounds, int seconds)
+            throws Exception {
+        long startMs = System.currentTimeMillis();
+        int requestCount = 0;
+        int doneCount = 0;
+        Thread faultThread = new Thread(() -> injectFaults(), "faults");
+        if (withFaults) {
+            faultThread.start();
         }
-        boolean all = true;
-        long end = begun + seconds * 1000L;
-        for (int r = 0; r < rounds || System.currentTimeMillis() < end; r++) {
-            for (String m : machines.keySet()) {
-                asked++;
-                String id = "ask-" + r + "-" + m;
-                // Two operators ask for the same at once, at two drivers.
+        boolean allDone = true;
+        long endMs = startMs + seconds * 1000L;
+        for (int round = 0; round < rounds || System.currentTimeMillis() < endMs; round++) {
+            for (String machine : membersByMachine.keySet()) {
+                requestCount++;
+                String requestId = "ask-" + round + "-" + machine;
+                // Two operators send the same request at the same time, to two voters.
                 List<String> answers =
-                        List.of(0, 1).parallelStream().map(i -> ask(i, m, id)).toList();
+                        List.of(0, 1).parallelStream()
+                                .map(voter -> requestMaintenance(voter, machine, requestId))
+                                .toList();
                 if (!answers.get(0).equals(answers.get(1))) {
-                    twoWays.incrementAndGet();
-                    System.out.println("answered two ways: " + m + " " + answers);
+                    contradictoryAnswers.incrementAndGet();
+                    System.out.println("answered two ways: " + machine + " " + answers);
                 }
             }
-            all &= await(this::served, 240);
-            done += machines.size() - entries().size();
-            if (!all) {
-                System.out.println("not done: " + work.get("entries"));
+            allDone &= await(this::actAsOperators, ROUND_TIMEOUT_SECONDS);
+            doneCount += membersByMachine.size() - entries().size();
+            if (!allDone) {
+                System.out.println("not done: " + maintenanceStatus.get("entries"));
                 break;
             }
         }
-        long took = System.currentTimeMillis() - begun;
-        over = faulty;
-        faults.join();
-        if (faulty) {
-            await(() -> away.isEmpty(), 60);
+        long elapsedMs = System.currentTimeMillis() - startMs;
+        finished = withFaults;
+        faultThread.join();
+        if (withFaults) {
+            await(() -> driversUnderFault.isEmpty(), AWAIT_TIMEOUT_SECONDS);
         }
-        Map<?, ?> last = (Map<?, ?>) talk(FleetClient::status).get("work");
-        Map<String, Object> f = new LinkedHashMap<>();
-        f.put("asked", asked);
-        f.put("machines_done", done);
-        f.put("asks_lost", asked - done);
-        f.put("asks_answered_two_ways", twoWays.get());
-        check(f, (List<?>) last.get("history"));
-        if (faulty) {
-            f.put("faults", counts.values().stream().mapToInt(AtomicInteger::get).sum());
-            counts.forEach((k, v) -> f.put(k.replace(' ', '_'), v.get()));
-            f.put("conductor_changes", epochs.size() - 1);
-            f.put("late_orders_held", heldOrders.size());
-            f.put("late_orders_refused", last.get("late-orders"));
+        Map<?, ?> finalStatus = (Map<?, ?>) callFleet(FleetClient::status).get("work");
+        Map<String, Object> results = new LinkedHashMap<>();
+        results.put("asked", requestCount);
+        results.put("machines_done", doneCount);
+        results.put("asks_lost", requestCount - doneCount);
+        results.put("asks_answered_two_ways", contradictoryAnswers.get());
+        addHistoryChecks(results, (List<?>) finalStatus.get("history"));
+        if (withFaults) {
+            results.put("faults", faultCounts.values().stream().mapToInt(AtomicInteger::get).sum());
+            faultCounts.forEach((kind, count) -> results.put(kind.replace(' ', '_'), count.get()));
+            results.put("conductor_changes", controllerEpochs.size() - 1);
+            results.put("late_orders_held", heldConnections.size());
+            results.put("late_orders_refused", finalStatus.get("late-orders"));
         } else {
-            // What the limits allow: a zone after the other; grace, work and cold time each.
-            f.put("plan_time_over_bound", took / (3.0 * (1000 + WORK_MS + COLD_MS)));
+            // The limits allow one zone after the other; each takes the drain grace, the work and
+            // the cold time.
+            results.put(
+                    "plan_time_over_bound",
+                    elapsedMs / (3.0 * (DRAIN_GRACE_MS + MAINTENANCE_MS + COLD_TIME_MS)));
         }
-        f.put(
+        results.put(
                 "cold_budget_peak",
-                machines.values().stream()
+                membersByMachine.values().stream()
                         .flatMap(List::stream)
                         .mapToDouble(FencedMember::coldPeak)
                         .max()
                         .orElse(0));
-        f.put("txns", load.sent.get());
-        f.put("lost", load.lost.get());
-        f.put("refused", load.refused.get());
-        f.put("served", close());
-        f.put(
+        results.put("txns", load.sent.get());
+        results.put("lost", load.lost.get());
+        results.put("refused", load.refused.get());
+        results.put("served", closeAndGetServedShare());
+        results.put(
                 "rule_breaks",
                 load.lost.get()
-                        + (long) f.get("txns_at_machines_told_out")
-                        + (long) f.get("out_told_before_all_stopped")
-                        + ((double) f.get("cold_budget_peak") > 1 ? 1 : 0));
-        return f;
+                        + (long) results.get("txns_at_machines_told_out")
+                        + (long) results.get("out_told_before_all_stopped")
+                        + ((double) results.get("cold_budget_peak") > 1 ? 1 : 0));
+        return results;
     }
 
     private List<?> entries() {
-        return work.get("entries") instanceof List<?> l ? l : List.of();
+        return maintenanceStatus.get("entries") instanceof List<?> list ? list : List.of();
     }
 
-    private final Map<String, Long> workedOn = new HashMap<>();
+    /** When the work on a machine was started, by machine and the time when it went out. */
+    private final Map<String, Long> workStartedAtMs = new HashMap<>();
 
     /**
-     * People at the machines: work on what is out, move primaries where the plan wants that; true
-     * once nothing is left.
+     * Does what operators do: starts the work on machines that are out, and moves primaries where
+     * the plan waits for that. Returns true once no request is left.
      */
-    private boolean served() throws Exception {
-        for (Object o : entries()) {
-            Map<?, ?> e = (Map<?, ?>) o;
-            String m = (String) e.get("machine");
-            String key = m + " " + e.get("out-since");
-            Matcher move = MOVE.matcher(String.valueOf(e.get("waits")));
-            if (e.get("stage").equals("out")
-                    && workedOn.putIfAbsent(key, System.currentTimeMillis()) == null) {
-                for (FencedMember member : machines.get(m)) {
+    private boolean actAsOperators() throws Exception {
+        for (Object item : entries()) {
+            Map<?, ?> entry = (Map<?, ?>) item;
+            String machine = (String) entry.get("machine");
+            String maintenanceKey = machine + " " + entry.get("out-since");
+            Matcher moveNote = PRIMARY_MOVE_NOTE.matcher(String.valueOf(entry.get("waits")));
+            if (entry.get("stage").equals("out")
+                    && workStartedAtMs.putIfAbsent(maintenanceKey, System.currentTimeMillis())
+                            == null) {
+                for (FencedMember member : membersByMachine.get(machine)) {
                     rig.reachable(member, false);
                 }
-                later.schedule(() -> finish(m), WORK_MS, TimeUnit.MILLISECONDS);
-            } else if (move.matches()) {
-                int group = Integer.parseInt(move.group(1));
-                FencedMember next = rig.members.get(move.group(2));
-                if (next != null && !next.primary()) {
+                scheduler.schedule(
+                        () -> finishMaintenance(machine), MAINTENANCE_MS, TimeUnit.MILLISECONDS);
+            } else if (moveNote.matches()) {
+                int group = Integer.parseInt(moveNote.group(1));
+                FencedMember newPrimary = rig.members.get(moveNote.group(2));
+                if (newPrimary != null && !newPrimary.primary()) {
                     rig.members.values().stream()
-                            .filter(x -> x.group == group)
-                            .forEach(x -> x.primary(false));
-                    next.primary(true);
+                            .filter(groupMember -> groupMember.group == group)
+                            .forEach(groupMember -> groupMember.primary(false));
+                    newPrimary.primary(true);
                 }
             }
         }
-        return entries().isEmpty() && fresh;
+        return entries().isEmpty() && statusFresh;
     }
 
-    private volatile boolean fresh;
+    /** Whether the last poll has got the status. */
+    private volatile boolean statusFresh;
 
-    private void finish(String machine) {
+    /** Starts the machine's members, cold and behind on the log, and reports the work as done. */
+    private void finishMaintenance(String machine) {
         try {
-            for (FencedMember member : machines.get(machine)) {
-                member.starts(BEARS, 2);
-                member.behind(1500);
+            for (FencedMember member : membersByMachine.get(machine)) {
+                member.starts(COLD_MEMBER, MEMBER_CONCURRENCY);
+                member.behind(RESTART_LAG_MS);
                 rig.reachable(member, true);
-                later.schedule(() -> member.behind(0), 1200, TimeUnit.MILLISECONDS);
+                scheduler.schedule(() -> member.behind(0), CATCH_UP_MS, TimeUnit.MILLISECONDS);
             }
-            talk(
-                    c ->
-                            c.sendOperatorCommand(
+            callFleet(
+                    client ->
+                            client.sendOperatorCommand(
                                     "done", machine, "done " + machine + " " + System.nanoTime()));
         } catch (IOException e) {
             System.out.println("rig: " + e);
         }
     }
 
-    /** What the members' own ledgers and the plan's history say together. */
-    private void check(Map<String, Object> f, List<?> history) {
-        Map<String, List<long[]>> out = new TreeMap<>();
-        Map<String, List<long[]>> gone = new TreeMap<>();
-        Map<String, Long> draining = new HashMap<>();
+    /**
+     * Compares the plan's history with the txns that members have recorded, and adds how often the
+     * rules were broken. Spans are pairs of start and end in Unix milliseconds.
+     */
+    private void addHistoryChecks(Map<String, Object> results, List<?> history) {
+        Map<String, List<long[]>> outSpans = new TreeMap<>();
+        Map<String, List<long[]>> awaySpans = new TreeMap<>();
+        Map<String, Long> drainingSinceMs = new HashMap<>();
         for (Object line : history) {
-            String[] w = line.toString().split(" ", 3);
-            long at = Long.parseLong(w[0]);
-            String m = w[1];
-            if (w[2].startsWith("draining")) {
-                draining.put(m, at);
-            } else if (w[2].startsWith("asked: put back")
-                    || w[2].startsWith("asked: held")
-                    || w[2].startsWith("asked: all held")) {
-                if (draining.containsKey(m)) {
-                    gone.computeIfAbsent(m, k -> new ArrayList<>())
-                            .add(new long[] {draining.remove(m), at});
+            String[] fields = line.toString().split(" ", 3);
+            long atMs = Long.parseLong(fields[0]);
+            String machine = fields[1];
+            if (fields[2].startsWith("draining")) {
+                drainingSinceMs.put(machine, atMs);
+            } else if (fields[2].startsWith("asked: put back")
+                    || fields[2].startsWith("asked: held")
+                    || fields[2].startsWith("asked: all held")) {
+                if (drainingSinceMs.containsKey(machine)) {
+                    awaySpans
+                            .computeIfAbsent(machine, key -> new ArrayList<>())
+                            .add(new long[] {drainingSinceMs.remove(machine), atMs});
                 }
-            } else if (w[2].startsWith("out")) {
-                out.computeIfAbsent(m, k -> new ArrayList<>()).add(new long[] {at, Long.MAX_VALUE});
-            } else if (w[2].startsWith("returning")) {
-                out.get(m).get(out.get(m).size() - 1)[1] = at;
-            } else if (w[2].startsWith("in:") && draining.containsKey(m)) {
-                gone.computeIfAbsent(m, k -> new ArrayList<>())
-                        .add(new long[] {draining.remove(m), at});
+            } else if (fields[2].startsWith("out")) {
+                outSpans.computeIfAbsent(machine, key -> new ArrayList<>())
+                        .add(new long[] {atMs, Long.MAX_VALUE});
+            } else if (fields[2].startsWith("returning")) {
+                outSpans.get(machine).get(outSpans.get(machine).size() - 1)[1] = atMs;
+            } else if (fields[2].startsWith("in:") && drainingSinceMs.containsKey(machine)) {
+                awaySpans
+                        .computeIfAbsent(machine, key -> new ArrayList<>())
+                        .add(new long[] {drainingSinceMs.remove(machine), atMs});
             }
         }
-        long told = 0;
-        long before = 0;
-        for (Map.Entry<String, List<long[]>> o : out.entrySet()) {
-            for (FencedMember member : machines.get(o.getKey())) {
-                for (FencedMember.Txn t : member.txns()) {
-                    for (long[] span : o.getValue()) {
-                        if (t.at() > span[0] && t.at() < span[1]) {
-                            told++;
+        long txnsWhileOut = 0;
+        long unfinishedWhenOut = 0;
+        for (Map.Entry<String, List<long[]>> machineSpans : outSpans.entrySet()) {
+            for (FencedMember member : membersByMachine.get(machineSpans.getKey())) {
+                for (FencedMember.Txn txn : member.txns()) {
+                    for (long[] span : machineSpans.getValue()) {
+                        if (txn.at() > span[0] && txn.at() < span[1]) {
+                            txnsWhileOut++;
                             System.out.println(
                                     "at "
                                             + member.uid
                                             + " on "
-                                            + o.getKey()
+                                            + machineSpans.getKey()
                                             + ": "
-                                            + t.id()
+                                            + txn.id()
                                             + ", out since "
-                                            + (t.at() - span[0])
+                                            + (txn.at() - span[0])
                                             + " ms");
-                        } else if (t.at() <= span[0]
-                                && (t.end().get() == 0 || t.end().get() > span[0] + 1)) {
-                            before++;
+                        } else if (txn.at() <= span[0]
+                                && (txn.end().get() == 0 || txn.end().get() > span[0] + 1)) {
+                            unfinishedWhenOut++;
                         }
                     }
                 }
             }
         }
-        long together = 0;
-        for (String a : gone.keySet()) {
-            for (String b : gone.keySet()) {
-                if (a.compareTo(b) < 0 && sharesGroup(a, b)) {
-                    for (long[] x : gone.get(a)) {
-                        for (long[] y : gone.get(b)) {
-                            together += Math.max(0, Math.min(x[1], y[1]) - Math.max(x[0], y[0]));
+        long overlapMs = 0;
+        for (String machineA : awaySpans.keySet()) {
+            for (String machineB : awaySpans.keySet()) {
+                if (machineA.compareTo(machineB) < 0 && sharesGroup(machineA, machineB)) {
+                    for (long[] spanA : awaySpans.get(machineA)) {
+                        for (long[] spanB : awaySpans.get(machineB)) {
+                            overlapMs +=
+                                    Math.max(
+                                            0,
+                                            Math.min(spanA[1], spanB[1])
+                                                    - Math.max(spanA[0], spanB[0]));
                         }
                     }
                 }
             }
         }
-        f.put("txns_at_machines_told_out", told);
-        f.put("out_told_before_all_stopped", before);
-        f.put("two_of_a_group_away_ms", together);
+        results.put("txns_at_machines_told_out", txnsWhileOut);
+        results.put("out_told_before_all_stopped", unfinishedWhenOut);
+        results.put("two_of_a_group_away_ms", overlapMs);
     }
 
-    private boolean sharesGroup(String a, String b) {
+    /** Returns whether the machines hold members of the same group. */
+    private boolean sharesGroup(String machineA, String machineB) {
         Set<Integer> groups = new TreeSet<>();
-        machines.get(a).forEach(m -> groups.add(m.group));
-        return machines.get(b).stream().anyMatch(m -> groups.contains(m.group));
+        membersByMachine.get(machineA).forEach(member -> groups.add(member.group));
+        return membersByMachine.get(machineB).stream()
+                .anyMatch(member -> groups.contains(member.group));
     }
 
-    // ---- talk with the council ----
+    // ---- calls to the voters ----
 
-    /** Read once: a driver that starts writes its file anew. */
-    private FleetConfig rules() {
-        return fleetRules;
+    /** Returns the configuration read at the start, since a starting driver rewrites its file. */
+    private FleetConfig fleetConfig() {
+        return fleetConfig;
     }
 
-    private interface Talk<T> {
-        T with(FleetClient c) throws IOException;
+    private interface FleetCall<T> {
+        T call(FleetClient client) throws IOException;
     }
 
-    private <T> T talk(Talk<T> what) throws IOException {
-        return talk(0, what);
+    private <T> T callFleet(FleetCall<T> fleetCall) throws IOException {
+        return callFleet(0, fleetCall);
     }
 
-    private <T> T talk(int first, Talk<T> what) throws IOException {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(60);
-        IOException last = null;
-        List<String> voters = new ArrayList<>(rules().voterAddresses().keySet());
-        while (System.nanoTime() < end) {
+    /**
+     * Calls one voter after another until one answers.
+     *
+     * @param firstVoter index of the voter to start with
+     */
+    private <T> T callFleet(int firstVoter, FleetCall<T> fleetCall) throws IOException {
+        long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(AWAIT_TIMEOUT_SECONDS);
+        IOException lastError = null;
+        List<String> voters = new ArrayList<>(fleetConfig().voterAddresses().keySet());
+        while (System.nanoTime() < deadlineNanos) {
             for (int i = 0; i < voters.size(); i++) {
-                String v = voters.get((first + i) % voters.size());
-                if (rig.driver(v).stopped || !rig.driver(v).alive()) {
+                String voter = voters.get((firstVoter + i) % voters.size());
+                if (rig.driver(voter).stopped || !rig.driver(voter).alive()) {
                     continue;
                 }
-                try (FleetClient c = new FleetClient(rules(), v)) {
-                    return what.with(c);
+                try (FleetClient client = new FleetClient(fleetConfig(), voter)) {
+                    return fleetCall.call(client);
                 } catch (IOException e) {
-                    last = e;
+                    lastError = e;
                 }
             }
         }
-        throw last == null ? new IOException("no voter") : last;
+        throw lastError == null ? new IOException("no voter is running") : lastError;
     }
 
-    private String ask(int voter, String machine, String id) {
+    /** Returns the result of the request, or the error. */
+    private String requestMaintenance(int voter, String machine, String requestId) {
         try {
-            return talk(voter, c -> c.requestMaintenance(machine, "kernel", 0, 0, List.of(), id));
+            return callFleet(
+                    voter,
+                    client ->
+                            client.requestMaintenance(
+                                    machine, "kernel", 0, 0, List.of(), requestId));
         } catch (IOException e) {
             return e.toString();
         }
     }
 
-    private void poll() {
-        while (!over) {
+    private void pollStatus() {
+        while (!finished) {
             try {
-                Map<String, Object> s = talk(FleetClient::status);
-                if (s.get("work") instanceof Map<?, ?> w) {
-                    work = w;
-                    fresh = true;
+                Map<String, Object> status = callFleet(FleetClient::status);
+                if (status.get("work") instanceof Map<?, ?> newStatus) {
+                    maintenanceStatus = newStatus;
+                    statusFresh = true;
                 }
-                for (Object o : (List<?>) s.get("duties")) {
-                    Map<?, ?> d = (Map<?, ?>) o;
-                    if (d.get("name").equals("conductor") && !d.get("owner").equals("")) {
-                        epochs.add(((Number) d.get("epoch")).longValue());
-                        conductor = (String) d.get("owner");
+                for (Object item : (List<?>) status.get("duties")) {
+                    Map<?, ?> duty = (Map<?, ?>) item;
+                    if (duty.get("name").equals("conductor") && !duty.get("owner").equals("")) {
+                        controllerEpochs.add(((Number) duty.get("epoch")).longValue());
+                        controllerDriver = (String) duty.get("owner");
                     }
                 }
-                TimeUnit.MILLISECONDS.sleep(80);
+                TimeUnit.MILLISECONDS.sleep(POLL_INTERVAL_MS);
             } catch (IOException | RuntimeException e) {
-                fresh = false;
+                statusFresh = false;
             } catch (InterruptedException e) {
                 return;
             }
@@ -500,153 +661,167 @@
 
     // ---- faults ----
 
-    private void count(String what) {
-        counts.computeIfAbsent(what, w -> new AtomicInteger()).incrementAndGet();
+    private void countFault(String kind) {
+        faultCounts.computeIfAbsent(kind, key -> new AtomicInteger()).incrementAndGet();
     }
 
-    private interface Step {
+    private interface FaultAction {
         void run() throws Exception;
     }
 
-    private void in(long ms, Step what) {
-        later.schedule(
+    /** Runs the action after a delay; prints what it throws. */
+    private void runLater(long delayMs, FaultAction action) {
+        scheduler.schedule(
                 () -> {
                     try {
-                        what.run();
+                        action.run();
                     } catch (Exception e) {
                         System.out.println("rig: " + e);
                     }
                 },
-                ms,
+                delayMs,
                 TimeUnit.MILLISECONDS);
     }
 
-    private long votersAway() {
-        return rig.voters().stream().filter(away::contains).count();
+    private long votersUnderFault() {
+        return rig.voters().stream().filter(driversUnderFault::contains).count();
     }
 
-    private void faults() {
+    /**
+     * Injects random faults until the bench is finished, most of them at the controller's driver,
+     * and never at more than one voter at a time, so that a quorum always remains.
+     */
+    private void injectFaults() {
         try {
-            while (!over) {
-                TimeUnit.MILLISECONDS.sleep(350 + random.nextInt(350));
-                boolean conducts = random.nextInt(3) > 0 && !conductor.isEmpty();
-                String name = conducts ? conductor : "d" + (random.nextInt(DRIVERS) + 1);
-                if (away.contains(name)
-                        || away.size() > 3
-                        || rig.voters().contains(name) && votersAway() > 0) {
+            while (!finished) {
+                TimeUnit.MILLISECONDS.sleep(
+                        MIN_FAULT_INTERVAL_MS + random.nextInt(FAULT_INTERVAL_JITTER_MS));
+                boolean targetsController = random.nextInt(3) > 0 && !controllerDriver.isEmpty();
+                String driverName =
+                        targetsController
+                                ? controllerDriver
+                                : "d" + (random.nextInt(DRIVER_COUNT) + 1);
+                if (driversUnderFault.contains(driverName)
+                        || driversUnderFault.size() > FAULT_LIMIT_DRIVER_COUNT
+                        || rig.voters().contains(driverName) && votersUnderFault() > 0) {
                     continue;
                 }
-                fault(rig.driver(name), random.nextInt(11));
+                injectFault(rig.driver(driverName), random.nextInt(FAULT_KIND_COUNT));
             }
         } catch (InterruptedException e) {
-            // it is over
+            // the bench is finished
         } catch (Exception e) {
             System.out.println("rig: " + e);
         }
     }
 
-    private void leave(String name) {
-        away.add(name);
-        load.away.add(name);
+    /** From now on, what fails at the driver is not counted. */
+    private void markUnderFault(String driverName) {
+        driversUnderFault.add(driverName);
+        load.away.add(driverName);
     }
 
-    private void back(String name) {
-        away.remove(name);
-        load.away.remove(name);
+    private void markRecovered(String driverName) {
+        driversUnderFault.remove(driverName);
+        load.away.remove(driverName);
     }
 
-    private void fault(Rig.Driver d, int kind) throws Exception {
-        leave(d.name);
+    private void injectFault(Rig.Driver driver, int kind) throws Exception {
+        markUnderFault(driver.name);
         if (kind < 2) {
-            count("pauses");
-            d.pause();
-            in(
+            countFault("pauses");
+            driver.pause();
+            runLater(
                     LEASE_MS * (1 + random.nextInt(2)),
                     () -> {
-                        d.goOn();
-                        in(500, () -> back(d.name));
+                        driver.goOn();
+                        runLater(RECOVERY_GRACE_MS, () -> markRecovered(driver.name));
                     });
         } else if (kind < 4) {
-            count("kills");
-            d.kill();
-            in(300 + random.nextInt(2000), () -> again(d));
+            countFault("kills");
+            driver.kill();
+            runLater(
+                    MIN_RESTART_DELAY_MS + random.nextInt(RESTART_DELAY_JITTER_MS),
+                    () -> restart(driver));
         } else if (kind < 6) {
-            count("stops");
-            d.terminate();
-            in(
+            countFault("stops");
+            driver.terminate();
+            runLater(
                     0,
                     () -> {
-                        d.awaitEnd();
-                        again(d);
+                        driver.awaitEnd();
+                        restart(driver);
                     });
         } else if (kind < 8) {
-            count("cuts");
-            boolean both = random.nextBoolean();
-            boolean sends = random.nextBoolean();
-            if (both) {
-                rig.cutFromCouncil(d.name, true);
+            countFault("cuts");
+            boolean bothDirections = random.nextBoolean();
+            boolean outgoing = random.nextBoolean();
+            if (bothDirections) {
+                rig.cutFromCouncil(driver.name, true);
             } else {
-                rig.cutOneWay(d.name, sends, true);
+                rig.cutOneWay(driver.name, outgoing, true);
             }
-            in(
-                    1000 + random.nextInt(2 * LEASE_MS),
+            runLater(
+                    MIN_CUT_MS + random.nextInt(2 * LEASE_MS),
                     () -> {
-                        rig.cutFromCouncil(d.name, false);
-                        in(500, () -> back(d.name));
+                        rig.cutFromCouncil(driver.name, false);
+                        runLater(RECOVERY_GRACE_MS, () -> markRecovered(driver.name));
                     });
         } else {
-            holdOrder(d);
+            holdControllerCommand(driver);
         }
     }
 
-    private void again(Rig.Driver d) throws Exception {
-        d.start();
-        d.await("work: the plan is known");
-        back(d.name);
+    private void restart(Rig.Driver driver) throws Exception {
+        driver.start();
+        driver.await("work: the plan is known");
+        markRecovered(driver.name);
     }
 
     /**
-     * Holds the conductor's next order on its way, and starts it anew: the order comes under an
-     * epoch that is over.
+     * Holds the driver's next controller command on the network and restarts the driver meanwhile,
+     * so that the command arrives under a stale epoch.
      */
-    private void holdOrder(Rig.Driver d) throws Exception {
-        AtomicInteger once = new AtomicInteger();
-        for (String v : rig.voters()) {
+    private void holdControllerCommand(Rig.Driver driver) throws Exception {
+        AtomicInteger holdState = new AtomicInteger();
+        for (String voter : rig.voters()) {
             rig.relays
-                    .between(d.name, v)
+                    .between(driver.name, voter)
                     .tap(
-                            (link, way, bytes, connection) -> {
-                                boolean order =
-                                        way == Relays.Way.FORTH
-                                                && once.get() == 0
+                            (link, direction, bytes, connection) -> {
+                                boolean isStep =
+                                        direction == Relays.Way.FORTH
+                                                && holdState.get() == HOLD_WAITING
                                                 && StandardCharsets.ISO_8859_1
                                                         .decode(bytes.duplicate())
                                                         .toString()
                                                         .contains("WORK_STEP");
-                                if (!order || !once.compareAndSet(0, 1)) {
+                                if (!isStep || !holdState.compareAndSet(HOLD_WAITING, HOLD_HELD)) {
                                     return false;
                                 }
-                                in(
+                                runLater(
                                         0,
                                         () -> {
-                                            count("held orders");
-                                            synchronized (heldOrders) {
-                                                heldOrders.add(connection);
+                                            countFault("held orders");
+                                            synchronized (heldConnections) {
+                                                heldConnections.add(connection);
                                             }
-                                            d.kill();
-                                            d.start();
-                                            in(1500, () -> rig.relays.letGo(connection));
-                                            d.await("work: the plan is known");
-                                            back(d.name);
+                                            driver.kill();
+                                            driver.start();
+                                            runLater(
+                                                    COMMAND_HOLD_MS,
+                                                    () -> rig.relays.letGo(connection));
+                                            driver.await("work: the plan is known");
+                                            markRecovered(driver.name);
                                         });
                                 return true;
                             });
         }
-        in(
-                2500,
+        runLater(
+                COMMAND_WAIT_MS,
                 () -> {
-                    if (once.compareAndSet(0, 2)) {
-                        back(d.name);
+                    if (holdState.compareAndSet(HOLD_WAITING, HOLD_TIMED_OUT)) {
+                        markRecovered(driver.name);
                     }
                 });
     }
@@ -654,57 +829,79 @@
     // ---- baselines ----
 
     /**
-     * One machine after the other by marks in discovery, at a fixed pace; {@code alone}: each
-     * driver hears them in its own time.
+     * Baseline: takes out one machine after the other by marking its members in discovery's list,
+     * at a fixed pace. Returns the share of txns that were served.
+     *
+     * @param separateLists whether each driver gets the changed list after a random delay of its
+     *     own
      */
-    private double marks(boolean alone) throws Exception {
-        Map<String, Fixtures.StandInDiscovery> own = new TreeMap<>();
-        if (alone) {
-            for (Rig.Driver d : rig.drivers.values()) {
-                Fixtures.StandInDiscovery mine = new Fixtures.StandInDiscovery();
-                own.put(d.name, mine);
-                rig.relays.between(d.name, "discovery").leadTo(mine.port());
-                rig.relays.breakOff(rig.relays.between(d.name, "discovery"));
+    private double runDiscoveryMarks(boolean separateLists) throws Exception {
+        Map<String, Fixtures.StandInDiscovery> discoveryByDriver = new TreeMap<>();
+        if (separateLists) {
+            for (Rig.Driver driver : rig.drivers.values()) {
+                Fixtures.StandInDiscovery discovery = new Fixtures.StandInDiscovery();
+                discoveryByDriver.put(driver.name, discovery);
+                rig.relays.between(driver.name, "discovery").leadTo(discovery.port());
+                rig.relays.breakOff(rig.relays.between(driver.name, "discovery"));
             }
         }
-        for (Map.Entry<String, List<FencedMember>> m : machines.entrySet()) {
-            tell(own, m.getValue(), "draining");
-            for (FencedMember member : m.getValue()) {
+        for (Map.Entry<String, List<FencedMember>> machine : membersByMachine.entrySet()) {
+            publishStates(discoveryByDriver, machine.getValue(), "draining");
+            for (FencedMember member : machine.getValue()) {
                 if (member.primary()) {
                     rig.members.values().stream()
-                            .filter(x -> x.group == member.group && x != member)
+                            .filter(
+                                    candidate ->
+                                            candidate.group == member.group && candidate != member)
                             .findFirst()
                             .ifPresent(
-                                    x -> {
+                                    candidate -> {
                                         member.primary(false);
-                                        x.primary(true);
+                                        candidate.primary(true);
                                     });
                 }
             }
-            TimeUnit.MILLISECONDS.sleep(PACE_MS);
-            for (FencedMember member : m.getValue()) {
+            TimeUnit.MILLISECONDS.sleep(MARK_INTERVAL_MS);
+            for (FencedMember member : machine.getValue()) {
                 rig.reachable(member, false);
             }
-            TimeUnit.MILLISECONDS.sleep(WORK_MS);
-            for (FencedMember member : m.getValue()) {
-                member.starts(BEARS, 2);
+            TimeUnit.MILLISECONDS.sleep(MAINTENANCE_MS);
+            for (FencedMember member : machine.getValue()) {
+                member.starts(COLD_MEMBER, MEMBER_CONCURRENCY);
                 rig.reachable(member, true);
             }
-            tell(own, m.getValue(), "ready");
-            TimeUnit.MILLISECONDS.sleep(PACE_MS);
+            publishStates(discoveryByDriver, machine.getValue(), "ready");
+            TimeUnit.MILLISECONDS.sleep(MARK_INTERVAL_MS);
         }
-        return close();
+        return closeAndGetServedShare();
     }
 
-    private void tell(
-            Map<String, Fixtures.StandInDiscovery> own, List<FencedMember> of, String state)
+    /**
+     * Publishes a list in which the changed members have this state.
+     *
+     * @param discoveryByDriver separate discoveries that change after a random delay; may be empty
+     */
+    private void publishStates(
+            Map<String, Fixtures.StandInDiscovery> discoveryByDriver,
+            List<FencedMember> changedMembers,
+            String state)
             throws IOException {
-        StringBuilder list = new StringBuilder();
-        for (FencedMember m : rig.members.values()) {
-            list.append(list.length() == 0 ? "" : ",")
-                    .append(rig.entry("d1", m, of.contains(m) ? state : "ready"));
+        StringBuilder targets = new StringBuilder();
+        for (FencedMember member : rig.members.values()) {
+            targets.append(targets.length() == 0 ? "" : ",")
+                    .append(
+                            rig.entry(
+                                    "d1",
+                                    member,
+                                    changedMembers.contains(member) ? state : "ready"));
         }
-        rig.discovery.tell(list.toString());
-        own.values().forEach(d -> in(random.nextInt(4000), () -> d.tell(list.toString())));
+        rig.discovery.tell(targets.toString());
+        discoveryByDriver
+                .values()
+                .forEach(
+                        discovery ->
+                                runLater(
+                                        random.nextInt(MAX_LIST_DELAY_MS),
+                                        () -> discovery.tell(targets.toString())));
     }
 }
