--- a/src/bench/java/wingroad/work/WorkBench.java
+++ b/src/bench/java/wingroad/work/WorkBench.java
@@ -4,10 +4,10 @@
 import wingroad.fleet.FleetClient;
 import wingroad.fleet.FleetConfig;
 import wingroad.operator.OperatorFile;
+import wingroad.rig.ClientLoad;
+import wingroad.rig.FaultProxy;
 import wingroad.rig.FencedMember;
-import wingroad.rig.Load;
-import wingroad.rig.Relays;
-import wingroad.rig.Rig;
+import wingroad.rig.TestCluster;
 
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
@@ -129,15 +129,15 @@
     private static final int HOLD_HELD = 1;
     private static final int HOLD_TIMED_OUT = 2;
 
-    private static final FencedMember.Bears COLD_MEMBER =
-            new FencedMember.Bears(
+    private static final FencedMember.StartupCapacity COLD_MEMBER =
+            new FencedMember.StartupCapacity(
                     MEMBER_TXNS_PER_SECOND,
                     COLD_TIME_MS,
                     COLD_CAPACITY_RATIO,
                     OVERLOAD_FACTOR,
                     OVERLOAD_WINDOW_MS);
     private static final String SETTINGS =
-            Fixtures.SETTINGS
+            Fixtures.SETTINGS_JSON
                     .replace("\"cold\":16000", "\"cold\":" + COLD_TIME_MS)
                     .replace("\"azs\":[\"a\"]", "\"azs\":[\"a\",\"b\",\"c\"]")
                     .replace("\"balancers\":1", "\"balancers\":" + DRIVER_COUNT);
@@ -147,7 +147,7 @@
             Pattern.compile("the primary of group ([0-9]+) is here: to be moved to ([^ ]+).*");
 
     private final Random random;
-    private final Rig rig;
+    private final TestCluster rig;
     private final Map<String, List<FencedMember>> membersByMachine = new TreeMap<>();
     private final Set<String> driversUnderFault = ConcurrentHashMap.newKeySet();
     private final ScheduledExecutorService scheduler = Executors.newScheduledThreadPool(6);
@@ -156,7 +156,7 @@
     private final List<Object> heldConnections = new ArrayList<>();
     private final AtomicInteger contradictoryAnswers = new AtomicInteger();
     private final FleetConfig fleetConfig;
-    private Load load;
+    private ClientLoad load;
     private volatile Map<?, ?> maintenanceStatus = Map.of();
     private volatile String controllerDriver = "";
     private volatile boolean finished;
@@ -192,7 +192,7 @@
         }
         fleetKdl.append("    }\n");
         rig =
-                new Rig(
+                new TestCluster(
                         Files.createTempDirectory("work"),
                         DRIVER_COUNT,
                         VOTER_COUNT,
@@ -204,29 +204,31 @@
         for (int group = 0; group < GROUP_COUNT; group++) {
             for (int zone = 0; zone < ZONE_COUNT; zone++) {
                 FencedMember member =
-                        rig.member(
+                        rig.addMember(
                                 uidOf(group, zone),
                                 group + FIRST_GROUP,
                                 zone == group % ZONE_COUNT,
                                 false);
-                member.takes(TXN_MS);
-                member.starts(
-                        new FencedMember.Bears(MEMBER_TXNS_PER_SECOND, 0, 1, 1, 1),
+                member.setAnswerDelayMs(TXN_MS);
+                member.simulateStart(
+                        new FencedMember.StartupCapacity(MEMBER_TXNS_PER_SECOND, 0, 1, 1, 1),
                         MEMBER_CONCURRENCY);
                 membersByMachine.get("M" + machineOf(group, zone)).add(member);
             }
         }
         fleetConfig =
-                withFleet ? OperatorFile.read(rig.driver("d1").operator()).file().fleet() : null;
+                withFleet
+                        ? OperatorFile.read(rig.driver("d1").operatorFile()).file().fleet()
+                        : null;
         rig.startAll();
-        for (Rig.Driver driver : rig.drivers.values()) {
-            driver.await(withFleet ? "work: the plan is known" : " serves ");
+        for (TestCluster.DriverProcess driver : rig.drivers.values()) {
+            driver.awaitLog(withFleet ? "work: the plan is known" : " serves ");
         }
         List<Integer> groups = new ArrayList<>();
         for (int group = 0; group < GROUP_COUNT; group++) {
             groups.add(group + FIRST_GROUP);
         }
-        load = new Load(rig, groups, LOAD_INTERVAL_MS, CLIENTS_PER_DRIVER);
+        load = new ClientLoad(rig, groups, LOAD_INTERVAL_MS, CLIENTS_PER_DRIVER);
         if (withFleet) {
             Thread pollThread = new Thread(this::pollStatus, "poll");
             pollThread.setDaemon(true);
@@ -345,7 +347,7 @@
         load.close();
         scheduler.shutdownNow();
         rig.close();
-        return load.servedShare();
+        return load.committedShare();
     }
 
     // ---- maintenance by the plan ----
@@ -418,7 +420,7 @@
                 "cold_budget_peak",
                 membersByMachine.values().stream()
                         .flatMap(List::stream)
-                        .mapToDouble(FencedMember::coldPeak)
+                        .mapToDouble(FencedMember::peakColdLoad)
                         .max()
                         .orElse(0));
         results.put("txns", load.sent.get());
@@ -455,7 +457,7 @@
                     && workStartedAtMs.putIfAbsent(maintenanceKey, System.currentTimeMillis())
                             == null) {
                 for (FencedMember member : membersByMachine.get(machine)) {
-                    rig.reachable(member, false);
+                    rig.setReachable(member, false);
                 }
                 scheduler.schedule(
                         () -> finishMaintenance(machine), MAINTENANCE_MS, TimeUnit.MILLISECONDS);
@@ -465,8 +467,8 @@
                 if (newPrimary != null && !newPrimary.primary()) {
                     rig.members.values().stream()
                             .filter(groupMember -> groupMember.group == group)
-                            .forEach(groupMember -> groupMember.primary(false));
-                    newPrimary.primary(true);
+                            .forEach(groupMember -> groupMember.setPrimary(false));
+                    newPrimary.setPrimary(true);
                 }
             }
         }
@@ -480,10 +482,11 @@
     private void finishMaintenance(String machine) {
         try {
             for (FencedMember member : membersByMachine.get(machine)) {
-                member.starts(COLD_MEMBER, MEMBER_CONCURRENCY);
-                member.behind(RESTART_LAG_MS);
-                rig.reachable(member, true);
-                scheduler.schedule(() -> member.behind(0), CATCH_UP_MS, TimeUnit.MILLISECONDS);
+                member.simulateStart(COLD_MEMBER, MEMBER_CONCURRENCY);
+                member.setReplicationLagMs(RESTART_LAG_MS);
+                rig.setReachable(member, true);
+                scheduler.schedule(
+                        () -> member.setReplicationLagMs(0), CATCH_UP_MS, TimeUnit.MILLISECONDS);
             }
             callFleet(
                     client ->
@@ -531,9 +534,9 @@
         long unfinishedWhenOut = 0;
         for (Map.Entry<String, List<long[]>> machineSpans : outSpans.entrySet()) {
             for (FencedMember member : membersByMachine.get(machineSpans.getKey())) {
-                for (FencedMember.Txn txn : member.txns()) {
+                for (FencedMember.ReceivedTxn txn : member.txns()) {
                     for (long[] span : machineSpans.getValue()) {
-                        if (txn.at() > span[0] && txn.at() < span[1]) {
+                        if (txn.receivedAtMs() > span[0] && txn.receivedAtMs() < span[1]) {
                             txnsWhileOut++;
                             System.out.println(
                                     "at "
@@ -543,10 +546,11 @@
                                             + ": "
                                             + txn.id()
                                             + ", out since "
-                                            + (txn.at() - span[0])
+                                            + (txn.receivedAtMs() - span[0])
                                             + " ms");
-                        } else if (txn.at() <= span[0]
-                                && (txn.end().get() == 0 || txn.end().get() > span[0] + 1)) {
+                        } else if (txn.receivedAtMs() <= span[0]
+                                && (txn.answeredAtMs().get() == 0
+                                        || txn.answeredAtMs().get() > span[0] + 1)) {
                             unfinishedWhenOut++;
                         }
                     }
@@ -609,7 +613,7 @@
         while (System.nanoTime() < deadlineNanos) {
             for (int i = 0; i < voters.size(); i++) {
                 String voter = voters.get((firstVoter + i) % voters.size());
-                if (rig.driver(voter).stopped || !rig.driver(voter).alive()) {
+                if (rig.driver(voter).paused || !rig.driver(voter).isAlive()) {
                     continue;
                 }
                 try (FleetClient client = new FleetClient(fleetConfig(), voter)) {
@@ -718,15 +722,15 @@
     /** From now on, what fails at the driver is not counted. */
     private void markUnderFault(String driverName) {
         driversUnderFault.add(driverName);
-        load.away.add(driverName);
+        load.excludedDrivers.add(driverName);
     }
 
     private void markRecovered(String driverName) {
         driversUnderFault.remove(driverName);
-        load.away.remove(driverName);
+        load.excludedDrivers.remove(driverName);
     }
 
-    private void injectFault(Rig.Driver driver, int kind) throws Exception {
+    private void injectFault(TestCluster.DriverProcess driver, int kind) throws Exception {
         markUnderFault(driver.name);
         if (kind < 2) {
             countFault("pauses");
@@ -734,7 +738,7 @@
             runLater(
                     LEASE_MS * (1 + random.nextInt(2)),
                     () -> {
-                        driver.goOn();
+                        driver.resume();
                         runLater(RECOVERY_GRACE_MS, () -> markRecovered(driver.name));
                     });
         } else if (kind < 4) {
@@ -749,7 +753,7 @@
             runLater(
                     0,
                     () -> {
-                        driver.awaitEnd();
+                        driver.awaitExit();
                         restart(driver);
                     });
         } else if (kind < 8) {
@@ -757,14 +761,14 @@
             boolean bothDirections = random.nextBoolean();
             boolean outgoing = random.nextBoolean();
             if (bothDirections) {
-                rig.cutFromCouncil(driver.name, true);
+                rig.partitionFromVoters(driver.name, true);
             } else {
-                rig.cutOneWay(driver.name, outgoing, true);
+                rig.partitionOneWay(driver.name, outgoing, true);
             }
             runLater(
                     MIN_CUT_MS + random.nextInt(2 * LEASE_MS),
                     () -> {
-                        rig.cutFromCouncil(driver.name, false);
+                        rig.partitionFromVoters(driver.name, false);
                         runLater(RECOVERY_GRACE_MS, () -> markRecovered(driver.name));
                     });
         } else {
@@ -772,9 +776,9 @@
         }
     }
 
-    private void restart(Rig.Driver driver) throws Exception {
+    private void restart(TestCluster.DriverProcess driver) throws Exception {
         driver.start();
-        driver.await("work: the plan is known");
+        driver.awaitLog("work: the plan is known");
         markRecovered(driver.name);
     }
 
@@ -782,15 +786,15 @@
      * Holds the driver's next controller command on the network and restarts the driver meanwhile,
      * so that the command arrives under a stale epoch.
      */
-    private void holdControllerCommand(Rig.Driver driver) throws Exception {
+    private void holdControllerCommand(TestCluster.DriverProcess driver) throws Exception {
         AtomicInteger holdState = new AtomicInteger();
         for (String voter : rig.voters()) {
-            rig.relays
-                    .between(driver.name, voter)
-                    .tap(
+            rig.proxy
+                    .linkBetween(driver.name, voter)
+                    .setInterceptor(
                             (link, direction, bytes, connection) -> {
                                 boolean isStep =
-                                        direction == Relays.Way.FORTH
+                                        direction == FaultProxy.Direction.FORWARD
                                                 && holdState.get() == HOLD_WAITING
                                                 && StandardCharsets.ISO_8859_1
                                                         .decode(bytes.duplicate())
@@ -810,8 +814,8 @@
                                             driver.start();
                                             runLater(
                                                     COMMAND_HOLD_MS,
-                                                    () -> rig.relays.letGo(connection));
-                                            driver.await("work: the plan is known");
+                                                    () -> rig.proxy.release(connection));
+                                            driver.awaitLog("work: the plan is known");
                                             markRecovered(driver.name);
                                         });
                                 return true;
@@ -836,13 +840,13 @@
      *     own
      */
     private double runDiscoveryMarks(boolean separateLists) throws Exception {
-        Map<String, Fixtures.StandInDiscovery> discoveryByDriver = new TreeMap<>();
+        Map<String, Fixtures.FakeDiscovery> discoveryByDriver = new TreeMap<>();
         if (separateLists) {
-            for (Rig.Driver driver : rig.drivers.values()) {
-                Fixtures.StandInDiscovery discovery = new Fixtures.StandInDiscovery();
+            for (TestCluster.DriverProcess driver : rig.drivers.values()) {
+                Fixtures.FakeDiscovery discovery = new Fixtures.FakeDiscovery();
                 discoveryByDriver.put(driver.name, discovery);
-                rig.relays.between(driver.name, "discovery").leadTo(discovery.port());
-                rig.relays.breakOff(rig.relays.between(driver.name, "discovery"));
+                rig.proxy.linkBetween(driver.name, "discovery").setTargetPort(discovery.port());
+                rig.proxy.disconnect(rig.proxy.linkBetween(driver.name, "discovery"));
             }
         }
         for (Map.Entry<String, List<FencedMember>> machine : membersByMachine.entrySet()) {
@@ -856,19 +860,19 @@
                             .findFirst()
                             .ifPresent(
                                     candidate -> {
-                                        member.primary(false);
-                                        candidate.primary(true);
+                                        member.setPrimary(false);
+                                        candidate.setPrimary(true);
                                     });
                 }
             }
             TimeUnit.MILLISECONDS.sleep(MARK_INTERVAL_MS);
             for (FencedMember member : machine.getValue()) {
-                rig.reachable(member, false);
+                rig.setReachable(member, false);
             }
             TimeUnit.MILLISECONDS.sleep(MAINTENANCE_MS);
             for (FencedMember member : machine.getValue()) {
-                member.starts(COLD_MEMBER, MEMBER_CONCURRENCY);
-                rig.reachable(member, true);
+                member.simulateStart(COLD_MEMBER, MEMBER_CONCURRENCY);
+                rig.setReachable(member, true);
             }
             publishStates(discoveryByDriver, machine.getValue(), "ready");
             TimeUnit.MILLISECONDS.sleep(MARK_INTERVAL_MS);
@@ -882,7 +886,7 @@
      * @param discoveryByDriver separate discoveries that change after a random delay; may be empty
      */
     private void publishStates(
-            Map<String, Fixtures.StandInDiscovery> discoveryByDriver,
+            Map<String, Fixtures.FakeDiscovery> discoveryByDriver,
             List<FencedMember> changedMembers,
             String state)
             throws IOException {
@@ -890,18 +894,18 @@
         for (FencedMember member : rig.members.values()) {
             targets.append(targets.length() == 0 ? "" : ",")
                     .append(
-                            rig.entry(
+                            rig.discoveryEntry(
                                     "d1",
                                     member,
                                     changedMembers.contains(member) ? state : "ready"));
         }
-        rig.discovery.tell(targets.toString());
+        rig.discovery.publish(targets.toString());
         discoveryByDriver
                 .values()
                 .forEach(
                         discovery ->
                                 runLater(
                                         random.nextInt(MAX_LIST_DELAY_MS),
-                                        () -> discovery.tell(targets.toString())));
+                                        () -> discovery.publish(targets.toString())));
     }
 }
--- a/src/main/java/wingroad/driver/ClientFrontend.java
+++ b/src/main/java/wingroad/driver/ClientFrontend.java
@@ -4,7 +4,7 @@
 
 import wingroad.door.ClientContext;
 import wingroad.door.FairQueueSettings;
-import wingroad.protocol.ClientInput;
+import wingroad.protocol.ClientMessageDecoder;
 import wingroad.protocol.Statement;
 import wingroad.transport.EventLoop;
 import wingroad.transport.Listener;
@@ -86,7 +86,7 @@
             TxnDispatcher dispatcher,
             Counters counters,
             List<String> typeNames,
-            Map<String, Object> terms,
+            Map<String, Object> routerSettings,
             IntPredicate isKnownGroup) {
         this.loop = loop;
         this.dispatcher = dispatcher;
@@ -98,11 +98,11 @@
         boolean anyReadsOwnWrites = false;
         Duration longestFound = Duration.ZERO;
         for (int i = 0; i < typeNames.size(); i++) {
-            Object reads = terms.get("txn-type." + i + ".reads");
+            Object reads = routerSettings.get("txn-type." + i + ".reads");
             isUpdateType[i] = "update".equals(reads);
             readsOwnWrites[i] = "own-writes".equals(reads);
             anyReadsOwnWrites |= readsOwnWrites[i];
-            Duration expiry = (Duration) terms.get("txn-type." + i + ".expiry");
+            Duration expiry = (Duration) routerSettings.get("txn-type." + i + ".expiry");
             longestFound = expiry.compareTo(longestFound) > 0 ? expiry : longestFound;
         }
         this.tracksSessions = anyReadsOwnWrites;
@@ -121,7 +121,7 @@
                 new Listener(
                         loop,
                         address,
-                        ClientInput.MOST + BUFFER_MARGIN_BYTES,
+                        ClientMessageDecoder.MAX_MESSAGE_BYTES + BUFFER_MARGIN_BYTES,
                         this::mayAccept,
                         accepted -> {
                             ClientConnection connection =
@@ -137,37 +137,37 @@
     }
 
     void startAccepting() {
-        listener.again();
+        listener.acceptNext();
         checkTimeouts();
     }
 
-    /** Passes the caller along with each txn from now on, identified as these settings say. */
-    void identifyCallers(FairQueueSettings settings) {
+    /** Identifies the client of each txn to the fair queues from now on, as these settings say. */
+    void identifyClients(FairQueueSettings settings) {
         fairQueueSettings = settings;
     }
 
     /**
-     * The caller of a connection, with those startup parameters that may name a tenant; null if
+     * The address and those startup parameters of a client that may name its tenant; null if
      * tenants are not told apart.
      */
-    ClientContext caller(String address, byte[] startup) {
+    ClientContext clientContext(String address, byte[] startup) {
         if (fairQueueSettings == null) {
             return null;
         }
-        Map<String, String> parameters = ClientInput.parameters(startup);
+        Map<String, String> parameters = ClientMessageDecoder.parseStartupParameters(startup);
         parameters.keySet().retainAll(TENANT_PARAMETERS);
         parameters.replaceAll(
                 (name, value) -> value.substring(0, Math.min(value.length(), MAX_NAME_CHARS)));
         return new ClientContext(address, parameters);
     }
 
-    /** The tenant's name for this txn, or null if the client's address stands for it. */
-    private String tenantName(Statement statement, ClientContext caller) {
+    /** The tenant's name for this txn, or null if the client's address is used instead. */
+    private String tenantName(Statement statement, ClientContext clientContext) {
         for (FairQueueSettings.TenantNameSource source : fairQueueSettings.tenantNameSources()) {
             String name =
                     switch (source.type()) {
-                        case COMMENT -> statement.named(source.parameterName());
-                        case STARTUP -> caller.startupParameter(source.parameterName());
+                        case COMMENT -> statement.commentValue(source.parameterName());
+                        case STARTUP -> clientContext.startupParameter(source.parameterName());
                         case ADDRESS -> null;
                     };
             if (name != null) {
@@ -183,11 +183,11 @@
             connection.checkTimeouts(now);
         }
         idsInUse.values().removeIf(expiresAt -> expiresAt.compareTo(now) <= 0);
-        loop.after(TIMEOUT_CHECK_INTERVAL, this::checkTimeouts);
+        loop.schedule(TIMEOUT_CHECK_INTERVAL, this::checkTimeouts);
     }
 
     void after(Duration delay, Runnable task) {
-        loop.after(delay, task);
+        loop.schedule(delay, task);
     }
 
     Duration now() {
@@ -195,7 +195,7 @@
     }
 
     InetSocketAddress localAddress() throws IOException {
-        return listener.at();
+        return listener.localAddress();
     }
 
     /**
@@ -204,12 +204,12 @@
      * neither, clients are accepted from half of that reserve, but only to be declined.
      */
     private boolean mayAccept() {
-        return !isOutOfChannels() || loop.channelsLeft() > 0;
+        return !isOutOfChannels() || loop.availableChannels() > 0;
     }
 
     /** Whether only the members' reserve of descriptors is left and no connection is idle. */
     private boolean isOutOfChannels() {
-        while (loop.channelsLeft() <= loop.mostChannels() / MEMBER_RESERVE_DIVISOR) {
+        while (loop.availableChannels() <= loop.maxChannels() / MEMBER_RESERVE_DIVISOR) {
             if (!closeIdleConnection() && !dispatcher.closeSpareMemberConnection()) {
                 return true;
             }
@@ -250,12 +250,12 @@
      * Why a statement does not fit this deployment, as the text for the client; null if it does.
      */
     String rejectionReason(Statement statement) {
-        int typeIndex = typeNames.indexOf(statement.type());
+        int typeIndex = typeNames.indexOf(statement.txnType());
         return typeIndex < 0
                 ? "unknown c"
                 : !isKnownGroup.test(statement.group())
                         ? "unknown cluster"
-                        : statement.writes() && !isUpdateType[typeIndex]
+                        : statement.write() && !isUpdateType[typeIndex]
                                 ? "a write as a type that reads"
                                 : idsInUse.containsKey(statement.id()) ? "an id in use" : null;
     }
@@ -268,24 +268,26 @@
         if (isOutOfChannels()) {
             return null;
         }
-        int typeIndex = typeNames.indexOf(statement.type());
+        int typeIndex = typeNames.indexOf(statement.txnType());
         idsInUse.put(
                 statement.id(),
-                dispatcher.now().plus(min(Duration.ofMillis(statement.left()), longestExpiry)));
+                dispatcher
+                        .now()
+                        .plus(min(Duration.ofMillis(statement.timeLeftMs()), longestExpiry)));
         long sessionId =
                 tracksSessions && (isUpdateType[typeIndex] || readsOwnWrites[typeIndex])
-                        ? statement.session()
+                        ? statement.keyHash()
                         : TxnDispatcher.NO_SESSION;
-        ClientContext caller = connection.caller();
-        return caller == null || fairQueueSettings == null
+        ClientContext clientContext = connection.clientContext();
+        return clientContext == null || fairQueueSettings == null
                 ? dispatcher.txnArrived(statement, typeIndex, sessionId, connection)
                 : dispatcher.txnArrived(
                         statement,
                         typeIndex,
                         sessionId,
                         connection,
-                        caller,
-                        tenantName(statement, caller));
+                        clientContext,
+                        tenantName(statement, clientContext));
     }
 
     /** Drops the txn of a client that has disconnected. */
@@ -302,7 +304,7 @@
         connections.remove(connection);
         connections.add(connection);
         limitIdleConnections();
-        listener.again();
+        listener.acceptNext();
     }
 
     /**
@@ -314,7 +316,7 @@
         int queriedCount = 0;
         ClientConnection longestIdle = null;
         for (ClientConnection connection :
-                connections.size() > loop.mostChannels() / CLIENT_CHANNELS_DIVISOR
+                connections.size() > loop.maxChannels() / CLIENT_CHANNELS_DIVISOR
                         ? connections
                         : List.<ClientConnection>of()) {
             queriedCount += connection.hasQueried() && !connection.finishing() ? 1 : 0;
@@ -327,7 +329,7 @@
                             ? connection
                             : longestIdle;
         }
-        if (longestIdle != null && queriedCount > loop.mostChannels() / CLIENT_CHANNELS_DIVISOR) {
+        if (longestIdle != null && queriedCount > loop.maxChannels() / CLIENT_CHANNELS_DIVISOR) {
             counters.count("idle client connection closed over the limit");
             longestIdle.finish();
         }
@@ -336,13 +338,13 @@
     void connectionClosed(ClientConnection connection) {
         connections.remove(connection);
         if (listener != null) {
-            listener.again();
+            listener.acceptNext();
         }
     }
 
     /** Counts bytes against the driver's memory limit; a negative count releases them. */
     void reserveBytes(int byteCount) {
-        loop.hold(byteCount);
+        loop.addBufferedBytes(byteCount);
     }
 
     void count(String name) {
--- a/src/main/java/wingroad/driver/FleetAgent.java
+++ b/src/main/java/wingroad/driver/FleetAgent.java
@@ -1,14 +1,13 @@
 package wingroad.driver;
 
+import java.io.IOException;
+import java.util.function.Consumer;
 import wingroad.fleet.FleetConfig;
 import wingroad.fleet.FleetNode;
 import wingroad.protocol.MemberList;
 import wingroad.terms.RouterSettings;
 import wingroad.transport.EventLoop;
 
-import java.io.IOException;
-import java.util.function.Consumer;
-
 /**
  * Connects the driver to its fleet: owns the parts that carry out the driver's duties on the event
  * loop's thread. A driver without a fleet does not load this class.
@@ -31,7 +30,7 @@
      *     requests the list itself
      */
     static FleetAgent start(
-            FleetConfig rules,
+            FleetConfig fleetConfig,
             EventLoop loop,
             Clock clock,
             TxnDispatcher dispatcher,
@@ -39,17 +38,17 @@
             Configuration configuration,
             boolean watchesDiscovery,
             Consumer<MemberList> onList,
-            WorkAgent workAgent,
+            MaintenanceAgent maintenanceAgent,
             Log log)
             throws IOException {
         MemberListRelay listRelay =
-                rules.listCheckInterval() == null || !watchesDiscovery
+                fleetConfig.listCheckInterval() == null || !watchesDiscovery
                         ? null
                         : new MemberListRelay(
                                 loop,
                                 clock,
                                 discoveryClient,
-                                rules,
+                                fleetConfig,
                                 discoveryClient.heldVersion(),
                                 onList,
                                 log::info);
@@ -58,7 +57,7 @@
                         loop, dispatcher, RouterSettings.fromWire(configuration.settings()));
         FleetNode fleet =
                 FleetNode.start(
-                        rules.withDefaultDriver(configuration.name()),
+                        fleetConfig.withDefaultDriver(configuration.name()),
                         log::info,
                         log::error,
                         choreExecutor,
@@ -67,13 +66,13 @@
                                 listRelay.messageReceived(epoch, message);
                             }
                         },
-                        workAgent);
+                        maintenanceAgent);
         choreExecutor.setFleetThread(fleet::execute);
         if (listRelay != null) {
             listRelay.start(fleet);
         }
-        if (workAgent != null) {
-            workAgent.start(fleet);
+        if (maintenanceAgent != null) {
+            maintenanceAgent.start(fleet);
         }
         return new FleetAgent(fleet, listRelay);
     }
--- a/src/test/java/wingroad/work/WorkIT.java
+++ b/src/test/java/wingroad/work/WorkIT.java
@@ -10,14 +10,14 @@
 import org.junit.jupiter.api.parallel.ExecutionMode;
 
 import wingroad.Fixtures;
-import wingroad.Fixtures.Client;
+import wingroad.Fixtures.TestClient;
 import wingroad.fleet.FleetClient;
 import wingroad.fleet.FleetConfig;
 import wingroad.operator.OperatorFile;
+import wingroad.rig.ClientLoad;
+import wingroad.rig.FaultProxy;
 import wingroad.rig.FencedMember;
-import wingroad.rig.Load;
-import wingroad.rig.Relays;
-import wingroad.rig.Rig;
+import wingroad.rig.TestCluster;
 
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
@@ -62,7 +62,7 @@
             """;
 
     private static final String SETTINGS =
-            Fixtures.SETTINGS.replace("\"cold\":16000", "\"cold\":1000");
+            Fixtures.SETTINGS_JSON.replace("\"cold\":16000", "\"cold\":1000");
 
     /** {@link #SETTINGS} with a txn type {@code long} whose SLA time is 15 s. */
     private static final String SETTINGS_WITH_LONG_TXN =
@@ -76,28 +76,28 @@
     @TempDir(cleanup = CleanupMode.ON_SUCCESS)
     Path dir;
 
-    private Rig rig;
+    private TestCluster rig;
     private FencedMember member1;
     private FencedMember member2;
     private FencedMember member3;
-    private Load load;
+    private ClientLoad load;
 
     private void start(String fleetKdl) throws Exception {
         start(fleetKdl, SETTINGS);
     }
 
     private void start(String fleetKdl, String settings) throws Exception {
-        rig = new Rig(dir, DRIVER_COUNT, VOTER_COUNT, fleetKdl, settings);
-        member1 = rig.member("m1", 7, true, true);
-        member2 = rig.member("m2", 7, false, true);
-        member3 = rig.member("m3", 7, false, true);
-        rig.member("m2b", 7, false, true);
-        rig.later.add("m2b");
+        rig = new TestCluster(dir, DRIVER_COUNT, VOTER_COUNT, fleetKdl, settings);
+        member1 = rig.addMember("m1", 7, true, true);
+        member2 = rig.addMember("m2", 7, false, true);
+        member3 = rig.addMember("m3", 7, false, true);
+        rig.addMember("m2b", 7, false, true);
+        rig.membersUnknownAtStart.add("m2b");
         rig.startAll();
-        for (Rig.Driver driver : rig.drivers.values()) {
-            driver.await("work: the plan is known");
+        for (TestCluster.DriverProcess driver : rig.drivers.values()) {
+            driver.awaitLog("work: the plan is known");
         }
-        load = new Load(rig, List.of(7), LOAD_INTERVAL_MS);
+        load = new ClientLoad(rig, List.of(7), LOAD_INTERVAL_MS);
         awaitInventory();
     }
 
@@ -111,7 +111,7 @@
 
     /** Returns the fleet as configured at d1, whose links lead to the voters. */
     private FleetConfig fleetConfig() throws IOException {
-        return OperatorFile.read(rig.driver("d1").operator()).file().fleet();
+        return OperatorFile.read(rig.driver("d1").operatorFile()).file().fleet();
     }
 
     private interface FleetCall<T> {
@@ -218,7 +218,7 @@
     private static void assertNoTxnsSince(FencedMember member, long sinceMs) {
         assertThat(member.txns())
                 .as("txns at " + member.uid + " after it was reported as out")
-                .noneMatch(txn -> txn.at() > sinceMs);
+                .noneMatch(txn -> txn.receivedAtMs() > sinceMs);
     }
 
     /** Waits until so many more txns have been committed. */
@@ -249,7 +249,7 @@
         // It is sent txns again once the router knows its position in the log.
         member2.awaitTxns(txnsBefore + 1);
         assertThat(load.lost.get()).isZero();
-        assertThat(load.servedShare()).isGreaterThan(0.99);
+        assertThat(load.committedShare()).isGreaterThan(0.99);
     }
 
     /** Returns the epoch of the controller's duty, or 0 while it has no owner. */
@@ -264,7 +264,7 @@
     }
 
     /** Waits for a driver to own the controller's duty, and returns it. */
-    private Rig.Driver controllerDriver() throws Exception {
+    private TestCluster.DriverProcess controllerDriver() throws Exception {
         long deadlineNanos = System.nanoTime() + AWAIT_TIMEOUT_NANOS;
         while (System.nanoTime() < deadlineNanos) {
             for (Object item : (List<?>) callFleet(FleetClient::status).get("duties")) {
@@ -284,24 +284,24 @@
     @Test
     void delayedCommandOfAFormerControllerIsRefused() throws Exception {
         start(FLEET_KDL.replace("lease-ms 3000", "lease-ms 9000").replace("driver \"d4\";", ""));
-        Rig.Driver formerController = controllerDriver();
+        TestCluster.DriverProcess formerController = controllerDriver();
         BlockingQueue<Object> heldConnections = new LinkedBlockingQueue<>();
         for (String voter : rig.voters()) {
             // A driver reaches its own voter by a relayed link too, so each command passes a tap.
-            rig.relays
-                    .between(formerController.name, voter)
-                    .tap(
+            rig.proxy
+                    .linkBetween(formerController.name, voter)
+                    .setInterceptor(
                             (link, direction, bytes, connection) -> {
                                 String message =
                                         StandardCharsets.ISO_8859_1.decode(bytes).toString();
-                                return direction == Relays.Way.FORTH
+                                return direction == FaultProxy.Direction.FORWARD
                                         && message.contains("WORK_STEP")
                                         && message.contains("OUT")
                                         && heldConnections.isEmpty()
                                         && heldConnections.add(connection);
                             });
         }
-        load.away.add(formerController.name);
+        load.excludedDrivers.add(formerController.name);
         assertThat(requestMaintenance("B")).isEmpty();
         Object heldConnection = heldConnections.poll(30, TimeUnit.SECONDS);
         assertThat(heldConnection)
@@ -315,7 +315,7 @@
         while (controllerEpoch() <= formerEpoch) {
             TimeUnit.MILLISECONDS.sleep(20);
         }
-        rig.relays.letGo(heldConnection);
+        rig.proxy.release(heldConnection);
         awaitStatus(status -> ((Number) status.get("late-orders")).longValue() > 0);
         awaitStage("B", "out");
         long outAtMs = System.currentTimeMillis();
@@ -333,20 +333,20 @@
     @Test
     void pausedControllerTakesNoStepAfterItsSuccessorHasFinished() throws Exception {
         start(FLEET_KDL.replace("driver \"d4\";", ""));
-        Rig.Driver formerController = controllerDriver();
+        TestCluster.DriverProcess formerController = controllerDriver();
         long formerEpoch = controllerEpoch();
-        load.away.add(formerController.name);
+        load.excludedDrivers.add(formerController.name);
         assertThat(requestMaintenance("B")).isEmpty();
-        formerController.await("work: B planned");
+        formerController.awaitLog("work: B planned");
         formerController.pause();
         awaitStage("B", "out");
         assertThat(controllerEpoch()).isGreaterThan(formerEpoch);
         assertThat(sendOperatorCommand("done", "B")).isEmpty();
         awaitStage("B", "in");
-        int fromLine = formerController.lines();
-        formerController.goOn();
-        formerController.await(fromLine, line -> line.contains("work: the plan is known"));
-        load.away.remove(formerController.name);
+        int fromLine = formerController.logLineCount();
+        formerController.resume();
+        formerController.awaitLog(fromLine, line -> line.contains("work: the plan is known"));
+        load.excludedDrivers.remove(formerController.name);
         int txnsBefore = member2.txns().size();
         member2.awaitTxns(txnsBefore + 1);
         assertThat(isAtStage(maintenanceStatus(), "B", "in"))
@@ -362,29 +362,30 @@
     @Test
     void driverIsolatedAfterConfirmingAvoidsTheMachineAndServesOn() throws Exception {
         start(FLEET_KDL);
-        Rig.Driver isolatedDriver =
+        TestCluster.DriverProcess isolatedDriver =
                 rig.driver("d2").name.equals(controllerDriver().name)
                         ? rig.driver("d3")
                         : rig.driver("d2");
         // The driver confirms the announcement and is then cut off: draining has to wait until its
         // lease has ended.
         assertThat(requestMaintenance("B")).isEmpty();
-        int fromLine = isolatedDriver.lines();
+        int fromLine = isolatedDriver.logLineCount();
         awaitStatus(
                 status -> !isAtStage(status, "B", "asked") && !isAtStage(status, "B", "planned"));
-        rig.cutFromCouncil(isolatedDriver.name, true);
+        rig.partitionFromVoters(isolatedDriver.name, true);
         awaitStage("B", "out");
         long outAtMs = System.currentTimeMillis();
-        assertThat(isolatedDriver.log().subList(fromLine, isolatedDriver.lines()))
+        assertThat(isolatedDriver.log().subList(fromLine, isolatedDriver.logLineCount()))
                 .anyMatch(line -> line.contains("view of the plan has ended"));
         awaitCommitted(200);
         assertNoTxnsSince(member2, outAtMs);
-        try (Client client = new Client(isolatedDriver.port())) {
-            client.startup().heard();
-            assertThat(client.ask(Fixtures.read("served")).heard()).containsExactly("row value");
+        try (TestClient client = new TestClient(isolatedDriver.port())) {
+            client.sendStartup().readResponses();
+            assertThat(client.query(Fixtures.readStatement("served")).readResponses())
+                    .containsExactly("row value");
         }
-        rig.cutFromCouncil(isolatedDriver.name, false);
-        isolatedDriver.await(fromLine, line -> line.contains("work: the plan is known"));
+        rig.partitionFromVoters(isolatedDriver.name, false);
+        isolatedDriver.awaitLog(fromLine, line -> line.contains("work: the plan is known"));
         awaitCommitted(100);
         assertNoTxnsSince(member2, outAtMs);
         assertThat(load.lost.get()).isZero();
@@ -397,12 +398,12 @@
     @Test
     void driverIsolatedBeforeTheAnnouncementIsWaitedFor() throws Exception {
         start(FLEET_KDL);
-        Rig.Driver isolatedDriver =
+        TestCluster.DriverProcess isolatedDriver =
                 rig.driver("d2").name.equals(controllerDriver().name)
                         ? rig.driver("d3")
                         : rig.driver("d2");
-        rig.cutFromCouncil(isolatedDriver.name, true);
-        isolatedDriver.await("view of the plan has ended");
+        rig.partitionFromVoters(isolatedDriver.name, true);
+        isolatedDriver.awaitLog("view of the plan has ended");
         awaitStatus(status -> isLost(status, isolatedDriver.name));
         assertThat(requestMaintenance("B")).isEmpty();
         awaitStatus(
@@ -418,7 +419,7 @@
                                 .isPresent());
         awaitCommitted(200);
         assertThat(isAtStage(maintenanceStatus(), "B", "planned")).isTrue();
-        rig.cutFromCouncil(isolatedDriver.name, false);
+        rig.partitionFromVoters(isolatedDriver.name, false);
         awaitStage("B", "out");
         long outAtMs = System.currentTimeMillis();
         awaitCommitted(100);
@@ -432,8 +433,8 @@
     @Test
     void killedDriverIsWaitedForUntilAnOperatorDeclaresItGone() throws Exception {
         start(FLEET_KDL);
-        Rig.Driver killedDriver = rig.driver("d4");
-        load.away.add("d4");
+        TestCluster.DriverProcess killedDriver = rig.driver("d4");
+        load.excludedDrivers.add("d4");
         killedDriver.kill();
         awaitStatus(status -> isLost(status, "d4"));
         assertThat(requestMaintenance("C")).isEmpty();
@@ -453,8 +454,8 @@
         assertNoTxnsSince(member3, outAtMs);
         // Started again, it sends nothing to the machine before it has received the plan.
         killedDriver.start();
-        killedDriver.await("work: the plan is known");
-        load.away.remove("d4");
+        killedDriver.awaitLog("work: the plan is known");
+        load.excludedDrivers.remove("d4");
         awaitCommitted(200);
         assertNoTxnsSince(member3, outAtMs);
     }
@@ -468,34 +469,36 @@
         start(
                 FLEET_KDL.replace(
                         "watch 0.5", "watch 0.5\n                lost-view \"strict\" horizon=5"));
-        Rig.Driver isolatedDriver =
+        TestCluster.DriverProcess isolatedDriver =
                 rig.driver("d2").name.equals(controllerDriver().name)
                         ? rig.driver("d3")
                         : rig.driver("d2");
-        load.away.add(isolatedDriver.name);
-        rig.cutFromCouncil(isolatedDriver.name, true);
-        isolatedDriver.await("view of the plan has ended");
+        load.excludedDrivers.add(isolatedDriver.name);
+        rig.partitionFromVoters(isolatedDriver.name, true);
+        isolatedDriver.awaitLog("view of the plan has ended");
         assertThat(requestMaintenance("B")).isEmpty();
         awaitStage("B", "out");
         long outAtMs = System.currentTimeMillis();
         awaitCommitted(100);
         assertNoTxnsSince(member2, outAtMs);
-        try (Client client = new Client(isolatedDriver.port())) {
-            client.startup().heard();
-            assertThat(client.ask(Fixtures.read("declined")).heard()).doesNotContain("row value");
+        try (TestClient client = new TestClient(isolatedDriver.port())) {
+            client.sendStartup().readResponses();
+            assertThat(client.query(Fixtures.readStatement("declined")).readResponses())
+                    .doesNotContain("row value");
         }
-        rig.cutFromCouncil(isolatedDriver.name, false);
-        isolatedDriver.await("work: the plan is known");
+        rig.partitionFromVoters(isolatedDriver.name, false);
+        isolatedDriver.awaitLog("work: the plan is known");
     }
 
     /** Sends reads by d3 that members answer only when told to; at least one of them is at m2. */
-    private List<Client> startSlowReads() throws Exception {
-        List<Client> slowClients = new ArrayList<>();
+    private List<TestClient> startSlowReads() throws Exception {
+        List<TestClient> slowClients = new ArrayList<>();
         for (int i = 0; i < 16; i++) {
-            Client client = new Client(rig.driver("d3").port());
+            TestClient client = new TestClient(rig.driver("d3").port());
             slowClients.add(client);
-            client.startup().heard();
-            client.ask(Fixtures.read("slow" + i).replace("c=look,d=3000", "c=long,d=20000"));
+            client.sendStartup().readResponses();
+            client.query(
+                    Fixtures.readStatement("slow" + i).replace("c=look,d=3000", "c=long,d=20000"));
         }
         member2.awaitTxn("slow");
         return slowClients;
@@ -508,7 +511,7 @@
     @Test
     void longTxnDelaysOutAndTheFleetContinuesAfterAllAreKilled() throws Exception {
         start(FLEET_KDL, SETTINGS_WITH_LONG_TXN);
-        List<Client> slowClients = startSlowReads();
+        List<TestClient> slowClients = startSlowReads();
         assertThat(requestMaintenance("B")).isEmpty();
         awaitStatus(
                 status ->
@@ -521,8 +524,8 @@
                                 .isPresent());
         awaitCommitted(100);
         assertThat(isAtStage(maintenanceStatus(), "B", "draining")).isTrue();
-        for (Rig.Driver driver : rig.drivers.values()) {
-            load.away.add(driver.name);
+        for (TestCluster.DriverProcess driver : rig.drivers.values()) {
+            load.excludedDrivers.add(driver.name);
             driver.kill();
         }
         for (String name : List.of("d4", "d3", "d2", "d1")) {
@@ -530,14 +533,14 @@
         }
         awaitStage("B", "out");
         long outAtMs = System.currentTimeMillis();
-        load.away.clear();
+        load.excludedDrivers.clear();
         awaitCommitted(200);
         assertNoTxnsSince(member2, outAtMs);
-        for (Client client : slowClients) {
+        for (TestClient client : slowClients) {
             client.close();
         }
         for (FencedMember member : List.of(member1, member2, member3)) {
-            member.letSlowGo();
+            member.releaseSlowReads();
         }
     }
 
@@ -579,7 +582,7 @@
         assertThat(sendOperatorCommand("done", outMachine)).isEmpty();
         awaitStage(waitingMachine, "out");
         assertThat(isAtStage(maintenanceStatus(), outMachine, "in")).isTrue();
-        assertThat(load.servedShare()).isGreaterThan(0.99);
+        assertThat(load.committedShare()).isGreaterThan(0.99);
     }
 
     /**
@@ -603,8 +606,8 @@
                                 .isPresent());
         awaitCommitted(200);
         assertThat(isAtStage(maintenanceStatus(), "A", "planned")).isTrue();
-        member1.primary(false);
-        member3.primary(true);
+        member1.setPrimary(false);
+        member3.setPrimary(true);
         awaitStage("A", "out");
         long outAtMs = System.currentTimeMillis();
         awaitCommitted(200);
@@ -630,19 +633,19 @@
         assertThat(requestMaintenance("B")).isEmpty();
         awaitStage("B", "out");
         long outAtMs = System.currentTimeMillis();
-        for (Rig.Driver driver : rig.drivers.values()) {
-            load.away.add(driver.name);
+        for (TestCluster.DriverProcess driver : rig.drivers.values()) {
+            load.excludedDrivers.add(driver.name);
             driver.terminate();
-            driver.awaitEnd();
+            driver.awaitExit();
             driver.start();
             // Clients connect as soon as it listens: none may be declined because the plan is not
             // known yet.
-            driver.await(" serves ");
-            load.away.remove(driver.name);
+            driver.awaitLog(" serves ");
+            load.excludedDrivers.remove(driver.name);
         }
         awaitCommitted(200);
         assertNoTxnsSince(member2, outAtMs);
-        assertThat(load.refused.get()).as(() -> load.refusals + "\n" + rig.logs()).isZero();
+        assertThat(load.refused.get()).as(() -> load.firstRefusals + "\n" + rig.allLogs()).isZero();
         assertThat(isAtStage(maintenanceStatus(), "B", "out")).isTrue();
         assertThat(sendOperatorCommand("done", "B")).isEmpty();
         awaitStage("B", "in");
@@ -660,9 +663,9 @@
         awaitStage("B", "out");
         // The group has no member to spare now: an operator is alerted, and no other goes out.
         member3.close();
-        for (Rig.Driver driver : rig.drivers.values()) {
-            rig.relays.between(driver.name, "m3").leadTo(0);
-            rig.relays.breakOff(rig.relays.between(driver.name, "m3"));
+        for (TestCluster.DriverProcess driver : rig.drivers.values()) {
+            rig.proxy.linkBetween(driver.name, "m3").setTargetPort(0);
+            rig.proxy.disconnect(rig.proxy.linkBetween(driver.name, "m3"));
         }
         awaitStatus(
                 status ->
@@ -685,8 +688,8 @@
     @Test
     void holdTakesEffectWithinASecondAndCanBeLifted() throws Exception {
         start(FLEET_KDL, SETTINGS_WITH_LONG_TXN);
-        Client client = new Client(rig.driver("d1").port());
-        client.startup().heard();
+        TestClient client = new TestClient(rig.driver("d1").port());
+        client.sendStartup().readResponses();
         assertThat(requestMaintenance("B")).isEmpty();
         awaitStatus(status -> !isAtStage(status, "B", "asked"));
         long startNanos = System.nanoTime();
@@ -743,7 +746,7 @@
         awaitStage("B", "out");
         assertThat(List.of("d1", "d4")).doesNotContain(controllerDriver().name);
         // One voter of three is away; with a second one away there would be no quorum.
-        rig.driver("d2").await("work: B out");
+        rig.driver("d2").awaitLog("work: B out");
         assertThat(sendOperatorCommand("done", "B")).isEmpty();
         awaitStage("B", "in");
     }
@@ -751,21 +754,21 @@
     @Test
     void stricterOfDiscoveryAndPlanApplies() throws Exception {
         start(FLEET_KDL);
-        rig.tellList(Map.of("m2b", "gone"));
+        rig.publishMembers(Map.of("m2b", "gone"));
         assertThat(requestMaintenance("B")).isEmpty();
         awaitStage("B", "out");
         long outAtMs = System.currentTimeMillis();
-        rig.tellList(Map.of("m2b", "gone"));
-        for (Rig.Driver driver : rig.drivers.values()) {
-            driver.await("list 2 ");
+        rig.publishMembers(Map.of("m2b", "gone"));
+        for (TestCluster.DriverProcess driver : rig.drivers.values()) {
+            driver.awaitLog("list 2 ");
         }
         awaitCommitted(200);
         assertNoTxnsSince(member2, outAtMs);
         // The plan returns the machine while discovery lists its member as draining: it is back in
         // service only after both agree.
-        rig.tellList(Map.of("m2b", "gone", "m2", "draining"));
-        for (Rig.Driver driver : rig.drivers.values()) {
-            driver.await("list 3 ");
+        rig.publishMembers(Map.of("m2b", "gone", "m2", "draining"));
+        for (TestCluster.DriverProcess driver : rig.drivers.values()) {
+            driver.awaitLog("list 3 ");
         }
         assertThat(sendOperatorCommand("done", "B")).isEmpty();
         awaitStatus(
@@ -779,7 +782,7 @@
                                 .isPresent());
         awaitCommitted(100);
         assertNoTxnsSince(member2, outAtMs);
-        rig.tellList(Map.of("m2b", "gone"));
+        rig.publishMembers(Map.of("m2b", "gone"));
         awaitStage("B", "in");
         member2.awaitTxns(member2.txns().size() + 1);
     }
@@ -791,15 +794,15 @@
     @Test
     void machineReturnsWithANewMemberId() throws Exception {
         start(FLEET_KDL);
-        rig.tellList(Map.of("m2b", "gone"));
+        rig.publishMembers(Map.of("m2b", "gone"));
         FencedMember successor = rig.members.get("m2b");
         assertThat(requestMaintenance("B")).isEmpty();
         awaitStage("B", "out");
         // The new member is listed before the operator reports the work as done, so it must not be
         // sent anything yet.
-        rig.tellList(Map.of("m2", "gone"));
-        for (Rig.Driver driver : rig.drivers.values()) {
-            driver.await("list 2 ");
+        rig.publishMembers(Map.of("m2", "gone"));
+        for (TestCluster.DriverProcess driver : rig.drivers.values()) {
+            driver.awaitLog("list 2 ");
         }
         awaitCommitted(200);
         assertThat(successor.txns()).isEmpty();
@@ -815,10 +818,10 @@
     @Test
     void primaryFailureWhileAReplicaDrainsPutsItBackForFailover() throws Exception {
         start(FLEET_KDL, SETTINGS_WITH_LONG_TXN);
-        List<Client> slowClients = startSlowReads();
+        List<TestClient> slowClients = startSlowReads();
         assertThat(requestMaintenance("B")).isEmpty();
         awaitStage("B", "draining");
-        rig.reachable(member1, false);
+        rig.setReachable(member1, false);
         awaitStage("B", "asked");
         awaitStatus(
                 status ->
@@ -829,21 +832,21 @@
                                                         .toString()
                                                         .contains("m1 is not fit"))
                                 .isPresent());
-        member1.primary(false);
-        member2.primary(true);
-        try (Client client = new Client(rig.driver("d1").port())) {
-            client.startup().heard();
+        member1.setPrimary(false);
+        member2.setPrimary(true);
+        try (TestClient client = new TestClient(rig.driver("d1").port())) {
+            client.sendStartup().readResponses();
             List<String> response = List.of();
             for (int i = 0; i < 100 && !response.contains("row value"); i++) {
-                response = client.ask(Fixtures.write("lead" + i)).heard();
+                response = client.query(Fixtures.writeStatement("lead" + i)).readResponses();
             }
             assertThat(response).containsExactly("row value");
         }
         assertThat(member2.txns()).anyMatch(txn -> txn.id().startsWith("lead"));
         for (FencedMember member : List.of(member1, member2, member3)) {
-            member.letSlowGo();
+            member.releaseSlowReads();
         }
-        for (Client client : slowClients) {
+        for (TestClient client : slowClients) {
             client.close();
         }
     }
@@ -856,19 +859,19 @@
     void partitionedFleetContinuesOnTheMajoritySide() throws Exception {
         start(FLEET_KDL);
         // d4, the driver on machine B, is on the minority side, which has no voter.
-        Rig.Driver minorityDriver = rig.driver("d4");
-        int fromLine = minorityDriver.lines();
+        TestCluster.DriverProcess minorityDriver = rig.driver("d4");
+        int fromLine = minorityDriver.logLineCount();
         assertThat(requestMaintenance("B")).isEmpty();
-        minorityDriver.await(fromLine, line -> line.contains("work: B planned"));
+        minorityDriver.awaitLog(fromLine, line -> line.contains("work: B planned"));
         awaitStatus(
                 status -> !isAtStage(status, "B", "asked") && !isAtStage(status, "B", "planned"));
-        rig.cutFromCouncil("d4", true);
+        rig.partitionFromVoters("d4", true);
         awaitStage("B", "out");
         long outAtMs = System.currentTimeMillis();
         awaitCommitted(200);
         assertNoTxnsSince(member2, outAtMs);
-        rig.cutFromCouncil("d4", false);
-        minorityDriver.await(
+        rig.partitionFromVoters("d4", false);
+        minorityDriver.awaitLog(
                 fromLine,
                 line -> line.contains("work: the plan is known") || line.contains("work: B out"));
         awaitCommitted(100);
@@ -889,7 +892,7 @@
                                 "target/wingroad.jar",
                                 "work"));
         command.addAll(List.of(arguments));
-        command.addAll(List.of("--operator", rig.driver("d1").operator().toString()));
+        command.addAll(List.of("--operator", rig.driver("d1").operatorFile().toString()));
         Process process = new ProcessBuilder(command).redirectErrorStream(true).start();
         List<String> output = new ArrayList<>(process.inputReader().lines().toList());
         output.add("exit " + process.waitFor());
