--- a/src/bench/java/wingroad/work/WorkBench.java
+++ b/src/bench/java/wingroad/work/WorkBench.java
@@ -147,7 +147,7 @@
             Pattern.compile("the primary of group ([0-9]+) is here: to be moved to ([^ ]+).*");
 
     private final Random random;
-    private final TestCluster rig;
+    private final TestCluster cluster;
     private final Map<String, List<FencedMember>> membersByMachine = new TreeMap<>();
     private final Set<String> driversUnderFault = ConcurrentHashMap.newKeySet();
     private final ScheduledExecutorService scheduler = Executors.newScheduledThreadPool(6);
@@ -191,7 +191,7 @@
                     .append(" }\n");
         }
         fleetKdl.append("    }\n");
-        rig =
+        cluster =
                 new TestCluster(
                         Files.createTempDirectory("work"),
                         DRIVER_COUNT,
@@ -204,7 +204,7 @@
         for (int group = 0; group < GROUP_COUNT; group++) {
             for (int zone = 0; zone < ZONE_COUNT; zone++) {
                 FencedMember member =
-                        rig.addMember(
+                        cluster.addMember(
                                 uidOf(group, zone),
                                 group + FIRST_GROUP,
                                 zone == group % ZONE_COUNT,
@@ -218,17 +218,17 @@
         }
         fleetConfig =
                 withFleet
-                        ? OperatorFile.read(rig.driver("d1").operatorFile()).file().fleet()
+                        ? OperatorFile.read(cluster.driver("d1").operatorFile()).file().fleet()
                         : null;
-        rig.startAll();
-        for (TestCluster.DriverProcess driver : rig.drivers.values()) {
+        cluster.startAll();
+        for (TestCluster.DriverProcess driver : cluster.drivers.values()) {
             driver.awaitLog(withFleet ? "work: the plan is known" : " serves ");
         }
         List<Integer> groups = new ArrayList<>();
         for (int group = 0; group < GROUP_COUNT; group++) {
             groups.add(group + FIRST_GROUP);
         }
-        load = new ClientLoad(rig, groups, LOAD_INTERVAL_MS, CLIENTS_PER_DRIVER);
+        load = new ClientLoad(cluster, groups, LOAD_INTERVAL_MS, CLIENTS_PER_DRIVER);
         if (withFleet) {
             Thread pollThread = new Thread(this::pollStatus, "poll");
             pollThread.setDaemon(true);
@@ -346,7 +346,7 @@
         finished = true;
         load.close();
         scheduler.shutdownNow();
-        rig.close();
+        cluster.close();
         return load.committedShare();
     }
 
@@ -457,15 +457,15 @@
                     && workStartedAtMs.putIfAbsent(maintenanceKey, System.currentTimeMillis())
                             == null) {
                 for (FencedMember member : membersByMachine.get(machine)) {
-                    rig.setReachable(member, false);
+                    cluster.setReachable(member, false);
                 }
                 scheduler.schedule(
                         () -> finishMaintenance(machine), MAINTENANCE_MS, TimeUnit.MILLISECONDS);
             } else if (moveNote.matches()) {
                 int group = Integer.parseInt(moveNote.group(1));
-                FencedMember newPrimary = rig.members.get(moveNote.group(2));
+                FencedMember newPrimary = cluster.members.get(moveNote.group(2));
                 if (newPrimary != null && !newPrimary.primary()) {
-                    rig.members.values().stream()
+                    cluster.members.values().stream()
                             .filter(groupMember -> groupMember.group == group)
                             .forEach(groupMember -> groupMember.setPrimary(false));
                     newPrimary.setPrimary(true);
@@ -484,7 +484,7 @@
             for (FencedMember member : membersByMachine.get(machine)) {
                 member.simulateStart(COLD_MEMBER, MEMBER_CONCURRENCY);
                 member.setReplicationLagMs(RESTART_LAG_MS);
-                rig.setReachable(member, true);
+                cluster.setReachable(member, true);
                 scheduler.schedule(
                         () -> member.setReplicationLagMs(0), CATCH_UP_MS, TimeUnit.MILLISECONDS);
             }
@@ -493,7 +493,7 @@
                             client.sendOperatorCommand(
                                     "done", machine, "done " + machine + " " + System.nanoTime()));
         } catch (IOException e) {
-            System.out.println("rig: " + e);
+            System.out.println("bench error: " + e);
         }
     }
 
@@ -613,7 +613,7 @@
         while (System.nanoTime() < deadlineNanos) {
             for (int i = 0; i < voters.size(); i++) {
                 String voter = voters.get((firstVoter + i) % voters.size());
-                if (rig.driver(voter).paused || !rig.driver(voter).isAlive()) {
+                if (cluster.driver(voter).paused || !cluster.driver(voter).isAlive()) {
                     continue;
                 }
                 try (FleetClient client = new FleetClient(fleetConfig(), voter)) {
@@ -680,7 +680,7 @@
                     try {
                         action.run();
                     } catch (Exception e) {
-                        System.out.println("rig: " + e);
+                        System.out.println("bench error: " + e);
                     }
                 },
                 delayMs,
@@ -688,7 +688,7 @@
     }
 
     private long votersUnderFault() {
-        return rig.voters().stream().filter(driversUnderFault::contains).count();
+        return cluster.voters().stream().filter(driversUnderFault::contains).count();
     }
 
     /**
@@ -707,15 +707,15 @@
                                 : "d" + (random.nextInt(DRIVER_COUNT) + 1);
                 if (driversUnderFault.contains(driverName)
                         || driversUnderFault.size() > FAULT_LIMIT_DRIVER_COUNT
-                        || rig.voters().contains(driverName) && votersUnderFault() > 0) {
+                        || cluster.voters().contains(driverName) && votersUnderFault() > 0) {
                     continue;
                 }
-                injectFault(rig.driver(driverName), random.nextInt(FAULT_KIND_COUNT));
+                injectFault(cluster.driver(driverName), random.nextInt(FAULT_KIND_COUNT));
             }
         } catch (InterruptedException e) {
             // the bench is finished
         } catch (Exception e) {
-            System.out.println("rig: " + e);
+            System.out.println("bench error: " + e);
         }
     }
 
@@ -761,14 +761,14 @@
             boolean bothDirections = random.nextBoolean();
             boolean outgoing = random.nextBoolean();
             if (bothDirections) {
-                rig.partitionFromVoters(driver.name, true);
+                cluster.partitionFromVoters(driver.name, true);
             } else {
-                rig.partitionOneWay(driver.name, outgoing, true);
+                cluster.partitionOneWay(driver.name, outgoing, true);
             }
             runLater(
                     MIN_CUT_MS + random.nextInt(2 * LEASE_MS),
                     () -> {
-                        rig.partitionFromVoters(driver.name, false);
+                        cluster.partitionFromVoters(driver.name, false);
                         runLater(RECOVERY_GRACE_MS, () -> markRecovered(driver.name));
                     });
         } else {
@@ -788,8 +788,8 @@
      */
     private void holdControllerCommand(TestCluster.DriverProcess driver) throws Exception {
         AtomicInteger holdState = new AtomicInteger();
-        for (String voter : rig.voters()) {
-            rig.proxy
+        for (String voter : cluster.voters()) {
+            cluster.proxy
                     .linkBetween(driver.name, voter)
                     .setInterceptor(
                             (link, direction, bytes, connection) -> {
@@ -814,7 +814,7 @@
                                             driver.start();
                                             runLater(
                                                     COMMAND_HOLD_MS,
-                                                    () -> rig.proxy.release(connection));
+                                                    () -> cluster.proxy.release(connection));
                                             driver.awaitLog("work: the plan is known");
                                             markRecovered(driver.name);
                                         });
@@ -842,18 +842,18 @@
     private double runDiscoveryMarks(boolean separateLists) throws Exception {
         Map<String, Fixtures.FakeDiscovery> discoveryByDriver = new TreeMap<>();
         if (separateLists) {
-            for (TestCluster.DriverProcess driver : rig.drivers.values()) {
+            for (TestCluster.DriverProcess driver : cluster.drivers.values()) {
                 Fixtures.FakeDiscovery discovery = new Fixtures.FakeDiscovery();
                 discoveryByDriver.put(driver.name, discovery);
-                rig.proxy.linkBetween(driver.name, "discovery").setTargetPort(discovery.port());
-                rig.proxy.disconnect(rig.proxy.linkBetween(driver.name, "discovery"));
+                cluster.proxy.linkBetween(driver.name, "discovery").setTargetPort(discovery.port());
+                cluster.proxy.disconnect(cluster.proxy.linkBetween(driver.name, "discovery"));
             }
         }
         for (Map.Entry<String, List<FencedMember>> machine : membersByMachine.entrySet()) {
             publishStates(discoveryByDriver, machine.getValue(), "draining");
             for (FencedMember member : machine.getValue()) {
                 if (member.primary()) {
-                    rig.members.values().stream()
+                    cluster.members.values().stream()
                             .filter(
                                     candidate ->
                                             candidate.group == member.group && candidate != member)
@@ -867,12 +867,12 @@
             }
             TimeUnit.MILLISECONDS.sleep(MARK_INTERVAL_MS);
             for (FencedMember member : machine.getValue()) {
-                rig.setReachable(member, false);
+                cluster.setReachable(member, false);
             }
             TimeUnit.MILLISECONDS.sleep(MAINTENANCE_MS);
             for (FencedMember member : machine.getValue()) {
                 member.simulateStart(COLD_MEMBER, MEMBER_CONCURRENCY);
-                rig.setReachable(member, true);
+                cluster.setReachable(member, true);
             }
             publishStates(discoveryByDriver, machine.getValue(), "ready");
             TimeUnit.MILLISECONDS.sleep(MARK_INTERVAL_MS);
@@ -891,15 +891,15 @@
             String state)
             throws IOException {
         StringBuilder targets = new StringBuilder();
-        for (FencedMember member : rig.members.values()) {
+        for (FencedMember member : cluster.members.values()) {
             targets.append(targets.length() == 0 ? "" : ",")
                     .append(
-                            rig.discoveryEntry(
+                            cluster.discoveryEntry(
                                     "d1",
                                     member,
                                     changedMembers.contains(member) ? state : "ready"));
         }
-        rig.discovery.publish(targets.toString());
+        cluster.discovery.publish(targets.toString());
         discoveryByDriver
                 .values()
                 .forEach(
--- a/src/test/java/wingroad/work/WorkIT.java
+++ b/src/test/java/wingroad/work/WorkIT.java
@@ -76,7 +76,7 @@
     @TempDir(cleanup = CleanupMode.ON_SUCCESS)
     Path dir;
 
-    private TestCluster rig;
+    private TestCluster cluster;
     private FencedMember member1;
     private FencedMember member2;
     private FencedMember member3;
@@ -87,17 +87,17 @@
     }
 
     private void start(String fleetKdl, String settings) throws Exception {
-        rig = new TestCluster(dir, DRIVER_COUNT, VOTER_COUNT, fleetKdl, settings);
-        member1 = rig.addMember("m1", 7, true, true);
-        member2 = rig.addMember("m2", 7, false, true);
-        member3 = rig.addMember("m3", 7, false, true);
-        rig.addMember("m2b", 7, false, true);
-        rig.membersUnknownAtStart.add("m2b");
-        rig.startAll();
-        for (TestCluster.DriverProcess driver : rig.drivers.values()) {
+        cluster = new TestCluster(dir, DRIVER_COUNT, VOTER_COUNT, fleetKdl, settings);
+        member1 = cluster.addMember("m1", 7, true, true);
+        member2 = cluster.addMember("m2", 7, false, true);
+        member3 = cluster.addMember("m3", 7, false, true);
+        cluster.addMember("m2b", 7, false, true);
+        cluster.membersUnknownAtStart.add("m2b");
+        cluster.startAll();
+        for (TestCluster.DriverProcess driver : cluster.drivers.values()) {
             driver.awaitLog("work: the plan is known");
         }
-        load = new ClientLoad(rig, List.of(7), LOAD_INTERVAL_MS);
+        load = new ClientLoad(cluster, List.of(7), LOAD_INTERVAL_MS);
         awaitInventory();
     }
 
@@ -106,12 +106,12 @@
         if (load != null) {
             load.close();
         }
-        rig.close();
+        cluster.close();
     }
 
     /** Returns the fleet as configured at d1, whose links lead to the voters. */
     private FleetConfig fleetConfig() throws IOException {
-        return OperatorFile.read(rig.driver("d1").operatorFile()).file().fleet();
+        return OperatorFile.read(cluster.driver("d1").operatorFile()).file().fleet();
     }
 
     private interface FleetCall<T> {
@@ -270,7 +270,7 @@
             for (Object item : (List<?>) callFleet(FleetClient::status).get("duties")) {
                 Map<?, ?> duty = (Map<?, ?>) item;
                 if (duty.get("name").equals("conductor") && !duty.get("owner").equals("")) {
-                    return rig.driver((String) duty.get("owner"));
+                    return cluster.driver((String) duty.get("owner"));
                 }
             }
         }
@@ -286,9 +286,9 @@
         start(FLEET_KDL.replace("lease-ms 3000", "lease-ms 9000").replace("driver \"d4\";", ""));
         TestCluster.DriverProcess formerController = controllerDriver();
         BlockingQueue<Object> heldConnections = new LinkedBlockingQueue<>();
-        for (String voter : rig.voters()) {
-            // A driver reaches its own voter by a relayed link too, so each command passes a tap.
-            rig.proxy
+        for (String voter : cluster.voters()) {
+            // A driver connects to its own voter through the proxy too, so each command is seen.
+            cluster.proxy
                     .linkBetween(formerController.name, voter)
                     .setInterceptor(
                             (link, direction, bytes, connection) -> {
@@ -315,7 +315,7 @@
         while (controllerEpoch() <= formerEpoch) {
             TimeUnit.MILLISECONDS.sleep(20);
         }
-        rig.proxy.release(heldConnection);
+        cluster.proxy.release(heldConnection);
         awaitStatus(status -> ((Number) status.get("late-orders")).longValue() > 0);
         awaitStage("B", "out");
         long outAtMs = System.currentTimeMillis();
@@ -363,16 +363,16 @@
     void driverIsolatedAfterConfirmingAvoidsTheMachineAndServesOn() throws Exception {
         start(FLEET_KDL);
         TestCluster.DriverProcess isolatedDriver =
-                rig.driver("d2").name.equals(controllerDriver().name)
-                        ? rig.driver("d3")
-                        : rig.driver("d2");
+                cluster.driver("d2").name.equals(controllerDriver().name)
+                        ? cluster.driver("d3")
+                        : cluster.driver("d2");
         // The driver confirms the announcement and is then cut off: draining has to wait until its
         // lease has ended.
         assertThat(requestMaintenance("B")).isEmpty();
         int fromLine = isolatedDriver.logLineCount();
         awaitStatus(
                 status -> !isAtStage(status, "B", "asked") && !isAtStage(status, "B", "planned"));
-        rig.partitionFromVoters(isolatedDriver.name, true);
+        cluster.partitionFromVoters(isolatedDriver.name, true);
         awaitStage("B", "out");
         long outAtMs = System.currentTimeMillis();
         assertThat(isolatedDriver.log().subList(fromLine, isolatedDriver.logLineCount()))
@@ -384,7 +384,7 @@
             assertThat(client.query(Fixtures.readStatement("served")).readResponses())
                     .containsExactly("row value");
         }
-        rig.partitionFromVoters(isolatedDriver.name, false);
+        cluster.partitionFromVoters(isolatedDriver.name, false);
         isolatedDriver.awaitLog(fromLine, line -> line.contains("work: the plan is known"));
         awaitCommitted(100);
         assertNoTxnsSince(member2, outAtMs);
@@ -399,10 +399,10 @@
     void driverIsolatedBeforeTheAnnouncementIsWaitedFor() throws Exception {
         start(FLEET_KDL);
         TestCluster.DriverProcess isolatedDriver =
-                rig.driver("d2").name.equals(controllerDriver().name)
-                        ? rig.driver("d3")
-                        : rig.driver("d2");
-        rig.partitionFromVoters(isolatedDriver.name, true);
+                cluster.driver("d2").name.equals(controllerDriver().name)
+                        ? cluster.driver("d3")
+                        : cluster.driver("d2");
+        cluster.partitionFromVoters(isolatedDriver.name, true);
         isolatedDriver.awaitLog("view of the plan has ended");
         awaitStatus(status -> isLost(status, isolatedDriver.name));
         assertThat(requestMaintenance("B")).isEmpty();
@@ -419,7 +419,7 @@
                                 .isPresent());
         awaitCommitted(200);
         assertThat(isAtStage(maintenanceStatus(), "B", "planned")).isTrue();
-        rig.partitionFromVoters(isolatedDriver.name, false);
+        cluster.partitionFromVoters(isolatedDriver.name, false);
         awaitStage("B", "out");
         long outAtMs = System.currentTimeMillis();
         awaitCommitted(100);
@@ -433,7 +433,7 @@
     @Test
     void killedDriverIsWaitedForUntilAnOperatorDeclaresItGone() throws Exception {
         start(FLEET_KDL);
-        TestCluster.DriverProcess killedDriver = rig.driver("d4");
+        TestCluster.DriverProcess killedDriver = cluster.driver("d4");
         load.excludedDrivers.add("d4");
         killedDriver.kill();
         awaitStatus(status -> isLost(status, "d4"));
@@ -470,11 +470,11 @@
                 FLEET_KDL.replace(
                         "watch 0.5", "watch 0.5\n                lost-view \"strict\" horizon=5"));
         TestCluster.DriverProcess isolatedDriver =
-                rig.driver("d2").name.equals(controllerDriver().name)
-                        ? rig.driver("d3")
-                        : rig.driver("d2");
+                cluster.driver("d2").name.equals(controllerDriver().name)
+                        ? cluster.driver("d3")
+                        : cluster.driver("d2");
         load.excludedDrivers.add(isolatedDriver.name);
-        rig.partitionFromVoters(isolatedDriver.name, true);
+        cluster.partitionFromVoters(isolatedDriver.name, true);
         isolatedDriver.awaitLog("view of the plan has ended");
         assertThat(requestMaintenance("B")).isEmpty();
         awaitStage("B", "out");
@@ -486,7 +486,7 @@
             assertThat(client.query(Fixtures.readStatement("declined")).readResponses())
                     .doesNotContain("row value");
         }
-        rig.partitionFromVoters(isolatedDriver.name, false);
+        cluster.partitionFromVoters(isolatedDriver.name, false);
         isolatedDriver.awaitLog("work: the plan is known");
     }
 
@@ -494,7 +494,7 @@
     private List<TestClient> startSlowReads() throws Exception {
         List<TestClient> slowClients = new ArrayList<>();
         for (int i = 0; i < 16; i++) {
-            TestClient client = new TestClient(rig.driver("d3").port());
+            TestClient client = new TestClient(cluster.driver("d3").port());
             slowClients.add(client);
             client.sendStartup().readResponses();
             client.query(
@@ -524,12 +524,12 @@
                                 .isPresent());
         awaitCommitted(100);
         assertThat(isAtStage(maintenanceStatus(), "B", "draining")).isTrue();
-        for (TestCluster.DriverProcess driver : rig.drivers.values()) {
+        for (TestCluster.DriverProcess driver : cluster.drivers.values()) {
             load.excludedDrivers.add(driver.name);
             driver.kill();
         }
         for (String name : List.of("d4", "d3", "d2", "d1")) {
-            rig.driver(name).start();
+            cluster.driver(name).start();
         }
         awaitStage("B", "out");
         long outAtMs = System.currentTimeMillis();
@@ -633,7 +633,7 @@
         assertThat(requestMaintenance("B")).isEmpty();
         awaitStage("B", "out");
         long outAtMs = System.currentTimeMillis();
-        for (TestCluster.DriverProcess driver : rig.drivers.values()) {
+        for (TestCluster.DriverProcess driver : cluster.drivers.values()) {
             load.excludedDrivers.add(driver.name);
             driver.terminate();
             driver.awaitExit();
@@ -645,7 +645,9 @@
         }
         awaitCommitted(200);
         assertNoTxnsSince(member2, outAtMs);
-        assertThat(load.refused.get()).as(() -> load.firstRefusals + "\n" + rig.allLogs()).isZero();
+        assertThat(load.refused.get())
+                .as(() -> load.firstRefusals + "\n" + cluster.allLogs())
+                .isZero();
         assertThat(isAtStage(maintenanceStatus(), "B", "out")).isTrue();
         assertThat(sendOperatorCommand("done", "B")).isEmpty();
         awaitStage("B", "in");
@@ -663,9 +665,9 @@
         awaitStage("B", "out");
         // The group has no member to spare now: an operator is alerted, and no other goes out.
         member3.close();
-        for (TestCluster.DriverProcess driver : rig.drivers.values()) {
-            rig.proxy.linkBetween(driver.name, "m3").setTargetPort(0);
-            rig.proxy.disconnect(rig.proxy.linkBetween(driver.name, "m3"));
+        for (TestCluster.DriverProcess driver : cluster.drivers.values()) {
+            cluster.proxy.linkBetween(driver.name, "m3").setTargetPort(0);
+            cluster.proxy.disconnect(cluster.proxy.linkBetween(driver.name, "m3"));
         }
         awaitStatus(
                 status ->
@@ -688,7 +690,7 @@
     @Test
     void holdTakesEffectWithinASecondAndCanBeLifted() throws Exception {
         start(FLEET_KDL, SETTINGS_WITH_LONG_TXN);
-        TestClient client = new TestClient(rig.driver("d1").port());
+        TestClient client = new TestClient(cluster.driver("d1").port());
         client.sendStartup().readResponses();
         assertThat(requestMaintenance("B")).isEmpty();
         awaitStatus(status -> !isAtStage(status, "B", "asked"));
@@ -746,7 +748,7 @@
         awaitStage("B", "out");
         assertThat(List.of("d1", "d4")).doesNotContain(controllerDriver().name);
         // One voter of three is away; with a second one away there would be no quorum.
-        rig.driver("d2").awaitLog("work: B out");
+        cluster.driver("d2").awaitLog("work: B out");
         assertThat(sendOperatorCommand("done", "B")).isEmpty();
         awaitStage("B", "in");
     }
@@ -754,20 +756,20 @@
     @Test
     void stricterOfDiscoveryAndPlanApplies() throws Exception {
         start(FLEET_KDL);
-        rig.publishMembers(Map.of("m2b", "gone"));
+        cluster.publishMembers(Map.of("m2b", "gone"));
         assertThat(requestMaintenance("B")).isEmpty();
         awaitStage("B", "out");
         long outAtMs = System.currentTimeMillis();
-        rig.publishMembers(Map.of("m2b", "gone"));
-        for (TestCluster.DriverProcess driver : rig.drivers.values()) {
+        cluster.publishMembers(Map.of("m2b", "gone"));
+        for (TestCluster.DriverProcess driver : cluster.drivers.values()) {
             driver.awaitLog("list 2 ");
         }
         awaitCommitted(200);
         assertNoTxnsSince(member2, outAtMs);
         // The plan returns the machine while discovery lists its member as draining: it is back in
         // service only after both agree.
-        rig.publishMembers(Map.of("m2b", "gone", "m2", "draining"));
-        for (TestCluster.DriverProcess driver : rig.drivers.values()) {
+        cluster.publishMembers(Map.of("m2b", "gone", "m2", "draining"));
+        for (TestCluster.DriverProcess driver : cluster.drivers.values()) {
             driver.awaitLog("list 3 ");
         }
         assertThat(sendOperatorCommand("done", "B")).isEmpty();
@@ -782,7 +784,7 @@
                                 .isPresent());
         awaitCommitted(100);
         assertNoTxnsSince(member2, outAtMs);
-        rig.publishMembers(Map.of("m2b", "gone"));
+        cluster.publishMembers(Map.of("m2b", "gone"));
         awaitStage("B", "in");
         member2.awaitTxns(member2.txns().size() + 1);
     }
@@ -794,14 +796,14 @@
     @Test
     void machineReturnsWithANewMemberId() throws Exception {
         start(FLEET_KDL);
-        rig.publishMembers(Map.of("m2b", "gone"));
-        FencedMember successor = rig.members.get("m2b");
+        cluster.publishMembers(Map.of("m2b", "gone"));
+        FencedMember successor = cluster.members.get("m2b");
         assertThat(requestMaintenance("B")).isEmpty();
         awaitStage("B", "out");
         // The new member is listed before the operator reports the work as done, so it must not be
         // sent anything yet.
-        rig.publishMembers(Map.of("m2", "gone"));
-        for (TestCluster.DriverProcess driver : rig.drivers.values()) {
+        cluster.publishMembers(Map.of("m2", "gone"));
+        for (TestCluster.DriverProcess driver : cluster.drivers.values()) {
             driver.awaitLog("list 2 ");
         }
         awaitCommitted(200);
@@ -821,7 +823,7 @@
         List<TestClient> slowClients = startSlowReads();
         assertThat(requestMaintenance("B")).isEmpty();
         awaitStage("B", "draining");
-        rig.setReachable(member1, false);
+        cluster.setReachable(member1, false);
         awaitStage("B", "asked");
         awaitStatus(
                 status ->
@@ -834,7 +836,7 @@
                                 .isPresent());
         member1.setPrimary(false);
         member2.setPrimary(true);
-        try (TestClient client = new TestClient(rig.driver("d1").port())) {
+        try (TestClient client = new TestClient(cluster.driver("d1").port())) {
             client.sendStartup().readResponses();
             List<String> response = List.of();
             for (int i = 0; i < 100 && !response.contains("row value"); i++) {
@@ -859,18 +861,18 @@
     void partitionedFleetContinuesOnTheMajoritySide() throws Exception {
         start(FLEET_KDL);
         // d4, the driver on machine B, is on the minority side, which has no voter.
-        TestCluster.DriverProcess minorityDriver = rig.driver("d4");
+        TestCluster.DriverProcess minorityDriver = cluster.driver("d4");
         int fromLine = minorityDriver.logLineCount();
         assertThat(requestMaintenance("B")).isEmpty();
         minorityDriver.awaitLog(fromLine, line -> line.contains("work: B planned"));
         awaitStatus(
                 status -> !isAtStage(status, "B", "asked") && !isAtStage(status, "B", "planned"));
-        rig.partitionFromVoters("d4", true);
+        cluster.partitionFromVoters("d4", true);
         awaitStage("B", "out");
         long outAtMs = System.currentTimeMillis();
         awaitCommitted(200);
         assertNoTxnsSince(member2, outAtMs);
-        rig.partitionFromVoters("d4", false);
+        cluster.partitionFromVoters("d4", false);
         minorityDriver.awaitLog(
                 fromLine,
                 line -> line.contains("work: the plan is known") || line.contains("work: B out"));
@@ -892,7 +894,7 @@
                                 "target/wingroad.jar",
                                 "work"));
         command.addAll(List.of(arguments));
-        command.addAll(List.of("--operator", rig.driver("d1").operatorFile().toString()));
+        command.addAll(List.of("--operator", cluster.driver("d1").operatorFile().toString()));
         Process process = new ProcessBuilder(command).redirectErrorStream(true).start();
         List<String> output = new ArrayList<>(process.inputReader().lines().toList());
         output.add("exit " + process.waitFor());
