--- a/src/test/java/wingroad/Fixtures.java
+++ b/src/test/java/wingroad/Fixtures.java
@@ -157,13 +157,13 @@
         return Duration.ofMillis(ms);
     }
 
-    // ---- fakes on sockets, which follow the public protocols ----
+    // Fake servers and clients on sockets, which speak the public protocols.
 
     private static final long TIMEOUT_S = 20;
 
     /** Handles one query at a fake member. */
     public interface QueryHandler {
-        void onQuery(String sql, FakeMemberSession s) throws IOException;
+        void onQuery(String sql, FakeMemberSession session) throws IOException;
     }
 
     /** One connection that a fake member has accepted. */
@@ -248,8 +248,8 @@
                 .array();
     }
 
-    public static byte[] cString(String s) {
-        return (s + '\0').getBytes(StandardCharsets.UTF_8);
+    public static byte[] cString(String text) {
+        return (text + '\0').getBytes(StandardCharsets.UTF_8);
     }
 
     public static byte[] dataRowBody(String value) {
@@ -288,9 +288,9 @@
             startThread(
                     () -> {
                         while (true) {
-                            Socket session = serverSocket.accept();
+                            Socket socket = serverSocket.accept();
                             connections.incrementAndGet();
-                            startThread(() -> serve(new FakeMemberSession(session)));
+                            startThread(() -> serve(new FakeMemberSession(socket)));
                         }
                     });
         }
@@ -353,8 +353,8 @@
             startThread(
                     () -> {
                         while (true) {
-                            Socket s = serverSocket.accept();
-                            startThread(() -> serve(s));
+                            Socket socket = serverSocket.accept();
+                            startThread(() -> serve(socket));
                         }
                     });
         }
@@ -467,12 +467,12 @@
          * connection.
          */
         public String readLastMessage() throws IOException {
-            String last = "";
+            String lastMessage = "";
             for (int type = in.read(); type >= 0 && type != 'Z'; type = in.read()) {
-                last = new String(in.readNBytes(in.readInt() - 4), StandardCharsets.UTF_8);
+                lastMessage = new String(in.readNBytes(in.readInt() - 4), StandardCharsets.UTF_8);
             }
             in.readNBytes(5);
-            return last;
+            return lastMessage;
         }
 
         /**
@@ -551,7 +551,7 @@
                             try {
                                 task.run();
                             } catch (Exception ended) {
-                                // The socket was closed: the fake has ended.
+                                // The socket was closed, which ends the thread.
                             }
                         });
         thread.setDaemon(true);
--- a/src/test/java/wingroad/kdl/KdlTest.java
+++ b/src/test/java/wingroad/kdl/KdlTest.java
@@ -11,34 +11,34 @@
 import java.util.Random;
 
 class KdlTest {
-    private static List<Node> nodes(String text) {
-        KdlReader.Document d = KdlReader.read(text);
-        assertThat(d.problems()).isEmpty();
-        return d.nodes();
+    private static List<Node> readNodes(String text) {
+        KdlReader.Document document = KdlReader.read(text);
+        assertThat(document.problems()).isEmpty();
+        return document.nodes();
     }
 
-    private static Object value(String text) {
-        return nodes("n " + text).get(0).arguments().get(0).value();
+    private static Object readValue(String text) {
+        return readNodes("n " + text).get(0).arguments().get(0).value();
     }
 
     @Test
-    void nodesHaveNamesArgumentsPropertiesAndChildren() {
-        Node n =
-                nodes(
+    void readsTypesArgumentsPropertiesAndChildrenOfNodes() {
+        Node node =
+                readNodes(
                                 "/- kdl-version 2\n"
                                         + "(t)name 1 (u8)2 a=x b=#null {\n"
                                         + "  child; other 3\n"
                                         + "}\n"
                                         + "// end")
                         .get(0);
-        assertThat(n.type()).isEqualTo("t");
-        assertThat(n.arguments()).extracting(Value::value).containsExactly(1L, 2L);
-        assertThat(n.arguments()).extracting(Value::type).containsExactly(null, "u8");
-        assertThat(n.properties().get("a").value()).isEqualTo("x");
-        assertThat(n.properties().get("b").value()).isNull();
-        assertThat(n.children()).extracting(Node::name).containsExactly("child", "other");
-        assertThat(n.children().get(1).line()).isEqualTo(3);
-        assertThat(n.children().get(1).column()).isEqualTo(10);
+        assertThat(node.type()).isEqualTo("t");
+        assertThat(node.arguments()).extracting(Value::value).containsExactly(1L, 2L);
+        assertThat(node.arguments()).extracting(Value::type).containsExactly(null, "u8");
+        assertThat(node.properties().get("a").value()).isEqualTo("x");
+        assertThat(node.properties().get("b").value()).isNull();
+        assertThat(node.children()).extracting(Node::name).containsExactly("child", "other");
+        assertThat(node.children().get(1).line()).isEqualTo(3);
+        assertThat(node.children().get(1).column()).isEqualTo(10);
     }
 
     @ParameterizedTest
@@ -61,24 +61,25 @@
                     +a           | +a
                     ja           | ja
                     """)
-    void valuesAreRead(String text, String value) {
-        assertThat(String.valueOf(value(text))).isEqualTo(value);
+    void readsNumbersKeywordsAndIdentifiers(String text, String expected) {
+        assertThat(String.valueOf(readValue(text))).isEqualTo(expected);
     }
 
     @Test
-    void stringsAreRead() {
-        assertThat(value("\"a\\n\\\"b\\\\ \\u{1F600}\\s\"")).isEqualTo("a\n\"b\\ \uD83D\uDE00 ");
-        assertThat(value("\"a\\   \n   b\"")).isEqualTo("ab");
-        assertThat(value("#\"raw \\n \"quoted\" \"#")).isEqualTo("raw \\n \"quoted\" ");
-        assertThat(value("##\"a\"# b\"##")).isEqualTo("a\"# b");
-        assertThat(value("\"\"\"\n    one\n      two\n\n    \"\"\"")).isEqualTo("one\n  two\n");
-        assertThat(value("#\"\"\"\n  \\a \"\"\n  \"\"\"#")).isEqualTo("\\a \"\"");
+    void readsQuotedRawAndMultiLineStrings() {
+        assertThat(readValue("\"a\\n\\\"b\\\\ \\u{1F600}\\s\""))
+                .isEqualTo("a\n\"b\\ \uD83D\uDE00 ");
+        assertThat(readValue("\"a\\   \n   b\"")).isEqualTo("ab");
+        assertThat(readValue("#\"raw \\n \"quoted\" \"#")).isEqualTo("raw \\n \"quoted\" ");
+        assertThat(readValue("##\"a\"# b\"##")).isEqualTo("a\"# b");
+        assertThat(readValue("\"\"\"\n    one\n      two\n\n    \"\"\"")).isEqualTo("one\n  two\n");
+        assertThat(readValue("#\"\"\"\n  \\a \"\"\n  \"\"\"#")).isEqualTo("\\a \"\"");
     }
 
     @Test
-    void whatIsCommentedOutIsNotThere() {
-        Node n =
-                nodes(
+    void skipsCommentsAndCommentedOutElements() {
+        Node node =
+                readNodes(
                                 "a /* x /* y */ z */ 1 /- 2 /-k=3 \\ // goes on\n"
                                         + " 4 /-{ b } {\n"
                                         + " /- c 1 {\n"
@@ -88,17 +89,17 @@
                                         + "}\n"
                                         + "/- f")
                         .get(0);
-        assertThat(n.arguments()).extracting(Value::value).containsExactly(1L, 4L);
-        assertThat(n.properties()).isEmpty();
-        assertThat(n.children()).extracting(Node::name).containsExactly("e");
-        assertThat(nodes("a\n/- b\n/-\nc\nd")).extracting(Node::name).containsExactly("a", "d");
+        assertThat(node.arguments()).extracting(Value::value).containsExactly(1L, 4L);
+        assertThat(node.properties()).isEmpty();
+        assertThat(node.children()).extracting(Node::name).containsExactly("e");
+        assertThat(readNodes("a\n/- b\n/-\nc\nd")).extracting(Node::name).containsExactly("a", "d");
     }
 
     @Test
-    void ofARepeatedPropertyTheLastCountsAndItIsKnown() {
-        Node n = nodes("a x=1 x=2").get(0);
-        assertThat(n.properties().get("x").value()).isEqualTo(2L);
-        assertThat(n.repeatedProperties()).containsExactly("x");
+    void lastValueOfRepeatedPropertyWinsAndRepetitionIsRecorded() {
+        Node node = readNodes("a x=1 x=2").get(0);
+        assertThat(node.properties().get("x").value()).isEqualTo(2L);
+        assertThat(node.repeatedProperties()).containsExactly("x");
     }
 
     @ParameterizedTest
@@ -119,36 +120,38 @@
                     a { b } c        | 1:9: found
                     a 1 /* b         | 1:5: found '/' (a comment without its end
                     """)
-    void reportsProblemsWithPositionAndExpectation(String text, String begins) {
-        KdlReader.Document d = KdlReader.read(text.replace("\\\\", "\\"));
-        assertThat(d.problems()).isNotEmpty();
-        assertThat(d.problems().get(0).toString()).startsWith(begins.replace("\\\\", "\\"));
+    void reportsProblemsWithPositionAndExpectation(String text, String expectedPrefix) {
+        KdlReader.Document document = KdlReader.read(text.replace("\\\\", "\\"));
+        assertThat(document.problems()).isNotEmpty();
+        assertThat(document.problems().get(0).toString())
+                .startsWith(expectedPrefix.replace("\\\\", "\\"));
     }
 
     @Test
     void checksIndentationOfMultiLineStrings() {
         assertThat(KdlReader.read("a \"\"\"\n  x\n y\n  \"\"\"").problems())
                 .singleElement()
-                .satisfies(p -> assertThat(p.line()).isEqualTo(3));
+                .satisfies(problem -> assertThat(problem.line()).isEqualTo(3));
     }
 
+    /** Long malformed input must neither overflow the stack nor yield problems without limit. */
     @ParameterizedTest
     @ValueSource(strings = {"{", "/*", "\"", "#", "a(", "\\", "(", "a {b;", "/-"})
-    void whatIsAbsurdIsRefusedAndEndsNothing(String part) {
-        assertThat(KdlReader.read(part.repeat(5000)).problems())
+    void reportsBoundedNumberOfProblemsForMalformedInput(String fragment) {
+        assertThat(KdlReader.read(fragment.repeat(5000)).problems())
                 .isNotEmpty()
                 .hasSizeLessThanOrEqualTo(50);
     }
 
     @Test
-    void whateverIsReadIsWrittenSoThatItReadsTheSame() {
+    void writtenDocumentsReadBackTheSame() {
         Random random = new Random(9);
         String[] words = {
             "a", "b c", "1", "\"", "\\", "\n", "true", "-1", "é", "#", "x=y", "\u0007", ""
         };
-        for (int i = 0; i < 300; i++) {
+        for (int round = 0; round < 300; round++) {
             StringBuilder text = new StringBuilder();
-            for (int n = random.nextInt(5); n >= 0; n--) {
+            for (int remainingNodes = random.nextInt(5); remainingNodes >= 0; remainingNodes--) {
                 text.append(KdlWriter.string(words[random.nextInt(words.length)]))
                         .append(" 1.5 -7 #null ")
                         .append(KdlWriter.string(words[random.nextInt(words.length)]))
@@ -156,8 +159,8 @@
                         .append(KdlWriter.string(words[random.nextInt(words.length)]))
                         .append(" { k #true }\n");
             }
-            String once = KdlWriter.write(nodes(text.toString()));
-            assertThat(KdlWriter.write(nodes(once))).isEqualTo(once);
+            String written = KdlWriter.write(readNodes(text.toString()));
+            assertThat(KdlWriter.write(readNodes(written))).isEqualTo(written);
         }
     }
 }
--- a/src/test/java/wingroad/operator/OperatorFileTest.java
+++ b/src/test/java/wingroad/operator/OperatorFileTest.java
@@ -17,26 +17,28 @@
 import java.nio.file.Path;
 
 class OperatorFileTest {
-    private static FairQueueSettings door(String within) {
-        OperatorFile.LoadResult read = OperatorFile.read("door {\n" + within + "\n}");
-        assertThat(read.problems()).isEmpty();
-        return read.file().fairQueues();
+    private static final int MAX_FILE_BYTES = 1 << 20;
+
+    private static FairQueueSettings readFairQueues(String body) {
+        OperatorFile.LoadResult result = OperatorFile.read("door {\n" + body + "\n}");
+        assertThat(result.problems()).isEmpty();
+        return result.file().fairQueues();
     }
 
     @Test
-    void withoutADoorThereIsNone() {
+    void fairQueuesAreAbsentWithoutDoorNode() {
         assertThat(OperatorFile.read("// nothing").file().fairQueues()).isNull();
     }
 
     @Test
-    void whatIsLeftOutIsAsUsual() {
-        assertThat(door("")).isEqualTo(FairQueueSettings.DEFAULTS);
+    void omittedFairQueueSettingsHaveDefaults() {
+        assertThat(readFairQueues("")).isEqualTo(FairQueueSettings.DEFAULTS);
     }
 
     @Test
-    void theDoorIsRead() {
-        FairQueueSettings rules =
-                door(
+    void readsFairQueueSettings() {
+        FairQueueSettings settings =
+                readFairQueues(
                         """
                         tenant-from comment tenant
                         tenant-from startup user
@@ -46,15 +48,15 @@
                         tenant shop weight=7
                         tenant "10.0.0.9" cap=0.1
                         """);
-        assertThat(rules.tenantNameSources())
+        assertThat(settings.tenantNameSources())
                 .containsExactly(
                         new TenantNameSource(SourceType.COMMENT, "tenant"),
                         new TenantNameSource(SourceType.STARTUP, "user"),
                         new TenantNameSource(SourceType.ADDRESS, null));
-        assertThat(rules.maxNamesPerAddress()).isEqualTo(3);
-        assertThat(rules.maxQueuedTxns()).isEqualTo(100);
-        assertThat(rules.defaultTenant()).isEqualTo(new TenantSettings(0.5, 0.25));
-        assertThat(rules.tenants())
+        assertThat(settings.maxNamesPerAddress()).isEqualTo(3);
+        assertThat(settings.maxQueuedTxns()).isEqualTo(100);
+        assertThat(settings.defaultTenant()).isEqualTo(new TenantSettings(0.5, 0.25));
+        assertThat(settings.tenants())
                 .containsEntry("shop", new TenantSettings(7, 1))
                 .containsEntry("10.0.0.9", new TenantSettings(1, 0.1));
     }
@@ -84,14 +86,14 @@
                     tenant a; tenant a           | 2:11: the tenant 'a' is listed already
                     waiting 3                    | 2:1: 'waiting' is not known in 'door', expected one of most-waiting
                     """)
-    void reportsProblemsWithPositionAndExpectation(String line, String begins) {
-        OperatorFile.LoadResult read = OperatorFile.read("door {\n" + line + "\n}");
-        assertThat(read.file()).isNull();
-        assertThat(read.problems())
+    void reportsProblemsWithPositionAndExpectation(String line, String expectedPrefix) {
+        OperatorFile.LoadResult result = OperatorFile.read("door {\n" + line + "\n}");
+        assertThat(result.file()).isNull();
+        assertThat(result.problems())
                 .first()
                 .extracting(Problem::toString)
                 .asString()
-                .startsWith(begins);
+                .startsWith(expectedPrefix);
     }
 
     @Test
@@ -102,7 +104,7 @@
     }
 
     @Test
-    void whatIsPrintedIsReadAsTheSame() {
+    void printedFileReadsBackEqual() {
         OperatorFile file =
                 OperatorFile.read(
                                 "door {\n"
@@ -116,8 +118,8 @@
     }
 
     @Test
-    void whatIsNoTextOrTooLongOrNotThereIsRefused(@TempDir Path dir) throws Exception {
-        Path file = dir.resolve("operator.kdl");
+    void rejectsMissingEmptyOversizedAndNonUtf8Files(@TempDir Path directory) throws Exception {
+        Path file = directory.resolve("operator.kdl");
         assertThat(OperatorFile.read(file).problems()).hasSize(1);
         Files.write(file, new byte[] {(byte) 0xff, 1});
         assertThat(OperatorFile.read(file).problems().get(0).message()).isEqualTo("no UTF-8");
@@ -125,12 +127,12 @@
         assertThat(OperatorFile.read(file).problems().get(0).message()).startsWith("empty: ");
         Files.writeString(file, "// all off\n");
         assertThat(OperatorFile.read(file).problems()).isEmpty();
-        Files.write(file, new byte[(1 << 20) + 1]);
+        Files.write(file, new byte[MAX_FILE_BYTES + 1]);
         assertThat(OperatorFile.read(file).problems().get(0).message()).startsWith("longer than");
     }
 
     @Test
-    void aFleetIsCheckedAndPrintedAsItStands() {
+    void printedFleetSectionReadsBackEqual() {
         String file =
                 """
                 fleet "graz" {
@@ -141,15 +143,15 @@
                     chore "purge" every=60 group=7 statement="SELECT purge_records({epoch}, 500)"
                 }
                 """;
-        OperatorFile.LoadResult read = OperatorFile.read(file);
-        assertThat(read.problems()).isEmpty();
-        assertThat(read.file().fleet().duties()).containsExactly("chore purge");
-        OperatorFile again = OperatorFile.read(read.file().toKdl()).file();
-        assertThat(again.fleet()).isEqualTo(read.file().fleet());
+        OperatorFile.LoadResult result = OperatorFile.read(file);
+        assertThat(result.problems()).isEmpty();
+        assertThat(result.file().fleet().duties()).containsExactly("chore purge");
+        OperatorFile reread = OperatorFile.read(result.file().toKdl()).file();
+        assertThat(reread.fleet()).isEqualTo(result.file().fleet());
     }
 
     @Test
-    void whatIsWrongWithAFleetIsTold() {
+    void reportsProblemsInFleetSection() {
         String file =
                 """
                 fleet "graz" {
@@ -175,22 +177,22 @@
                         "needs every");
     }
 
-    private static String work(String within) {
+    private static String fleetWithWork(String body) {
         return "fleet \"graz\" {\n"
                 + " driver \"d1\"\n"
                 + " listen \"127.0.0.1:7401\"\n"
                 + " voter \"d1\" \"127.0.0.1:7401\"\n"
                 + " state \"/tmp/x\"\n"
                 + " work {\n"
-                + within
+                + body
                 + "\n }\n}\n";
     }
 
     @Test
-    void workIsPrintedAsItStands() {
-        OperatorFile.LoadResult read =
+    void printedWorkSectionReadsBackEqual() {
+        OperatorFile.LoadResult result =
                 OperatorFile.read(
-                        work(
+                        fleetWithWork(
                                 """
                                 at-once 3
                                 lost-view "strict" horizon=90
@@ -198,19 +200,19 @@
                                 machine "r1" zone="a" { member "db-1*" group=7; member "db-2" group=8; driver "d1" }
                                 machine "r2" zone="b" { member "db-3" group=7 }
                                 """));
-        assertThat(read.problems()).isEmpty();
-        assertThat(read.file().fleet().duties()).containsExactly("conductor");
-        assertThat(read.file().fleet().maintenance().toLines())
+        assertThat(result.problems()).isEmpty();
+        assertThat(result.file().fleet().duties()).containsExactly("conductor");
+        assertThat(result.file().fleet().maintenance().toLines())
                 .containsExactly("3 STRICT", "r1 a db-1*#7,db-2#8 d1", "r2 b db-3#7 ");
-        assertThat(OperatorFile.read(read.file().toKdl()).file().fleet())
-                .isEqualTo(read.file().fleet());
+        assertThat(OperatorFile.read(result.file().toKdl()).file().fleet())
+                .isEqualTo(result.file().fleet());
     }
 
     @Test
-    void whatIsWrongWithWorkIsTold() {
+    void reportsProblemsInWorkSection() {
         assertThat(
                         OperatorFile.read(
-                                        work(
+                                        fleetWithWork(
                                                 """
                                                 at-once 0
                                                 lost-view "never"
@@ -233,6 +235,7 @@
                         "a member needs group",
                         "holds members or drivers",
                         "listed already");
-        assertThat(OperatorFile.read(work("")).problems().toString()).contains("needs machines");
+        assertThat(OperatorFile.read(fleetWithWork("")).problems().toString())
+                .contains("needs machines");
     }
 }
