--- a/src/bench/java/wingroad/bench/FairQueues.java
+++ b/src/bench/java/wingroad/bench/FairQueues.java
@@ -29,13 +29,26 @@
     private static final boolean READS_ONLY = Boolean.getBoolean("readsOnly");
 
     private static final int LIGHT_TENANT_COUNT = 8;
+
+    /** How long each txn occupies a slot of its member. */
     private static final long TXN_MS = 50;
+
     private static final int SLOTS_PER_MEMBER = 4;
+
+    /** Time with load from the light tenants only. */
     private static final long LIGHT_ONLY_MS = 3500;
+
+    /** Time between the start of the heavy tenant and the measurement. */
     private static final long SETTLE_MS = 2500;
+
     private static final long MEASURED_MS = 8000;
+
+    /** Time that drivers have to adapt after each change of the members' slots. */
     private static final long CAPACITY_CHANGE_MS = 3500;
 
+    /** Limit of the fair queues' state, whatever the number of tenants. */
+    private static final long MAX_STATE_BYTES = 1 << 20;
+
     private final Map<String, Object> figures = new LinkedHashMap<>();
     private final List<String> missedTargets = new ArrayList<>();
 
@@ -45,86 +58,114 @@
         bench.measureOverSockets();
         bench.measureInProcess();
         System.out.println(bench.json());
-        bench.missedTargets.forEach(b -> System.err.println("below its floor: " + b));
+        bench.missedTargets.forEach(
+                missedTarget -> System.err.println("below its floor: " + missedTarget));
         System.exit(bench.missedTargets.isEmpty() ? 0 : 1);
     }
 
     private void measureOverSockets() throws IOException, InterruptedException {
-        Path dir = Files.createTempDirectory("fair-queues");
-        String names = "door {\n tenant-from startup application_name\n names-per-address 16\n";
-        try (Fleet off = new Fleet(dir, "off", null, SLOTS_PER_MEMBER, TXN_MS);
-                Fleet on = new Fleet(dir, "on", names + "}\n", SLOTS_PER_MEMBER, TXN_MS);
-                Fleet weighted =
+        Path directory = Files.createTempDirectory("fair-queues");
+        String doorSettings =
+                "door {\n tenant-from startup application_name\n names-per-address 16\n";
+        try (Fleet withoutFairQueues = new Fleet(directory, "off", null, SLOTS_PER_MEMBER, TXN_MS);
+                Fleet withFairQueues =
+                        new Fleet(directory, "on", doorSettings + "}\n", SLOTS_PER_MEMBER, TXN_MS);
+                Fleet withWeights =
                         new Fleet(
-                                dir,
+                                directory,
                                 "weighted",
-                                names
+                                doorSettings
                                         + " tenant w1 weight=1\n"
                                         + " tenant w2 weight=2\n"
                                         + " tenant w7 weight=7\n"
                                         + "}\n",
                                 SLOTS_PER_MEMBER,
                                 TXN_MS)) {
-            List<Tenant> lightOff = startLightTenants(off);
-            List<Tenant> lightOn = startLightTenants(on);
-            List<Tenant> shares =
+            List<Tenant> lightOff = startLightTenants(withoutFairQueues);
+            List<Tenant> lightOn = startLightTenants(withFairQueues);
+            List<Tenant> weightedTenants =
                     List.of(
                             new Tenant("w1", 40, 0),
                             new Tenant("w2", 50, 0),
                             new Tenant("w7", 110, 0));
             Thread.sleep(1000);
-            long alone = System.nanoTime();
+            long lightOnlyFromNanos = System.nanoTime();
             Thread.sleep(LIGHT_ONLY_MS);
-            long crowd = System.nanoTime();
-            List<Tenant> heavyOff = startHeavyTenant(off);
-            List<Tenant> heavyOn = startHeavyTenant(on);
-            shares.forEach(weighted::startClients);
+            long lightOnlyToNanos = System.nanoTime();
+            List<Tenant> heavyOff = startHeavyTenant(withoutFairQueues);
+            List<Tenant> heavyOn = startHeavyTenant(withFairQueues);
+            weightedTenants.forEach(withWeights::startClients);
             Thread.sleep(SETTLE_MS);
-            long from = System.nanoTime();
+            long fromNanos = System.nanoTime();
             Thread.sleep(MEASURED_MS);
-            long to = System.nanoTime();
-            for (Fleet.Slots p : on.memberSlots) {
-                p.addSlots(-SLOTS_PER_MEMBER / 2);
+            long toNanos = System.nanoTime();
+            for (Fleet.Slots slots : withFairQueues.memberSlots) {
+                slots.addSlots(-SLOTS_PER_MEMBER / 2);
             }
             Thread.sleep(CAPACITY_CHANGE_MS);
-            long restored = System.nanoTime();
-            for (Fleet.Slots p : on.memberSlots) {
-                p.addSlots(SLOTS_PER_MEMBER / 2);
+            long restoredAtNanos = System.nanoTime();
+            for (Fleet.Slots slots : withFairQueues.memberSlots) {
+                slots.addSlots(SLOTS_PER_MEMBER / 2);
             }
             Thread.sleep(CAPACITY_CHANGE_MS);
-            long end = System.nanoTime();
+            long endNanos = System.nanoTime();
 
-            reportRun("off_", lightOff, heavyOff, alone, crowd, from, to);
-            reportRun("", lightOn, heavyOn, alone, crowd, from, to);
-            double total = number("total_per_s") / number("off_total_per_s");
-            record("total_over_off", total, total >= 0.97);
-            check("light_committed_share", number("light_committed_share") >= 0.99);
-            check("light_p99_over_alone", number("light_p99_over_alone") <= 2.0);
-            reportWeightedShares(shares, from, to);
-            reportRetryAdvice(heavyOn, lightOn, from, to);
-            double before = number("total_per_s");
-            double calm = meanNanos(lightOn, from, to);
-            double halved = adaptationSeconds(lightOn, heavyOn, to, restored, before / 2, calm);
-            double back = adaptationSeconds(lightOn, heavyOn, restored, end, before, calm);
-            record("capacity_halved_follow_s", halved, true);
-            record("capacity_restored_follow_s", back, true);
-            record("capacity_follow_s", Math.max(halved, back), Math.max(halved, back) <= 2);
+            reportRun(
+                    "off_",
+                    lightOff,
+                    heavyOff,
+                    lightOnlyFromNanos,
+                    lightOnlyToNanos,
+                    fromNanos,
+                    toNanos);
+            reportRun(
+                    "", lightOn, heavyOn, lightOnlyFromNanos, lightOnlyToNanos, fromNanos, toNanos);
+            double throughputRatio = figure("total_per_s") / figure("off_total_per_s");
+            record("total_over_off", throughputRatio, throughputRatio >= 0.97);
+            check("light_committed_share", figure("light_committed_share") >= 0.99);
+            check("light_p99_over_alone", figure("light_p99_over_alone") <= 2.0);
+            reportWeightedShares(weightedTenants, fromNanos, toNanos);
+            reportRetryAdvice(heavyOn, lightOn, fromNanos, toNanos);
+            double throughputPerSecond = figure("total_per_s");
+            double baselineLatencyNanos = meanLatencyNanos(lightOn, fromNanos, toNanos);
+            double halvedSeconds =
+                    adaptationSeconds(
+                            lightOn,
+                            heavyOn,
+                            toNanos,
+                            restoredAtNanos,
+                            throughputPerSecond / 2,
+                            baselineLatencyNanos);
+            double restoredSeconds =
+                    adaptationSeconds(
+                            lightOn,
+                            heavyOn,
+                            restoredAtNanos,
+                            endNanos,
+                            throughputPerSecond,
+                            baselineLatencyNanos);
+            record("capacity_halved_follow_s", halvedSeconds, true);
+            record("capacity_restored_follow_s", restoredSeconds, true);
+            record(
+                    "capacity_follow_s",
+                    Math.max(halvedSeconds, restoredSeconds),
+                    Math.max(halvedSeconds, restoredSeconds) <= 2);
             if (Boolean.getBoolean("log")) {
-                off.log.forEach(System.err::println);
-                on.log.forEach(System.err::println);
+                withoutFairQueues.log.forEach(System.err::println);
+                withFairQueues.log.forEach(System.err::println);
             }
         }
     }
 
     private static List<Tenant> startLightTenants(Fleet fleet) {
-        List<Tenant> all = new ArrayList<>();
+        List<Tenant> tenants = new ArrayList<>();
         for (int i = 0; i < LIGHT_TENANT_COUNT; i++) {
-            Tenant t = new Tenant("light" + i, 3, 500);
-            t.writeInterval = READS_ONLY ? 0 : 3;
-            all.add(t);
-            fleet.startClients(t);
+            Tenant tenant = new Tenant("light" + i, 3, 500);
+            tenant.writeInterval = READS_ONLY ? 0 : 3;
+            tenants.add(tenant);
+            fleet.startClients(tenant);
         }
-        return all;
+        return tenants;
     }
 
     /** One tenant with 120 connections; a third of them send only writes. */
@@ -137,22 +178,25 @@
         return List.of(reads, writes);
     }
 
-    private static List<Response> responsesBetween(List<Tenant> tenants, long from, long to) {
-        return tenants.stream().flatMap(t -> t.between(from, to).stream()).toList();
+    private static List<Response> responsesBetween(
+            List<Tenant> tenants, long fromNanos, long toNanos) {
+        return tenants.stream()
+                .flatMap(tenant -> tenant.responsesBetween(fromNanos, toNanos).stream())
+                .toList();
     }
 
-    private static double p99Ms(List<Response> answers) {
-        Histogram h = new Histogram(3);
-        answers.stream()
+    private static double p99LatencyMs(List<Response> responses) {
+        Histogram histogram = new Histogram(3);
+        responses.stream()
                 .filter(Response::committed)
-                .forEach(a -> h.recordValue(a.tookNanos() / 1000));
-        return h.getValueAtPercentile(99) / 1000.0;
+                .forEach(response -> histogram.recordValue(response.latencyNanos() / 1000));
+        return histogram.getValueAtPercentile(99) / 1000.0;
     }
 
-    private static double meanNanos(List<Tenant> tenants, long from, long to) {
-        return responsesBetween(tenants, from, to).stream()
+    private static double meanLatencyNanos(List<Tenant> tenants, long fromNanos, long toNanos) {
+        return responsesBetween(tenants, fromNanos, toNanos).stream()
                 .filter(Response::committed)
-                .mapToLong(Response::tookNanos)
+                .mapToLong(Response::latencyNanos)
                 .average()
                 .orElse(1e12);
     }
@@ -161,113 +205,133 @@
             String prefix,
             List<Tenant> light,
             List<Tenant> heavy,
-            long alone,
-            long crowd,
-            long from,
-            long to) {
-        List<Response> asked = responsesBetween(light, from, to);
-        long committed = asked.stream().filter(Response::committed).count();
-        List<Response> heavys = responsesBetween(heavy, from, to);
-        long heavyCommitted = heavys.stream().filter(Response::committed).count();
-        double s = (to - from) / 1e9;
-        record(prefix + "light_committed_share", committed / (double) asked.size(), true);
-        double p99Alone = p99Ms(responsesBetween(light, alone, crowd));
-        record(prefix + "light_p99_alone_ms", p99Alone, true);
-        record(prefix + "light_p99_ms", p99Ms(asked), true);
+            long lightOnlyFromNanos,
+            long lightOnlyToNanos,
+            long fromNanos,
+            long toNanos) {
+        List<Response> lightResponses = responsesBetween(light, fromNanos, toNanos);
+        long lightCommitted = lightResponses.stream().filter(Response::committed).count();
+        List<Response> heavyResponses = responsesBetween(heavy, fromNanos, toNanos);
+        long heavyCommitted = heavyResponses.stream().filter(Response::committed).count();
+        double seconds = (toNanos - fromNanos) / 1e9;
+        record(
+                prefix + "light_committed_share",
+                lightCommitted / (double) lightResponses.size(),
+                true);
+        double p99AloneMs =
+                p99LatencyMs(responsesBetween(light, lightOnlyFromNanos, lightOnlyToNanos));
+        record(prefix + "light_p99_alone_ms", p99AloneMs, true);
+        record(prefix + "light_p99_ms", p99LatencyMs(lightResponses), true);
         record(
                 prefix + "light_write_p99_ms",
-                p99Ms(asked.stream().filter(Response::write).toList()),
+                p99LatencyMs(lightResponses.stream().filter(Response::write).toList()),
                 true);
         record(
                 prefix + "light_write_p99_alone_ms",
-                p99Ms(
-                        responsesBetween(light, alone, crowd).stream()
+                p99LatencyMs(
+                        responsesBetween(light, lightOnlyFromNanos, lightOnlyToNanos).stream()
                                 .filter(Response::write)
                                 .toList()),
                 true);
-        record(prefix + "light_p99_over_alone", p99Ms(asked) / p99Alone, true);
+        record(prefix + "light_p99_over_alone", p99LatencyMs(lightResponses) / p99AloneMs, true);
         record(
                 prefix + "heavy_share",
-                heavyCommitted / (double) (heavyCommitted + committed),
+                heavyCommitted / (double) (heavyCommitted + lightCommitted),
                 true);
-        record(prefix + "total_per_s", (heavyCommitted + committed) / s, true);
+        record(prefix + "total_per_s", (heavyCommitted + lightCommitted) / seconds, true);
         record(
                 prefix + "declines_with_advice",
-                heavys.stream().filter(a -> a.retryAfter() >= 0).count(),
+                heavyResponses.stream().filter(response -> response.retryAfterMs() >= 0).count(),
+                true);
+        record(
+                prefix + "declines",
+                heavyResponses.stream().filter(response -> !response.committed()).count(),
                 true);
-        record(prefix + "declines", heavys.stream().filter(a -> !a.committed()).count(), true);
     }
 
-    private void reportWeightedShares(List<Tenant> shares, long from, long to) {
-        double[] due = {0.1, 0.2, 0.7};
-        double all =
-                responsesBetween(shares, from, to).stream().filter(Response::committed).count();
-        double worst = 0;
-        double sum = 0;
-        double squares = 0;
-        for (int i = 0; i < due.length; i++) {
+    private void reportWeightedShares(List<Tenant> weightedTenants, long fromNanos, long toNanos) {
+        double[] expectedShares = {0.1, 0.2, 0.7};
+        double committed =
+                responsesBetween(weightedTenants, fromNanos, toNanos).stream()
+                        .filter(Response::committed)
+                        .count();
+        double maxError = 0;
+        double ratioSum = 0;
+        double squaredRatioSum = 0;
+        for (int i = 0; i < expectedShares.length; i++) {
             double share =
-                    responsesBetween(List.of(shares.get(i)), from, to).stream()
+                    responsesBetween(List.of(weightedTenants.get(i)), fromNanos, toNanos).stream()
                                     .filter(Response::committed)
                                     .count()
-                            / all;
-            record("share_" + shares.get(i).name, share, true);
-            worst = Math.max(worst, Math.abs(share - due[i]));
-            sum += share / due[i];
-            squares += share / due[i] * share / due[i];
+                            / committed;
+            record("share_" + weightedTenants.get(i).name, share, true);
+            maxError = Math.max(maxError, Math.abs(share - expectedShares[i]));
+            ratioSum += share / expectedShares[i];
+            squaredRatioSum += share / expectedShares[i] * share / expectedShares[i];
         }
-        record("weighted_share_error_max", worst, worst <= 0.03);
-        double jain = sum * sum / (due.length * squares);
-        record("jain", jain, jain >= 0.99);
+        record("weighted_share_error_max", maxError, maxError <= 0.03);
+        double jainIndex = ratioSum * ratioSum / (expectedShares.length * squaredRatioSum);
+        record("jain", jainIndex, jainIndex >= 0.99);
     }
 
-    private void reportRetryAdvice(List<Tenant> heavy, List<Tenant> light, long from, long to) {
-        List<Response> returns = new ArrayList<>(responsesBetween(heavy, from, to));
-        returns.addAll(responsesBetween(light, from, to));
-        returns.removeIf(a -> !a.afterAdvice());
-        long letIn = returns.stream().filter(Response::committed).count();
-        record("advice_count", returns.size(), returns.size() > 200);
-        double share = letIn / (double) Math.max(1, returns.size());
-        record("advice_true_share", share, share >= 0.90);
+    private void reportRetryAdvice(
+            List<Tenant> heavy, List<Tenant> light, long fromNanos, long toNanos) {
+        List<Response> responsesAfterAdvice =
+                new ArrayList<>(responsesBetween(heavy, fromNanos, toNanos));
+        responsesAfterAdvice.addAll(responsesBetween(light, fromNanos, toNanos));
+        responsesAfterAdvice.removeIf(response -> !response.afterRetryAdvice());
+        long committed = responsesAfterAdvice.stream().filter(Response::committed).count();
+        record("advice_count", responsesAfterAdvice.size(), responsesAfterAdvice.size() > 200);
+        double committedShare = committed / (double) Math.max(1, responsesAfterAdvice.size());
+        record("advice_true_share", committedShare, committedShare >= 0.90);
     }
 
     /**
-     * Seconds until, from then on, in each half second 85% of the possible txns are committed and
-     * light tenants take at most 2.5 times as long as before: with half the slots, the next one
-     * becomes free half as often.
+     * Returns the seconds until, from then on, in each half second 85% of the expected txns are
+     * committed and light tenants' mean latency is at most 2.5 times the baseline: with half the
+     * slots, the next one becomes free half as often.
      */
     private static double adaptationSeconds(
             List<Tenant> light,
             List<Tenant> heavy,
-            long from,
-            long to,
-            double perSecond,
-            double calm) {
-        long step = 250_000_000;
-        long window = 2 * step;
-        double followed = 99;
-        for (long at = to - window; at >= from; at -= step) {
+            long fromNanos,
+            long toNanos,
+            double expectedPerSecond,
+            double baselineLatencyNanos) {
+        long stepNanos = 250_000_000;
+        long windowNanos = 2 * stepNanos;
+        double adaptedAfterSeconds = 99;
+        for (long windowStartNanos = toNanos - windowNanos;
+                windowStartNanos >= fromNanos;
+                windowStartNanos -= stepNanos) {
             long committed =
-                    responsesBetween(heavy, at, at + window).stream()
+                    responsesBetween(heavy, windowStartNanos, windowStartNanos + windowNanos)
+                                    .stream()
                                     .filter(Response::committed)
                                     .count()
-                            + responsesBetween(light, at, at + window).stream()
+                            + responsesBetween(
+                                            light, windowStartNanos, windowStartNanos + windowNanos)
+                                    .stream()
                                     .filter(Response::committed)
                                     .count();
-            if (committed < 0.85 * perSecond * window / 1e9
-                    || meanNanos(light, at, at + window) > 2.5 * calm) {
+            if (committed < 0.85 * expectedPerSecond * windowNanos / 1e9
+                    || meanLatencyNanos(light, windowStartNanos, windowStartNanos + windowNanos)
+                            > 2.5 * baselineLatencyNanos) {
                 System.err.printf(
                         "not followed at %.2f s: %d committed, light mean %.1f ms%n",
-                        (at - from) / 1e9, committed, meanNanos(light, at, at + window) / 1e6);
+                        (windowStartNanos - fromNanos) / 1e9,
+                        committed,
+                        meanLatencyNanos(light, windowStartNanos, windowStartNanos + windowNanos)
+                                / 1e6);
                 break;
             }
-            followed = (at - from) / 1e9;
+            adaptedAfterSeconds = (windowStartNanos - fromNanos) / 1e9;
         }
-        return Math.max(0, followed);
+        return Math.max(0, adaptedAfterSeconds);
     }
 
     private void measureInProcess() throws RunnerException {
-        for (RunResult r :
+        for (RunResult result :
                 new Runner(
                                 new OptionsBuilder()
                                         .include(DoorBench.class.getName())
@@ -282,8 +346,8 @@
                                         .shouldFailOnError(true)
                                         .build())
                         .run()) {
-            String name = r.getParams().getBenchmark().replaceAll(".*\\.", "");
-            String tenants = r.getParams().getParam("tenants");
+            String name = result.getParams().getBenchmark().replaceAll(".*\\.", "");
+            String tenants = result.getParams().getParam("tenants");
             String size =
                     switch (tenants) {
                         case "10000" -> "10k";
@@ -292,53 +356,53 @@
                     };
             record(
                     (name.equals("door") ? "ns_per_txn_" : name + "_ns_per_txn_") + size,
-                    r.getPrimaryResult().getScore(),
+                    result.getPrimaryResult().getScore(),
                     true);
         }
-        check("ns_per_txn_10k", number("ns_per_txn_10k") <= 2 * number("ns_per_txn_10"));
+        check("ns_per_txn_10k", figure("ns_per_txn_10k") <= 2 * figure("ns_per_txn_10"));
     }
 
     /** Runs first, as memory left over from the other measurements would be counted too. */
     private void measureState() {
-        long some = (long) DoorBench.stateBytes(10_000, 8);
-        long many = (long) DoorBench.stateBytes(1_000_000, 1);
-        record("state_bytes_10k", some, some <= 1 << 20);
-        record("state_bytes_1m", many, many <= 1 << 20);
+        long stateBytes10k = (long) DoorBench.stateBytes(10_000, 8);
+        long stateBytes1m = (long) DoorBench.stateBytes(1_000_000, 1);
+        record("state_bytes_10k", stateBytes10k, stateBytes10k <= MAX_STATE_BYTES);
+        record("state_bytes_1m", stateBytes1m, stateBytes1m <= MAX_STATE_BYTES);
         record("plain_state_bytes_1m", (long) DoorBench.plainBytes(1_000_000), true);
         record("wheel_ns", DoorBench.timers(true), true);
         record("heap_ns", DoorBench.timers(false), true);
     }
 
-    private double number(String name) {
+    private double figure(String name) {
         return ((Number) figures.get(name)).doubleValue();
     }
 
-    private void check(String name, boolean held) {
-        if (!held) {
+    private void check(String name, boolean passed) {
+        if (!passed) {
             missedTargets.add(name + " " + figures.get(name));
         }
     }
 
-    private void record(String name, Object figure, boolean held) {
+    private void record(String name, Object figure, boolean passed) {
         figures.put(name, figure);
-        check(name, held);
+        check(name, passed);
     }
 
     private String json() {
-        StringBuilder s = new StringBuilder("{");
+        StringBuilder json = new StringBuilder("{");
         figures.forEach(
-                (name, v) ->
-                        s.append(s.length() > 1 ? "," : "")
+                (name, value) ->
+                        json.append(json.length() > 1 ? "," : "")
                                 .append('"')
                                 .append(name)
                                 .append("\":")
                                 .append(
-                                        v instanceof Double d
+                                        value instanceof Double decimal
                                                 ? String.format(
                                                         Locale.ROOT,
-                                                        Math.abs(d) < 10 ? "%.4f" : "%.1f",
-                                                        d)
-                                                : v));
-        return s.append('}').toString();
+                                                        Math.abs(decimal) < 10 ? "%.4f" : "%.1f",
+                                                        decimal)
+                                                : value));
+        return json.append('}').toString();
     }
 }
--- a/src/bench/java/wingroad/bench/Fleet.java
+++ b/src/bench/java/wingroad/bench/Fleet.java
@@ -4,6 +4,7 @@
 import wingroad.Fixtures.FakeDiscovery;
 import wingroad.Fixtures.FakeMember;
 
+import java.io.BufferedInputStream;
 import java.io.BufferedReader;
 import java.io.DataInputStream;
 import java.io.IOException;
@@ -30,8 +31,8 @@
     static final class Slots {
         private int available;
 
-        Slots(int places) {
-            available = places;
+        Slots(int count) {
+            available = count;
         }
 
         synchronized void addSlots(int count) {
@@ -46,10 +47,10 @@
             available--;
         }
 
-        void runTxn(long ms) throws IOException {
+        void runTxn(long durationMs) throws IOException {
             try {
                 acquire();
-                Thread.sleep(ms);
+                Thread.sleep(durationMs);
             } catch (InterruptedException e) {
                 throw new IOException(e);
             } finally {
@@ -59,45 +60,56 @@
     }
 
     /**
-     * One response: when it arrived, how long it took, whether the txn was committed, and the retry
-     * advice that came with it, or -1.
+     * One response to a txn.
+     *
+     * @param retryAfterMs the retry advice of a declined txn, or -1 without one
+     * @param afterRetryAdvice whether the txn was sent after waiting as the previous response
+     *     advised
      */
     record Response(
-            long atNanos,
-            long tookNanos,
+            long receivedAtNanos,
+            long latencyNanos,
             boolean committed,
-            long retryAfter,
-            boolean afterAdvice,
+            long retryAfterMs,
+            boolean afterRetryAdvice,
             boolean write) {}
 
     /** The connections of one tenant, which all behave alike. */
     static final class Tenant {
         final String name;
-        final int connections;
-        final long thinkMs;
+        final int connectionCount;
+        final long thinkTimeMs;
         final List<Response> responses = new ArrayList<>();
         volatile boolean active = true;
 
-        /** Every n-th txn is a write; 0: none. */
+        /** On average one in this many txns is a write; 0 means none. */
         int writeInterval;
 
-        Tenant(String name, int connections, long thinkMs) {
+        Tenant(String name, int connectionCount, long thinkTimeMs) {
             this.name = name;
-            this.connections = connections;
-            this.thinkMs = thinkMs;
+            this.connectionCount = connectionCount;
+            this.thinkTimeMs = thinkTimeMs;
         }
 
-        synchronized void addResponse(Response a) {
-            responses.add(a);
+        synchronized void addResponse(Response response) {
+            responses.add(response);
         }
 
-        synchronized List<Response> between(long from, long to) {
-            return responses.stream().filter(a -> a.atNanos >= from && a.atNanos < to).toList();
+        synchronized List<Response> responsesBetween(long fromNanos, long toNanos) {
+            return responses.stream()
+                    .filter(
+                            response ->
+                                    response.receivedAtNanos >= fromNanos
+                                            && response.receivedAtNanos < toNanos)
+                    .toList();
         }
     }
 
-    private static final AtomicLong IDS = new AtomicLong();
-    private static final long AGAIN_MS = 20;
+    /** Number of the last txn sent, unique over all fleets of the process. */
+    private static final AtomicLong LAST_TXN_ID = new AtomicLong();
+
+    /** Wait before the next attempt after a lost connection or a decline without retry advice. */
+    private static final long RETRY_DELAY_MS = 20;
 
     final Slots[] memberSlots = new Slots[3];
     private final List<FakeMember> members = new ArrayList<>();
@@ -107,117 +119,121 @@
     private final List<Thread> clientThreads = new ArrayList<>();
     final List<String> log = new ArrayList<>();
 
-    Fleet(Path dir, String name, String operator, int placesEach, long workMs) throws IOException {
-        StringBuilder known = new StringBuilder();
+    Fleet(Path directory, String name, String operatorFile, int slotsPerMember, long txnMs)
+            throws IOException {
+        StringBuilder listEntries = new StringBuilder();
         for (int i = 0; i < memberSlots.length; i++) {
-            Slots p = new Slots(placesEach);
-            memberSlots[i] = p;
+            Slots slots = new Slots(slotsPerMember);
+            memberSlots[i] = slots;
             boolean primary = i == 0;
-            FakeMember m =
+            FakeMember member =
                     new FakeMember(
                             primary,
-                            (sql, s) -> {
-                                p.runTxn(workMs);
-                                s.sendRow("v", primary);
+                            (sql, session) -> {
+                                slots.runTxn(txnMs);
+                                session.sendRow("v", primary);
                             });
-            members.add(m);
-            known.append(i > 0 ? "," : "").append(Fixtures.listEntry("s-" + i, m.port(), "ready"));
+            members.add(member);
+            listEntries
+                    .append(i > 0 ? "," : "")
+                    .append(Fixtures.listEntry("s-" + i, member.port(), "ready"));
         }
         Path config =
                 Files.writeString(
-                        dir.resolve(name + ".json"),
+                        directory.resolve(name + ".json"),
                         "{\"name\":\""
                                 + name
                                 + "\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:"
                                 + discovery.port()
                                 + "\",\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"cores\":1.0,\"memory_mb\":192,\"sockets\":1024},"
                                 + "\"known\":{\"rev\":0,\"all\":true,\"targets\":["
-                                + known
+                                + listEntries
                                 + "]},\"settings\":"
                                 + Fixtures.SETTINGS_JSON
                                 + "}");
-        List<String> run = new ArrayList<>(List.of("/bin/sh", "deploy/serve.sh"));
-        if (operator != null) {
-            run.addAll(
+        List<String> command = new ArrayList<>(List.of("/bin/sh", "deploy/serve.sh"));
+        if (operatorFile != null) {
+            command.addAll(
                     List.of(
                             "--operator",
-                            Files.writeString(dir.resolve(name + ".kdl"), operator).toString()));
+                            Files.writeString(directory.resolve(name + ".kdl"), operatorFile)
+                                    .toString()));
         }
-        ProcessBuilder p = new ProcessBuilder(run).redirectErrorStream(true);
-        p.environment().put("LB_CONFIG", config.toString());
-        driver = p.start();
-        BufferedReader out = driver.inputReader(StandardCharsets.UTF_8);
-        int at = -1;
-        while (at < 0) {
-            String line = out.readLine();
+        ProcessBuilder processBuilder = new ProcessBuilder(command).redirectErrorStream(true);
+        processBuilder.environment().put("LB_CONFIG", config.toString());
+        driver = processBuilder.start();
+        BufferedReader output = driver.inputReader(StandardCharsets.UTF_8);
+        int listenPort = -1;
+        while (listenPort < 0) {
+            String line = output.readLine();
             if (line == null) {
                 throw new IOException("the driver has ended: " + log);
             }
             log.add(line);
-            at =
+            listenPort =
                     line.contains(" serves ")
                             ? Integer.parseInt(line.replaceAll(".*:([0-9]+),.*", "$1"))
                             : -1;
         }
-        port = at;
-        Thread rest = new Thread(() -> out.lines().forEach(this::heard));
-        rest.setDaemon(true);
-        rest.start();
+        port = listenPort;
+        Thread logReader = new Thread(() -> output.lines().forEach(this::appendLog));
+        logReader.setDaemon(true);
+        logReader.start();
     }
 
-    private synchronized void heard(String line) {
+    private synchronized void appendLog(String line) {
         log.add(line);
     }
 
-    void startClients(Tenant t) {
-        for (int i = 0; i < t.connections; i++) {
-            Thread asker = new Thread(() -> ask(t));
-            asker.setDaemon(true);
-            clientThreads.add(asker);
-            asker.start();
+    void startClients(Tenant tenant) {
+        for (int i = 0; i < tenant.connectionCount; i++) {
+            Thread clientThread = new Thread(() -> runClient(tenant));
+            clientThread.setDaemon(true);
+            clientThreads.add(clientThread);
+            clientThread.start();
         }
     }
 
-    private void ask(Tenant t) {
+    private void runClient(Tenant tenant) {
         ThreadLocalRandom random = ThreadLocalRandom.current();
         try {
-            Thread.sleep(random.nextLong(Math.max(1, t.thinkMs)));
-            while (t.active) {
-                try (Socket s = new Socket(InetAddress.getLoopbackAddress(), port)) {
-                    s.setTcpNoDelay(true);
-                    byte[] who =
-                            ("user\0svc\0database\0main\0application_name\0" + t.name + "\0\0")
+            Thread.sleep(random.nextLong(Math.max(1, tenant.thinkTimeMs)));
+            while (tenant.active) {
+                try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
+                    socket.setTcpNoDelay(true);
+                    byte[] startupParameters =
+                            ("user\0svc\0database\0main\0application_name\0" + tenant.name + "\0\0")
                                     .getBytes(StandardCharsets.UTF_8);
-                    s.getOutputStream()
+                    socket.getOutputStream()
                             .write(
                                     Fixtures.concat(
                                             ByteBuffer.allocate(8)
-                                                    .putInt(8 + who.length)
+                                                    .putInt(8 + startupParameters.length)
                                                     .putInt(3 << 16)
                                                     .array(),
-                                            who));
-                    talk(t, s, random);
+                                            startupParameters));
+                    sendTxns(tenant, socket, random);
                 } catch (IOException closed) {
-                    // let go for being idle, or the driver has ended: a new connection is tried
-                    Thread.sleep(AGAIN_MS);
+                    // The driver closed the idle connection or has ended: reconnect after a delay.
+                    Thread.sleep(RETRY_DELAY_MS);
                 }
             }
-        } catch (InterruptedException over) {
+        } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
         }
     }
 
-    private static void talk(Tenant t, Socket s, ThreadLocalRandom random)
+    private static void sendTxns(Tenant tenant, Socket socket, ThreadLocalRandom random)
             throws IOException, InterruptedException {
-        DataInputStream in =
-                new DataInputStream(new java.io.BufferedInputStream(s.getInputStream()));
-        String first = answer(in);
-        boolean returned = false;
-        for (boolean open = first != null; open && t.active; ) {
-            boolean write = t.writeInterval > 0 && random.nextInt(t.writeInterval) == 0;
-            String id = "b" + IDS.incrementAndGet();
-            long at = System.nanoTime();
-            s.getOutputStream()
+        DataInputStream input =
+                new DataInputStream(new BufferedInputStream(socket.getInputStream()));
+        String startupOutcome = readOutcome(input);
+        boolean afterRetryAdvice = false;
+        for (boolean open = startupOutcome != null; open && tenant.active; ) {
+            boolean write = tenant.writeInterval > 0 && random.nextInt(tenant.writeInterval) == 0;
+            String id = "b" + LAST_TXN_ID.incrementAndGet();
+            long sentAtNanos = System.nanoTime();
+            socket.getOutputStream()
                     .write(
                             Fixtures.message(
                                     'Q',
@@ -225,38 +241,48 @@
                                             write
                                                     ? Fixtures.writeStatement(id)
                                                     : Fixtures.readStatement(id))));
-            String end = answer(in);
-            if (end == null) {
+            String outcome = readOutcome(input);
+            if (outcome == null) {
                 return;
             }
-            long now = System.nanoTime();
-            boolean committed = end.equals("row");
-            long advice = end.startsWith("53300 ") ? Long.parseLong(end.substring(6)) : -1;
-            t.addResponse(new Response(now, now - at, committed, advice, returned, write));
-            returned = !committed && advice >= 0;
+            long receivedAtNanos = System.nanoTime();
+            boolean committed = outcome.equals("row");
+            long retryAfterMs =
+                    outcome.startsWith("53300 ") ? Long.parseLong(outcome.substring(6)) : -1;
+            tenant.addResponse(
+                    new Response(
+                            receivedAtNanos,
+                            receivedAtNanos - sentAtNanos,
+                            committed,
+                            retryAfterMs,
+                            afterRetryAdvice,
+                            write));
+            afterRetryAdvice = !committed && retryAfterMs >= 0;
             Thread.sleep(
                     committed
-                            ? t.thinkMs
-                            : returned ? advice + random.nextLong(advice / 5 + 1) : AGAIN_MS);
+                            ? tenant.thinkTimeMs
+                            : afterRetryAdvice
+                                    ? retryAfterMs + random.nextLong(retryAfterMs / 5 + 1)
+                                    : RETRY_DELAY_MS);
         }
     }
 
     /**
-     * "row", or an error's code and the number in its field D, up to the next ready; null at the
-     * end.
+     * Reads up to the next ReadyForQuery: returns "row", or an error's SQLSTATE followed by the
+     * number in its detail field; null at the end of the connection.
      */
-    private static String answer(DataInputStream in) throws IOException {
-        String end = "";
-        for (int type = in.read(); type >= 0; type = in.read()) {
-            byte[] body = in.readNBytes(in.readInt() - 4);
+    private static String readOutcome(DataInputStream input) throws IOException {
+        String outcome = "";
+        for (int type = input.read(); type >= 0; type = input.read()) {
+            byte[] body = input.readNBytes(input.readInt() - 4);
             if (type == 'Z') {
-                return end;
+                return outcome;
             }
             if (type == 'D') {
-                end = "row";
+                outcome = "row";
             } else if (type == 'E') {
                 String text = new String(body, StandardCharsets.UTF_8);
-                end =
+                outcome =
                         text.replaceAll("(?s).*\0C([^\0]*)\0.*", "$1")
                                 + (text.contains("\0D")
                                         ? " " + text.replaceAll("(?s).*\0D([0-9]+)\0.*", "$1")
@@ -269,8 +295,8 @@
     @Override
     public void close() throws IOException {
         driver.destroyForcibly();
-        for (FakeMember m : members) {
-            m.close();
+        for (FakeMember member : members) {
+            member.close();
         }
         discovery.close();
     }
