--- a/src/main/java/wingroad/cli/FleetCommand.java
+++ b/src/main/java/wingroad/cli/FleetCommand.java
@@ -30,7 +30,7 @@
         mixinStandardHelpOptions = true,
         description =
                 "Shows the status of a running fleet, its drivers and the owners of duties; hands"
-                    + " duties over. See docs/operators/fleet.md.",
+                        + " duties over. See docs/operators/fleet.md.",
         subcommands = {
             FleetCommand.Status.class,
             FleetCommand.Watch.class,
@@ -54,7 +54,10 @@
         return EXIT_INVALID_INPUT;
     }
 
-    /** A command that queries or changes the fleet of an operator's file. */
+    /**
+     * Base of the commands that send a request to the fleet's voters, whose addresses are read from
+     * the operator's file.
+     */
     abstract static class VoterCommand implements Callable<Integer> {
         @Option(
                 names = "--operator",
@@ -143,7 +146,7 @@
             mixinStandardHelpOptions = true,
             description =
                     "Shows drivers, voters, the leader and the owners of duties. Exit status 3: no"
-                        + " voter answers.")
+                            + " voter answers.")
     static final class Status extends VoterCommand {
         @Override
         int execute(FleetConfig config) throws IOException {
@@ -239,7 +242,7 @@
             mixinStandardHelpOptions = true,
             description =
                     "Hands a duty over to another driver; returns once the request is committed."
-                        + " Exit status 1: refused.")
+                            + " Exit status 1: refused.")
     static final class HandOver extends VoterCommand {
         @Parameters(
                 paramLabel = "DUTY",
@@ -274,7 +277,7 @@
             mixinStandardHelpOptions = true,
             description =
                     "Adds or removes one voter; 'status' shows when the change has taken effect."
-                        + " Exit status 1: refused.")
+                            + " Exit status 1: refused.")
     static final class Voters extends VoterCommand {
         /** The change to the set of voters. */
         enum Change {
--- a/src/main/java/wingroad/door/FairQueues.java
+++ b/src/main/java/wingroad/door/FairQueues.java
@@ -88,8 +88,10 @@
     /** Number of flows sampled to find one to displace a txn from at the maximum of queued txns. */
     private static final int OVERFLOW_SAMPLE_COUNT = 8;
 
-    /** A queue is logged as saturated after it has not been empty for this time. */
-    private static final Duration SATURATED_AFTER = Duration.ofMillis(500);
+    private static final long SATURATED_AFTER_MS = 500;
+
+    /** A queue that has not been empty for this time is logged, and again once it is empty. */
+    private static final Duration SATURATED_AFTER = Duration.ofMillis(SATURATED_AFTER_MS);
 
     /** Time over which the mean work of a txn type is taken. */
     private static final long WORK_MEMORY_SECONDS = 4;
@@ -533,12 +535,14 @@
             log.accept(
                     "fair queue of "
                             + queue.name
-                            + (saturated ? " is saturated: " : " is no longer saturated: ")
-                            + "concurrency limit "
+                            + (saturated
+                                    ? ": not empty for more than " + SATURATED_AFTER_MS + " ms: "
+                                    : ": empty again: ")
+                            + "full concurrency limit "
                             + Math.round(queue.concurrencyLimit.fullLimit())
                             + ", in flight "
                             + queue.inFlight
-                            + ", pending "
+                            + ", admitted but waiting to be submitted "
                             + queue.pendingCount
                             + ", queued "
                             + queue.queuedCount
--- a/src/main/java/wingroad/driver/ClientConnection.java
+++ b/src/main/java/wingroad/driver/ClientConnection.java
@@ -1,13 +1,14 @@
 package wingroad.driver;
 
-import java.nio.ByteBuffer;
-import java.time.Duration;
 import wingroad.door.ClientContext;
 import wingroad.protocol.ClientMessageDecoder;
 import wingroad.protocol.ClientMessageEncoder;
 import wingroad.protocol.Statement;
 import wingroad.transport.Connection;
 
+import java.nio.ByteBuffer;
+import java.time.Duration;
+
 /**
  * One client's connection. Its commands are processed one after the other, each once the previous
  * one is answered. Its use of memory and time is bounded; {@link #checkTimeouts} enforces the time
@@ -50,8 +51,11 @@
      */
     private static final int MAX_SKIPPED_MESSAGE_COUNT = 256;
 
-    /** The delay after the first rejected command; it doubles with each further one. */
-    private static final Duration FIRST_ERROR_DELAY = Duration.ofMillis(10);
+    /**
+     * How long the next command is left unread after the first rejected one; doubles with each
+     * further one. The error itself is sent at once.
+     */
+    private static final Duration FIRST_REJECTION_DELAY = Duration.ofMillis(10);
 
     /** With this many rejected commands the connection is closed. */
     private static final int MAX_REJECTED_COMMAND_COUNT = 8;
@@ -278,7 +282,7 @@
         }
         delayed = true;
         frontend.after(
-                FIRST_ERROR_DELAY.multipliedBy(1L << rejectedCommandCount - 1),
+                FIRST_REJECTION_DELAY.multipliedBy(1L << rejectedCommandCount - 1),
                 () -> {
                     delayed = false;
                     connection.redeliver();
--- a/src/main/java/wingroad/driver/Driver.java
+++ b/src/main/java/wingroad/driver/Driver.java
@@ -2,6 +2,18 @@
 
 import static wingroad.state.Durations.min;
 
+import sun.misc.Signal;
+
+import wingroad.door.FairQueues;
+import wingroad.fleet.FleetConfig;
+import wingroad.operator.OperatorFile;
+import wingroad.protocol.MemberList;
+import wingroad.routing.Router;
+import wingroad.routing.TxnRouter;
+import wingroad.state.TxnType;
+import wingroad.terms.RouterSettings;
+import wingroad.transport.EventLoop;
+
 import java.io.IOException;
 import java.io.PrintStream;
 import java.net.InetSocketAddress;
@@ -17,16 +29,6 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.concurrent.atomic.AtomicReference;
-import sun.misc.Signal;
-import wingroad.door.FairQueues;
-import wingroad.fleet.FleetConfig;
-import wingroad.operator.OperatorFile;
-import wingroad.protocol.MemberList;
-import wingroad.routing.Router;
-import wingroad.routing.TxnRouter;
-import wingroad.state.TxnType;
-import wingroad.terms.RouterSettings;
-import wingroad.transport.EventLoop;
 
 /**
  * The server process: starts its parts, reloads its configuration on SIGHUP, and shuts down
@@ -414,11 +416,11 @@
             dispatcher.useFairQueues(fairQueues);
             clientFrontend.identifyClients(operatorFile.fairQueues());
             log.info(
-                    "door: "
+                    "admission control (door) enabled: "
                             + operatorFile.fairQueues().tenants().size()
-                            + " tenants listed, "
+                            + " tenants listed, at most "
                             + operatorFile.fairQueues().maxQueuedTxns()
-                            + " txns may wait");
+                            + " txns queued in all");
         }
     }
 
@@ -531,7 +533,8 @@
                         + next.discovery()
                         + (next.equalsExceptDiscovery(configuration)
                                 ? ""
-                                : "; its other changes take effect at the next start"));
+                                : "; all other changes since the start take effect at the next"
+                                        + " start"));
         configuration = next;
         discoveryClient.setAddress(next.discovery());
     }
@@ -540,9 +543,9 @@
         String summary = counters.takeSummary();
         if (summary != null) {
             log.info(
-                    "counters: "
+                    "counts since the last such line: "
                             + summary
-                            + "; client connections "
+                            + "; now: client connections "
                             + clientFrontend.connectionCount()
                             + ", member connections "
                             + memberPools.connectionCount()
--- a/src/main/java/wingroad/fleet/DriverSession.java
+++ b/src/main/java/wingroad/fleet/DriverSession.java
@@ -1,5 +1,13 @@
 package wingroad.fleet;
 
+import wingroad.duty.Command;
+import wingroad.duty.EpochFence;
+import wingroad.duty.SessionLease;
+import wingroad.fleet.MessageTransport.Channel;
+import wingroad.protocol.Json;
+import wingroad.work.DriverReport;
+import wingroad.work.MaintenanceSettings;
+
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -8,13 +16,6 @@
 import java.util.Map;
 import java.util.function.Function;
 import java.util.function.Supplier;
-import wingroad.duty.Command;
-import wingroad.duty.EpochFence;
-import wingroad.duty.SessionLease;
-import wingroad.fleet.MessageTransport.Channel;
-import wingroad.protocol.Json;
-import wingroad.work.DriverReport;
-import wingroad.work.MaintenanceSettings;
 
 /**
  * A driver's session with the consensus group, by way of one voter; switches to another voter when
@@ -31,7 +32,10 @@
     /** Leave requests sent to one voter before switching to the next. */
     private static final int LEAVE_ATTEMPTS_PER_VOTER = 3;
 
-    /** A report is repeated after so many heartbeats, since the previous one may have been lost. */
+    /**
+     * Heartbeats between two reports. The periodic report replaces a lost one and carries changed
+     * figures; other changes are sent at once.
+     */
     private static final int REPORT_INTERVAL_HEARTBEATS = 4;
 
     /** Idle reports sent at the short interval before the long one applies. */
--- a/src/main/java/wingroad/routing/TxnRouter.java
+++ b/src/main/java/wingroad/routing/TxnRouter.java
@@ -63,10 +63,16 @@
     /** Smallest share of the reads without a fresh replica that may go to the primary. */
     private static final double MIN_SPILL_SHARE = 0.1;
 
-    /** Change of the spill share on an answer of the primary that is slower than its target. */
+    /**
+     * Factor on the spill share at each read that the primary answers while its mean response time,
+     * relative to the target, is above 1.
+     */
     private static final double SPILL_DECREASE_FACTOR = 0.8;
 
-    /** Change of the spill share on an answer of the primary that meets its target. */
+    /**
+     * Factor on the spill share at each read that the primary answers while its mean response time,
+     * relative to the target, is not above 1.
+     */
     private static final double SPILL_INCREASE_FACTOR = 1.5;
 
     /** Share of the primary's limit that reads may fill; the rest is left to the writes. */
@@ -122,7 +128,10 @@
     /** Share of a member's limit that reads too late for their SLA time may fill. */
     private static final double LATE_READ_LIMIT_SHARE = 0.5;
 
-    /** Time until held writes are looked at again when the primary takes no more. */
+    /**
+     * Time until held writes are tried again if the primary is at its limit and no event triggers
+     * it earlier; during a back-off they are tried at its end if that is later.
+     */
     private static final long HELD_WRITE_RETRY_MS = 50;
 
     /** Replicas that are probed for their position at once for one read. */
@@ -769,7 +778,11 @@
             group.searchStartedAt = now;
             group.searchRounds = 0;
             group.nextSearchProbeAt = now;
-            log.accept("group " + group.id + ": writer search started: " + cause);
+            log.accept(
+                    "group "
+                            + group.id
+                            + ": writer search started, writes held until the primary is found: "
+                            + cause);
             markDirty(group);
         }
     }
--- a/src/main/java/wingroad/work/DriverReport.java
+++ b/src/main/java/wingroad/work/DriverReport.java
@@ -8,7 +8,7 @@
 import java.util.TreeSet;
 
 /**
- * A driver's report under its session.
+ * What a driver tells the maintenance plan, under its session.
  *
  * @param planRevision the plan's revision that its router has taken over
  * @param drainedMachines draining or out machines that the driver sends nothing new to and has
@@ -16,7 +16,8 @@
  * @param primaries member taken for the primary, by group, for the groups that the plan affects
  * @param servedCount txns committed in time since its start
  * @param harmedCount txns declined, rolled back or late since its start
- * @param busyMsByGroup total time of its txns at members in milliseconds, by group
+ * @param busyMsByGroup total time of its submissions at members since its start in milliseconds, by
+ *     group, only for the groups that the plan affects
  */
 public record DriverReport(
         long planRevision,
