--- a/src/bench/java/wingroad/fleet/OwnerBench.java
+++ b/src/bench/java/wingroad/fleet/OwnerBench.java
@@ -34,83 +34,89 @@
  */
 public final class OwnerBench {
     private static final int LEASE_MS = 3000;
-    private static final int DUTIES = 20;
-    private static final int HANDOVER_MS = 300;
-    private static final java.util.regex.Pattern CHORE =
+    private static final int DUTY_COUNT = 20;
+    private static final int SLOW_HANDOVER_MS = 300;
+    private static final java.util.regex.Pattern CHORE_STATEMENT =
             java.util.regex.Pattern.compile("id=chore-([^,]*)-([0-9]+)-[0-9]+,");
 
     /**
      * In each of these spans the voters are left alone for the last part, and owners are stopped as
      * planned in it.
      */
-    private static final long SPAN_MS = 12_000;
+    private static final long FAULT_CYCLE_MS = 12_000;
 
-    private static final long ALONE_MS = 5_000;
-    private static final long STOPS_MS = 1_500;
+    private static final long VOTERS_UNDISTURBED_MS = 5_000;
+    private static final long PLANNED_STOPS_MS = 1_500;
 
-    private final int count;
-    private final int seconds;
+    private final int driverCount;
+    private final int durationSeconds;
     private final Random random;
     private final boolean withFleet;
-    private TestCluster rig;
-    private FencedMember fenced;
-    private FencedMember naive;
-    private final ScheduledExecutorService later = Executors.newScheduledThreadPool(4);
-    private final Map<String, AtomicInteger> counts = new ConcurrentHashMap<>();
-    private final Set<String> away = ConcurrentHashMap.newKeySet();
-    private final AtomicLong sent = new AtomicLong();
-    private final AtomicLong committed = new AtomicLong();
-    private final AtomicLong lost = new AtomicLong();
-    private final Map<String, AtomicInteger> generation = new ConcurrentHashMap<>();
-    private final List<Long> takeovers = new ArrayList<>();
-    private final List<Long> handovers = new ArrayList<>();
-    private final List<String> votesTwice = new ArrayList<>();
-    private final Map<String, String> votes = new HashMap<>();
-    private final AtomicInteger held = new AtomicInteger();
-    private long faultsFrom;
-    private volatile boolean over;
-    private volatile Map<String, Object> status = Map.of();
-
-    private OwnerBench(int count, int seconds, long seed, boolean withFleet) {
-        this.count = count;
-        this.seconds = seconds;
+    private TestCluster cluster;
+    private FencedMember fencedMember;
+    private FencedMember unfencedMember;
+    private final ScheduledExecutorService scheduler = Executors.newScheduledThreadPool(4);
+    private final Map<String, AtomicInteger> faultCounts = new ConcurrentHashMap<>();
+    private final Set<String> disturbed = ConcurrentHashMap.newKeySet();
+    private final AtomicLong sentTxns = new AtomicLong();
+    private final AtomicLong committedTxns = new AtomicLong();
+    private final AtomicLong lostTxns = new AtomicLong();
+    private final Map<String, AtomicInteger> processGenerations = new ConcurrentHashMap<>();
+    private final List<Long> takeoverTimesMs = new ArrayList<>();
+    private final List<Long> handoverTimesMs = new ArrayList<>();
+    private final List<String> doubleVotes = new ArrayList<>();
+    private final Map<String, String> voteByVoterAndTerm = new HashMap<>();
+    private final AtomicInteger heldEffects = new AtomicInteger();
+    private long faultsStartedNanos;
+    private volatile boolean finished;
+    private volatile Map<String, Object> latestStatus = Map.of();
+
+    private OwnerBench(int driverCount, int durationSeconds, long seed, boolean withFleet) {
+        this.driverCount = driverCount;
+        this.durationSeconds = durationSeconds;
         this.random = new Random(seed);
         this.withFleet = withFleet;
     }
 
     /** {@code SECONDS [SEED [DRIVERS]]} */
     public static void main(String[] args) throws Exception {
-        int seconds = args.length > 0 ? Integer.parseInt(args[0]) : 100;
+        int durationSeconds = args.length > 0 ? Integer.parseInt(args[0]) : 100;
         long seed = args.length > 1 ? Long.parseLong(args[1]) : 1;
-        int count = args.length > 2 ? Integer.parseInt(args[2]) : 20;
-        System.out.println("seed " + seed + ", " + count + " drivers, " + seconds + " s each");
-        Map<String, Object> off =
+        int driverCount = args.length > 2 ? Integer.parseInt(args[2]) : 20;
+        System.out.println(
+                "seed " + seed + ", " + driverCount + " drivers, " + durationSeconds + " s each");
+        Map<String, Object> withoutFleet =
                 args.length > 3
                         ? Map.of("served", 1.0)
-                        : new OwnerBench(count, seconds, seed, false).run();
-        System.out.println("off " + off);
-        Map<String, Object> on = new OwnerBench(count, seconds, seed, true).run();
-        List<Long> alone = new ArrayList<>();
-        List<Long> handed = new ArrayList<>();
-        long asksOff = lists(count, false, alone);
-        long asksOn = lists(count, true, handed);
-        on.put("discovery_asks_off", asksOff);
-        on.put("discovery_asks_on", asksOn);
-        on.put("discovery_asks_over_off", (double) asksOn / asksOff);
-        on.put("drain_told_ms_p50_off", at(alone, 0.5));
-        on.put("drain_told_ms_p99_on", at(handed, 0.99));
-        on.put("drain_told_later_ms_p99", at(handed, 0.99) - at(alone, 0.5));
-        double ratio = (double) on.get("served") / (double) off.get("served");
-        on.put("served_off", off.get("served"));
-        on.put("served_ratio_during_faults", ratio);
+                        : new OwnerBench(driverCount, durationSeconds, seed, false).run();
+        System.out.println("off " + withoutFleet);
+        Map<String, Object> withFleet =
+                new OwnerBench(driverCount, durationSeconds, seed, true).run();
+        List<Long> delaysWithoutSharingMs = new ArrayList<>();
+        List<Long> delaysWithSharingMs = new ArrayList<>();
+        long requestsWithoutSharing =
+                measureListPropagation(driverCount, false, delaysWithoutSharingMs);
+        long requestsWithSharing = measureListPropagation(driverCount, true, delaysWithSharingMs);
+        withFleet.put("discovery_asks_off", requestsWithoutSharing);
+        withFleet.put("discovery_asks_on", requestsWithSharing);
+        withFleet.put(
+                "discovery_asks_over_off", (double) requestsWithSharing / requestsWithoutSharing);
+        withFleet.put("drain_told_ms_p50_off", percentile(delaysWithoutSharingMs, 0.5));
+        withFleet.put("drain_told_ms_p99_on", percentile(delaysWithSharingMs, 0.99));
+        withFleet.put(
+                "drain_told_later_ms_p99",
+                percentile(delaysWithSharingMs, 0.99) - percentile(delaysWithoutSharingMs, 0.5));
+        double ratio = (double) withFleet.get("served") / (double) withoutFleet.get("served");
+        withFleet.put("served_off", withoutFleet.get("served"));
+        withFleet.put("served_ratio_during_faults", ratio);
         StringBuilder json = new StringBuilder("{");
-        on.forEach(
-                (k, v) ->
+        withFleet.forEach(
+                (k, voter) ->
                         json.append(json.length() > 1 ? "," : "")
                                 .append('"')
                                 .append(k)
                                 .append("\":")
-                                .append(v));
+                                .append(voter));
         System.out.println(json.append('}'));
         System.exit(0);
     }
@@ -119,67 +125,77 @@
      * Forty changes of the list, 0.6 s apart, at drivers without faults; how often discovery was
      * asked meanwhile.
      */
-    private static long lists(int count, boolean handedOn, List<Long> toldAfter) throws Exception {
-        String rules =
+    private static long measureListPropagation(
+            int driverCount, boolean sharingEnabled, List<Long> delaysMs) throws Exception {
+        String fleetSettings =
                 "    lease-ms "
                         + LEASE_MS
                         + "\n    drift 0.01\n"
-                        + (handedOn ? "    list check=60\n" : "");
-        try (TestCluster rig =
+                        + (sharingEnabled ? "    list check=60\n" : "");
+        try (TestCluster cluster =
                 new TestCluster(
-                        Files.createTempDirectory("lists"), count, 5, rules, Fixtures.SETTINGS)) {
-            FencedMember primary = rig.addMember("m1", 7, true, true);
-            FencedMember replica = rig.addMember("m2", 7, false, true);
-            rig.startAll();
-            rig.discovery.tell(
-                    rig.discoveryEntry("d1", primary, "ready")
+                        Files.createTempDirectory("lists"),
+                        driverCount,
+                        5,
+                        fleetSettings,
+                        Fixtures.SETTINGS)) {
+            FencedMember primary = cluster.addMember("m1", 7, true, true);
+            FencedMember replica = cluster.addMember("m2", 7, false, true);
+            cluster.startAll();
+            cluster.discovery.tell(
+                    cluster.discoveryEntry("d1", primary, "ready")
                             + ","
-                            + rig.discoveryEntry("d1", replica, "ready"));
-            int follow = 0;
-            for (TestCluster.DriverProcess d : rig.drivers.values()) {
-                d.awaitLog("list 1 ");
-                d.awaitLog("lease of");
+                            + cluster.discoveryEntry("d1", replica, "ready"));
+            int followerCount = 0;
+            for (TestCluster.DriverProcess driver : cluster.drivers.values()) {
+                driver.awaitLog("list 1 ");
+                driver.awaitLog("lease of");
             }
-            while (handedOn && follow < count - 1) {
+            while (sharingEnabled && followerCount < driverCount - 1) {
                 TimeUnit.MILLISECONDS.sleep(100);
-                follow =
+                followerCount =
                         (int)
-                                rig.drivers.values().stream()
-                                        .filter(d -> d.firstLogTimeMs("follows the owner") > 0)
+                                cluster.drivers.values().stream()
+                                        .filter(
+                                                driver ->
+                                                        driver.firstLogTimeMs("follows the owner")
+                                                                > 0)
                                         .count();
             }
-            int asked = rig.discovery.asked.size();
-            for (int rev = 2; rev < 42; rev++) {
-                long at = System.currentTimeMillis();
-                rig.discovery.tell(
-                        rig.discoveryEntry("d1", primary, "ready")
+            int requestsBefore = cluster.discovery.asked.size();
+            for (int revision = 2; revision < 42; revision++) {
+                long publishedAtMs = System.currentTimeMillis();
+                cluster.discovery.tell(
+                        cluster.discoveryEntry("d1", primary, "ready")
                                 + ","
-                                + rig.discoveryEntry(
-                                        "d1", replica, rev % 2 == 0 ? "draining" : "ready"));
+                                + cluster.discoveryEntry(
+                                        "d1", replica, revision % 2 == 0 ? "draining" : "ready"));
                 TimeUnit.MILLISECONDS.sleep(600);
-                for (TestCluster.DriverProcess d : rig.drivers.values()) {
-                    long told = d.firstLogTimeMs("list " + rev + " ");
-                    toldAfter.add(told == 0 ? 600 : told - at);
+                for (TestCluster.DriverProcess driver : cluster.drivers.values()) {
+                    long receivedAtMs = driver.firstLogTimeMs("list " + revision + " ");
+                    delaysMs.add(receivedAtMs == 0 ? 600 : receivedAtMs - publishedAtMs);
                 }
             }
-            return rig.discovery.asked.size() - asked;
+            return cluster.discovery.asked.size() - requestsBefore;
         }
     }
 
-    private void count(String what) {
-        counts.computeIfAbsent(what, w -> new AtomicInteger()).incrementAndGet();
+    private void recordFault(String kind) {
+        faultCounts.computeIfAbsent(kind, name -> new AtomicInteger()).incrementAndGet();
     }
 
-    private int counted(String what) {
-        return counts.containsKey(what) ? counts.get(what).get() : 0;
+    private int faultCount(String kind) {
+        return faultCounts.containsKey(kind) ? faultCounts.get(kind).get() : 0;
     }
 
     private Map<String, Object> run() throws Exception {
-        Path dir = Files.createTempDirectory("owner");
-        StringBuilder rules = new StringBuilder("    lease-ms " + LEASE_MS + "\n    drift 0.01\n");
-        for (int i = 0; i < DUTIES; i++) {
+        Path directory = Files.createTempDirectory("owner");
+        StringBuilder fleetSettings =
+                new StringBuilder("    lease-ms " + LEASE_MS + "\n    drift 0.01\n");
+        for (int i = 0; i < DUTY_COUNT; i++) {
             String name = (i % 2 == 0 ? "c" : "n") + i;
-            rules.append("    chore \"")
+            fleetSettings
+                    .append("    chore \"")
                     .append(name)
                     .append("\" every=1 group=")
                     .append(i % 2 == 0 ? 7 : 8)
@@ -187,161 +203,176 @@
                     .append(name)
                     .append("({epoch})\"\n");
         }
-        rig =
+        cluster =
                 new TestCluster(
-                        dir, count, 5, withFleet ? rules.toString() : null, Fixtures.SETTINGS);
-        fenced = rig.addMember("m1", 7, true, true);
-        naive = rig.addMember("m2", 8, true, false);
-        for (String a : rig.voters()) {
-            for (String b : rig.voters()) {
-                Map<Object, ByteBuffer> open = new HashMap<>();
-                rig.proxy
-                        .linkBetween(a, b)
+                        directory,
+                        driverCount,
+                        5,
+                        withFleet ? fleetSettings.toString() : null,
+                        Fixtures.SETTINGS);
+        fencedMember = cluster.addMember("m1", 7, true, true);
+        unfencedMember = cluster.addMember("m2", 8, true, false);
+        for (String initiator : cluster.voters()) {
+            for (String acceptor : cluster.voters()) {
+                Map<Object, ByteBuffer> partialMessages = new HashMap<>();
+                cluster.proxy
+                        .linkBetween(initiator, acceptor)
                         .setInterceptor(
-                                (l, way, bytes, c) ->
-                                        way == FaultProxy.Direction.FORWARD
-                                                && watchVotes(open, c, bytes, b));
+                                (link, direction, bytes, connection) ->
+                                        direction == FaultProxy.Direction.FORWARD
+                                                && checkVotes(
+                                                        partialMessages,
+                                                        connection,
+                                                        bytes,
+                                                        acceptor));
             }
         }
-        long begun = System.nanoTime();
-        rig.startAll();
-        for (TestCluster.DriverProcess d : rig.drivers.values()) {
-            generation.put(d.name, new AtomicInteger());
-            d.awaitLog(" serves ");
+        long startedNanos = System.nanoTime();
+        cluster.startAll();
+        for (TestCluster.DriverProcess driver : cluster.drivers.values()) {
+            processGenerations.put(driver.name, new AtomicInteger());
+            driver.awaitLog(" serves ");
         }
         if (withFleet) {
-            for (TestCluster.DriverProcess d : rig.drivers.values()) {
-                d.awaitLog("lease of");
+            for (TestCluster.DriverProcess driver : cluster.drivers.values()) {
+                driver.awaitLog("lease of");
             }
-            new Thread(this::poll, "poll").start();
-            fenced.awaitExecution(0, e -> true);
+            new Thread(this::pollStatus, "poll").start();
+            fencedMember.awaitExecution(0, execution -> true);
         }
-        System.out.println("started after " + (System.nanoTime() - begun) / 1_000_000 + " ms");
-        List<Thread> load = new ArrayList<>();
-        for (TestCluster.DriverProcess d : rig.drivers.values()) {
-            Thread t = new Thread(() -> clients(d), "load of " + d.name);
-            t.start();
-            load.add(t);
+        System.out.println(
+                "started after " + (System.nanoTime() - startedNanos) / 1_000_000 + " ms");
+        List<Thread> loadThreads = new ArrayList<>();
+        for (TestCluster.DriverProcess driver : cluster.drivers.values()) {
+            Thread thread = new Thread(() -> runClient(driver), "load of " + driver.name);
+            thread.start();
+            loadThreads.add(thread);
         }
-        faultsFrom = System.nanoTime();
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(seconds);
-        while (System.nanoTime() < end) {
-            fault();
+        faultsStartedNanos = System.nanoTime();
+        long endNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(durationSeconds);
+        while (System.nanoTime() < endNanos) {
+            injectFault();
             TimeUnit.MILLISECONDS.sleep(300 + random.nextInt(250));
         }
         // All wounds heal by themselves; what is left open is closed here.
-        for (int i = 0; i < 200 && !away.isEmpty(); i++) {
+        for (int i = 0; i < 200 && !disturbed.isEmpty(); i++) {
             TimeUnit.MILLISECONDS.sleep(200);
         }
         Map<String, Object> result = new LinkedHashMap<>();
-        result.put("processes", count);
-        int without = withFleet ? unowned() : 0;
-        over = true;
-        for (Thread t : load) {
-            t.join();
+        result.put("processes", driverCount);
+        int unownedDuties = withFleet ? countUnownedDuties() : 0;
+        finished = true;
+        for (Thread thread : loadThreads) {
+            thread.join();
         }
-        result.put("faults", counts.values().stream().mapToInt(AtomicInteger::get).sum());
+        result.put("faults", faultCounts.values().stream().mapToInt(AtomicInteger::get).sum());
         for (String kind :
                 List.of("pauses", "cuts", "kills", "stops", "lost states", "slow links")) {
-            result.put(kind.replace(' ', '_'), counted(kind));
+            result.put(kind.replace(' ', '_'), faultCount(kind));
         }
-        result.put("client_txns", sent.get());
-        result.put("client_txns_lost", lost.get());
-        result.put("served", sent.get() == 0 ? 0.0 : (double) committed.get() / sent.get());
+        result.put("client_txns", sentTxns.get());
+        result.put("client_txns_lost", lostTxns.get());
+        result.put(
+                "served",
+                sentTxns.get() == 0 ? 0.0 : (double) committedTxns.get() / sentTxns.get());
         if (withFleet) {
-            result.put("effects_held", held.get());
+            result.put("effects_held", heldEffects.get());
             result.put(
                     "overlaps",
-                    fenced.executions().stream()
-                            .filter(e -> e.staleEpoch() && e.accepted())
+                    fencedMember.executions().stream()
+                            .filter(execution -> execution.staleEpoch() && execution.accepted())
                             .count());
             result.put(
                     "late_effects_refused",
-                    fenced.executions().stream()
-                            .filter(e -> e.staleEpoch() && !e.accepted())
+                    fencedMember.executions().stream()
+                            .filter(execution -> execution.staleEpoch() && !execution.accepted())
                             .count());
             result.put(
                     "late_effects_accepted",
-                    fenced.executions().stream()
-                            .filter(e -> e.staleEpoch() && e.accepted())
+                    fencedMember.executions().stream()
+                            .filter(execution -> execution.staleEpoch() && execution.accepted())
                             .count());
             result.put(
                     "naive_late_effects_accepted",
-                    naive.executions().stream()
+                    unfencedMember.executions().stream()
                             .filter(FencedMember.ChoreExecution::staleEpoch)
                             .count());
-            result.put("chore_turns", fenced.executionCount() + naive.executionCount());
-            result.put("chore_turns_run_twice", fenced.repeatedTurns() + naive.repeatedTurns());
-            result.put("duties_without_owner_at_end", without);
-            result.put("takeovers", takeovers.size());
-            result.put("takeover_ms_p50", at(takeovers, 0.5));
-            result.put("takeover_ms_p99", at(takeovers, 0.99));
-            result.put("handovers", handovers.size());
-            result.put("handover_ms_p50", at(handovers, 0.5));
-            result.put("handover_ms_p99", at(handovers, 0.99));
-            result.put("state_lost_votes", votesTwice.size());
-            votesTwice.forEach(System.out::println);
+            result.put(
+                    "chore_turns", fencedMember.executionCount() + unfencedMember.executionCount());
+            result.put(
+                    "chore_turns_run_twice",
+                    fencedMember.repeatedTurns() + unfencedMember.repeatedTurns());
+            result.put("duties_without_owner_at_end", unownedDuties);
+            result.put("takeovers", takeoverTimesMs.size());
+            result.put("takeover_ms_p50", percentile(takeoverTimesMs, 0.5));
+            result.put("takeover_ms_p99", percentile(takeoverTimesMs, 0.99));
+            result.put("handovers", handoverTimesMs.size());
+            result.put("handover_ms_p50", percentile(handoverTimesMs, 0.5));
+            result.put("handover_ms_p99", percentile(handoverTimesMs, 0.99));
+            result.put("state_lost_votes", doubleVotes.size());
+            doubleVotes.forEach(System.out::println);
         }
-        later.shutdownNow();
-        rig.close();
+        scheduler.shutdownNow();
+        cluster.close();
         return result;
     }
 
-    private static long at(List<Long> of, double part) {
-        synchronized (of) {
-            if (of.isEmpty()) {
+    private static long percentile(List<Long> values, double quantile) {
+        synchronized (values) {
+            if (values.isEmpty()) {
                 return -1;
             }
-            List<Long> sorted = of.stream().sorted().toList();
+            List<Long> sorted = values.stream().sorted().toList();
             return sorted.get(
-                    (int) Math.min(sorted.size() - 1, Math.ceil(part * sorted.size()) - 1));
+                    (int) Math.min(sorted.size() - 1, Math.ceil(quantile * sorted.size()) - 1));
         }
     }
 
     // ---- load ----
 
-    private void clients(TestCluster.DriverProcess d) {
-        int n = 0;
-        Client c = null;
-        int made = -1;
-        while (!over) {
+    private void runClient(TestCluster.DriverProcess driver) {
+        int txnIndex = 0;
+        Client client = null;
+        int connectedGeneration = -1;
+        while (!finished) {
             try {
                 TimeUnit.MILLISECONDS.sleep(60);
-                int gen = generation.get(d.name).get();
-                if (away.contains(d.name + " process")) {
+                int currentGeneration = processGenerations.get(driver.name).get();
+                if (disturbed.contains(driver.name + " process")) {
                     continue;
                 }
-                if (c == null || made != gen) {
-                    if (c != null) {
-                        c.close();
+                if (client == null || connectedGeneration != currentGeneration) {
+                    if (client != null) {
+                        client.close();
                     }
-                    c = new Client(d.port());
-                    made = gen;
-                    c.startup().heard();
+                    client = new Client(driver.port());
+                    connectedGeneration = currentGeneration;
+                    client.startup().heard();
                 }
-                String id = d.name + "-" + gen + "-" + n++;
-                List<String> heard =
-                        c.ask(n % 5 == 0 ? Fixtures.write(id) : Fixtures.read(id)).heard();
-                if (generation.get(d.name).get() == gen) {
-                    sent.incrementAndGet();
-                    if (heard.contains("row value")) {
-                        committed.incrementAndGet();
-                    } else if (heard.contains("end")) {
-                        lost.incrementAndGet();
-                        c = null;
+                String id = driver.name + "-" + currentGeneration + "-" + txnIndex++;
+                List<String> responses =
+                        client.ask(txnIndex % 5 == 0 ? Fixtures.write(id) : Fixtures.read(id))
+                                .heard();
+                if (processGenerations.get(driver.name).get() == currentGeneration) {
+                    sentTxns.incrementAndGet();
+                    if (responses.contains("row value")) {
+                        committedTxns.incrementAndGet();
+                    } else if (responses.contains("end")) {
+                        lostTxns.incrementAndGet();
+                        client = null;
                     }
                 }
             } catch (IOException e) {
                 // Only what was broken off while its process was left alone counts as lost.
-                if (c != null
-                        && made == generation.get(d.name).get()
-                        && !away.contains(d.name + " process")
-                        && !over) {
-                    sent.incrementAndGet();
-                    lost.incrementAndGet();
-                    System.out.println("lost at " + d.name + ": " + e);
+                if (client != null
+                        && connectedGeneration == processGenerations.get(driver.name).get()
+                        && !disturbed.contains(driver.name + " process")
+                        && !finished) {
+                    sentTxns.incrementAndGet();
+                    lostTxns.incrementAndGet();
+                    System.out.println("lost at " + driver.name + ": " + e);
                 }
-                c = null;
+                client = null;
             } catch (InterruptedException e) {
                 return;
             }
@@ -350,166 +381,179 @@
 
     // ---- faults ----
 
-    private TestCluster.DriverProcess any() {
-        List<TestCluster.DriverProcess> all =
-                rig.drivers.values().stream().filter(this::free).toList();
-        return all.isEmpty() ? null : all.get(random.nextInt(all.size()));
+    private TestCluster.DriverProcess randomUndisturbedDriver() {
+        List<TestCluster.DriverProcess> candidates =
+                cluster.drivers.values().stream().filter(this::isUndisturbed).toList();
+        return candidates.isEmpty() ? null : candidates.get(random.nextInt(candidates.size()));
     }
 
-    private long inSpan() {
-        return (System.nanoTime() - faultsFrom) / 1_000_000 % SPAN_MS;
+    private long cyclePositionMs() {
+        return (System.nanoTime() - faultsStartedNanos) / 1_000_000 % FAULT_CYCLE_MS;
     }
 
-    private boolean free(TestCluster.DriverProcess d) {
-        if (rig.voters().contains(d.name) && inSpan() > SPAN_MS - ALONE_MS - LEASE_MS) {
+    private boolean isUndisturbed(TestCluster.DriverProcess driver) {
+        if (cluster.voters().contains(driver.name)
+                && cyclePositionMs() > FAULT_CYCLE_MS - VOTERS_UNDISTURBED_MS - LEASE_MS) {
             return false;
         }
-        return away.stream().noneMatch(a -> a.startsWith(d.name + " "))
-                && (!rig.voters().contains(d.name) || votersAway() < 2);
-    }
-
-    private long votersAway() {
-        return rig.voters().stream()
-                .filter(v -> away.stream().anyMatch(a -> a.startsWith(v + " ")))
+        return disturbed.stream()
+                        .noneMatch(disturbance -> disturbance.startsWith(driver.name + " "))
+                && (!cluster.voters().contains(driver.name) || disturbedVoterCount() < 2);
+    }
+
+    private long disturbedVoterCount() {
+        return cluster.voters().stream()
+                .filter(
+                        voter ->
+                                disturbed.stream()
+                                        .anyMatch(
+                                                disturbance -> disturbance.startsWith(voter + " ")))
                 .count();
     }
 
-    private interface Step {
+    private interface FaultStep {
         void run() throws Exception;
     }
 
-    private void in(long ms, Step what) {
-        later.schedule(
+    private void runAfter(long delayMs, FaultStep step) {
+        scheduler.schedule(
                 () -> {
                     try {
-                        what.run();
+                        step.run();
                     } catch (Exception e) {
                         System.out.println("rig: " + e);
                     }
                 },
-                ms,
+                delayMs,
                 TimeUnit.MILLISECONDS);
     }
 
-    private void processAway(TestCluster.DriverProcess d) {
-        away.add(d.name + " process");
-        generation.get(d.name).incrementAndGet();
+    private void markProcessDisturbed(TestCluster.DriverProcess driver) {
+        disturbed.add(driver.name + " process");
+        processGenerations.get(driver.name).incrementAndGet();
     }
 
-    private void processBack(TestCluster.DriverProcess d) {
-        away.remove(d.name + " process");
+    private void markProcessRestored(TestCluster.DriverProcess driver) {
+        disturbed.remove(driver.name + " process");
     }
 
-    private void fault() throws Exception {
-        fault(any());
+    private void injectFault() throws Exception {
+        injectFault(randomUndisturbedDriver());
     }
 
-    private void fault(TestCluster.DriverProcess drawn) throws Exception {
-        TestCluster.DriverProcess d = drawn;
+    private void injectFault(TestCluster.DriverProcess drawnDriver) throws Exception {
+        TestCluster.DriverProcess driver = drawnDriver;
         int kind = random.nextInt(20);
-        if (inSpan() > SPAN_MS - STOPS_MS && votersAway() == 0) {
-            List<TestCluster.DriverProcess> owners = owners();
-            d = owners.isEmpty() ? d : owners.get(random.nextInt(owners.size()));
+        if (cyclePositionMs() > FAULT_CYCLE_MS - PLANNED_STOPS_MS && disturbedVoterCount() == 0) {
+            List<TestCluster.DriverProcess> owners = undisturbedOwners();
+            driver = owners.isEmpty() ? driver : owners.get(random.nextInt(owners.size()));
             kind = 18;
         }
-        int length = LEASE_MS * (1 + random.nextInt(2)) + random.nextInt(500);
-        if (d == null) {
+        int durationMs = LEASE_MS * (1 + random.nextInt(2)) + random.nextInt(500);
+        if (driver == null) {
             return;
         }
         if (withFleet && kind >= 7 && kind < 13 && random.nextBoolean()) {
-            List<TestCluster.DriverProcess> owners = owners();
-            d = owners.isEmpty() ? d : owners.get(random.nextInt(owners.size()));
+            List<TestCluster.DriverProcess> owners = undisturbedOwners();
+            driver = owners.isEmpty() ? driver : owners.get(random.nextInt(owners.size()));
         }
-        fault(d, kind, length);
+        injectFault(driver, kind, durationMs);
     }
 
     /** Those that own something and are left alone now. */
-    private List<TestCluster.DriverProcess> owners() {
-        return duties().values().stream()
-                .map(o -> rig.driver(MessageCodec.stringOrEmpty(o, "owner")))
-                .filter(o -> o != null && free(o))
+    private List<TestCluster.DriverProcess> undisturbedOwners() {
+        return dutiesByName().values().stream()
+                .map(duty -> cluster.driver(MessageCodec.stringOrEmpty(duty, "owner")))
+                .filter(duty -> duty != null && isUndisturbed(duty))
                 .toList();
     }
 
-    private void fault(TestCluster.DriverProcess d, int kind, int length) throws Exception {
+    private void injectFault(TestCluster.DriverProcess driver, int kind, int durationMs)
+            throws Exception {
         if (kind < 6) {
-            count("pauses");
+            recordFault("pauses");
             if (withFleet) {
-                List<TestCluster.DriverProcess> owners = owners();
-                pauseInEffect(
-                        owners.isEmpty() ? d : owners.get(random.nextInt(owners.size())), length);
+                List<TestCluster.DriverProcess> owners = undisturbedOwners();
+                pauseDuringEffect(
+                        owners.isEmpty() ? driver : owners.get(random.nextInt(owners.size())),
+                        durationMs);
             } else {
-                pause(d, length);
+                pauseProcess(driver, durationMs);
             }
         } else if (kind < 7) {
-            count("pauses");
-            pause(d, random.nextInt(4) == 0 ? 10 * LEASE_MS : length);
+            recordFault("pauses");
+            pauseProcess(driver, random.nextInt(4) == 0 ? 10 * LEASE_MS : durationMs);
         } else if (kind < 13) {
-            count("kills");
-            processAway(d);
-            owned(d, takeovers);
-            d.kill();
-            boolean lose =
-                    rig.voters().contains(d.name) && votersAway() == 1 && random.nextInt(3) == 0;
-            if (lose) {
-                count("lost states");
-                d.deleteState();
+            recordFault("kills");
+            markProcessDisturbed(driver);
+            measureOwnedDuties(driver, takeoverTimesMs);
+            driver.kill();
+            boolean loseState =
+                    cluster.voters().contains(driver.name)
+                            && disturbedVoterCount() == 1
+                            && random.nextInt(3) == 0;
+            if (loseState) {
+                recordFault("lost states");
+                driver.deleteState();
             }
-            in(500 + random.nextInt(5000), () -> again(d));
+            runAfter(500 + random.nextInt(5000), () -> restart(driver));
         } else if (kind < 18) {
-            count("cuts");
-            away.add(d.name + " links");
-            int how = random.nextInt(4);
-            if (how < 2) {
-                rig.partitionFromVoters(d.name, true);
-                in(length, () -> rig.partitionFromVoters(d.name, false));
+            recordFault("cuts");
+            disturbed.add(driver.name + " links");
+            int cutKind = random.nextInt(4);
+            if (cutKind < 2) {
+                cluster.partitionFromVoters(driver.name, true);
+                runAfter(durationMs, () -> cluster.partitionFromVoters(driver.name, false));
             } else {
-                rig.partitionOneWay(d.name, how == 2, true);
-                in(length, () -> rig.partitionOneWay(d.name, how == 2, false));
+                cluster.partitionOneWay(driver.name, cutKind == 2, true);
+                runAfter(
+                        durationMs,
+                        () -> cluster.partitionOneWay(driver.name, cutKind == 2, false));
             }
-            in(length + 100, () -> away.remove(d.name + " links"));
+            runAfter(durationMs + 100, () -> disturbed.remove(driver.name + " links"));
         } else if (kind == 18) {
-            count("stops");
-            processAway(d);
-            owned(d, handovers);
-            d.terminate();
-            in(
+            recordFault("stops");
+            markProcessDisturbed(driver);
+            measureOwnedDuties(driver, handoverTimesMs);
+            driver.terminate();
+            runAfter(
                     0,
                     () -> {
-                        d.awaitExit();
-                        again(d);
+                        driver.awaitExit();
+                        restart(driver);
                     });
         } else {
-            count("slow links");
-            away.add(d.name + " links");
-            rig.proxy.allLinks().stream()
-                    .filter(l -> l.from.equals(d.name))
-                    .forEach(l -> rig.proxy.setDelay(l, 30));
-            in(
-                    length,
+            recordFault("slow links");
+            disturbed.add(driver.name + " links");
+            cluster.proxy.allLinks().stream()
+                    .filter(link -> link.from.equals(driver.name))
+                    .forEach(link -> cluster.proxy.setDelay(link, 30));
+            runAfter(
+                    durationMs,
                     () -> {
-                        rig.proxy.allLinks().stream()
-                                .filter(l -> l.from.equals(d.name))
-                                .forEach(l -> rig.proxy.setDelay(l, 0));
-                        away.remove(d.name + " links");
+                        cluster.proxy.allLinks().stream()
+                                .filter(link -> link.from.equals(driver.name))
+                                .forEach(link -> cluster.proxy.setDelay(link, 0));
+                        disturbed.remove(driver.name + " links");
                     });
         }
     }
 
-    private void again(TestCluster.DriverProcess d) throws Exception {
-        d.start();
-        d.awaitLog(" serves ");
-        processBack(d);
+    private void restart(TestCluster.DriverProcess driver) throws Exception {
+        driver.start();
+        driver.awaitLog(" serves ");
+        markProcessRestored(driver);
     }
 
-    private void pause(TestCluster.DriverProcess d, long ms) throws IOException {
-        processAway(d);
-        d.pause();
-        in(
-                ms,
+    private void pauseProcess(TestCluster.DriverProcess driver, long durationMs)
+            throws IOException {
+        markProcessDisturbed(driver);
+        driver.pause();
+        runAfter(
+                durationMs,
                 () -> {
-                    d.resume();
-                    in(300, () -> processBack(d));
+                    driver.resume();
+                    runAfter(300, () -> markProcessRestored(driver));
                 });
     }
 
@@ -517,95 +561,109 @@
      * Holds the owner's next statement on its way and stops the owner; both are let go once a
      * successor's effect has come, or after some leases.
      */
-    private void pauseInEffect(TestCluster.DriverProcess d, long ms) {
-        away.add(d.name + " links");
-        AtomicInteger once = new AtomicInteger();
-        FencedMember member = random.nextInt(4) > 0 ? fenced : naive;
-        rig.proxy
-                .linkBetween(d.name, member.uid)
+    private void pauseDuringEffect(TestCluster.DriverProcess driver, long durationMs) {
+        disturbed.add(driver.name + " links");
+        AtomicInteger triggered = new AtomicInteger();
+        FencedMember member = random.nextInt(4) > 0 ? fencedMember : unfencedMember;
+        cluster.proxy
+                .linkBetween(driver.name, member.uid)
                 .setInterceptor(
-                        (link, way, bytes, connection) -> {
-                            java.util.regex.Matcher m =
-                                    way == FaultProxy.Direction.FORWARD && once.get() == 0
-                                            ? CHORE.matcher(
+                        (link, direction, bytes, connection) -> {
+                            java.util.regex.Matcher matcher =
+                                    direction == FaultProxy.Direction.FORWARD
+                                                    && triggered.get() == 0
+                                            ? CHORE_STATEMENT.matcher(
                                                     java.nio.charset.StandardCharsets.ISO_8859_1
                                                             .decode(bytes))
                                             : null;
-                            if (m == null || !m.find()) {
+                            if (matcher == null || !matcher.find()) {
                                 return false;
                             }
-                            once.set(1);
-                            held.incrementAndGet();
-                            processAway(d);
-                            in(0, d::pause);
-                            String chore = m.group(1);
-                            long epoch = Long.parseLong(m.group(2));
-                            in(ms, () -> letGo(d, member, connection, chore, epoch, 60));
+                            triggered.set(1);
+                            heldEffects.incrementAndGet();
+                            markProcessDisturbed(driver);
+                            runAfter(0, driver::pause);
+                            String chore = matcher.group(1);
+                            long epoch = Long.parseLong(matcher.group(2));
+                            runAfter(
+                                    durationMs,
+                                    () ->
+                                            releaseHeldEffect(
+                                                    driver, member, connection, chore, epoch, 60));
                             return true;
                         });
-        in(
-                ms,
+        runAfter(
+                durationMs,
                 () -> {
                     // One that owns nothing sends nothing: then it is stopped as it is.
-                    if (once.compareAndSet(0, 2)) {
-                        pause(d, ms);
+                    if (triggered.compareAndSet(0, 2)) {
+                        pauseProcess(driver, durationMs);
                     }
-                    away.remove(d.name + " links");
+                    disturbed.remove(driver.name + " links");
                 });
     }
 
-    private void letGo(
-            TestCluster.DriverProcess d,
+    private void releaseHeldEffect(
+            TestCluster.DriverProcess driver,
             FencedMember member,
             Object connection,
             String chore,
             long epoch,
-            int tries)
+            int remainingTries)
             throws IOException {
-        boolean acted =
+        boolean successorActed =
                 member.executions().stream()
-                        .anyMatch(e -> e.chore().equals(chore) && e.epoch() > epoch);
-        if (!acted && tries > 0) {
-            in(200, () -> letGo(d, member, connection, chore, epoch, tries - 1));
+                        .anyMatch(
+                                execution ->
+                                        execution.chore().equals(chore)
+                                                && execution.epoch() > epoch);
+        if (!successorActed && remainingTries > 0) {
+            runAfter(
+                    200,
+                    () ->
+                            releaseHeldEffect(
+                                    driver, member, connection, chore, epoch, remainingTries - 1));
             return;
         }
-        rig.proxy.release(connection);
-        d.resume();
-        in(300, () -> processBack(d));
+        cluster.proxy.release(connection);
+        driver.resume();
+        runAfter(300, () -> markProcessRestored(driver));
     }
 
     // ---- the council, by status ----
 
-    private FleetConfig rules() throws IOException {
-        return OperatorFile.read(rig.driver("d1").operatorFile()).file().fleet();
+    private FleetConfig fleetConfig() throws IOException {
+        return OperatorFile.read(cluster.driver("d1").operatorFile()).file().fleet();
     }
 
-    private void poll() {
-        while (!over) {
-            Map<String, Object> best = null;
-            for (String v : rig.voters()) {
-                if (away.stream().anyMatch(a -> a.startsWith(v + " "))) {
+    private void pollStatus() {
+        while (!finished) {
+            Map<String, Object> mostAdvanced = null;
+            for (String voter : cluster.voters()) {
+                if (disturbed.stream()
+                        .anyMatch(disturbance -> disturbance.startsWith(voter + " "))) {
                     continue;
                 }
-                try (FleetClient c = new FleetClient(rules(), v)) {
-                    Map<String, Object> s = c.status();
-                    best =
-                            best == null
-                                            || MessageCodec.longOrZero(s, "revision")
-                                                    > MessageCodec.longOrZero(best, "revision")
-                                    ? s
-                                    : best;
+                try (FleetClient client = new FleetClient(fleetConfig(), voter)) {
+                    Map<String, Object> status = client.status();
+                    mostAdvanced =
+                            mostAdvanced == null
+                                            || MessageCodec.longOrZero(status, "revision")
+                                                    > MessageCodec.longOrZero(
+                                                            mostAdvanced, "revision")
+                                    ? status
+                                    : mostAdvanced;
                 } catch (IOException | RuntimeException e) {
                     // the next one knows
                 }
-                if (best != null) {
+                if (mostAdvanced != null) {
                     break;
                 }
             }
-            if (best != null
-                    && MessageCodec.longOrZero(best, "revision")
-                            >= MessageCodec.longOrZero(status, "revision")) {
-                status = best;
+            if (mostAdvanced != null
+                    && MessageCodec.longOrZero(mostAdvanced, "revision")
+                            >= MessageCodec.longOrZero(latestStatus, "revision")) {
+                latestStatus = mostAdvanced;
             }
             try {
                 TimeUnit.MILLISECONDS.sleep(100);
@@ -615,151 +673,169 @@
         }
     }
 
-    private Map<String, Map<String, Object>> duties() {
-        Map<String, Map<String, Object>> all = new TreeMap<>();
-        if (status.get("duties") instanceof List<?> l) {
-            l.forEach(
-                    o -> {
-                        Map<String, Object> d = Json.object(o, "a duty");
-                        all.put(MessageCodec.stringOrEmpty(d, "name"), d);
+    private Map<String, Map<String, Object>> dutiesByName() {
+        Map<String, Map<String, Object>> dutyByName = new TreeMap<>();
+        if (latestStatus.get("duties") instanceof List<?> dutyList) {
+            dutyList.forEach(
+                    value -> {
+                        Map<String, Object> driver = Json.object(value, "a duty");
+                        dutyByName.put(MessageCodec.stringOrEmpty(driver, "name"), driver);
                     });
         }
-        return all;
+        return dutyByName;
     }
 
     /** Measures how long it takes from now until this driver's duties are another session's. */
-    private void owned(TestCluster.DriverProcess d, List<Long> times) {
-        long now = System.currentTimeMillis();
-        duties().forEach(
+    private void measureOwnedDuties(TestCluster.DriverProcess driver, List<Long> transferTimesMs) {
+        long startedAtMs = System.currentTimeMillis();
+        dutiesByName()
+                .forEach(
                         (name, duty) -> {
-                            if (MessageCodec.stringOrEmpty(duty, "owner").equals(d.name)) {
-                                measure(name, MessageCodec.longOrZero(duty, "epoch"), now, times);
+                            if (MessageCodec.stringOrEmpty(duty, "owner").equals(driver.name)) {
+                                measureTransfer(
+                                        name,
+                                        MessageCodec.longOrZero(duty, "epoch"),
+                                        startedAtMs,
+                                        transferTimesMs);
                             }
                         });
     }
 
-    private void measure(String name, long epoch, long from, List<Long> times) {
-        in(
+    private void measureTransfer(
+            String name, long epoch, long startedAtMs, List<Long> transferTimesMs) {
+        runAfter(
                 50,
                 () -> {
-                    Map<String, Object> duty = duties().get(name);
+                    Map<String, Object> duty = dutiesByName().get(name);
                     if (duty != null && MessageCodec.longOrZero(duty, "epoch") > epoch) {
                         // By the history: the first grant behind the old one, even where it has
                         // moved on since.
                         for (Object line : (List<?>) duty.get("history")) {
-                            String[] w = line.toString().split(" ");
+                            String[] words = line.toString().split(" ");
                             if (line.toString().contains(" has it, epoch ")
-                                    && Long.parseLong(w[w.length - 1]) > epoch) {
+                                    && Long.parseLong(words[words.length - 1]) > epoch) {
                                 // Given away before the fault: not this fault's.
-                                if (Long.parseLong(w[0]) >= from) {
-                                    synchronized (times) {
-                                        times.add(Long.parseLong(w[0]) - from);
+                                if (Long.parseLong(words[0]) >= startedAtMs) {
+                                    synchronized (transferTimesMs) {
+                                        transferTimesMs.add(Long.parseLong(words[0]) - startedAtMs);
                                     }
-                                    if (Long.parseLong(w[0]) - from
-                                            > (times == handovers ? HANDOVER_MS : 1.5 * LEASE_MS)) {
-                                        List<?> h = (List<?>) duty.get("history");
+                                    if (Long.parseLong(words[0]) - startedAtMs
+                                            > (transferTimesMs == handoverTimesMs
+                                                    ? SLOW_HANDOVER_MS
+                                                    : 1.5 * LEASE_MS)) {
+                                        List<?> history = (List<?>) duty.get("history");
                                         System.out.println(
-                                                (times == handovers
+                                                (transferTimesMs == handoverTimesMs
                                                                 ? "slow hand-over of "
                                                                 : "slow takeover of ")
                                                         + name
                                                         + ": "
-                                                        + (Long.parseLong(w[0]) - from)
+                                                        + (Long.parseLong(words[0]) - startedAtMs)
                                                         + " ms from "
-                                                        + from
+                                                        + startedAtMs
                                                         + "; "
-                                                        + h.subList(
-                                                                Math.max(0, h.size() - 4), h.size())
-                                                        + changes(from));
+                                                        + history.subList(
+                                                                Math.max(0, history.size() - 4),
+                                                                history.size())
+                                                        + voterLogSince(startedAtMs));
                                     }
                                 }
                                 return;
                             }
                         }
-                    } else if (!over) {
-                        measure(name, epoch, from, times);
+                    } else if (!finished) {
+                        measureTransfer(name, epoch, startedAtMs, transferTimesMs);
                     }
                 });
     }
 
     /** What voters said of their council since then. */
-    private List<String> changes(long from) {
-        List<String> all = new ArrayList<>();
-        for (String v : rig.voters()) {
-            rig.driver(v).log().stream()
-                    .filter(l -> l.contains("fleet:") && !l.contains("turn"))
+    private List<String> voterLogSince(long sinceMs) {
+        List<String> logLines = new ArrayList<>();
+        for (String voter : cluster.voters()) {
+            cluster.driver(voter).log().stream()
+                    .filter(line -> line.contains("fleet:") && !line.contains("turn"))
                     .filter(
-                            l ->
-                                    java.time.Instant.parse(l.substring(0, l.indexOf(' ')))
+                            line ->
+                                    java.time.Instant.parse(line.substring(0, line.indexOf(' ')))
                                                     .toEpochMilli()
-                                            > from - 4000)
-                    .forEach(l -> all.add("\n    " + v + " " + l));
+                                            > sinceMs - 4000)
+                    .forEach(line -> logLines.add("\n    " + voter + " " + line));
         }
-        return all;
+        return logLines;
     }
 
-    private int unowned() throws InterruptedException {
-        int without = DUTIES;
-        for (int i = 0; i < 150 && without > 0; i++) {
+    private int countUnownedDuties() throws InterruptedException {
+        int unownedCount = DUTY_COUNT;
+        for (int i = 0; i < 150 && unownedCount > 0; i++) {
             TimeUnit.MILLISECONDS.sleep(200);
-            without =
-                    DUTIES
+            unownedCount =
+                    DUTY_COUNT
                             - (int)
-                                    duties().values().stream()
+                                    dutiesByName().values().stream()
                                             .filter(
-                                                    d ->
-                                                            rig.drivers.containsKey(
+                                                    driver ->
+                                                            cluster.drivers.containsKey(
                                                                     MessageCodec.stringOrEmpty(
-                                                                            d, "owner")))
+                                                                            driver, "owner")))
                                             .count();
         }
-        return without;
+        return unownedCount;
     }
 
     /** Messages between voters that grant a vote: no voter may grant two in one term. */
-    private boolean watchVotes(
-            Map<Object, ByteBuffer> open, Object connection, ByteBuffer bytes, String to) {
-        ByteBuffer old = open.get(connection);
-        ByteBuffer all =
-                ByteBuffer.allocate((old == null ? 0 : old.remaining()) + bytes.remaining());
-        if (old != null) {
-            all.put(old);
+    private boolean checkVotes(
+            Map<Object, ByteBuffer> partialMessages,
+            Object connection,
+            ByteBuffer bytes,
+            String receiver) {
+        ByteBuffer partial = partialMessages.get(connection);
+        ByteBuffer buffer =
+                ByteBuffer.allocate(
+                        (partial == null ? 0 : partial.remaining()) + bytes.remaining());
+        if (partial != null) {
+            buffer.put(partial);
         }
-        all.put(bytes).flip();
-        while (all.remaining() >= 4 && all.remaining() >= 4 + all.getInt(all.position())) {
-            byte[] text = new byte[all.getInt()];
-            all.get(text);
-            Map<String, Object> m = Cbor.decode(text);
-            if (MessageCodec.stringOrEmpty(m, "k").equals("raft")) {
-                Map<String, Object> r = Json.object(m.get("m"), "a message");
-                String kind = MessageCodec.stringOrEmpty(r, "k");
-                boolean votes = kind.equals("voted") && Boolean.TRUE.equals(r.get("yes"));
-                if (votes || kind.equals("vote")) {
-                    String whom =
-                            votes
-                                    ? to
-                                    : MessageCodec.Endpoint.of(MessageCodec.stringOrEmpty(r, "s"))
+        buffer.put(bytes).flip();
+        while (buffer.remaining() >= 4
+                && buffer.remaining() >= 4 + buffer.getInt(buffer.position())) {
+            byte[] encoded = new byte[buffer.getInt()];
+            buffer.get(encoded);
+            Map<String, Object> message = Cbor.decode(encoded);
+            if (MessageCodec.stringOrEmpty(message, "k").equals("raft")) {
+                Map<String, Object> raftMessage = Json.object(message.get("m"), "a message");
+                String kind = MessageCodec.stringOrEmpty(raftMessage, "k");
+                boolean grantsVote =
+                        kind.equals("voted") && Boolean.TRUE.equals(raftMessage.get("yes"));
+                if (grantsVote || kind.equals("vote")) {
+                    String candidate =
+                            grantsVote
+                                    ? receiver
+                                    : MessageCodec.Endpoint.of(
+                                                    MessageCodec.stringOrEmpty(raftMessage, "s"))
                                             .name();
-                    synchronized (this.votes) {
-                        String before =
-                                this.votes.putIfAbsent(
-                                        MessageCodec.stringOrEmpty(r, "s") + " " + r.get("t"),
-                                        whom);
-                        if (before != null && !before.equals(whom)) {
-                            votesTwice.add(
-                                    MessageCodec.stringOrEmpty(r, "s")
+                    synchronized (this.voteByVoterAndTerm) {
+                        String previousCandidate =
+                                this.voteByVoterAndTerm.putIfAbsent(
+                                        MessageCodec.stringOrEmpty(raftMessage, "s")
+                                                + " "
+                                                + raftMessage.get("t"),
+                                        candidate);
+                        if (previousCandidate != null && !previousCandidate.equals(candidate)) {
+                            doubleVotes.add(
+                                    MessageCodec.stringOrEmpty(raftMessage, "s")
                                             + " votes in term "
-                                            + r.get("t")
+                                            + raftMessage.get("t")
                                             + " for "
-                                            + before
+                                            + previousCandidate
                                             + " and "
-                                            + whom);
+                                            + candidate);
                         }
                     }
                 }
             }
         }
-        open.put(connection, all);
+        partialMessages.put(connection, buffer);
         return false;
     }
 }
--- a/src/bench/java/wingroad/fleet/WorkSim.java
+++ b/src/bench/java/wingroad/fleet/WorkSim.java
@@ -1,9 +1,10 @@
 package wingroad.fleet;
 
+import wingroad.fleet.SimFleet.InjectedBug;
+
 import java.util.ArrayList;
 import java.util.List;
 import java.util.stream.LongStream;
-import wingroad.fleet.SimFleet.Wrong;
 
 /**
  * Short histories of work on machines in virtual time by the thousand; one seed with its lines for
@@ -14,160 +15,166 @@
 
     /**
      * {@code SEED} shows one; {@code FROM COUNT} plays many on all cores and prints what broke;
-     * {@code wrong MOST} looks for each wrong; {@code big} has many drivers and machines.
+     * {@code wrong MOST} looks for each wrong; {@code runLargeFleet} has many drivers and machines.
      */
     static void main(String[] args) {
         if (args[0].equals("big")) {
-            System.out.println(big(250, 999, 64));
+            System.out.println(runLargeFleet(250, 999, 64));
             return;
         }
         if (args[0].equals("wrong")) {
-            for (Wrong w :
+            for (InjectedBug injectedBug :
                     List.of(
-                            Wrong.NONE,
-                            Wrong.NO_LEASE_ON_VIEW,
-                            Wrong.OUT_BY_MAJORITY,
-                            Wrong.ORDER_WITHOUT_EPOCH)) {
+                            InjectedBug.NONE,
+                            InjectedBug.NO_LEASE_ON_VIEW,
+                            InjectedBug.OUT_BY_MAJORITY,
+                            InjectedBug.ORDER_WITHOUT_EPOCH)) {
                 long seed = 0;
-                SimFleet f = play(seed, w);
-                while (f.broken.isEmpty() && seed < Long.parseLong(args[1])) {
-                    f = play(++seed, w);
+                SimFleet fleet = runHistory(seed, injectedBug);
+                while (fleet.violations.isEmpty() && seed < Long.parseLong(args[1])) {
+                    fleet = runHistory(++seed, injectedBug);
                 }
                 System.out.println(
-                        w
+                        injectedBug
                                 + " seed "
                                 + seed
                                 + ": "
-                                + f.broken.stream().findFirst().orElse("nothing"));
+                                + fleet.violations.stream().findFirst().orElse("nothing"));
             }
             return;
         }
         if (args.length == 1) {
-            SimFleet f = play(Long.parseLong(args[0]), Wrong.NONE);
-            System.out.println(String.join("\n", f.lines));
-            f.procs
+            SimFleet fleet = runHistory(Long.parseLong(args[0]), InjectedBug.NONE);
+            System.out.println(String.join("\n", fleet.logLines));
+            fleet.processes
                     .values()
                     .forEach(
-                            p ->
+                            process ->
                                     System.out.println(
-                                            p.name
-                                                    + (p.alive ? "" : " dead")
-                                                    + (p.paused ? " paused" : "")
-                                                    + (p.consensusNode == null
+                                            process.name
+                                                    + (process.alive ? "" : " dead")
+                                                    + (process.paused ? " paused" : "")
+                                                    + (process.consensusNode == null
                                                             ? ""
                                                             : " "
-                                                                    + p.consensusNode
+                                                                    + process.consensusNode
                                                                             .status()
                                                                             .get("phase")
                                                                     + " term "
-                                                                    + p.consensusNode
+                                                                    + process.consensusNode
                                                                             .status()
                                                                             .get("term")
                                                                     + " leader "
-                                                                    + p.consensusNode
+                                                                    + process.consensusNode
                                                                             .status()
                                                                             .get("leader")
                                                                     + " revision "
-                                                                    + p.consensusNode
+                                                                    + process.consensusNode
                                                                             .stateMachine()
                                                                             .revision())));
             return;
         }
-        long from = Long.parseLong(args[0]);
-        List<String> broken = new ArrayList<>();
-        long[] sums = new long[7];
-        long begun = System.nanoTime();
-        LongStream.range(from, from + Long.parseLong(args[1]))
+        long firstSeed = Long.parseLong(args[0]);
+        List<String> violations = new ArrayList<>();
+        long[] totals = new long[7];
+        long startedNanos = System.nanoTime();
+        LongStream.range(firstSeed, firstSeed + Long.parseLong(args[1]))
                 .parallel()
                 .forEach(
                         seed -> {
-                            SimFleet f = play(seed, Wrong.NONE);
-                            synchronized (broken) {
-                                f.broken.forEach(b -> broken.add("seed " + seed + ": " + b));
-                                sums[0] += f.faults;
-                                sums[1] += f.work.out;
-                                sums[2] += f.work.in;
-                                sums[3] += f.work.txns;
-                                sums[4] += f.work.lateOrders;
-                                sums[5] += f.work.epochs.size();
-                                sums[6] += f.work.declined;
+                            SimFleet fleet = runHistory(seed, InjectedBug.NONE);
+                            synchronized (violations) {
+                                fleet.violations.forEach(
+                                        violation ->
+                                                violations.add("seed " + seed + ": " + violation));
+                                totals[0] += fleet.faultCount;
+                                totals[1] += fleet.maintenance.outCount;
+                                totals[2] += fleet.maintenance.returnedCount;
+                                totals[3] += fleet.maintenance.txnCount;
+                                totals[4] += fleet.maintenance.staleStepsRefused;
+                                totals[5] += fleet.maintenance.controllerEpochs.size();
+                                totals[6] += fleet.maintenance.declinedTxnCount;
                             }
                         });
-        broken.stream().limit(40).forEach(System.out::println);
+        violations.stream().limit(40).forEach(System.out::println);
         System.out.println(
                 "work histories "
                         + args[1]
                         + ", broken "
-                        + broken.size()
+                        + violations.size()
                         + ", faults "
-                        + sums[0]
+                        + totals[0]
                         + ", out "
-                        + sums[1]
+                        + totals[1]
                         + ", in "
-                        + sums[2]
+                        + totals[2]
                         + ", txns "
-                        + sums[3]
+                        + totals[3]
                         + ", late orders refused "
-                        + sums[4]
+                        + totals[4]
                         + ", conductors "
-                        + sums[5]
+                        + totals[5]
                         + ", declined "
-                        + sums[6]
+                        + totals[6]
                         + ", s "
-                        + (System.nanoTime() - begun) / 1_000_000_000);
+                        + (System.nanoTime() - startedNanos) / 1_000_000_000);
     }
 
-    static SimFleet play(long seed, Wrong wrong) {
-        SimFleet f = new SimFleet(seed, 7, seed % 2 == 0 ? 3 : 5, 1, wrong);
-        f.work = new SimWork(f, 9, 6, 2);
-        f.work.play(60);
-        f.history(40);
-        return f;
+    static SimFleet runHistory(long seed, InjectedBug injectedBug) {
+        SimFleet fleet = new SimFleet(seed, 7, seed % 2 == 0 ? 3 : 5, 1, injectedBug);
+        fleet.maintenance = new SimWork(fleet, 9, 6, 2);
+        fleet.maintenance.scheduleOperatorActions(60);
+        fleet.runHistory(40);
+        return fleet;
     }
 
     /**
      * Many drivers and machines without faults: all machines are asked for at once; what it takes
      * until two hundred are out.
      */
-    private static String big(int drivers, int machines, int atOnce) {
-        SimFleet f = new SimFleet(1, drivers, 5, 0, Wrong.NONE);
-        f.work = new SimWork(f, machines, machines / 3, atOnce);
-        f.procs.values().forEach(SimFleet.Proc::start);
-        f.play(15_000);
-        long idle = f.messages;
-        f.play(5_000);
-        idle = (f.messages - idle) / 5;
-        long begun = System.nanoTime();
-        long from = f.now;
-        long messages = f.messages;
-        f.work.askAll();
-        while (f.work.asksSettled() < machines && f.now - from < 60_000_000_000L) {
-            f.play(20);
+    private static String runLargeFleet(
+            int driverCount, int machineCount, int maxConcurrentMachines) {
+        SimFleet fleet = new SimFleet(1, driverCount, 5, 0, InjectedBug.NONE);
+        fleet.maintenance =
+                new SimWork(fleet, machineCount, machineCount / 3, maxConcurrentMachines);
+        fleet.processes.values().forEach(SimFleet.SimulatedProcess::start);
+        fleet.advance(15_000);
+        long idleMessagesPerSecond = fleet.sentMessageCount;
+        fleet.advance(5_000);
+        idleMessagesPerSecond = (fleet.sentMessageCount - idleMessagesPerSecond) / 5;
+        long startedNanos = System.nanoTime();
+        long firstSeed = fleet.nowNanos;
+        long messagesBefore = fleet.sentMessageCount;
+        fleet.maintenance.requestAllMachines();
+        while (fleet.maintenance.committedRequestCount() < machineCount
+                && fleet.nowNanos - firstSeed < 60_000_000_000L) {
+            fleet.advance(20);
         }
-        long settled = (f.now - from) / 1_000_000;
-        f.work.play(600);
-        int rounds = 0;
-        while (f.work.out < 200 && f.now - from < 300_000_000_000L) {
-            f.play(250);
-            rounds++;
+        long planMs = (fleet.nowNanos - firstSeed) / 1_000_000;
+        fleet.maintenance.scheduleOperatorActions(600);
+        int controlRounds = 0;
+        while (fleet.maintenance.outCount < 200 && fleet.nowNanos - firstSeed < 300_000_000_000L) {
+            fleet.advance(250);
+            controlRounds++;
         }
-        double seconds = (f.now - from) / 1e9;
+        double elapsedSeconds = (fleet.nowNanos - firstSeed) / 1e9;
         return String.format(
                 java.util.Locale.ROOT,
                 "drivers %d, machines %d, at once %d: plan_ms %d (all asks settled), out %d after"
-                        + " %.1f s, rounds %d (looks of the conductor), messages_per_machine %.0f (of"
-                        + " %.0f a second, %d at rest), broken %d, played in %d s",
-                drivers,
-                machines,
-                atOnce,
-                settled,
-                f.work.out,
-                seconds,
-                rounds,
-                (f.messages - messages - idle * seconds) / f.work.out,
-                (f.messages - messages) / seconds,
-                idle,
-                f.broken.size(),
-                (System.nanoTime() - begun) / 1_000_000_000);
+                    + " %.1f s, rounds %d (looks of the conductor), messages_per_machine %.0f (of"
+                    + " %.0f a second, %d at rest), broken %d, played in %d s",
+                driverCount,
+                machineCount,
+                maxConcurrentMachines,
+                planMs,
+                fleet.maintenance.outCount,
+                elapsedSeconds,
+                controlRounds,
+                (fleet.sentMessageCount - messagesBefore - idleMessagesPerSecond * elapsedSeconds)
+                        / fleet.maintenance.outCount,
+                (fleet.sentMessageCount - messagesBefore) / elapsedSeconds,
+                idleMessagesPerSecond,
+                fleet.violations.size(),
+                (System.nanoTime() - startedNanos) / 1_000_000_000);
     }
 }
--- a/src/test/java/wingroad/fleet/ConsensusStoreTest.java
+++ b/src/test/java/wingroad/fleet/ConsensusStoreTest.java
@@ -3,39 +3,42 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import java.io.IOException;
-import java.nio.file.Path;
-import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
+
 import wingroad.duty.Command;
 import wingroad.fleet.MessageCodec.Endpoint;
 
+import java.io.IOException;
+import java.nio.file.Path;
+import java.util.List;
+
 /** A voter's state: what it survives, and when it is not trusted. */
 class ConsensusStoreTest {
-    private static ConsensusStore with(RowStore rows, int term, long entries) throws IOException {
-        ConsensusStore k = new ConsensusStore(rows, () -> "i1");
-        k.saveGroup("g", List.of("a/i1"), 0);
-        k.persistAndFlushLocalEndpoint(
+    private static ConsensusStore storeWithEntries(RowStore rows, int term, long entryCount)
+            throws IOException {
+        ConsensusStore store = new ConsensusStore(rows, () -> "i1");
+        store.saveGroup("g", List.of("a/i1"), 0);
+        store.persistAndFlushLocalEndpoint(
                 MessageCodec.MODEL_FACTORY
                         .createRaftEndpointPersistentStateBuilder()
                         .setLocalEndpoint(Endpoint.of("a/i1"))
                         .setVoting(true)
                         .build());
-        k.persistAndFlushInitialGroupMembers(
+        store.persistAndFlushInitialGroupMembers(
                 MessageCodec.MODEL_FACTORY
                         .createRaftGroupMembersViewBuilder()
                         .setLogIndex(0)
                         .setMembers(MessageCodec.decodeEndpoints(List.of("a/i1")))
                         .setVotingMembers(MessageCodec.decodeEndpoints(List.of("a/i1")))
                         .build());
-        k.persistAndFlushTerm(
+        store.persistAndFlushTerm(
                 MessageCodec.MODEL_FACTORY
                         .createRaftTermPersistentStateBuilder()
                         .setTerm(term)
                         .build());
-        for (long i = 1; i <= entries; i++) {
-            k.persistLogEntries(
+        for (long i = 1; i <= entryCount; i++) {
+            store.persistLogEntries(
                     List.of(
                             MessageCodec.MODEL_FACTORY
                                     .createLogEntryBuilder()
@@ -44,15 +47,15 @@
                                     .setOperation(Command.startRun("a/1", "x", 5, i))
                                     .build()));
         }
-        k.flush();
-        return k;
+        store.flush();
+        return store;
     }
 
     @Test
-    void whatWasFlushedIsThereAfterAKillAndWhatWasNotIsNot() throws IOException {
+    void onlyFlushedEntriesSurviveAKill() throws IOException {
         MemoryRowStore rows = new MemoryRowStore();
-        ConsensusStore k = with(rows, 3, 4);
-        k.persistLogEntries(
+        ConsensusStore store = storeWithEntries(rows, 3, 4);
+        store.persistLogEntries(
                 List.of(
                         MessageCodec.MODEL_FACTORY
                                 .createLogEntryBuilder()
@@ -60,65 +63,65 @@
                                 .setTerm(3)
                                 .setOperation(Command.noOp())
                                 .build()));
-        ConsensusStore again = new ConsensusStore(rows.afterKill(), () -> "i2");
-        assertThat(again.identity()).isEqualTo("i1");
-        assertThat(again.restored().getLogEntries()).hasSize(4);
-        assertThat(again.restored().getLogEntries().get(3).getOperation())
+        ConsensusStore reopened = new ConsensusStore(rows.afterKill(), () -> "i2");
+        assertThat(reopened.identity()).isEqualTo("i1");
+        assertThat(reopened.restored().getLogEntries()).hasSize(4);
+        assertThat(reopened.restored().getLogEntries().get(3).getOperation())
                 .isEqualTo(Command.startRun("a/1", "x", 5, 4));
-        assertThat(again.restored().getTermPersistentState().getTerm()).isEqualTo(3);
+        assertThat(reopened.restored().getTermPersistentState().getTerm()).isEqualTo(3);
     }
 
     @Test
-    void aStateIsOlderWhereATermOrAnEntryOfItIsMissing() throws IOException {
+    void stateIsOlderIfTermOrEntryIsMissing() throws IOException {
         MemoryRowStore rows = new MemoryRowStore();
-        with(rows, 3, 4);
-        ConsensusStore k = new ConsensusStore(rows.afterKill(), () -> "i2");
-        assertThat(k.isOlderThan(new ConsensusStore.ConfirmedPosition(3, 3, 4))).isFalse();
-        assertThat(k.isOlderThan(new ConsensusStore.ConfirmedPosition(4, 3, 4)))
+        storeWithEntries(rows, 3, 4);
+        ConsensusStore store = new ConsensusStore(rows.afterKill(), () -> "i2");
+        assertThat(store.isOlderThan(new ConsensusStore.ConfirmedPosition(3, 3, 4))).isFalse();
+        assertThat(store.isOlderThan(new ConsensusStore.ConfirmedPosition(4, 3, 4)))
                 .as("a later term")
                 .isTrue();
-        assertThat(k.isOlderThan(new ConsensusStore.ConfirmedPosition(3, 3, 5)))
+        assertThat(store.isOlderThan(new ConsensusStore.ConfirmedPosition(3, 3, 5)))
                 .as("a later entry")
                 .isTrue();
-        assertThat(k.isOlderThan(new ConsensusStore.ConfirmedPosition(3, 2, 9)))
+        assertThat(store.isOlderThan(new ConsensusStore.ConfirmedPosition(3, 2, 9)))
                 .as("entries that a later leader cut")
                 .isFalse();
     }
 
     @Test
-    void aRowThatWasChangedIsNotTaken() throws IOException {
+    void rowWithWrongChecksumSetsStateAside() throws IOException {
         MemoryRowStore rows = new MemoryRowStore();
-        with(rows, 3, 4);
+        storeWithEntries(rows, 3, 4);
         byte[] row = rows.readAll(RowStore.Table.LOG).get(2L).clone();
         row[row.length - 1] ^= 1;
         rows.put(RowStore.Table.LOG, 2, row);
         rows.flush();
-        ConsensusStore k = new ConsensusStore(rows, () -> "i2");
-        assertThat(k.setAsideNotice()).contains("checksum");
-        assertThat(k.identity()).isEqualTo("i2");
-        assertThat(k.groupId()).isEmpty();
+        ConsensusStore store = new ConsensusStore(rows, () -> "i2");
+        assertThat(store.setAsideNotice()).contains("checksum");
+        assertThat(store.identity()).isEqualTo("i2");
+        assertThat(store.groupId()).isEmpty();
     }
 
     @Test
-    void nothingIsConfirmedAfterAWriteThatFailed() throws IOException {
+    void flushFailsAfterAnEarlierWriteFailure() throws IOException {
         MemoryRowStore rows = new MemoryRowStore();
-        ConsensusStore k = with(rows, 1, 1);
-        rows.full = true;
-        assertThatThrownBy(k::flush).isInstanceOf(IOException.class);
-        rows.full = false;
-        assertThatThrownBy(k::flush)
+        ConsensusStore store = storeWithEntries(rows, 1, 1);
+        rows.diskFull = true;
+        assertThatThrownBy(store::flush).isInstanceOf(IOException.class);
+        rows.diskFull = false;
+        assertThatThrownBy(store::flush)
                 .isInstanceOf(IOException.class)
                 .hasMessageContaining("not written after an earlier failure");
     }
 
     @Test
-    void aFileKeepsTheSame(@TempDir Path dir) throws IOException {
-        SqliteRowStore rows = new SqliteRowStore(dir.resolve("council.db"));
-        with(rows, 3, 4).close();
-        ConsensusStore again =
-                new ConsensusStore(new SqliteRowStore(dir.resolve("council.db")), () -> "i2");
-        assertThat(again.identity()).isEqualTo("i1");
-        assertThat(again.restored().getLogEntries()).hasSize(4);
-        again.close();
+    void sqliteFileKeepsStateAcrossReopen(@TempDir Path directory) throws IOException {
+        SqliteRowStore rows = new SqliteRowStore(directory.resolve("council.db"));
+        storeWithEntries(rows, 3, 4).close();
+        ConsensusStore reopened =
+                new ConsensusStore(new SqliteRowStore(directory.resolve("council.db")), () -> "i2");
+        assertThat(reopened.identity()).isEqualTo("i1");
+        assertThat(reopened.restored().getLogEntries()).hasSize(4);
+        reopened.close();
     }
 }
--- a/src/test/java/wingroad/fleet/FleetIT.java
+++ b/src/test/java/wingroad/fleet/FleetIT.java
@@ -32,7 +32,7 @@
 /** Several real processes of the packaged program, with faults between them. */
 @Execution(ExecutionMode.CONCURRENT)
 class FleetIT {
-    private static final String RULES =
+    private static final String FLEET_SETTINGS =
             """
                 lease-ms 3000
                 drift 0.02
@@ -41,254 +41,290 @@
             """;
 
     @TempDir(cleanup = CleanupMode.ON_SUCCESS)
-    Path dir;
+    Path directory;
 
-    private TestCluster rig;
+    private TestCluster cluster;
     private FencedMember member;
 
-    private void start(int drivers, int voters) throws Exception {
-        rig = new TestCluster(dir, drivers, voters, RULES, Fixtures.SETTINGS);
-        member = rig.addMember("m1", 7, true, true);
-        rig.startAll();
+    private void startCluster(int driverCount, int voterCount) throws Exception {
+        cluster =
+                new TestCluster(
+                        directory, driverCount, voterCount, FLEET_SETTINGS, Fixtures.SETTINGS);
+        member = cluster.addMember("m1", 7, true, true);
+        cluster.startAll();
     }
 
     @AfterEach
-    void end() throws IOException {
-        rig.close();
+    void stopCluster() throws IOException {
+        cluster.close();
     }
 
     /** Who ran a chore under this epoch, by the logs. */
-    private TestCluster.DriverProcess runner(FencedMember.ChoreExecution e)
+    private TestCluster.DriverProcess driverThatRan(FencedMember.ChoreExecution execution)
             throws InterruptedException {
-        String words =
-                "fleet: chore " + e.chore() + " turn " + e.turn() + " epoch " + e.epoch() + ": ran";
+        String logText =
+                "fleet: chore "
+                        + execution.chore()
+                        + " turn "
+                        + execution.turn()
+                        + " epoch "
+                        + execution.epoch()
+                        + ": ran";
         for (int i = 0; i < 4000; i++) {
-            for (TestCluster.DriverProcess d : rig.drivers.values()) {
-                if (d.log().stream().anyMatch(l -> l.contains(words))) {
-                    return d;
+            for (TestCluster.DriverProcess driver : cluster.drivers.values()) {
+                if (driver.log().stream().anyMatch(line -> line.contains(logText))) {
+                    return driver;
                 }
             }
             Thread.onSpinWait();
             TimeUnit.MILLISECONDS.sleep(5);
         }
-        throw new AssertionError("nobody says: " + words);
+        throw new AssertionError("nobody says: " + logText);
     }
 
     /** The next entry of the chore under a higher epoch. */
-    private FencedMember.ChoreExecution successor(FencedMember.ChoreExecution of)
-            throws InterruptedException {
+    private FencedMember.ChoreExecution awaitNextOwnerExecution(
+            FencedMember.ChoreExecution previous) throws InterruptedException {
         return member.awaitExecution(
-                0, e -> e.chore().equals(of.chore()) && e.epoch() > of.epoch());
+                0,
+                candidate ->
+                        candidate.chore().equals(previous.chore())
+                                && candidate.epoch() > previous.epoch());
     }
 
-    private FencedMember.ChoreExecution first(String chore) throws InterruptedException {
-        return member.awaitExecution(0, e -> e.chore().equals(chore));
+    private FencedMember.ChoreExecution awaitFirstExecution(String chore)
+            throws InterruptedException {
+        return member.awaitExecution(0, candidate -> candidate.chore().equals(chore));
     }
 
-    private void nothingWrong() {
+    private void assertNoStaleOrRepeatedTurn() {
         assertThat(member.repeatedTurns()).as("turns run twice").isZero();
-        assertThat(member.executions()).noneMatch(e -> e.staleEpoch() && e.accepted());
+        assertThat(member.executions())
+                .noneMatch(candidate -> candidate.staleEpoch() && candidate.accepted());
     }
 
     @Test
-    void oneDriverRunsAChoreAndAPlannedStopHandsItOver() throws Exception {
-        start(4, 3);
-        FencedMember.ChoreExecution e = first("a");
-        TestCluster.DriverProcess owner = runner(e);
+    void plannedStopHandsChoreOver() throws Exception {
+        startCluster(4, 3);
+        FencedMember.ChoreExecution execution = awaitFirstExecution("a");
+        TestCluster.DriverProcess owner = driverThatRan(execution);
         owner.terminate();
-        FencedMember.ChoreExecution next = successor(e);
-        assertThat(runner(next)).isNotSameAs(owner);
+        FencedMember.ChoreExecution nextExecution = awaitNextOwnerExecution(execution);
+        assertThat(driverThatRan(nextExecution)).isNotSameAs(owner);
         owner.awaitExit();
         owner.awaitLog("fleet: left after");
-        Map<String, Object> duty = duty("chore a");
+        Map<String, Object> duty = dutyStatus("chore a");
         assertThat((List<?>) duty.get("history"))
-                .anyMatch(h -> h.toString().endsWith("epoch " + e.epoch() + ": left"));
-        nothingWrong();
+                .anyMatch(
+                        historyLine ->
+                                historyLine
+                                        .toString()
+                                        .endsWith("epoch " + execution.epoch() + ": left"));
+        assertNoStaleOrRepeatedTurn();
     }
 
     @Test
-    void anOwnerStoppedBeforeItsEffectWakesUpAndIsRefused() throws Exception {
-        start(4, 3);
-        FencedMember.ChoreExecution e = first("a");
-        TestCluster.DriverProcess owner = runner(e);
-        BlockingQueue<Object> held = new LinkedBlockingQueue<>();
-        rig.proxy
+    void statementOfResumedFormerOwnerIsRejected() throws Exception {
+        startCluster(4, 3);
+        FencedMember.ChoreExecution execution = awaitFirstExecution("a");
+        TestCluster.DriverProcess owner = driverThatRan(execution);
+        BlockingQueue<Object> heldConnections = new LinkedBlockingQueue<>();
+        cluster.proxy
                 .linkBetween(owner.name, "m1")
                 .setInterceptor(
-                        (link, way, bytes, connection) ->
-                                way == FaultProxy.Direction.FORWARD
-                                        && text(bytes).contains("fenced_a")
-                                        && held.isEmpty()
-                                        && held.add(connection));
-        Object connection = held.poll(20, TimeUnit.SECONDS);
+                        (link, direction, bytes, connection) ->
+                                direction == FaultProxy.Direction.FORWARD
+                                        && asText(bytes).contains("fenced_a")
+                                        && heldConnections.isEmpty()
+                                        && heldConnections.add(connection));
+        Object connection = heldConnections.poll(20, TimeUnit.SECONDS);
         assertThat(connection).as("the owner's next statement").isNotNull();
         owner.pause();
-        FencedMember.ChoreExecution next = successor(e);
-        int seen = member.executionCount();
-        rig.proxy.release(connection);
+        FencedMember.ChoreExecution nextExecution = awaitNextOwnerExecution(execution);
+        int executionsBefore = member.executionCount();
+        cluster.proxy.release(connection);
         owner.resume();
-        FencedMember.ChoreExecution late =
-                member.awaitExecution(seen, x -> x.chore().equals("a") && x.epoch() < next.epoch());
-        assertThat(late.accepted()).isFalse();
+        FencedMember.ChoreExecution staleExecution =
+                member.awaitExecution(
+                        executionsBefore,
+                        candidate ->
+                                candidate.chore().equals("a")
+                                        && candidate.epoch() < nextExecution.epoch());
+        assertThat(staleExecution.accepted()).isFalse();
         owner.awaitLog(
                 0,
-                l ->
-                        l.contains("has expired; its duties are suspended")
-                                || l.contains("the consensus group has ended"));
-        nothingWrong();
+                line ->
+                        line.contains("has expired; its duties are suspended")
+                                || line.contains("the consensus group has ended"));
+        assertNoStaleOrRepeatedTurn();
     }
 
     @Test
-    void anOwnerThatIsCutOffStopsByItselfAndServesOn() throws Exception {
-        start(5, 3);
-        FencedMember.ChoreExecution e = first("b");
-        TestCluster.DriverProcess owner = runner(e);
-        int from = owner.logLineCount();
-        rig.partitionFromVoters(owner.name, true);
-        owner.awaitLog(from, l -> l.contains("has expired; its duties are suspended"));
-        FencedMember.ChoreExecution next = successor(e);
-        assertThat(runner(next)).isNotSameAs(owner);
-        try (Client c = new Client(owner.port())) {
-            c.startup().heard();
-            assertThat(c.ask(Fixtures.read("served")).heard()).containsExactly("row value");
+    void partitionedOwnerStopsItsDutiesButServesClients() throws Exception {
+        startCluster(5, 3);
+        FencedMember.ChoreExecution execution = awaitFirstExecution("b");
+        TestCluster.DriverProcess owner = driverThatRan(execution);
+        int fromLine = owner.logLineCount();
+        cluster.partitionFromVoters(owner.name, true);
+        owner.awaitLog(fromLine, line -> line.contains("has expired; its duties are suspended"));
+        FencedMember.ChoreExecution nextExecution = awaitNextOwnerExecution(execution);
+        assertThat(driverThatRan(nextExecution)).isNotSameAs(owner);
+        try (Client client = new Client(owner.port())) {
+            client.startup().heard();
+            assertThat(client.ask(Fixtures.read("served")).heard()).containsExactly("row value");
         }
-        rig.partitionFromVoters(owner.name, false);
-        owner.awaitLog(from, l -> l.contains("lease of") && l.contains("is valid"));
-        nothingWrong();
+        cluster.partitionFromVoters(owner.name, false);
+        owner.awaitLog(fromLine, line -> line.contains("lease of") && line.contains("is valid"));
+        assertNoStaleOrRepeatedTurn();
     }
 
     @Test
-    void oneThatHearsNothingButIsHeardLosesItsDutiesToo() throws Exception {
-        start(4, 3);
-        FencedMember.ChoreExecution e = first("a");
-        TestCluster.DriverProcess owner = runner(e);
-        int from = owner.logLineCount();
-        rig.partitionOneWay(owner.name, false, true);
-        owner.awaitLog(from, l -> l.contains("has expired; its duties are suspended"));
+    void ownerThatOnlyReceivesNothingLosesItsDuties() throws Exception {
+        startCluster(4, 3);
+        FencedMember.ChoreExecution execution = awaitFirstExecution("a");
+        TestCluster.DriverProcess owner = driverThatRan(execution);
+        int fromLine = owner.logLineCount();
+        cluster.partitionOneWay(owner.name, false, true);
+        owner.awaitLog(fromLine, line -> line.contains("has expired; its duties are suspended"));
         // Guards against a session that is renewed by an owner that does not hear of it: its duties
         // stood still meanwhile.
-        assertThat(runner(successor(e))).isNotSameAs(owner);
-        rig.partitionOneWay(owner.name, false, false);
-        owner.awaitLog(from, l -> l.contains("lease of") && l.contains("is valid"));
-        member.awaitExecution(member.executionCount(), x -> x.chore().equals("a"));
-        nothingWrong();
+        assertThat(driverThatRan(awaitNextOwnerExecution(execution))).isNotSameAs(owner);
+        cluster.partitionOneWay(owner.name, false, false);
+        owner.awaitLog(fromLine, line -> line.contains("lease of") && line.contains("is valid"));
+        member.awaitExecution(member.executionCount(), candidate -> candidate.chore().equals("a"));
+        assertNoStaleOrRepeatedTurn();
     }
 
     @Test
-    void allKilledAtOnceAndStartedInAnotherOrderGoOnUnderHigherEpochs() throws Exception {
-        start(4, 3);
-        FencedMember.ChoreExecution a = first("a");
-        first("b");
-        for (TestCluster.DriverProcess d : rig.drivers.values()) {
-            d.kill();
+    void restartOfAllContinuesUnderHigherEpochs() throws Exception {
+        startCluster(4, 3);
+        FencedMember.ChoreExecution executionBefore = awaitFirstExecution("a");
+        awaitFirstExecution("b");
+        for (TestCluster.DriverProcess driver : cluster.drivers.values()) {
+            driver.kill();
         }
-        int seen = member.executionCount();
+        int executionsBefore = member.executionCount();
         for (String name : List.of("d3", "d4", "d1", "d2")) {
-            rig.driver(name).start();
+            cluster.driver(name).start();
         }
-        FencedMember.ChoreExecution again = member.awaitExecution(seen, x -> x.chore().equals("a"));
-        assertThat(again.epoch()).isGreaterThan(a.epoch());
-        assertThat(again.turn()).isGreaterThan(a.turn());
-        assertThat(again.accepted()).isTrue();
-        nothingWrong();
+        FencedMember.ChoreExecution executionAfterwards =
+                member.awaitExecution(executionsBefore, candidate -> candidate.chore().equals("a"));
+        assertThat(executionAfterwards.epoch()).isGreaterThan(executionBefore.epoch());
+        assertThat(executionAfterwards.turn()).isGreaterThan(executionBefore.turn());
+        assertThat(executionAfterwards.accepted()).isTrue();
+        assertNoStaleOrRepeatedTurn();
     }
 
     @Test
-    void aVoterThatLostItsStateIsANewcomerAndIsLetInAgain() throws Exception {
-        start(4, 3);
-        first("a");
-        TestCluster.DriverProcess lost = rig.driver("d2");
-        lost.kill();
-        lost.deleteState();
-        lost.start();
-        lost.awaitLog("is not in a consensus group yet");
-        lost.awaitLog("joined consensus group");
-        awaitVoters(List.of("d1", "d2", "d3"), "d2");
-        nothingWrong();
+    void voterWithoutStateRejoinsAsNewMember() throws Exception {
+        startCluster(4, 3);
+        awaitFirstExecution("a");
+        TestCluster.DriverProcess restarted = cluster.driver("d2");
+        restarted.kill();
+        restarted.deleteState();
+        restarted.start();
+        restarted.awaitLog("is not in a consensus group yet");
+        restarted.awaitLog("joined consensus group");
+        awaitVoterSet(List.of("d1", "d2", "d3"), "d2");
+        assertNoStaleOrRepeatedTurn();
     }
 
     @Test
-    void aBrokenStateFileIsSetAsideAndNamed() throws Exception {
-        start(4, 3);
-        first("a");
-        TestCluster.DriverProcess d = rig.driver("d3");
-        d.kill();
-        byte[] rubbish =
+    void corruptStateFileIsSetAsideAndLogged() throws Exception {
+        startCluster(4, 3);
+        awaitFirstExecution("a");
+        TestCluster.DriverProcess driver = cluster.driver("d3");
+        driver.kill();
+        byte[] corruptContent =
                 "no database at all, but long enough to be taken for one by whoever reads it"
                         .getBytes(StandardCharsets.UTF_8);
         // What stands in its write-ahead log would mend it.
-        Files.deleteIfExists(d.stateDirectory().resolve("council.db-wal"));
-        Files.write(d.stateDirectory().resolve("council.db"), rubbish);
-        d.start();
-        d.awaitLog("state set aside as aside-1-council.db");
-        assertThat(Files.readAllBytes(d.stateDirectory().resolve("aside-1-council.db")))
-                .isEqualTo(rubbish);
-        awaitVoters(List.of("d1", "d2", "d3"), "d3");
-        nothingWrong();
+        Files.deleteIfExists(driver.stateDirectory().resolve("council.db-wal"));
+        Files.write(driver.stateDirectory().resolve("council.db"), corruptContent);
+        driver.start();
+        driver.awaitLog("state set aside as aside-1-council.db");
+        assertThat(Files.readAllBytes(driver.stateDirectory().resolve("aside-1-council.db")))
+                .isEqualTo(corruptContent);
+        awaitVoterSet(List.of("d1", "d2", "d3"), "d3");
+        assertNoStaleOrRepeatedTurn();
     }
 
     @Test
-    void withoutAMajorityNobodyGainsADutyAndClientsAreServedOn() throws Exception {
-        start(4, 3);
-        first("a");
-        TestCluster.DriverProcess left = rig.driver("d4");
-        left.awaitLog("lease of d4/");
-        rig.driver("d1").kill();
-        rig.driver("d2").kill();
-        left.awaitLog("has expired; its duties are suspended");
-        int seen = member.executionCount();
-        try (Client c = new Client(left.port())) {
-            c.startup().heard();
-            assertThat(c.ask(Fixtures.write("w")).heard()).containsExactly("row value");
+    void withoutQuorumNoDutyIsGrantedButClientsAreServed() throws Exception {
+        startCluster(4, 3);
+        awaitFirstExecution("a");
+        TestCluster.DriverProcess remaining = cluster.driver("d4");
+        remaining.awaitLog("lease of d4/");
+        cluster.driver("d1").kill();
+        cluster.driver("d2").kill();
+        remaining.awaitLog("has expired; its duties are suspended");
+        int executionsBefore = member.executionCount();
+        try (Client client = new Client(remaining.port())) {
+            client.startup().heard();
+            assertThat(client.ask(Fixtures.write("w")).heard()).containsExactly("row value");
         }
-        assertThat(member.executionCount()).as("chores begun without a majority").isEqualTo(seen);
-        rig.driver("d2").start();
-        member.awaitExecution(seen, x -> x.chore().equals("a") && x.accepted());
-        nothingWrong();
+        assertThat(member.executionCount())
+                .as("chores begun without a majority")
+                .isEqualTo(executionsBefore);
+        cluster.driver("d2").start();
+        member.awaitExecution(
+                executionsBefore,
+                candidate -> candidate.chore().equals("a") && candidate.accepted());
+        assertNoStaleOrRepeatedTurn();
     }
 
     @Test
-    void oneDriverAsksDiscoveryAndTheOthersGoByItUntilItIsGone() throws Exception {
-        rig = new TestCluster(dir, 4, 3, RULES + "    list check=600\n", Fixtures.SETTINGS);
-        member = rig.addMember("m1", 7, true, true);
-        FencedMember replica = rig.addMember("m2", 7, false, true);
-        rig.startAll();
-        String fit = rig.discoveryEntry("d1", member, "ready");
-        rig.discovery.tell(fit + "," + rig.discoveryEntry("d1", replica, "ready"));
-        awaitShared(3);
-        TestCluster.DriverProcess owner = rig.driver(String.valueOf(duty("list").get("owner")));
-        List<TestCluster.DriverProcess> by = awaitFollowers(3);
-        while (by.contains(owner)) {
+    void onlyListOwnerPollsDiscoveryUntilItFails() throws Exception {
+        cluster =
+                new TestCluster(
+                        directory,
+                        4,
+                        3,
+                        FLEET_SETTINGS + "    list check=600\n",
+                        Fixtures.SETTINGS);
+        member = cluster.addMember("m1", 7, true, true);
+        FencedMember replica = cluster.addMember("m2", 7, false, true);
+        cluster.startAll();
+        String primaryEntry = cluster.discoveryEntry("d1", member, "ready");
+        cluster.discovery.tell(primaryEntry + "," + cluster.discoveryEntry("d1", replica, "ready"));
+        awaitBalancedDuties(3);
+        TestCluster.DriverProcess owner =
+                cluster.driver(String.valueOf(dutyStatus("list").get("owner")));
+        List<TestCluster.DriverProcess> followers = awaitListFollowers(3);
+        while (followers.contains(owner)) {
             // It has become the owner just now, and the one before it does not go by it yet.
-            by = awaitFollowers(3);
+            followers = awaitListFollowers(3);
         }
-        int asked = rig.discovery.asked.size();
-        rig.discovery.tell(fit + "," + rig.discoveryEntry("d1", replica, "draining"));
-        for (TestCluster.DriverProcess d : rig.drivers.values()) {
-            d.awaitLog(0, l -> l.contains("list 2 "));
+        int requestsBefore = cluster.discovery.asked.size();
+        cluster.discovery.tell(
+                primaryEntry + "," + cluster.discoveryEntry("d1", replica, "draining"));
+        for (TestCluster.DriverProcess driver : cluster.drivers.values()) {
+            driver.awaitLog(0, line -> line.contains("list 2 "));
         }
         // The owner's next watch, and perhaps one that was being given up.
-        assertThat(rig.discovery.asked.size() - asked).isLessThan(4);
-        Map<TestCluster.DriverProcess, Integer> from = new java.util.HashMap<>();
-        by.forEach(d -> from.put(d, d.logLineCount()));
+        assertThat(cluster.discovery.asked.size() - requestsBefore).isLessThan(4);
+        Map<TestCluster.DriverProcess, Integer> logPositions = new java.util.HashMap<>();
+        followers.forEach(driver -> logPositions.put(driver, driver.logLineCount()));
         // Without a council there is no other owner, however soon: each has to notice the silence
         // by itself.
-        for (TestCluster.DriverProcess d : by) {
-            rig.partitionFromVoters(d.name, true);
+        for (TestCluster.DriverProcess driver : followers) {
+            cluster.partitionFromVoters(driver.name, true);
         }
         owner.kill();
-        for (TestCluster.DriverProcess d : by) {
-            d.awaitLog(from.get(d), l -> l.contains("list: watches discovery itself"));
+        for (TestCluster.DriverProcess driver : followers) {
+            driver.awaitLog(
+                    logPositions.get(driver),
+                    line -> line.contains("list: watches discovery itself"));
         }
-        rig.discovery.tell(fit);
-        for (TestCluster.DriverProcess d : by) {
-            d.awaitLog(0, l -> l.contains("list 3 "));
+        cluster.discovery.tell(primaryEntry);
+        for (TestCluster.DriverProcess driver : followers) {
+            driver.awaitLog(0, line -> line.contains("list 3 "));
         }
-        for (TestCluster.DriverProcess d : by) {
-            rig.partitionFromVoters(d.name, false);
+        for (TestCluster.DriverProcess driver : followers) {
+            cluster.partitionFromVoters(driver.name, false);
         }
-        assertThat(awaitFollowers(2)).doesNotContain(owner);
-        nothingWrong();
+        assertThat(awaitListFollowers(2)).doesNotContain(owner);
+        assertNoStaleOrRepeatedTurn();
     }
 
     /**
@@ -296,54 +332,66 @@
      * begun: nobody went by it.
      */
     @Test
-    void aListThatComesBeforeTheFleetHasBegunIsKnownToItsOwner() throws Exception {
-        rig = new TestCluster(dir, 4, 3, RULES + "    list check=600\n", Fixtures.SETTINGS);
-        member = rig.addMember("m1", 7, true, true);
-        rig.discovery.tell(rig.discoveryEntry("d1", member, "ready"));
-        rig.startAll();
-        awaitFollowers(3);
+    void listReceivedBeforeFleetStartIsSharedByOwner() throws Exception {
+        cluster =
+                new TestCluster(
+                        directory,
+                        4,
+                        3,
+                        FLEET_SETTINGS + "    list check=600\n",
+                        Fixtures.SETTINGS);
+        member = cluster.addMember("m1", 7, true, true);
+        cluster.discovery.tell(cluster.discoveryEntry("d1", member, "ready"));
+        cluster.startAll();
+        awaitListFollowers(3);
     }
 
     /**
      * Waits until all have a session and no duty has to move any more, as some do while the first
      * sessions come.
      */
-    private void awaitShared(int duties) throws Exception {
-        for (TestCluster.DriverProcess d : rig.drivers.values()) {
-            d.awaitLog("lease of " + d.name + "/");
+    private void awaitBalancedDuties(int dutyCount) throws Exception {
+        for (TestCluster.DriverProcess driver : cluster.drivers.values()) {
+            driver.awaitLog("lease of " + driver.name + "/");
         }
         for (int i = 0; i < 800; i++) {
-            List<?> all = (List<?>) status().get("duties");
-            Map<Object, Integer> has = new java.util.HashMap<>();
-            all.forEach(o -> has.merge(((Map<?, ?>) o).get("owner"), 1, Integer::sum));
+            List<?> duties = (List<?>) fleetStatus().get("duties");
+            Map<Object, Integer> dutiesByOwner = new java.util.HashMap<>();
+            duties.forEach(
+                    duty -> dutiesByOwner.merge(((Map<?, ?>) duty).get("owner"), 1, Integer::sum));
             // One more than an even share is let be.
-            if (all.size() == duties
-                    && !has.containsKey("")
-                    && has.values().stream().allMatch(n -> n <= 2)
-                    && all.stream().allMatch(o -> ((Map<?, ?>) o).get("wanted").equals(""))) {
+            if (duties.size() == dutyCount
+                    && !dutiesByOwner.containsKey("")
+                    && dutiesByOwner.values().stream().allMatch(ownedCount -> ownedCount <= 2)
+                    && duties.stream()
+                            .allMatch(duty -> ((Map<?, ?>) duty).get("wanted").equals(""))) {
                 return;
             }
             TimeUnit.MILLISECONDS.sleep(50);
         }
-        throw new AssertionError("the duties are never shared out: " + status());
+        throw new AssertionError("the duties are never shared out: " + fleetStatus());
     }
 
     /** Waits until so many drivers that live go by the owner of the list. */
-    private List<TestCluster.DriverProcess> awaitFollowers(int count) throws InterruptedException {
+    private List<TestCluster.DriverProcess> awaitListFollowers(int count)
+            throws InterruptedException {
         for (int i = 0; i < 400; i++) {
-            List<TestCluster.DriverProcess> by =
-                    rig.drivers.values().stream()
+            List<TestCluster.DriverProcess> followers =
+                    cluster.drivers.values().stream()
                             .filter(TestCluster.DriverProcess::isAlive)
                             .filter(
-                                    d ->
-                                            d.log().stream()
-                                                    .filter(l -> l.contains("list: "))
-                                                    .reduce((a, b) -> b)
-                                                    .filter(l -> l.contains("follows the owner"))
+                                    driver ->
+                                            driver.log().stream()
+                                                    .filter(line -> line.contains("list: "))
+                                                    .reduce((earlier, later) -> later)
+                                                    .filter(
+                                                            line ->
+                                                                    line.contains(
+                                                                            "follows the owner"))
                                                     .isPresent())
                             .toList();
-            if (by.size() == count) {
-                return by;
+            if (followers.size() == count) {
+                return followers;
             }
             TimeUnit.MILLISECONDS.sleep(50);
         }
@@ -351,277 +399,295 @@
     }
 
     @Test
-    void votersAreLetInAndTakenOutOneAtATime() throws Exception {
-        rig = new TestCluster(dir, 4, 3, RULES, Fixtures.SETTINGS);
-        member = rig.addMember("m1", 7, true, true);
-        String at = rig.addSpareVoter("d4");
-        rig.startAll();
-        first("a");
-        try (FleetClient c = new FleetClient(rules(), "d1")) {
-            assertThat(c.changeVoter("d4", at, "q1")).isEmpty();
-            assertThat(c.changeVoter("d3", "", "q2")).contains("one at a time");
+    void votersAreAddedAndRemovedOneAtATime() throws Exception {
+        cluster = new TestCluster(directory, 4, 3, FLEET_SETTINGS, Fixtures.SETTINGS);
+        member = cluster.addMember("m1", 7, true, true);
+        String newVoterAddress = cluster.addSpareVoter("d4");
+        cluster.startAll();
+        awaitFirstExecution("a");
+        try (FleetClient client = new FleetClient(fleetConfig(), "d1")) {
+            assertThat(client.changeVoter("d4", newVoterAddress, "q1")).isEmpty();
+            assertThat(client.changeVoter("d3", "", "q2")).contains("one at a time");
         }
-        awaitVoters(List.of("d1", "d2", "d3", "d4"), "d4");
-        try (FleetClient c = new FleetClient(rules(), "d1")) {
-            assertThat(c.changeVoter("d3", "", "q3")).isEmpty();
+        awaitVoterSet(List.of("d1", "d2", "d3", "d4"), "d4");
+        try (FleetClient client = new FleetClient(fleetConfig(), "d1")) {
+            assertThat(client.changeVoter("d3", "", "q3")).isEmpty();
         }
-        rig.driver("d3").awaitLog("has been removed from the consensus group");
-        assertThat(rig.driver("d3").awaitLog("state set aside")).isNotNull();
+        cluster.driver("d3").awaitLog("has been removed from the consensus group");
+        assertThat(cluster.driver("d3").awaitLog("state set aside")).isNotNull();
         // The new one counts: with d1 away d2 and d4 are a majority of three.
-        rig.driver("d1").kill();
-        int seen = member.executionCount();
-        member.awaitExecution(seen + 6, e -> e.accepted());
-        nothingWrong();
+        cluster.driver("d1").kill();
+        int executionsBefore = member.executionCount();
+        member.awaitExecution(executionsBefore + 6, candidate -> candidate.accepted());
+        assertNoStaleOrRepeatedTurn();
     }
 
     @Test
-    void aVoterThatCannotWriteVotesNoMoreAndServesOn() throws Exception {
-        rig = new TestCluster(dir, 4, 3, RULES, Fixtures.SETTINGS);
-        member = rig.addMember("m1", 7, true, true);
-        TestCluster.DriverProcess full = rig.driver("d2");
+    void voterWithFullDiskStopsVotingButServesClients() throws Exception {
+        cluster = new TestCluster(directory, 4, 3, FLEET_SETTINGS, Fixtures.SETTINGS);
+        member = cluster.addMember("m1", 7, true, true);
+        TestCluster.DriverProcess voterWithFullDisk = cluster.driver("d2");
         // Room for the database's own library, which is unpacked into a file, and for some seconds
         // of its log.
-        full.maxFileSizeKb = 1500;
-        rig.startAll();
-        first("a");
-        full.awaitLog("cannot write its state and no longer votes");
-        try (Client c = new Client(full.port())) {
-            c.startup().heard();
-            assertThat(c.ask(Fixtures.read("served")).heard()).containsExactly("row value");
+        voterWithFullDisk.maxFileSizeKb = 1500;
+        cluster.startAll();
+        awaitFirstExecution("a");
+        voterWithFullDisk.awaitLog("cannot write its state and no longer votes");
+        try (Client client = new Client(voterWithFullDisk.port())) {
+            client.startup().heard();
+            assertThat(client.ask(Fixtures.read("served")).heard()).containsExactly("row value");
         }
-        int seen = member.executionCount();
-        member.awaitExecution(seen + 6, FencedMember.ChoreExecution::accepted);
-        nothingWrong();
+        int executionsBefore = member.executionCount();
+        member.awaitExecution(executionsBefore + 6, FencedMember.ChoreExecution::accepted);
+        assertNoStaleOrRepeatedTurn();
     }
 
     @Test
-    void linksThatFlapNeitherLoseADutyNorGiveItTwice() throws Exception {
-        start(4, 3);
-        first("a");
-        first("b");
-        int seen = member.executionCount();
+    void flappingLinksNeitherLoseNorDuplicateDuties() throws Exception {
+        startCluster(4, 3);
+        awaitFirstExecution("a");
+        awaitFirstExecution("b");
+        int executionsBefore = member.executionCount();
         for (int i = 0; i < 24; i++) {
             String name = "d" + (i % 4 + 1);
-            boolean both = i % 3 == 0;
-            if (both) {
-                rig.partitionFromVoters(name, true);
+            boolean bothDirections = i % 3 == 0;
+            if (bothDirections) {
+                cluster.partitionFromVoters(name, true);
             } else {
-                rig.partitionOneWay(name, i % 3 == 1, true);
+                cluster.partitionOneWay(name, i % 3 == 1, true);
             }
             // Each cut lasts as long as it takes until somebody's next chore has come.
             member.awaitExecution(member.executionCount(), FencedMember.ChoreExecution::accepted);
-            rig.partitionFromVoters(name, false);
+            cluster.partitionFromVoters(name, false);
         }
-        member.awaitExecution(member.executionCount(), e -> e.chore().equals("a") && e.accepted());
-        member.awaitExecution(member.executionCount(), e -> e.chore().equals("b") && e.accepted());
-        assertThat(member.executionCount()).isGreaterThan(seen + 24);
-        nothingWrong();
+        member.awaitExecution(
+                member.executionCount(),
+                candidate -> candidate.chore().equals("a") && candidate.accepted());
+        member.awaitExecution(
+                member.executionCount(),
+                candidate -> candidate.chore().equals("b") && candidate.accepted());
+        assertThat(member.executionCount()).isGreaterThan(executionsBefore + 24);
+        assertNoStaleOrRepeatedTurn();
     }
 
     @Test
-    void aLeaderWhoseDiskIsSlowLeadsOnOrIsReplacedAndOneWhoseDiskHangsVotesNoMore()
-            throws Exception {
-        start(4, 3);
-        first("a");
-        TestCluster.DriverProcess leader = rig.driver(String.valueOf(status().get("leader")));
+    void slowLeaderDiskIsToleratedAndHungDiskStopsVoting() throws Exception {
+        startCluster(4, 3);
+        awaitFirstExecution("a");
+        TestCluster.DriverProcess leader =
+                cluster.driver(String.valueOf(fleetStatus().get("leader")));
         try (SlowDisk disk = new SlowDisk(leader.stateDirectory().resolve("council.db"))) {
             disk.delayWrites(300);
-            int seen = member.executionCount();
-            member.awaitExecution(seen + 8, FencedMember.ChoreExecution::accepted);
+            int executionsBefore = member.executionCount();
+            member.awaitExecution(executionsBefore + 8, FencedMember.ChoreExecution::accepted);
             // A write that does not come to an end within the store's patience is a broken disk.
             disk.blockWrites();
             leader.awaitLog("cannot write its state and no longer votes");
-            try (Client c = new Client(leader.port())) {
-                c.startup().heard();
-                assertThat(c.ask(Fixtures.read("served")).heard()).containsExactly("row value");
+            try (Client client = new Client(leader.port())) {
+                client.startup().heard();
+                assertThat(client.ask(Fixtures.read("served")).heard())
+                        .containsExactly("row value");
             }
             member.awaitExecution(
                     member.executionCount() + 4, FencedMember.ChoreExecution::accepted);
         }
-        int from = leader.logLineCount();
-        leader.awaitLog(from, l -> l.contains("joined consensus group"));
-        nothingWrong();
+        int fromLine = leader.logLineCount();
+        leader.awaitLog(fromLine, line -> line.contains("joined consensus group"));
+        assertNoStaleOrRepeatedTurn();
     }
 
     @Test
-    void aFolderThatIsNoneKeepsADriverOutOfTheFleetAlone() throws Exception {
-        rig = new TestCluster(dir, 4, 3, RULES, Fixtures.SETTINGS);
-        member = rig.addMember("m1", 7, true, true);
-        TestCluster.DriverProcess without = rig.driver("d4");
-        Files.writeString(without.stateDirectory(), "a file");
-        rig.startAll();
-        without.awaitLog("start failed, retrying");
-        try (Client c = new Client(without.port())) {
-            c.startup().heard();
-            assertThat(c.ask(Fixtures.read("served")).heard()).containsExactly("row value");
+    void unusableStateDirectoryOnlyKeepsDriverOutOfFleet() throws Exception {
+        cluster = new TestCluster(directory, 4, 3, FLEET_SETTINGS, Fixtures.SETTINGS);
+        member = cluster.addMember("m1", 7, true, true);
+        TestCluster.DriverProcess driverWithoutState = cluster.driver("d4");
+        Files.writeString(driverWithoutState.stateDirectory(), "a file");
+        cluster.startAll();
+        driverWithoutState.awaitLog("start failed, retrying");
+        try (Client client = new Client(driverWithoutState.port())) {
+            client.startup().heard();
+            assertThat(client.ask(Fixtures.read("served")).heard()).containsExactly("row value");
         }
-        Files.delete(without.stateDirectory());
-        without.awaitLog("lease of d4/");
-        nothingWrong();
+        Files.delete(driverWithoutState.stateDirectory());
+        driverWithoutState.awaitLog("lease of d4/");
+        assertNoStaleOrRepeatedTurn();
     }
 
     @Test
-    void aSecondProcessOfANameIsRefused() throws Exception {
-        rig = new TestCluster(dir, 5, 3, RULES, Fixtures.SETTINGS);
-        member = rig.addMember("m1", 7, true, true);
+    void secondProcessWithSameNameIsRefused() throws Exception {
+        cluster = new TestCluster(directory, 5, 3, FLEET_SETTINGS, Fixtures.SETTINGS);
+        member = cluster.addMember("m1", 7, true, true);
         for (String name : List.of("d1", "d2", "d3", "d4")) {
-            rig.driver(name).start();
+            cluster.driver(name).start();
         }
-        rig.driver("d4").awaitLog("lease of d4/");
-        rig.driver("d5").fleetName = "d4";
-        rig.driver("d5").start();
-        rig.driver("d5").awaitLog("no session: another driver is known by the name 'd4'");
+        cluster.driver("d4").awaitLog("lease of d4/");
+        cluster.driver("d5").fleetName = "d4";
+        cluster.driver("d5").start();
+        cluster.driver("d5").awaitLog("no session: another driver is known by the name 'd4'");
         // Once the first is gone and its lease has run out, the name is free.
-        rig.driver("d4").kill();
-        rig.driver("d5").awaitLog("lease of d4/");
-        nothingWrong();
+        cluster.driver("d4").kill();
+        cluster.driver("d5").awaitLog("lease of d4/");
+        assertNoStaleOrRepeatedTurn();
     }
 
     @Test
-    void whileAnotherVoterIsDownOneWithoutStateIsNotLetIn() throws Exception {
-        start(4, 3);
-        FencedMember.ChoreExecution e = first("a");
+    void voterWithoutStateIsNotAdmittedWhileAnotherIsDown() throws Exception {
+        startCluster(4, 3);
+        FencedMember.ChoreExecution execution = awaitFirstExecution("a");
         // A lease can run out only where there has been one.
-        rig.driver("d1").awaitLog("lease of d1/");
-        rig.driver("d4").awaitLog("lease of d4/");
-        rig.driver("d2").kill();
-        rig.driver("d3").kill();
-        rig.driver("d3").deleteState();
-        rig.driver("d3").start();
-        rig.driver("d4").awaitLog("has expired; its duties are suspended");
-        rig.driver("d1").awaitLog("has expired; its duties are suspended");
-        assertThat(rig.driver("d3").log()).noneMatch(l -> l.contains("joined consensus group"));
-        int seen = member.executionCount();
-        rig.driver("d2").start();
-        FencedMember.ChoreExecution again =
-                member.awaitExecution(seen, x -> x.chore().equals("a") && x.accepted());
-        assertThat(again.epoch()).isGreaterThanOrEqualTo(e.epoch());
-        rig.driver("d3").awaitLog("joined consensus group");
-        awaitVoters(List.of("d1", "d2", "d3"), "d3");
-        nothingWrong();
+        cluster.driver("d1").awaitLog("lease of d1/");
+        cluster.driver("d4").awaitLog("lease of d4/");
+        cluster.driver("d2").kill();
+        cluster.driver("d3").kill();
+        cluster.driver("d3").deleteState();
+        cluster.driver("d3").start();
+        cluster.driver("d4").awaitLog("has expired; its duties are suspended");
+        cluster.driver("d1").awaitLog("has expired; its duties are suspended");
+        assertThat(cluster.driver("d3").log())
+                .noneMatch(line -> line.contains("joined consensus group"));
+        int executionsBefore = member.executionCount();
+        cluster.driver("d2").start();
+        FencedMember.ChoreExecution executionAfterwards =
+                member.awaitExecution(
+                        executionsBefore,
+                        candidate -> candidate.chore().equals("a") && candidate.accepted());
+        assertThat(executionAfterwards.epoch()).isGreaterThanOrEqualTo(execution.epoch());
+        cluster.driver("d3").awaitLog("joined consensus group");
+        awaitVoterSet(List.of("d1", "d2", "d3"), "d3");
+        assertNoStaleOrRepeatedTurn();
     }
 
     @Test
-    void aReleaseThatRestartsAllInTurnRunsNoTurnTwice() throws Exception {
-        start(4, 3);
-        first("a");
-        first("b");
-        for (TestCluster.DriverProcess d : rig.drivers.values()) {
-            d.terminate();
-            d.awaitExit();
-            d.start();
-            d.awaitLog("lease of");
+    void rollingRestartRepeatsNoTurn() throws Exception {
+        startCluster(4, 3);
+        awaitFirstExecution("a");
+        awaitFirstExecution("b");
+        for (TestCluster.DriverProcess driver : cluster.drivers.values()) {
+            driver.terminate();
+            driver.awaitExit();
+            driver.start();
+            driver.awaitLog("lease of");
         }
-        int seen = member.executionCount();
-        member.awaitExecution(seen, x -> x.chore().equals("a") && x.accepted());
-        member.awaitExecution(seen, x -> x.chore().equals("b") && x.accepted());
-        nothingWrong();
+        int executionsBefore = member.executionCount();
+        member.awaitExecution(
+                executionsBefore,
+                candidate -> candidate.chore().equals("a") && candidate.accepted());
+        member.awaitExecution(
+                executionsBefore,
+                candidate -> candidate.chore().equals("b") && candidate.accepted());
+        assertNoStaleOrRepeatedTurn();
     }
 
     @Test
-    void aStatementBrokenOffInItsMiddleIsNotRepeated() throws Exception {
-        start(4, 3);
-        FencedMember.ChoreExecution e = first("a");
-        TestCluster.DriverProcess owner = runner(e);
-        FaultProxy.Link link = rig.proxy.linkBetween(owner.name, "m1");
-        BlockingQueue<Object> held = new LinkedBlockingQueue<>();
+    void interruptedStatementIsNotRepeated() throws Exception {
+        startCluster(4, 3);
+        FencedMember.ChoreExecution execution = awaitFirstExecution("a");
+        TestCluster.DriverProcess owner = driverThatRan(execution);
+        FaultProxy.Link link = cluster.proxy.linkBetween(owner.name, "m1");
+        BlockingQueue<Object> heldConnections = new LinkedBlockingQueue<>();
         link.setInterceptor(
-                (l, way, bytes, connection) ->
-                        way == FaultProxy.Direction.FORWARD
-                                && text(bytes).contains("fenced_a")
-                                && held.isEmpty()
-                                && held.add(connection));
-        assertThat(held.poll(20, TimeUnit.SECONDS)).as("the owner's next statement").isNotNull();
-        int from = owner.logLineCount();
-        rig.proxy.disconnect(link);
-        String told =
+                (line, direction, bytes, connection) ->
+                        direction == FaultProxy.Direction.FORWARD
+                                && asText(bytes).contains("fenced_a")
+                                && heldConnections.isEmpty()
+                                && heldConnections.add(connection));
+        assertThat(heldConnections.poll(20, TimeUnit.SECONDS))
+                .as("the owner's next statement")
+                .isNotNull();
+        int fromLine = owner.logLineCount();
+        cluster.proxy.disconnect(link);
+        String outcomeLine =
                 owner.awaitLog(
-                        from,
-                        l ->
-                                l.contains("fleet: chore a turn")
-                                        && l.contains("refused or broken off"));
-        long turn = Long.parseLong(told.replaceAll(".* turn ([0-9]+) .*", "$1"));
-        FencedMember.ChoreExecution next =
-                member.awaitExecution(0, x -> x.chore().equals("a") && x.turn() > turn);
-        assertThat(member.executions()).noneMatch(x -> x.chore().equals("a") && x.turn() == turn);
-        assertThat(next.accepted()).isTrue();
-        nothingWrong();
+                        fromLine,
+                        line ->
+                                line.contains("fleet: chore a turn")
+                                        && line.contains("refused or broken off"));
+        long turn = Long.parseLong(outcomeLine.replaceAll(".* turn ([0-9]+) .*", "$1"));
+        FencedMember.ChoreExecution nextExecution =
+                member.awaitExecution(
+                        0, candidate -> candidate.chore().equals("a") && candidate.turn() > turn);
+        assertThat(member.executions())
+                .noneMatch(candidate -> candidate.chore().equals("a") && candidate.turn() == turn);
+        assertThat(nextExecution.accepted()).isTrue();
+        assertNoStaleOrRepeatedTurn();
     }
 
     @Test
-    void oneVoterAndOneMoreAreAFleetOfTwo() throws Exception {
-        start(2, 1);
-        FencedMember.ChoreExecution a = first("a");
-        FencedMember.ChoreExecution b = first("b");
-        rig.driver("d2").kill();
-        int seen = member.executionCount();
-        member.awaitExecution(seen + 8, x -> x.accepted());
-        for (FencedMember.ChoreExecution e : List.of(a, b)) {
-            FencedMember.ChoreExecution next =
-                    member.awaitExecution(seen, x -> x.chore().equals(e.chore()));
-            assertThat(runner(next).name).isEqualTo("d1");
+    void singleVoterAndOneMoreDriverFormFleet() throws Exception {
+        startCluster(2, 1);
+        FencedMember.ChoreExecution executionOfA = awaitFirstExecution("a");
+        FencedMember.ChoreExecution executionOfB = awaitFirstExecution("b");
+        cluster.driver("d2").kill();
+        int executionsBefore = member.executionCount();
+        member.awaitExecution(executionsBefore + 8, candidate -> candidate.accepted());
+        for (FencedMember.ChoreExecution execution : List.of(executionOfA, executionOfB)) {
+            FencedMember.ChoreExecution nextExecution =
+                    member.awaitExecution(
+                            executionsBefore,
+                            candidate -> candidate.chore().equals(execution.chore()));
+            assertThat(driverThatRan(nextExecution).name).isEqualTo("d1");
         }
-        nothingWrong();
+        assertNoStaleOrRepeatedTurn();
     }
 
     @Test
-    void anotherFleetIsRefused() throws Exception {
-        start(1, 1);
-        first("a");
-        FleetConfig own = rules();
-        FleetConfig other =
+    void clientOfAnotherFleetIsRefused() throws Exception {
+        startCluster(1, 1);
+        awaitFirstExecution("a");
+        FleetConfig config = fleetConfig();
+        FleetConfig otherFleet =
                 new FleetConfig(
                         "another",
-                        own.driver(),
+                        config.driver(),
                         null,
-                        own.voterAddresses(),
-                        own.stateFolder(),
-                        own.lease(),
+                        config.voterAddresses(),
+                        config.stateFolder(),
+                        config.lease(),
                         List.of(),
                         null);
-        assertThatThrownBy(() -> new FleetClient(other, "d1"))
+        assertThatThrownBy(() -> new FleetClient(otherFleet, "d1"))
                 .isInstanceOf(IOException.class)
                 .hasMessageContaining("this is fleet 'rig'");
-        nothingWrong();
+        assertNoStaleOrRepeatedTurn();
     }
 
-    private FleetConfig rules() throws IOException {
-        return OperatorFile.read(rig.driver("d1").operatorFile()).file().fleet();
+    private FleetConfig fleetConfig() throws IOException {
+        return OperatorFile.read(cluster.driver("d1").operatorFile()).file().fleet();
     }
 
-    private Map<String, Object> duty(String name) throws IOException {
-        Map<String, Object> status = status();
-        for (Object o : (List<?>) status.get("duties")) {
-            if (((Map<?, ?>) o).get("name").equals(name)) {
-                return wingroad.protocol.Json.object(o, "a duty");
+    private Map<String, Object> dutyStatus(String name) throws IOException {
+        Map<String, Object> status = fleetStatus();
+        for (Object duty : (List<?>) status.get("duties")) {
+            if (((Map<?, ?>) duty).get("name").equals(name)) {
+                return wingroad.protocol.Json.object(duty, "a duty");
             }
         }
         throw new AssertionError("no " + name + " in " + status);
     }
 
-    private Map<String, Object> status() throws IOException {
-        IOException last = null;
-        for (String v : rules().voterAddresses().keySet()) {
-            try (FleetClient c = new FleetClient(rules(), v)) {
-                return c.status();
-            } catch (IOException e) {
-                last = e;
+    private Map<String, Object> fleetStatus() throws IOException {
+        IOException lastFailure = null;
+        for (String voter : fleetConfig().voterAddresses().keySet()) {
+            try (FleetClient client = new FleetClient(fleetConfig(), voter)) {
+                return client.status();
+            } catch (IOException failure) {
+                lastFailure = failure;
             }
         }
-        throw last;
+        throw lastFailure;
     }
 
     /** Waits until the council has these voters and this one's place is settled. */
-    private void awaitVoters(List<String> voters, String newcomer) throws Exception {
-        for (TestCluster.DriverProcess d : rig.drivers.values()) {
-            if (!d.name.equals(newcomer)) {
-                for (int i = 0; i < 4000 && d.isAlive(); i++) {
-                    if (d.log().stream()
+    private void awaitVoterSet(List<String> voters, String newcomer) throws Exception {
+        for (TestCluster.DriverProcess driver : cluster.drivers.values()) {
+            if (!driver.name.equals(newcomer)) {
+                for (int i = 0; i < 4000 && driver.isAlive(); i++) {
+                    if (driver.log().stream()
                                     .anyMatch(
-                                            l ->
-                                                    l.contains("voters: " + newcomer + "/")
-                                                            && l.contains(" committed"))
-                            && status().get("voters").equals(voters)) {
+                                            line ->
+                                                    line.contains("voters: " + newcomer + "/")
+                                                            && line.contains(" committed"))
+                            && fleetStatus().get("voters").equals(voters)) {
                         return;
                     }
                     if (i > 100) {
@@ -631,10 +697,10 @@
                 }
             }
         }
-        throw new AssertionError("not let in: " + status());
+        throw new AssertionError("not let in: " + fleetStatus());
     }
 
-    private static String text(ByteBuffer bytes) {
+    private static String asText(ByteBuffer bytes) {
         return StandardCharsets.ISO_8859_1.decode(bytes).toString();
     }
 }
--- a/src/test/java/wingroad/fleet/MemoryRowStore.java
+++ b/src/test/java/wingroad/fleet/MemoryRowStore.java
@@ -10,73 +10,74 @@
 
 /** RowStore of a process that may be killed: what was not flushed is lost. */
 final class MemoryRowStore implements RowStore {
-    private Map<Table, TreeMap<Long, byte[]>> durable = empty();
-    private Map<Table, TreeMap<Long, byte[]>> now = empty();
+    private Map<Table, TreeMap<Long, byte[]>> durable = emptyTables();
+    private Map<Table, TreeMap<Long, byte[]>> current = emptyTables();
     private final List<Runnable> pending = new ArrayList<>();
-    boolean full;
-    int aside;
+    boolean diskFull;
+    int setAsideCount;
 
-    private static Map<Table, TreeMap<Long, byte[]>> empty() {
-        Map<Table, TreeMap<Long, byte[]>> all = new EnumMap<>(Table.class);
-        for (Table t : Table.values()) {
-            all.put(t, new TreeMap<>());
+    private static Map<Table, TreeMap<Long, byte[]>> emptyTables() {
+        Map<Table, TreeMap<Long, byte[]>> tables = new EnumMap<>(Table.class);
+        for (Table table : Table.values()) {
+            tables.put(table, new TreeMap<>());
         }
-        return all;
+        return tables;
     }
 
-    private static Map<Table, TreeMap<Long, byte[]>> copy(Map<Table, TreeMap<Long, byte[]>> of) {
-        Map<Table, TreeMap<Long, byte[]>> all = new EnumMap<>(Table.class);
-        of.forEach((t, rows) -> all.put(t, new TreeMap<>(rows)));
-        return all;
+    private static Map<Table, TreeMap<Long, byte[]>> copy(
+            Map<Table, TreeMap<Long, byte[]>> source) {
+        Map<Table, TreeMap<Long, byte[]>> tables = new EnumMap<>(Table.class);
+        source.forEach((table, rows) -> tables.put(table, new TreeMap<>(rows)));
+        return tables;
     }
 
     /** The state as the next process finds it. */
     MemoryRowStore afterKill() {
         MemoryRowStore next = new MemoryRowStore();
         next.durable = copy(durable);
-        next.now = copy(durable);
+        next.current = copy(durable);
         return next;
     }
 
     @Override
     public void put(Table table, long key, byte[] row) throws IOException {
-        writable();
-        now.get(table).put(key, row);
+        checkDiskSpace();
+        current.get(table).put(key, row);
         pending.add(() -> durable.get(table).put(key, row));
     }
 
     @Override
     public void deleteRange(Table table, long from, long to) throws IOException {
-        writable();
-        now.get(table).subMap(from, true, to, true).clear();
+        checkDiskSpace();
+        current.get(table).subMap(from, true, to, true).clear();
         pending.add(() -> durable.get(table).subMap(from, true, to, true).clear());
     }
 
-    private void writable() throws IOException {
-        if (full) {
+    private void checkDiskSpace() throws IOException {
+        if (diskFull) {
             throw new IOException("no space left");
         }
     }
 
     @Override
     public SortedMap<Long, byte[]> readAll(Table table) {
-        return new TreeMap<>(now.get(table));
+        return new TreeMap<>(current.get(table));
     }
 
     @Override
     public void flush() throws IOException {
-        writable();
+        checkDiskSpace();
         pending.forEach(Runnable::run);
         pending.clear();
     }
 
     @Override
     public String setAside() {
-        aside++;
-        durable = empty();
-        now = empty();
+        setAsideCount++;
+        durable = emptyTables();
+        current = emptyTables();
         pending.clear();
-        return "aside-" + aside;
+        return "aside-" + setAsideCount;
     }
 
     @Override
--- a/src/test/java/wingroad/fleet/SimFleet.java
+++ b/src/test/java/wingroad/fleet/SimFleet.java
@@ -2,6 +2,11 @@
 
 import io.microraft.model.message.VoteRequest;
 import io.microraft.model.message.VoteResponse;
+
+import wingroad.duty.EpochFence;
+import wingroad.duty.Lease;
+import wingroad.duty.SessionLease;
+
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.nio.file.Path;
@@ -19,9 +24,6 @@
 import java.util.TreeMap;
 import java.util.function.BiConsumer;
 import java.util.function.Function;
-import wingroad.duty.EpochFence;
-import wingroad.duty.Lease;
-import wingroad.duty.SessionLease;
 
 /**
  * A fleet in virtual time: the program's own code on played clocks, links and disks, with faults
@@ -29,7 +31,7 @@
  */
 final class SimFleet {
     /** Wrongs that are put in to see whether the checker finds them. */
-    enum Wrong {
+    enum InjectedBug {
         NONE,
         NO_FENCE,
         LEASE_FROM_ANSWER,
@@ -39,187 +41,202 @@
         ORDER_WITHOUT_EPOCH
     }
 
-    static final Duration LEASE = Duration.ofSeconds(4);
-    static final double DRIFT = 0.05;
+    static final Duration LEASE_DURATION = Duration.ofSeconds(4);
+    static final double MAX_CLOCK_DRIFT = 0.05;
 
-    private record Event(long at, long seq, Runnable task) implements Comparable<Event> {
+    private record Event(long atNanos, long sequence, Runnable task) implements Comparable<Event> {
         @Override
-        public int compareTo(Event o) {
-            return at != o.at ? Long.compare(at, o.at) : Long.compare(seq, o.seq);
+        public int compareTo(Event other) {
+            return atNanos != other.atNanos
+                    ? Long.compare(atNanos, other.atNanos)
+                    : Long.compare(sequence, other.sequence);
         }
     }
 
     final Random random;
-    final Wrong wrong;
-    final List<String> broken = new ArrayList<>();
-    final List<String> lines = new ArrayList<>();
-    final Map<String, Proc> procs = new LinkedHashMap<>();
+    final InjectedBug injectedBug;
+    final List<String> violations = new ArrayList<>();
+    final List<String> logLines = new ArrayList<>();
+    final Map<String, SimulatedProcess> processes = new LinkedHashMap<>();
     final Map<String, String> voters = new TreeMap<>();
-    final Receiver receiver = new Receiver();
+    final FencedReceiver receiver = new FencedReceiver();
 
     /** Work on machines, or null. */
-    SimWork work;
+    SimWork maintenance;
 
     private final List<FleetConfig.Chore> chores = new ArrayList<>();
     private final PriorityQueue<Event> events = new PriorityQueue<>();
-    private final List<Pipe> pipes = new ArrayList<>();
+    private final List<SimulatedConnection> connections = new ArrayList<>();
 
     /** Directions that are held, "from>to". */
-    final Set<String> held = new HashSet<>();
-
-    private final Map<String, String> votes = new HashMap<>();
-    long now;
-    private long seq;
-    long bytes;
-    long messages;
-    int faults;
-    int lateRefused;
-
-    SimFleet(long seed, int drivers, int voting, int duties, Wrong wrong) {
-        this(seed, drivers, voting, duties, Duration.ofMillis(800), wrong);
+    final Set<String> heldDirections = new HashSet<>();
+
+    private final Map<String, String> voteByVoterAndTerm = new HashMap<>();
+    long nowNanos;
+    private long nextEventSequence;
+    long sentBytes;
+    long sentMessageCount;
+    int faultCount;
+    int staleEffectsRefused;
+
+    SimFleet(long seed, int driverCount, int voterCount, int dutyCount, InjectedBug injectedBug) {
+        this(seed, driverCount, voterCount, dutyCount, Duration.ofMillis(800), injectedBug);
     }
 
-    SimFleet(long seed, int drivers, int voting, int duties, Duration every, Wrong wrong) {
+    SimFleet(
+            long seed,
+            int driverCount,
+            int voterCount,
+            int dutyCount,
+            Duration choreInterval,
+            InjectedBug injectedBug) {
         random = new Random(seed);
-        this.wrong = wrong;
-        for (int i = 0; i < voting; i++) {
-            voters.put(name(i), name(i));
+        this.injectedBug = injectedBug;
+        for (int i = 0; i < voterCount; i++) {
+            voters.put(processName(i), processName(i));
         }
-        for (int i = 0; i < duties; i++) {
-            chores.add(new FleetConfig.Chore("c" + i, every, 7, "SELECT f({epoch})"));
+        for (int i = 0; i < dutyCount; i++) {
+            chores.add(new FleetConfig.Chore("c" + i, choreInterval, 7, "SELECT f({epoch})"));
         }
-        for (int i = 0; i < drivers; i++) {
-            Proc p = new Proc(name(i));
-            procs.put(p.name, p);
+        for (int i = 0; i < driverCount; i++) {
+            SimulatedProcess process = new SimulatedProcess(processName(i));
+            processes.put(process.name, process);
         }
     }
 
-    static String name(int i) {
+    static String processName(int i) {
         return String.format("d%03d", i);
     }
 
-    void at(long when, Runnable task) {
-        events.add(new Event(Math.max(when, now), seq++, task));
+    void scheduleAt(long atNanos, Runnable task) {
+        events.add(new Event(Math.max(atNanos, nowNanos), nextEventSequence++, task));
     }
 
     /** Plays on for so many milliseconds. */
-    void play(long ms) {
-        long end = now + ms * 1_000_000;
-        while (!events.isEmpty() && events.peek().at <= end) {
-            Event e = events.poll();
-            now = e.at;
-            e.task.run();
-        }
-        now = end;
+    void advance(long durationMs) {
+        long endNanos = nowNanos + durationMs * 1_000_000;
+        while (!events.isEmpty() && events.peek().atNanos <= endNanos) {
+            Event event = events.poll();
+            nowNanos = event.atNanos;
+            event.task.run();
+        }
+        nowNanos = endNanos;
     }
 
-    void line(String who, String text) {
-        lines.add(now / 1_000_000 + " " + who + " " + text);
+    void logLine(String processName, String text) {
+        logLines.add(nowNanos / 1_000_000 + " " + processName + " " + text);
     }
 
-    void breaks(String what) {
-        broken.add(now / 1_000_000 + " " + what);
-        line("!", what);
+    void recordViolation(String violation) {
+        violations.add(nowNanos / 1_000_000 + " " + violation);
+        logLine("!", violation);
     }
 
     /** The process whose state folder this was goes on. */
-    final class Proc implements ExecutionContext {
+    final class SimulatedProcess implements ExecutionContext {
         final String name;
-        MemoryRowStore rows = new MemoryRowStore();
+        MemoryRowStore rowStore = new MemoryRowStore();
         MemoryRowStore backup;
         String identity = Long.toHexString(random.nextLong());
         boolean alive;
         boolean paused;
-        private int life;
+        private int incarnation;
 
         /** How fast its clock runs, within the bound. */
-        final double rate = 1 + (random.nextDouble() * 2 - 1) * DRIFT;
+        final double clockRate = 1 + (random.nextDouble() * 2 - 1) * MAX_CLOCK_DRIFT;
 
-        private final long offset = random.nextInt(1_000_000_000);
-        private final ArrayDeque<Runnable> waiting = new ArrayDeque<>();
+        private final long clockOffsetNanos = random.nextInt(1_000_000_000);
+        private final ArrayDeque<Runnable> tasksWhilePaused = new ArrayDeque<>();
         ConsensusNode consensusNode;
-        DriverSession councilSession;
-        ChoreScheduler work;
+        DriverSession driverSession;
+        ChoreScheduler choreScheduler;
 
-        Proc(String name) {
+        SimulatedProcess(String name) {
             this.name = name;
         }
 
         void start() {
             alive = true;
             paused = false;
-            waiting.clear();
-            life++;
-            Map<String, String> reach = new LinkedHashMap<>(voters);
-            FleetConfig rules =
+            tasksWhilePaused.clear();
+            incarnation++;
+            Map<String, String> voterAddresses = new LinkedHashMap<>(voters);
+            FleetConfig config =
                     new FleetConfig(
                             "f",
                             name,
                             voters.get(name),
-                            reach,
+                            voterAddresses,
                             Path.of("."),
-                            new Lease(LEASE, DRIFT),
+                            new Lease(LEASE_DURATION, MAX_CLOCK_DRIFT),
                             chores,
                             null,
-                            SimFleet.this.work == null ? null : SimFleet.this.work.rules);
-            MessageTransport net = (address, owner) -> open(this, address, owner);
+                            SimFleet.this.maintenance == null
+                                    ? null
+                                    : SimFleet.this.maintenance.settings);
+            MessageTransport transport =
+                    (address, handler) -> openConnection(this, address, handler);
             consensusNode = null;
             if (voters.containsKey(name)) {
                 try {
                     consensusNode =
-                            SimFleet.this.work == null
+                            SimFleet.this.maintenance == null
                                     ? new ConsensusNode(
-                                            this, net, rules, this::store, random.nextLong())
+                                            this,
+                                            transport,
+                                            config,
+                                            this::openStore,
+                                            random.nextLong())
                                     : new ConsensusNode(
                                             this,
-                                            net,
-                                            rules,
-                                            this::store,
+                                            transport,
+                                            config,
+                                            this::openStore,
                                             random.nextLong(),
-                                            SimFleet.this.work::register);
+                                            SimFleet.this.maintenance::newStateMachine);
                 } catch (IOException e) {
                     throw new UncheckedIOException(e);
                 }
                 consensusNode.start();
-                schedule(Duration.ofSeconds(2), this::watch);
+                schedule(Duration.ofSeconds(2), this::reloadStateAfterWriteFailure);
             }
             Function<String, SessionLease> sessionLeases =
-                    wrong == Wrong.LEASE_FROM_ANSWER
-                            ? s -> new FromAnswer(rules.lease(), s)
-                            : s -> new SessionLease(rules.lease(), s);
-            councilSession =
+                    injectedBug == InjectedBug.LEASE_FROM_ANSWER
+                            ? sessionId -> new LeaseFromResponseTime(config.lease(), sessionId)
+                            : sessionId -> new SessionLease(config.lease(), sessionId);
+            driverSession =
                     new DriverSession(
                             this,
-                            net,
-                            rules,
+                            transport,
+                            config,
                             identity,
                             () -> Long.toHexString(random.nextLong()),
                             sessionLeases,
-                            (epoch, what) -> {});
-            work = new ChoreScheduler(this, rules, councilSession, this::effect);
-            if (SimFleet.this.work != null) {
-                councilSession.setPlanListener(SimFleet.this.work.agent(this));
+                            (epoch, planUpdate) -> {});
+            choreScheduler = new ChoreScheduler(this, config, driverSession, this::executeChore);
+            if (SimFleet.this.maintenance != null) {
+                driverSession.setPlanListener(SimFleet.this.maintenance.newAgent(this));
             }
-            councilSession.start(work);
+            driverSession.start(choreScheduler);
         }
 
-        private ConsensusStore store() throws IOException {
-            rows = rows.afterKill();
-            return new ConsensusStore(rows, () -> Long.toHexString(random.nextLong()));
+        private ConsensusStore openStore() throws IOException {
+            rowStore = rowStore.afterKill();
+            return new ConsensusStore(rowStore, () -> Long.toHexString(random.nextLong()));
         }
 
         /**
          * As the program's own: a voter whose state could not be written reads it again, once that
          * works.
          */
-        private void watch() {
-            if (consensusNode.phase() == ConsensusNode.Phase.BROKEN && !rows.full) {
-                readAgain();
+        private void reloadStateAfterWriteFailure() {
+            if (consensusNode.phase() == ConsensusNode.Phase.BROKEN && !rowStore.diskFull) {
+                reloadState();
             }
-            schedule(Duration.ofSeconds(2), this::watch);
+            schedule(Duration.ofSeconds(2), this::reloadStateAfterWriteFailure);
         }
 
-        void readAgain() {
+        void reloadState() {
             try {
                 consensusNode.reloadState();
             } catch (IOException e) {
@@ -230,42 +247,42 @@
         void kill() {
             if (alive) {
                 alive = false;
-                life++;
-                rows = rows.afterKill();
-                if (wrong == Wrong.VOTE_FORGOTTEN) {
+                incarnation++;
+                rowStore = rowStore.afterKill();
+                if (injectedBug == InjectedBug.VOTE_FORGOTTEN) {
                     forgetVote();
                 }
-                for (Pipe p : List.copyOf(pipes)) {
-                    p.processEnds(this);
+                for (SimulatedConnection connection : List.copyOf(connections)) {
+                    connection.processKilled(this);
                 }
             }
         }
 
         /** As a voter that does not write its vote down. */
         private void forgetVote() {
-            byte[] row = rows.readAll(RowStore.Table.META).get(3L);
+            byte[] row = rowStore.readAll(RowStore.Table.META).get(3L);
             if (row != null) {
-                Map<String, Object> t =
+                Map<String, Object> termState =
                         Cbor.decode(java.util.Arrays.copyOfRange(row, 4, row.length));
                 byte[] body =
                         Cbor.encode(
                                 MessageCodec.message(
                                         "t",
                                         "term",
-                                        MessageCodec.longOrZero(t, "term"),
+                                        MessageCodec.longOrZero(termState, "term"),
                                         "voted",
                                         ""));
-                java.util.zip.CRC32C sum = new java.util.zip.CRC32C();
-                sum.update(body, 0, body.length);
+                java.util.zip.CRC32C checksum = new java.util.zip.CRC32C();
+                checksum.update(body, 0, body.length);
                 try {
-                    rows.put(
+                    rowStore.put(
                             RowStore.Table.META,
                             3,
                             java.nio.ByteBuffer.allocate(4 + body.length)
-                                    .putInt((int) sum.getValue())
+                                    .putInt((int) checksum.getValue())
                                     .put(body)
                                     .array());
-                    rows.flush();
+                    rowStore.flush();
                 } catch (IOException e) {
                     throw new UncheckedIOException(e);
                 }
@@ -273,29 +290,29 @@
         }
 
         void loseState() {
-            rows = new MemoryRowStore();
+            rowStore = new MemoryRowStore();
             identity = Long.toHexString(random.nextLong());
         }
 
         void resume() {
             paused = false;
-            int mine = life;
-            while (!waiting.isEmpty() && !paused && mine == life) {
-                waiting.poll().run();
+            int ownIncarnation = incarnation;
+            while (!tasksWhilePaused.isEmpty() && !paused && ownIncarnation == incarnation) {
+                tasksWhilePaused.poll().run();
             }
         }
 
         /** Runs the task on this process's thread, unless the process has ended by then. */
-        void task(long when, Runnable task) {
-            int mine = life;
-            at(
-                    when,
+        void runAt(long atNanos, Runnable task) {
+            int ownIncarnation = incarnation;
+            scheduleAt(
+                    atNanos,
                     () -> {
-                        if (mine == life) {
+                        if (ownIncarnation == incarnation) {
                             if (paused) {
-                                waiting.add(
+                                tasksWhilePaused.add(
                                         () -> {
-                                            if (mine == life) {
+                                            if (ownIncarnation == incarnation) {
                                                 task.run();
                                             }
                                         });
@@ -308,77 +325,80 @@
 
         @Override
         public Duration now() {
-            return Duration.ofNanos(offset + (long) (now * rate));
+            return Duration.ofNanos(clockOffsetNanos + (long) (nowNanos * clockRate));
         }
 
         @Override
         public long wallClockMs() {
-            return 1_700_000_000_000L + now / 1_000_000;
+            return 1_700_000_000_000L + nowNanos / 1_000_000;
         }
 
         @Override
         public void execute(Runnable task) {
-            task(now, task);
+            runAt(nowNanos, task);
         }
 
         @Override
-        public void schedule(Duration wait, Runnable task) {
-            task(now + (long) (wait.toNanos() / rate), task);
+        public void schedule(Duration delay, Runnable task) {
+            runAt(nowNanos + (long) (delay.toNanos() / clockRate), task);
         }
 
         @Override
         public void log(String text) {
-            line(name, text);
+            logLine(name, text);
         }
 
         /** The clock is read, and then anything may happen before the effect is out. */
-        private void effect(
+        private void executeChore(
                 FleetConfig.Chore chore,
                 long epoch,
                 long turn,
-                Duration until,
-                ChoreRunner.Completion ended) {
-            if (now().compareTo(until) >= 0) {
-                ended.completed("not begun: no lease");
+                Duration leaseEnd,
+                ChoreRunner.Completion completion) {
+            if (now().compareTo(leaseEnd) >= 0) {
+                completion.completed("not begun: no lease");
                 return;
             }
             if (random.nextInt(40) == 0) {
-                pauseFor(LEASE.toMillis() * (1 + random.nextInt(3)));
+                pauseFor(LEASE_DURATION.toMillis() * (1 + random.nextInt(3)));
             }
-            int mine = life;
-            Runnable out =
+            int ownIncarnation = incarnation;
+            Runnable transmit =
                     () -> {
-                        long way = 200_000 + random.nextInt(2_000_000);
-                        if (held.contains(name + ">member") || random.nextInt(60) == 0) {
-                            way += LEASE.toNanos() * (1 + random.nextInt(2));
+                        long transitNanos = 200_000 + random.nextInt(2_000_000);
+                        if (heldDirections.contains(name + ">member") || random.nextInt(60) == 0) {
+                            transitNanos += LEASE_DURATION.toNanos() * (1 + random.nextInt(2));
                         }
-                        at(
-                                now + way,
+                        scheduleAt(
+                                nowNanos + transitNanos,
                                 () -> {
                                     String outcome =
-                                            receiver.effect(chore.duty(), epoch, turn, name);
-                                    if (mine == life && !held.contains("member>" + name)) {
-                                        task(now + 500_000, () -> ended.completed(outcome));
-                                    } else if (mine == life) {
-                                        task(
-                                                now + 2_000_000_000L,
-                                                () -> ended.completed("unknown"));
+                                            receiver.receiveEffect(chore.duty(), epoch, turn, name);
+                                    if (ownIncarnation == incarnation
+                                            && !heldDirections.contains("member>" + name)) {
+                                        runAt(
+                                                nowNanos + 500_000,
+                                                () -> completion.completed(outcome));
+                                    } else if (ownIncarnation == incarnation) {
+                                        runAt(
+                                                nowNanos + 2_000_000_000L,
+                                                () -> completion.completed("unknown"));
                                     }
                                 });
                     };
             // A pause that begins here stands between the check and the effect.
-            task(now, out);
+            runAt(nowNanos, transmit);
         }
 
-        void pauseFor(long ms) {
+        void pauseFor(long pauseMs) {
             if (!paused && alive) {
                 paused = true;
-                faults++;
-                int mine = life;
-                at(
-                        now + ms * 1_000_000,
+                faultCount++;
+                int ownIncarnation = incarnation;
+                scheduleAt(
+                        nowNanos + pauseMs * 1_000_000,
                         () -> {
-                            if (mine == life && paused) {
+                            if (ownIncarnation == incarnation && paused) {
                                 resume();
                             }
                         });
@@ -387,9 +407,9 @@
     }
 
     /** A lease counted from when the answer came: wrong. */
-    private static final class FromAnswer extends SessionLease {
-        FromAnswer(Lease lease, String session) {
-            super(lease, session);
+    private static final class LeaseFromResponseTime extends SessionLease {
+        LeaseFromResponseTime(Lease lease, String sessionId) {
+            super(lease, sessionId);
         }
 
         @Override
@@ -399,47 +419,48 @@
     }
 
     /** What effects come to: a fence, and a ledger of what was accepted. */
-    final class Receiver {
+    final class FencedReceiver {
         private final EpochFence fence = new EpochFence();
-        private final Map<String, Long> highest = new HashMap<>();
-        private final Map<String, String> turns = new HashMap<>();
-        private final Map<Long, String> epochs = new HashMap<>();
-        int accepted;
+        private final Map<String, Long> highestEpochs = new HashMap<>();
+        private final Map<String, String> driverByTurn = new HashMap<>();
+        private final Map<Long, String> holderByEpoch = new HashMap<>();
+        int acceptedCount;
 
-        String effect(String duty, long epoch, long turn, String who) {
+        String receiveEffect(String duty, long epoch, long turn, String driver) {
             fence.advance(duty, 0);
-            if (wrong != Wrong.NO_FENCE && !fence.admits(duty, epoch)) {
-                lateRefused++;
+            if (injectedBug != InjectedBug.NO_FENCE && !fence.admits(duty, epoch)) {
+                staleEffectsRefused++;
                 return "refused: epoch " + epoch + " is over";
             }
-            accepted++;
-            if (epoch < highest.getOrDefault(duty, 0L)) {
-                breaks(
+            acceptedCount++;
+            if (epoch < highestEpochs.getOrDefault(duty, 0L)) {
+                recordViolation(
                         "late effect accepted: "
                                 + duty
                                 + " epoch "
                                 + epoch
                                 + " of "
-                                + who
+                                + driver
                                 + " after "
-                                + highest.get(duty));
+                                + highestEpochs.get(duty));
             }
-            highest.merge(duty, epoch, Math::max);
-            String before = turns.put(duty + "#" + turn, who);
-            if (before != null) {
-                breaks(
+            highestEpochs.merge(duty, epoch, Math::max);
+            String previousDriver = driverByTurn.put(duty + "#" + turn, driver);
+            if (previousDriver != null) {
+                recordViolation(
                         "turn run twice: "
                                 + duty
                                 + " turn "
                                 + turn
                                 + " by "
-                                + before
+                                + previousDriver
                                 + " and "
-                                + who);
+                                + driver);
             }
-            String owner = epochs.putIfAbsent(epoch, who + " " + duty);
-            if (owner != null && !owner.equals(who + " " + duty)) {
-                breaks("epoch " + epoch + " used by " + owner + " and " + who + " " + duty);
+            String owner = holderByEpoch.putIfAbsent(epoch, driver + " " + duty);
+            if (owner != null && !owner.equals(driver + " " + duty)) {
+                recordViolation(
+                        "epoch " + epoch + " used by " + owner + " and " + driver + " " + duty);
             }
             return "ran";
         }
@@ -447,121 +468,147 @@
 
     // ---- links ----
 
-    private MessageTransport.Channel open(
-            Proc from, String address, MessageTransport.ChannelHandler owner) {
-        Pipe p = new Pipe(from, address, owner);
-        pipes.add(p);
-        return p.near;
+    private MessageTransport.Channel openConnection(
+            SimulatedProcess from, String address, MessageTransport.ChannelHandler handler) {
+        SimulatedConnection process = new SimulatedConnection(from, address, handler);
+        connections.add(process);
+        return process.initiatorChannel;
     }
 
     /** One connection; each direction in order, held while it is cut. */
-    private final class Pipe {
-        final Proc from;
+    private final class SimulatedConnection {
+        final SimulatedProcess from;
         final String to;
-        final End near;
-        End far;
+        final SimulatedChannel initiatorChannel;
+        SimulatedChannel acceptorChannel;
         boolean open = true;
 
-        Pipe(Proc from, String to, MessageTransport.ChannelHandler owner) {
+        SimulatedConnection(
+                SimulatedProcess from, String to, MessageTransport.ChannelHandler handler) {
             this.from = from;
             this.to = to;
-            near = new End(from, owner, this);
-            near.send0(
+            initiatorChannel = new SimulatedChannel(from, handler, this);
+            initiatorChannel.deliver(
                     () -> {
-                        Proc p = procs.get(to);
-                        if (p == null || !p.alive || p.consensusNode == null) {
-                            from.task(now + 300_000, () -> near.ends("refused"));
+                        SimulatedProcess process = processes.get(to);
+                        if (process == null || !process.alive || process.consensusNode == null) {
+                            from.runAt(
+                                    nowNanos + 300_000,
+                                    () -> initiatorChannel.closeByRemote("refused"));
                             return;
                         }
-                        far = new End(p, p.consensusNode.newInboundHandler(), this);
-                        p.task(now, () -> far.owner.connected(far));
-                        far.send0(
+                        acceptorChannel =
+                                new SimulatedChannel(
+                                        process, process.consensusNode.newInboundHandler(), this);
+                        process.runAt(
+                                nowNanos, () -> acceptorChannel.handler.connected(acceptorChannel));
+                        acceptorChannel.deliver(
                                 () ->
-                                        from.task(
-                                                now,
+                                        from.runAt(
+                                                nowNanos,
                                                 () -> {
                                                     if (open) {
-                                                        owner.connected(near);
+                                                        handler.connected(initiatorChannel);
                                                     }
                                                 }));
                     });
         }
 
-        void processEnds(Proc p) {
-            End other = near.proc == p ? far : far != null && far.proc == p ? near : null;
-            if (near.proc == p || far != null && far.proc == p) {
+        void processKilled(SimulatedProcess process) {
+            SimulatedChannel remaining =
+                    initiatorChannel.process == process
+                            ? acceptorChannel
+                            : acceptorChannel != null && acceptorChannel.process == process
+                                    ? initiatorChannel
+                                    : null;
+            if (initiatorChannel.process == process
+                    || acceptorChannel != null && acceptorChannel.process == process) {
                 open = false;
-                pipes.remove(this);
-                if (other != null) {
+                connections.remove(this);
+                if (remaining != null) {
                     // The end of a process is told like all else, or not at all while it is cut.
-                    String way = p.name + ">" + other.proc.name;
-                    if (!held.contains(way)) {
-                        other.proc.task(now + 400_000, () -> other.ends("reset"));
+                    String direction = process.name + ">" + remaining.process.name;
+                    if (!heldDirections.contains(direction)) {
+                        remaining.process.runAt(
+                                nowNanos + 400_000, () -> remaining.closeByRemote("reset"));
                     }
                 }
             }
         }
     }
 
-    private final class End implements MessageTransport.Channel {
-        final Proc proc;
-        final MessageTransport.ChannelHandler owner;
-        final Pipe pipe;
-        final ArrayDeque<Runnable> queue = new ArrayDeque<>();
-        private final int life;
-        long free;
+    private final class SimulatedChannel implements MessageTransport.Channel {
+        final SimulatedProcess process;
+        final MessageTransport.ChannelHandler handler;
+        final SimulatedConnection connection;
+        final ArrayDeque<Runnable> heldDeliveries = new ArrayDeque<>();
+        private final int incarnation;
+        long lastDeliveryNanos;
         boolean closed;
 
-        End(Proc proc, MessageTransport.ChannelHandler owner, Pipe pipe) {
-            this.proc = proc;
-            this.life = proc.life;
-            this.owner = owner;
-            this.pipe = pipe;
+        SimulatedChannel(
+                SimulatedProcess process,
+                MessageTransport.ChannelHandler handler,
+                SimulatedConnection connection) {
+            this.process = process;
+            this.incarnation = process.incarnation;
+            this.handler = handler;
+            this.connection = connection;
         }
 
-        private End other() {
-            return this == pipe.near ? pipe.far : pipe.near;
+        private SimulatedChannel remote() {
+            return this == connection.initiatorChannel
+                    ? connection.acceptorChannel
+                    : connection.initiatorChannel;
         }
 
-        private String way() {
-            return proc.name + ">" + (this == pipe.near ? pipe.to : pipe.from.name);
+        private String direction() {
+            return process.name
+                    + ">"
+                    + (this == connection.initiatorChannel ? connection.to : connection.from.name);
         }
 
-        void send0(Runnable arrives) {
-            if (held.contains(way()) || !queue.isEmpty()) {
-                queue.add(arrives);
+        void deliver(Runnable delivery) {
+            if (heldDirections.contains(direction()) || !heldDeliveries.isEmpty()) {
+                heldDeliveries.add(delivery);
             } else {
-                go(arrives);
+                scheduleDelivery(delivery);
             }
         }
 
-        private void go(Runnable arrives) {
-            free = Math.max(free + 1, now + 200_000 + random.nextInt(1_500_000));
-            at(free, arrives);
+        private void scheduleDelivery(Runnable delivery) {
+            lastDeliveryNanos =
+                    Math.max(lastDeliveryNanos + 1, nowNanos + 200_000 + random.nextInt(1_500_000));
+            scheduleAt(lastDeliveryNanos, delivery);
         }
 
-        void heal() {
-            while (!queue.isEmpty() && !held.contains(way())) {
-                go(queue.poll());
+        void releaseHeld() {
+            while (!heldDeliveries.isEmpty() && !heldDirections.contains(direction())) {
+                scheduleDelivery(heldDeliveries.poll());
             }
         }
 
         @Override
         public void send(Map<String, Object> message) {
-            byte[] text = Cbor.encode(message);
-            messages++;
-            bytes += text.length + 4;
-            if (!closed && pipe.open) {
-                watch(message, this == pipe.near ? pipe.to : pipe.from.name);
-                send0(
+            byte[] encoded = Cbor.encode(message);
+            sentMessageCount++;
+            sentBytes += encoded.length + 4;
+            if (!closed && connection.open) {
+                checkVotes(
+                        message,
+                        this == connection.initiatorChannel ? connection.to : connection.from.name);
+                deliver(
                         () -> {
-                            End to = other();
-                            if (pipe.open && to != null && !to.closed) {
-                                to.proc.task(
-                                        now,
+                            SimulatedChannel receiver = remote();
+                            if (connection.open && receiver != null && !receiver.closed) {
+                                receiver.process.runAt(
+                                        nowNanos,
                                         () -> {
-                                            if (!to.closed && to.proc.life == to.life) {
-                                                to.owner.received(to, Cbor.decode(text));
+                                            if (!receiver.closed
+                                                    && receiver.process.incarnation
+                                                            == receiver.incarnation) {
+                                                receiver.handler.received(
+                                                        receiver, Cbor.decode(encoded));
                                             }
                                         });
                             }
@@ -569,13 +616,13 @@
             }
         }
 
-        void ends(String how) {
+        void closeByRemote(String reason) {
             // A process that was started again hears nothing of its predecessor's connections.
-            if (!closed && proc.life == life) {
+            if (!closed && process.incarnation == incarnation) {
                 closed = true;
-                pipe.open = false;
-                pipes.remove(pipe);
-                owner.closed(this, how);
+                connection.open = false;
+                connections.remove(connection);
+                handler.closed(this, reason);
             }
         }
 
@@ -583,40 +630,48 @@
         public void close() {
             if (!closed) {
                 closed = true;
-                pipe.open = false;
-                pipes.remove(pipe);
-                End o = other();
-                if (o != null) {
-                    o.proc.task(now + 400_000, () -> o.ends("closed"));
+                connection.open = false;
+                connections.remove(connection);
+                SimulatedChannel remote = remote();
+                if (remote != null) {
+                    remote.process.runAt(nowNanos + 400_000, () -> remote.closeByRemote("closed"));
                 }
             }
         }
     }
 
     /** No endpoint may vote for two in one term. */
-    private void watch(Map<String, Object> message, String to) {
+    private void checkVotes(Map<String, Object> message, String to) {
         if (MessageCodec.stringOrEmpty(message, "k").equals("raft")) {
-            Object m = MessageCodec.decodeMessage(cast(message.get("m")));
-            if (m instanceof VoteRequest r) {
-                vote(
-                        (String) r.getSender().getId(),
-                        r.getTerm(),
-                        ((MessageCodec.Endpoint) r.getSender()).name());
-            } else if (m instanceof VoteResponse r && r.isGranted()) {
-                vote((String) r.getSender().getId(), r.getTerm(), to);
-                if (onVote != null) {
-                    onVote.accept(((MessageCodec.Endpoint) r.getSender()).name(), to);
+            Object raftMessage = MessageCodec.decodeMessage(asMap(message.get("m")));
+            if (raftMessage instanceof VoteRequest vote) {
+                recordVote(
+                        (String) vote.getSender().getId(),
+                        vote.getTerm(),
+                        ((MessageCodec.Endpoint) vote.getSender()).name());
+            } else if (raftMessage instanceof VoteResponse vote && vote.isGranted()) {
+                recordVote((String) vote.getSender().getId(), vote.getTerm(), to);
+                if (voteGrantedHook != null) {
+                    voteGrantedHook.accept(((MessageCodec.Endpoint) vote.getSender()).name(), to);
                 }
             }
         }
     }
 
-    private BiConsumer<String, String> onVote;
-
-    private void vote(String voter, int term, String whom) {
-        String before = votes.putIfAbsent(voter + " " + term, whom);
-        if (before != null && !before.equals(whom)) {
-            breaks("two votes of " + voter + " in term " + term + ": " + before + " and " + whom);
+    private BiConsumer<String, String> voteGrantedHook;
+
+    private void recordVote(String voter, int term, String candidate) {
+        String previousCandidate = voteByVoterAndTerm.putIfAbsent(voter + " " + term, candidate);
+        if (previousCandidate != null && !previousCandidate.equals(candidate)) {
+            recordViolation(
+                    "two votes of "
+                            + voter
+                            + " in term "
+                            + term
+                            + ": "
+                            + previousCandidate
+                            + " and "
+                            + candidate);
         }
     }
 
@@ -624,60 +679,68 @@
      * A voter votes, and its candidate is gone before anybody hears of the term; the voter starts
      * again and is asked for the same term by the leader of before.
      */
-    void voteAndStartAgain() {
-        procs.values().forEach(Proc::start);
-        play(8000);
-        Proc leader =
-                procs.values().stream()
-                        .filter(p -> p.consensusNode != null && p.consensusNode.isLeader())
+    void runVoteAndRestart() {
+        processes.values().forEach(SimulatedProcess::start);
+        advance(8000);
+        SimulatedProcess leader =
+                processes.values().stream()
+                        .filter(
+                                process ->
+                                        process.consensusNode != null
+                                                && process.consensusNode.isLeader())
                         .findFirst()
                         .orElseThrow();
         leader.kill();
-        onVote =
+        voteGrantedHook =
                 (voter, candidate) -> {
-                    onVote = null;
-                    at(
-                            now,
+                    voteGrantedHook = null;
+                    scheduleAt(
+                            nowNanos,
                             () -> {
-                                procs.get(candidate).kill();
-                                procs.get(voter).kill();
-                                faults += 3;
-                                at(now + 100_000_000, procs.get(voter)::start);
-                                at(now + 100_000_000, leader::start);
-                                at(now + 20_000_000_000L, procs.get(candidate)::start);
+                                processes.get(candidate).kill();
+                                processes.get(voter).kill();
+                                faultCount += 3;
+                                scheduleAt(nowNanos + 100_000_000, processes.get(voter)::start);
+                                scheduleAt(nowNanos + 100_000_000, leader::start);
+                                scheduleAt(
+                                        nowNanos + 20_000_000_000L,
+                                        processes.get(candidate)::start);
                             });
                 };
-        play(40_000);
+        advance(40_000);
     }
 
     @SuppressWarnings("unchecked")
-    private static Map<String, Object> cast(Object o) {
-        return (Map<String, Object>) o;
+    private static Map<String, Object> asMap(Object value) {
+        return (Map<String, Object>) value;
     }
 
     // ---- faults ----
 
-    void hold(String from, String to) {
-        held.add(from + ">" + to);
+    void holdDirection(String from, String to) {
+        heldDirections.add(from + ">" + to);
     }
 
     /**
      * All directions are open again; of what was held, some connections break and the others
      * deliver late.
      */
-    void heal() {
-        held.clear();
-        for (Pipe p : List.copyOf(pipes)) {
-            boolean waits = !p.near.queue.isEmpty() || p.far != null && !p.far.queue.isEmpty();
-            if (waits && random.nextBoolean() && p.far != null) {
-                Proc a = p.near.proc;
-                Proc b = p.far.proc;
-                a.task(now, () -> p.near.ends("reset"));
-                b.task(now, () -> p.far.ends("reset"));
+    void healLinks() {
+        heldDirections.clear();
+        for (SimulatedConnection process : List.copyOf(connections)) {
+            boolean holdsMessages =
+                    !process.initiatorChannel.heldDeliveries.isEmpty()
+                            || process.acceptorChannel != null
+                                    && !process.acceptorChannel.heldDeliveries.isEmpty();
+            if (holdsMessages && random.nextBoolean() && process.acceptorChannel != null) {
+                SimulatedProcess initiator = process.initiatorChannel.process;
+                SimulatedProcess acceptor = process.acceptorChannel.process;
+                initiator.runAt(nowNanos, () -> process.initiatorChannel.closeByRemote("reset"));
+                acceptor.runAt(nowNanos, () -> process.acceptorChannel.closeByRemote("reset"));
             } else {
-                p.near.heal();
-                if (p.far != null) {
-                    p.far.heal();
+                process.initiatorChannel.releaseHeld();
+                if (process.acceptorChannel != null) {
+                    process.acceptorChannel.releaseHeld();
                 }
             }
         }
@@ -685,25 +748,26 @@
 
     /** At any time at most one process may act under a duty, by its own clock. */
     void checkLeases() {
-        for (FleetConfig.Chore c : chores) {
-            String one = null;
-            for (Proc p : procs.values()) {
-                if (p.alive && p.councilSession != null) {
-                    SessionLease t = p.councilSession.sessionLease();
-                    SessionLease.DutyState h = t.current(c.duty());
-                    if (h != null && t.mayAct(c.duty(), h.epoch(), p.now())) {
-                        if (one != null) {
-                            breaks(
+        for (FleetConfig.Chore chore : chores) {
+            String holder = null;
+            for (SimulatedProcess process : processes.values()) {
+                if (process.alive && process.driverSession != null) {
+                    SessionLease lease = process.driverSession.sessionLease();
+                    SessionLease.DutyState dutyState = lease.current(chore.duty());
+                    if (dutyState != null
+                            && lease.mayAct(chore.duty(), dutyState.epoch(), process.now())) {
+                        if (holder != null) {
+                            recordViolation(
                                     "two may act: "
-                                            + c.duty()
+                                            + chore.duty()
                                             + ": "
-                                            + one
+                                            + holder
                                             + " and "
-                                            + p.name
+                                            + process.name
                                             + " epoch "
-                                            + h.epoch());
+                                            + dutyState.epoch());
                         }
-                        one = p.name + " epoch " + h.epoch();
+                        holder = process.name + " epoch " + dutyState.epoch();
                     }
                 }
             }
@@ -711,151 +775,169 @@
     }
 
     /** Who owns each duty by the word of a voter that takes part and is the furthest. */
-    Map<String, String> owners() {
-        Map<String, String> owners = new TreeMap<>();
-        ConsensusNode best = null;
-        for (Proc p : procs.values()) {
-            if (p.alive
-                    && p.consensusNode != null
-                    && (best == null
-                            || p.consensusNode.stateMachine().revision()
-                                    > best.stateMachine().revision())) {
-                best = p.consensusNode;
+    Map<String, String> dutyOwners() {
+        Map<String, String> ownerByDuty = new TreeMap<>();
+        ConsensusNode mostAdvanced = null;
+        for (SimulatedProcess process : processes.values()) {
+            if (process.alive
+                    && process.consensusNode != null
+                    && (mostAdvanced == null
+                            || process.consensusNode.stateMachine().revision()
+                                    > mostAdvanced.stateMachine().revision())) {
+                mostAdvanced = process.consensusNode;
             }
         }
-        if (best != null) {
-            best.stateMachine().duties().forEach(d -> owners.put(d.name(), d.owner()));
+        if (mostAdvanced != null) {
+            mostAdvanced
+                    .stateMachine()
+                    .duties()
+                    .forEach(duty -> ownerByDuty.put(duty.name(), duty.owner()));
         }
-        return owners;
+        return ownerByDuty;
     }
 
     /**
      * A short history: a start, faults for a while, an end without faults in which all must be well
      * again.
      */
-    void history(int seconds) {
-        procs.values().forEach(p -> at(now + random.nextInt(500) * 1_000_000L, p::start));
-        play(8000);
-        for (int ms = 0; ms < seconds * 1000; ms += 250) {
+    void runHistory(int faultSeconds) {
+        processes
+                .values()
+                .forEach(
+                        process ->
+                                scheduleAt(
+                                        nowNanos + random.nextInt(500) * 1_000_000L,
+                                        process::start));
+        advance(8000);
+        for (int ms = 0; ms < faultSeconds * 1000; ms += 250) {
             if (random.nextInt(4) == 0) {
-                fault();
+                injectFault();
             }
-            play(250);
+            advance(250);
             checkLeases();
         }
-        heal();
-        for (Proc p : procs.values()) {
-            p.rows.full = false;
-            if (!p.alive) {
-                p.start();
-            } else if (p.paused) {
-                p.resume();
+        healLinks();
+        for (SimulatedProcess process : processes.values()) {
+            process.rowStore.diskFull = false;
+            if (!process.alive) {
+                process.start();
+            } else if (process.paused) {
+                process.resume();
             }
         }
-        for (int ms = 0; ms < 40_000 || work != null && ms < 120_000 && !work.atRest(); ms += 250) {
-            play(250);
+        for (int ms = 0;
+                ms < 40_000 || maintenance != null && ms < 120_000 && !maintenance.isIdle();
+                ms += 250) {
+            advance(250);
             checkLeases();
         }
-        if (work != null) {
-            work.end();
+        if (maintenance != null) {
+            maintenance.checkAllReturned();
         }
-        owners().forEach(
-                        (d, o) -> {
-                            if (o.isEmpty()) {
-                                breaks("no owner at the end: " + d);
+        dutyOwners()
+                .forEach(
+                        (duty, owner) -> {
+                            if (owner.isEmpty()) {
+                                recordViolation("no owner at the end: " + duty);
                             }
                         });
-        if (owners().size() < chores.size()) {
-            breaks("only " + owners().size() + " duties known at the end");
+        if (dutyOwners().size() < chores.size()) {
+            recordViolation("only " + dutyOwners().size() + " duties known at the end");
         }
     }
 
-    private Proc any() {
-        return procs.get(name(random.nextInt(procs.size())));
+    private SimulatedProcess randomProcess() {
+        return processes.get(processName(random.nextInt(processes.size())));
     }
 
-    private int lostNow() {
+    private int downVoterCount() {
         return (int)
-                procs.values().stream().filter(p -> p.consensusNode != null && !p.alive).count();
+                processes.values().stream()
+                        .filter(process -> process.consensusNode != null && !process.alive)
+                        .count();
     }
 
-    private void fault() {
-        faults++;
-        Proc p = any();
+    private void injectFault() {
+        faultCount++;
+        SimulatedProcess process = randomProcess();
         switch (random.nextInt(13)) {
             case 12 -> {
                 // Its disk is full for a while.
-                if (p.consensusNode != null && p.alive) {
-                    p.rows.full = true;
-                    MemoryRowStore full = p.rows;
-                    at(now + 3_000_000_000L, () -> full.full = false);
+                if (process.consensusNode != null && process.alive) {
+                    process.rowStore.diskFull = true;
+                    MemoryRowStore fullDisk = process.rowStore;
+                    scheduleAt(nowNanos + 3_000_000_000L, () -> fullDisk.diskFull = false);
                 }
             }
-            case 0, 1 -> p.pauseFor(LEASE.toMillis() * (1 + random.nextInt(3)) / 2);
+            case 0, 1 -> process.pauseFor(LEASE_DURATION.toMillis() * (1 + random.nextInt(3)) / 2);
             case 2, 3 -> {
-                p.kill();
-                int mine = p.life;
-                at(
-                        now + (200L + random.nextInt(6000)) * 1_000_000,
+                process.kill();
+                int incarnation = process.incarnation;
+                scheduleAt(
+                        nowNanos + (200L + random.nextInt(6000)) * 1_000_000,
                         () -> {
-                            if (!p.alive && p.life == mine) {
-                                p.start();
+                            if (!process.alive && process.incarnation == incarnation) {
+                                process.start();
                             }
                         });
             }
             case 4 -> {
-                for (Proc q : procs.values()) {
-                    hold(p.name, q.name);
-                    hold(q.name, p.name);
+                for (SimulatedProcess other : processes.values()) {
+                    holdDirection(process.name, other.name);
+                    holdDirection(other.name, process.name);
                 }
             }
-            case 5 -> procs.values().forEach(q -> hold(p.name, q.name));
+            case 5 -> processes.values().forEach(other -> holdDirection(process.name, other.name));
             case 6 -> {
-                List<Proc> half = new ArrayList<>(procs.values());
-                java.util.Collections.shuffle(half, random);
-                List<Proc> one = half.subList(0, half.size() / 2);
-                List<Proc> other = half.subList(half.size() / 2, half.size());
-                one.forEach(
-                        a ->
-                                other.forEach(
-                                        b -> {
-                                            hold(a.name, b.name);
-                                            hold(b.name, a.name);
+                List<SimulatedProcess> shuffled = new ArrayList<>(processes.values());
+                java.util.Collections.shuffle(shuffled, random);
+                List<SimulatedProcess> firstHalf = shuffled.subList(0, shuffled.size() / 2);
+                List<SimulatedProcess> secondHalf =
+                        shuffled.subList(shuffled.size() / 2, shuffled.size());
+                firstHalf.forEach(
+                        first ->
+                                secondHalf.forEach(
+                                        second -> {
+                                            holdDirection(first.name, second.name);
+                                            holdDirection(second.name, first.name);
                                         }));
             }
-            case 7 -> hold(p.name, "member");
-            case 8 -> hold("member", p.name);
+            case 7 -> holdDirection(process.name, "member");
+            case 8 -> holdDirection("member", process.name);
             case 9 -> {
                 // Voters lose their state one at a time, and only while the rest are there: more is
                 // more than it bears.
-                if (p.consensusNode != null && lostNow() == 0 && p.alive && allIn()) {
-                    p.kill();
-                    p.loseState();
-                    at(
-                            now + 1_000_000_000L,
+                if (process.consensusNode != null
+                        && downVoterCount() == 0
+                        && process.alive
+                        && allVotersIn()) {
+                    process.kill();
+                    process.loseState();
+                    scheduleAt(
+                            nowNanos + 1_000_000_000L,
                             () -> {
-                                if (!p.alive) {
-                                    p.start();
+                                if (!process.alive) {
+                                    process.start();
                                 }
                             });
                 }
             }
-            default -> heal();
+            default -> healLinks();
         }
     }
 
-    private boolean allIn() {
+    private boolean allVotersIn() {
         // One that has been let in and is not settled yet does not count: its loss and another
         // one's are two.
         boolean settled =
-                procs.values().stream()
+                processes.values().stream()
                         .anyMatch(
-                                p ->
-                                        p.alive
-                                                && p.consensusNode != null
-                                                && p.consensusNode.isLeader()
+                                process ->
+                                        process.alive
+                                                && process.consensusNode != null
+                                                && process.consensusNode.isLeader()
                                                 && ((List<?>)
-                                                                        p.consensusNode
+                                                                        process.consensusNode
                                                                                 .status()
                                                                                 .get("voters"))
                                                                 .size()
@@ -863,10 +945,10 @@
         return settled
                 && voters.keySet().stream()
                         .allMatch(
-                                v ->
-                                        procs.get(v).alive
-                                                && procs.get(v).consensusNode != null
-                                                && procs.get(v).consensusNode.phase()
+                                voter ->
+                                        processes.get(voter).alive
+                                                && processes.get(voter).consensusNode != null
+                                                && processes.get(voter).consensusNode.phase()
                                                         == ConsensusNode.Phase.IN);
     }
 }
