--- a/src/test/java/wingroad/fleet/SimFleetTest.java
+++ b/src/test/java/wingroad/fleet/SimFleetTest.java
@@ -2,72 +2,75 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
+import org.junit.jupiter.api.Test;
+
+import wingroad.fleet.SimFleet.InjectedBug;
+
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.stream.IntStream;
-import org.junit.jupiter.api.Test;
-import wingroad.fleet.SimFleet.Wrong;
 
 /** Short histories of a fleet in virtual time. */
 class SimFleetTest {
     @Test
-    void aFleetWithoutFaultsGivesEachDutyOneOwner() {
-        SimFleet f = new SimFleet(1, 7, 3, 6, Wrong.NONE);
-        f.procs.values().forEach(SimFleet.Proc::start);
-        f.play(10_000);
-        assertThat(f.owners()).hasSize(6);
-        assertThat(f.owners().values()).doesNotContain("");
-        assertThat(f.broken).isEmpty();
-        assertThat(f.receiver.accepted).isGreaterThan(20);
+    void withoutFaultsEachDutyHasOneOwner() {
+        SimFleet fleet = new SimFleet(1, 7, 3, 6, InjectedBug.NONE);
+        fleet.processes.values().forEach(SimFleet.SimulatedProcess::start);
+        fleet.advance(10_000);
+        assertThat(fleet.dutyOwners()).hasSize(6);
+        assertThat(fleet.dutyOwners().values()).doesNotContain("");
+        assertThat(fleet.violations).isEmpty();
+        assertThat(fleet.receiver.acceptedCount).isGreaterThan(20);
     }
 
     @Test
-    void noShortHistoryBreaksARule() {
-        AtomicInteger late = new AtomicInteger();
-        List<String> broken =
+    void randomHistoriesViolateNoInvariant() {
+        AtomicInteger staleEffects = new AtomicInteger();
+        List<String> violations =
                 IntStream.range(0, 200)
                         .parallel()
                         .boxed()
                         .flatMap(
                                 seed -> {
-                                    SimFleet f = history(seed, Wrong.NONE);
-                                    late.addAndGet(f.lateRefused);
-                                    return f.broken.stream().map(b -> "seed " + seed + ": " + b);
+                                    SimFleet fleet = runHistory(seed, InjectedBug.NONE);
+                                    staleEffects.addAndGet(fleet.staleEffectsRefused);
+                                    return fleet.violations.stream()
+                                            .map(violation -> "seed " + seed + ": " + violation);
                                 })
                         .toList();
-        assertThat(broken).isEmpty();
-        assertThat(late.get()).as("late effects that came to the fence").isPositive();
+        assertThat(violations).isEmpty();
+        assertThat(staleEffects.get()).as("late effects that came to the fence").isPositive();
     }
 
     @Test
-    void theCheckerFindsAReceiverWithoutAFence() {
-        List<String> broken = new ArrayList<>();
-        for (int seed = 0; seed < 10 && broken.isEmpty(); seed++) {
-            broken.addAll(history(seed, Wrong.NO_FENCE).broken);
+    void checkerDetectsMissingFence() {
+        List<String> violations = new ArrayList<>();
+        for (int seed = 0; seed < 10 && violations.isEmpty(); seed++) {
+            violations.addAll(runHistory(seed, InjectedBug.NO_FENCE).violations);
         }
-        assertThat(broken).anyMatch(b -> b.contains("late effect accepted"));
+        assertThat(violations).anyMatch(violation -> violation.contains("late effect accepted"));
     }
 
     @Test
-    void theCheckerFindsALeaseThatIsCountedFromTheAnswer() {
-        List<String> broken = new ArrayList<>();
-        for (int seed = 0; seed < 10 && broken.isEmpty(); seed++) {
-            broken.addAll(history(seed, Wrong.LEASE_FROM_ANSWER).broken);
+    void checkerDetectsLeaseCountedFromResponse() {
+        List<String> violations = new ArrayList<>();
+        for (int seed = 0; seed < 10 && violations.isEmpty(); seed++) {
+            violations.addAll(runHistory(seed, InjectedBug.LEASE_FROM_ANSWER).violations);
         }
-        assertThat(broken).anyMatch(b -> b.contains("two may act"));
+        assertThat(violations).anyMatch(violation -> violation.contains("two may act"));
     }
 
     @Test
-    void theCheckerFindsAVoterThatForgetsItsVote() {
+    void checkerDetectsVoterThatForgetsItsVote() {
         // Who asks first after the restart is drawn: not in each of them is it the same term again.
-        List<String> broken = new ArrayList<>();
+        List<String> violations = new ArrayList<>();
         for (int seed = 0; seed < 10; seed++) {
-            broken.addAll(voteAndStartAgain(seed, Wrong.VOTE_FORGOTTEN));
-            assertThat(voteAndStartAgain(seed, Wrong.NONE)).isEmpty();
+            violations.addAll(runVoteAndRestart(seed, InjectedBug.VOTE_FORGOTTEN));
+            assertThat(runVoteAndRestart(seed, InjectedBug.NONE)).isEmpty();
         }
-        assertThat(broken).anyMatch(b -> b.contains("two votes"));
+        assertThat(violations).anyMatch(violation -> violation.contains("two votes"));
     }
 
     /**
@@ -76,37 +79,38 @@
      * later. Where its log is the newest, nobody else can lead.
      */
     @Test
-    void aVoterThatPolledInVainStillMissesItsLeader() {
+    void voterStartsElectionAfterUnsuccessfulPreVote() {
         for (int seed = 0; seed < 5; seed++) {
-            SimFleet f = new SimFleet(seed, 3, 3, 2, Wrong.NONE);
-            f.procs.values().forEach(SimFleet.Proc::start);
-            f.play(8000);
-            SimFleet.Proc leader =
-                    f.procs.values().stream()
-                            .filter(p -> p.consensusNode.isLeader())
+            SimFleet fleet = new SimFleet(seed, 3, 3, 2, InjectedBug.NONE);
+            fleet.processes.values().forEach(SimFleet.SimulatedProcess::start);
+            fleet.advance(8000);
+            SimFleet.SimulatedProcess leader =
+                    fleet.processes.values().stream()
+                            .filter(process -> process.consensusNode.isLeader())
                             .findFirst()
                             .orElseThrow();
-            List<SimFleet.Proc> others =
-                    f.procs.values().stream().filter(p -> p != leader).toList();
-            SimFleet.Proc polls = others.get(0);
-            f.hold(leader.name, polls.name);
-            f.play(2200);
-            f.heal();
-            f.play(3000);
+            List<SimFleet.SimulatedProcess> followers =
+                    fleet.processes.values().stream().filter(process -> process != leader).toList();
+            SimFleet.SimulatedProcess pollingVoter = followers.get(0);
+            fleet.holdDirection(leader.name, pollingVoter.name);
+            fleet.advance(2200);
+            fleet.healLinks();
+            fleet.advance(3000);
             assertThat(leader.consensusNode.isLeader())
                     .as("seed " + seed + ": it leads on")
                     .isTrue();
-            f.hold(leader.name, others.get(1).name);
-            f.play(700);
+            fleet.holdDirection(leader.name, followers.get(1).name);
+            fleet.advance(700);
             leader.kill();
-            f.heal();
-            boolean another = false;
-            for (int ms = 0; ms < 12_000 && !another; ms += 100) {
-                f.play(100);
-                another = others.stream().anyMatch(p -> p.consensusNode.isLeader());
+            fleet.healLinks();
+            boolean newLeaderElected = false;
+            for (int ms = 0; ms < 12_000 && !newLeaderElected; ms += 100) {
+                fleet.advance(100);
+                newLeaderElected =
+                        followers.stream().anyMatch(process -> process.consensusNode.isLeader());
             }
-            assertThat(another).as("seed " + seed + ": another leads").isTrue();
-            assertThat(f.broken).isEmpty();
+            assertThat(newLeaderElected).as("seed " + seed + ": another leads").isTrue();
+            assertThat(fleet.violations).isEmpty();
         }
     }
 
@@ -115,21 +119,26 @@
      * beats, or for the lease.
      */
     @Test
-    void aPlannedStopIsSettledThoughItsVoterIsStopped() {
+    void plannedStopCompletesThoughItsVoterIsPaused() {
         for (int seed = 0; seed < 5; seed++) {
-            SimFleet f = new SimFleet(seed, 6, 3, 12, Duration.ofSeconds(60), Wrong.NONE);
-            f.procs.values().forEach(SimFleet.Proc::start);
-            f.play(10_000);
-            SimFleet.Proc leaver =
-                    f.procs.values().stream()
+            SimFleet fleet = new SimFleet(seed, 6, 3, 12, Duration.ofSeconds(60), InjectedBug.NONE);
+            fleet.processes.values().forEach(SimFleet.SimulatedProcess::start);
+            fleet.advance(10_000);
+            SimFleet.SimulatedProcess leaver =
+                    fleet.processes.values().stream()
                             .filter(
-                                    p ->
-                                            p.consensusNode == null
-                                                    && f.owners().values().stream()
+                                    process ->
+                                            process.consensusNode == null
+                                                    && fleet.dutyOwners().values().stream()
                                                             .anyMatch(
-                                                                    o -> o.startsWith(p.name + "/"))
-                                                    && !f.procs
-                                                            .get(p.councilSession.attachedVoter())
+                                                                    owner ->
+                                                                            owner.startsWith(
+                                                                                    process.name
+                                                                                            + "/"))
+                                                    && !fleet.processes
+                                                            .get(
+                                                                    process.driverSession
+                                                                            .attachedVoter())
                                                             .consensusNode
                                                             .isLeader())
                             .findFirst()
@@ -137,24 +146,24 @@
             if (leaver == null) {
                 continue;
             }
-            f.procs.get(leaver.councilSession.attachedVoter()).paused = true;
-            leaver.task(f.now, () -> leaver.councilSession.leave(() -> {}));
-            f.play(450);
-            assertThat(f.owners().values())
+            fleet.processes.get(leaver.driverSession.attachedVoter()).paused = true;
+            leaver.runAt(fleet.nowNanos, () -> leaver.driverSession.leave(() -> {}));
+            fleet.advance(450);
+            assertThat(fleet.dutyOwners().values())
                     .as("seed " + seed)
-                    .noneMatch(o -> o.startsWith(leaver.name + "/") || o.isEmpty());
+                    .noneMatch(owner -> owner.startsWith(leaver.name + "/") || owner.isEmpty());
         }
     }
 
-    private static List<String> voteAndStartAgain(int seed, Wrong wrong) {
-        SimFleet f = new SimFleet(seed, 5, 3, 2, wrong);
-        f.voteAndStartAgain();
-        return f.broken;
+    private static List<String> runVoteAndRestart(int seed, InjectedBug injectedBug) {
+        SimFleet fleet = new SimFleet(seed, 5, 3, 2, injectedBug);
+        fleet.runVoteAndRestart();
+        return fleet.violations;
     }
 
-    private static SimFleet history(int seed, Wrong wrong) {
-        SimFleet f = new SimFleet(seed, 7, seed % 2 == 0 ? 3 : 5, 5, wrong);
-        f.history(40);
-        return f;
+    private static SimFleet runHistory(int seed, InjectedBug injectedBug) {
+        SimFleet fleet = new SimFleet(seed, 7, seed % 2 == 0 ? 3 : 5, 5, injectedBug);
+        fleet.runHistory(40);
+        return fleet;
     }
 }
--- a/src/test/java/wingroad/fleet/SimWork.java
+++ b/src/test/java/wingroad/fleet/SimWork.java
@@ -1,19 +1,9 @@
 package wingroad.fleet;
 
-import java.time.Duration;
-import java.util.ArrayList;
-import java.util.HashMap;
-import java.util.HashSet;
-import java.util.List;
-import java.util.Map;
-import java.util.Random;
-import java.util.Set;
-import java.util.TreeMap;
-import java.util.TreeSet;
 import wingroad.duty.Command;
 import wingroad.duty.DutyStateMachine;
-import wingroad.fleet.SimFleet.Proc;
-import wingroad.fleet.SimFleet.Wrong;
+import wingroad.fleet.SimFleet.InjectedBug;
+import wingroad.fleet.SimFleet.SimulatedProcess;
 import wingroad.work.DriverReport;
 import wingroad.work.Machine;
 import wingroad.work.MaintenanceController;
@@ -24,6 +14,17 @@
 import wingroad.work.MemberObservations;
 import wingroad.work.PlanCopy;
 
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Random;
+import java.util.Set;
+import java.util.TreeMap;
+import java.util.TreeSet;
+
 /**
  * Work on machines in virtual time: the program's plan, view and conductor on the played fleet,
  * played members with a ledger, operators that ask at random times, and a checker that knows the
@@ -31,40 +32,40 @@
  */
 final class SimWork {
     private static final Duration EXPIRY = Duration.ofSeconds(2);
-    private static final Duration GRACE = Duration.ofSeconds(1);
-    private static final Duration LOOK = Duration.ofMillis(250);
+    private static final Duration DRAIN_GRACE = Duration.ofSeconds(1);
+    private static final Duration CONTROL_INTERVAL = Duration.ofMillis(250);
 
-    final MaintenanceSettings rules;
+    final MaintenanceSettings settings;
     private final SimFleet fleet;
     private final Random random;
-    private final Map<String, Member> members = new TreeMap<>();
-    private final Map<Integer, List<Member>> byGroup = new HashMap<>();
-    private final Map<String, List<Member>> byMachine = new HashMap<>();
+    private final Map<String, SimulatedMember> members = new TreeMap<>();
+    private final Map<Integer, List<SimulatedMember>> membersByGroup = new HashMap<>();
+    private final Map<String, List<SimulatedMember>> membersByMachine = new HashMap<>();
 
     /** What is settled, by the furthest register: machine to stage; and how far that is. */
-    private Map<String, MaintenanceStage> settled = Map.of();
-
-    private long furthest = -1;
-    private final Set<String> wanted = new TreeSet<>();
-    private final Map<String, Long> outAt = new HashMap<>();
-    int asked;
-    int out;
-    int in;
-    int txns;
-    int declined;
-    int lateOrders;
-    final Set<Long> epochs = new HashSet<>();
+    private Map<String, MaintenanceStage> committedStages = Map.of();
+
+    private long highestRevision = -1;
+    private final Set<String> requestedMachines = new TreeSet<>();
+    private final Map<String, Long> outSinceNanos = new HashMap<>();
+    int operatorCommandCount;
+    int outCount;
+    int returnedCount;
+    int txnCount;
+    int declinedTxnCount;
+    int staleStepsRefused;
+    final Set<Long> controllerEpochs = new HashSet<>();
     long lastOutWaits;
 
-    private static final class Member {
+    private static final class SimulatedMember {
         final String uid;
         final int group;
         final String machine;
         boolean primary;
         boolean up = true;
-        int open;
+        int openTxnCount;
 
-        Member(String uid, int group, String machine) {
+        SimulatedMember(String uid, int group, String machine) {
             this.uid = uid;
             this.group = group;
             this.machine = machine;
@@ -74,146 +75,165 @@
     /**
      * Machines in three zones; each holds a member of some groups, the first ones a driver as well.
      */
-    SimWork(SimFleet fleet, int machines, int groups, int atOnce) {
+    SimWork(SimFleet fleet, int machineCount, int groupCount, int maxConcurrentMachines) {
         this.fleet = fleet;
         this.random = new Random(fleet.random.nextLong());
-        Map<String, Machine> all = new TreeMap<>();
-        List<List<Machine.MemberPattern>> parts = new ArrayList<>();
-        for (int i = 0; i < machines; i++) {
-            parts.add(new ArrayList<>());
+        Map<String, Machine> machineByName = new TreeMap<>();
+        List<List<Machine.MemberPattern>> memberPatterns = new ArrayList<>();
+        for (int i = 0; i < machineCount; i++) {
+            memberPatterns.add(new ArrayList<>());
         }
-        int at = 0;
-        for (int g = 0; g < groups; g++) {
+        int machineOffset = 0;
+        for (int group = 0; group < groupCount; group++) {
             // Three members of a group on machines of three zones.
-            for (int z = 0; z < 3; z++) {
-                int on = (at / 3 * 3 + z) % machines;
-                String uid = "g" + g + "z" + z;
-                parts.get(on).add(new Machine.MemberPattern(uid, g));
-                members.put(uid, new Member(uid, g, "m" + on));
-                byGroup.computeIfAbsent(g, k -> new ArrayList<>()).add(members.get(uid));
-                byMachine.computeIfAbsent("m" + on, k -> new ArrayList<>()).add(members.get(uid));
-                members.get(uid).primary = z == g % 3;
+            for (int zone = 0; zone < 3; zone++) {
+                int machineIndex = (machineOffset / 3 * 3 + zone) % machineCount;
+                String uid = "g" + group + "z" + zone;
+                memberPatterns.get(machineIndex).add(new Machine.MemberPattern(uid, group));
+                members.put(uid, new SimulatedMember(uid, group, "m" + machineIndex));
+                membersByGroup.computeIfAbsent(group, k -> new ArrayList<>()).add(members.get(uid));
+                membersByMachine
+                        .computeIfAbsent("m" + machineIndex, k -> new ArrayList<>())
+                        .add(members.get(uid));
+                members.get(uid).primary = zone == group % 3;
             }
-            at += 3;
+            machineOffset += 3;
         }
-        for (int i = 0; i < machines; i++) {
-            List<String> drivers = i < 3 ? List.of(SimFleet.name(i * 2)) : List.of();
-            all.put("m" + i, new Machine("m" + i, "z" + i % 3, List.copyOf(parts.get(i)), drivers));
+        for (int i = 0; i < machineCount; i++) {
+            List<String> machineDrivers = i < 3 ? List.of(SimFleet.processName(i * 2)) : List.of();
+            machineByName.put(
+                    "m" + i,
+                    new Machine(
+                            "m" + i,
+                            "z" + i % 3,
+                            List.copyOf(memberPatterns.get(i)),
+                            machineDrivers));
         }
-        rules =
+        settings =
                 new MaintenanceSettings(
-                        all,
-                        atOnce,
+                        machineByName,
+                        maxConcurrentMachines,
                         MaintenanceSettings.LostViewPolicy.STEADY,
                         Duration.ofSeconds(60),
                         Duration.ofSeconds(1),
                         0.3,
                         Duration.ofMillis(500),
                         0,
-                        GRACE.plus(EXPIRY),
+                        DRAIN_GRACE.plus(EXPIRY),
                         Duration.ofSeconds(1),
-                        GRACE);
+                        DRAIN_GRACE);
     }
 
     // ---- what is settled ----
 
-    DutyStateMachine register(long first) {
-        return new Watched(first);
+    DutyStateMachine newStateMachine(long firstRevision) {
+        return new CheckedStateMachine(firstRevision);
     }
 
     /** The program's register, with the checker beside it, or with a wrong put in. */
-    private final class Watched extends DutyStateMachine {
-        Watched(long first) {
+    private final class CheckedStateMachine extends DutyStateMachine {
+        CheckedStateMachine(long firstRevision) {
             super(
-                    first,
-                    fleet.wrong == Wrong.OUT_BY_MAJORITY
-                            ? new ByMajority()
+                    firstRevision,
+                    fleet.injectedBug == InjectedBug.OUT_BY_MAJORITY
+                            ? new MajorityPlan()
                             : new MaintenancePlan());
         }
 
         @Override
-        protected boolean isFromCurrentController(Command op) {
-            return fleet.wrong == Wrong.ORDER_WITHOUT_EPOCH || super.isFromCurrentController(op);
+        protected boolean isFromCurrentController(Command command) {
+            return fleet.injectedBug == InjectedBug.ORDER_WITHOUT_EPOCH
+                    || super.isFromCurrentController(command);
         }
 
         @Override
-        public String apply(Command op) {
-            boolean order =
-                    op.kind() == Command.Kind.WORK_STEP || op.kind() == Command.Kind.WORK_MACHINES;
-            boolean force = !order || super.isFromCurrentController(op);
-            String result = super.apply(op);
-            if (order && !force && result.isEmpty()) {
-                fleet.breaks(
+        public String apply(Command command) {
+            boolean fromController =
+                    command.kind() == Command.Kind.WORK_STEP
+                            || command.kind() == Command.Kind.WORK_MACHINES;
+            boolean currentEpoch = !fromController || super.isFromCurrentController(command);
+            String result = super.apply(command);
+            if (fromController && !currentEpoch && result.isEmpty()) {
+                fleet.recordViolation(
                         "a late order was taken: "
-                                + op.subject()
+                                + command.subject()
                                 + " to "
-                                + op.argument()
+                                + command.argument()
                                 + " under "
-                                + op.epoch());
+                                + command.epoch());
             }
-            if (revision() > furthest) {
-                furthest = revision();
-                if (order && !force) {
-                    lateOrders++;
+            if (revision() > highestRevision) {
+                highestRevision = revision();
+                if (fromController && !currentEpoch) {
+                    staleStepsRefused++;
                 }
-                if (order && force) {
-                    epochs.add(op.epoch());
+                if (fromController && currentEpoch) {
+                    controllerEpochs.add(command.epoch());
                 }
-                if (order
-                        || op.kind() == Command.Kind.WORK_WORD
-                        || op.kind() == Command.Kind.WORK_ASK) {
-                    look(this);
+                if (fromController
+                        || command.kind() == Command.Kind.WORK_WORD
+                        || command.kind() == Command.Kind.WORK_ASK) {
+                    checkPlan(this);
                 }
             }
             return result;
         }
     }
 
-    private static final class ByMajority extends MaintenancePlan {
+    private static final class MajorityPlan extends MaintenancePlan {
         @Override
         protected boolean mayProceedWithout(Set<String> missing) {
             return missing.size() * 2 < sessionCount();
         }
     }
 
-    private void look(DutyStateMachine r) {
-        Map<String, MaintenanceStage> now = new TreeMap<>();
-        r.plan().entries().forEach(e -> now.put(e.machine(), e.stage()));
-        now.forEach(
-                (m, s) -> {
-                    if (s != settled.get(m)) {
-                        fleet.line("#", m + " " + s + " revision " + r.plan().revision());
+    private void checkPlan(DutyStateMachine stateMachine) {
+        Map<String, MaintenanceStage> stageByMachine = new TreeMap<>();
+        stateMachine.plan().entries().forEach(e -> stageByMachine.put(e.machine(), e.stage()));
+        stageByMachine.forEach(
+                (machine, stage) -> {
+                    if (stage != committedStages.get(machine)) {
+                        fleet.logLine(
+                                "#",
+                                machine
+                                        + " "
+                                        + stage
+                                        + " revision "
+                                        + stateMachine.plan().revision());
                     }
-                    if (s == MaintenanceStage.OUT && settled.get(m) != MaintenanceStage.OUT) {
-                        out++;
-                        outAt.put(m, fleet.now);
-                        byMachine.getOrDefault(m, List.of()).stream()
-                                .filter(x -> x.open > 0)
+                    if (stage == MaintenanceStage.OUT
+                            && committedStages.get(machine) != MaintenanceStage.OUT) {
+                        outCount++;
+                        outSinceNanos.put(machine, fleet.nowNanos);
+                        membersByMachine.getOrDefault(machine, List.of()).stream()
+                                .filter(member -> member.openTxnCount > 0)
                                 .forEach(
-                                        x ->
-                                                fleet.breaks(
-                                                        m
+                                        member ->
+                                                fleet.recordViolation(
+                                                        machine
                                                                 + " was told to be out with "
-                                                                + x.open
+                                                                + member.openTxnCount
                                                                 + " txns at "
-                                                                + x.uid));
+                                                                + member.uid));
                     }
                 });
-        settled.keySet().stream().filter(m -> !now.containsKey(m)).forEach(m -> in++);
-        settled = now;
-        List<String> away =
-                now.entrySet().stream()
+        committedStages.keySet().stream()
+                .filter(machine -> !stageByMachine.containsKey(machine))
+                .forEach(machine -> returnedCount++);
+        committedStages = stageByMachine;
+        List<String> unavailable =
+                stageByMachine.entrySet().stream()
                         .filter(e -> e.getValue() != MaintenanceStage.ASKED)
                         .map(Map.Entry::getKey)
                         .toList();
-        for (String a : away) {
-            for (String b : away) {
-                if (a.compareTo(b) < 0) {
-                    Machine x = rules.machines().get(a);
-                    Machine y = rules.machines().get(b);
-                    if (!x.zone().equals(y.zone())
-                            || x.groups().stream().anyMatch(y.groups()::contains)) {
-                        fleet.breaks("away together: " + a + " and " + b);
+        for (String first : unavailable) {
+            for (String second : unavailable) {
+                if (first.compareTo(second) < 0) {
+                    Machine member = settings.machines().get(first);
+                    Machine y = settings.machines().get(second);
+                    if (!member.zone().equals(y.zone())
+                            || member.groups().stream().anyMatch(y.groups()::contains)) {
+                        fleet.recordViolation("away together: " + first + " and " + second);
                     }
                 }
             }
@@ -222,226 +242,268 @@
 
     // ---- a driver ----
 
-    MaintenancePlanListener agent(Proc p) {
-        Agent d = new Agent(p);
-        p.schedule(LOOK, d::look);
-        p.schedule(Duration.ofMillis(20), d::send);
-        return d;
+    MaintenancePlanListener newAgent(SimulatedProcess process) {
+        SimulatedAgent agent = new SimulatedAgent(process);
+        process.schedule(CONTROL_INTERVAL, agent::runControlLoop);
+        process.schedule(Duration.ofMillis(20), agent::sendTxn);
+        return agent;
     }
 
-    private final class Agent implements MaintenancePlanListener {
-        private final Proc proc;
-        private final MemberAvailability view;
+    private final class SimulatedAgent implements MaintenancePlanListener {
+        private final SimulatedProcess process;
+        private final MemberAvailability availability;
         private final PlanCopy planCopy = new PlanCopy();
-        private final MemberObservations observations = new MemberObservations(SimFleet.LEASE);
-        private final Map<String, Integer> open = new HashMap<>();
-        private final Map<String, Duration> leftSince = new HashMap<>();
-        private MaintenanceController conductor;
-        private long conducts;
-        private long epoch;
-        private long knows;
-        private boolean was;
-        private long served;
-        private long harmed;
-
-        Agent(Proc proc) {
-            this.proc = proc;
-            view = new MemberAvailability(rules, proc.now(), SimFleet.LEASE);
-            members.values().forEach(m -> observations.updateListing(m.uid, m.group, false, true));
+        private final MemberObservations observations =
+                new MemberObservations(SimFleet.LEASE_DURATION);
+        private final Map<String, Integer> openTxnsByMember = new HashMap<>();
+        private final Map<String, Duration> drainingSince = new HashMap<>();
+        private MaintenanceController controller;
+        private long controllerEpoch;
+        private long leasedEpoch;
+        private long knownRevision;
+        private boolean wasCurrent;
+        private long servedTxnCount;
+        private long harmedTxnCount;
+
+        SimulatedAgent(SimulatedProcess process) {
+            this.process = process;
+            availability = new MemberAvailability(settings, process.now(), SimFleet.LEASE_DURATION);
+            members.values()
+                    .forEach(
+                            member ->
+                                    observations.updateListing(
+                                            member.uid, member.group, false, true));
         }
 
         @Override
-        public void planUpdated(Map<String, Object> news, List<?> sums, List<?> live) {
-            planCopy.applyChanges(news);
-            if (sums != null) {
-                planCopy.updateFleetFigures(sums, live);
+        public void planUpdated(Map<String, Object> changes, List<?> figures, List<?> liveDrivers) {
+            planCopy.applyChanges(changes);
+            if (figures != null) {
+                planCopy.updateFleetFigures(figures, liveDrivers);
             }
-            view.updatePlan(planCopy, proc.now());
-            follow();
+            availability.updatePlan(planCopy, process.now());
+            applyPlan();
         }
 
         @Override
-        public void leaseUpdated(Duration ends, boolean over, long conductsUnder) {
-            epoch = over ? 0 : conductsUnder;
-            if (over && fleet.wrong != Wrong.NO_LEASE_ON_VIEW) {
-                view.endLease();
+        public void leaseUpdated(Duration leaseEnd, boolean expired, long grantedEpoch) {
+            leasedEpoch = expired ? 0 : grantedEpoch;
+            if (expired && fleet.injectedBug != InjectedBug.NO_LEASE_ON_VIEW) {
+                availability.endLease();
             } else {
-                view.extendLease(fleet.wrong == Wrong.NO_LEASE_ON_VIEW ? Duration.ofDays(9) : ends);
+                availability.extendLease(
+                        fleet.injectedBug == InjectedBug.NO_LEASE_ON_VIEW
+                                ? Duration.ofDays(9)
+                                : leaseEnd);
             }
-            follow();
+            applyPlan();
         }
 
-        private void follow() {
-            boolean current = view.isCurrent(proc.now());
-            if (current != was) {
-                was = current;
-                fleet.line(
-                        proc.name,
-                        "view " + (current ? "current" : "ended") + " at " + view.revision());
+        private void applyPlan() {
+            boolean current = availability.isCurrent(process.now());
+            if (current != wasCurrent) {
+                wasCurrent = current;
+                fleet.logLine(
+                        process.name,
+                        "view "
+                                + (current ? "current" : "ended")
+                                + " at "
+                                + availability.revision());
             }
             if (current) {
-                knows = view.revision();
-                Set<String> leaving = new TreeSet<>();
-                view.drainingEntries().forEach(e -> leaving.add(e.machine()));
-                leftSince.keySet().retainAll(leaving);
-                leaving.forEach(m -> leftSince.putIfAbsent(m, proc.now()));
+                knownRevision = availability.revision();
+                Set<String> drainingMachines = new TreeSet<>();
+                availability.drainingEntries().forEach(e -> drainingMachines.add(e.machine()));
+                drainingSince.keySet().retainAll(drainingMachines);
+                drainingMachines.forEach(
+                        member -> drainingSince.putIfAbsent(member, process.now()));
             }
-            report();
+            sendReport();
         }
 
-        private void report() {
-            if (!view.isKnown()) {
+        private void sendReport() {
+            if (!availability.isKnown()) {
                 return;
             }
-            Set<String> clear = new TreeSet<>();
-            Map<Integer, String> believes = new TreeMap<>();
-            if (view.isCurrent(proc.now())) {
-                leftSince.forEach(
-                        (m, since) -> {
-                            boolean none =
-                                    byMachine.getOrDefault(m, List.of()).stream()
-                                            .noneMatch(x -> open.getOrDefault(x.uid, 0) > 0);
-                            if (none && proc.now().minus(since).compareTo(GRACE) > 0) {
-                                clear.add(m);
+            Set<String> drainedMachines = new TreeSet<>();
+            Map<Integer, String> primaryByGroup = new TreeMap<>();
+            if (availability.isCurrent(process.now())) {
+                drainingSince.forEach(
+                        (machine, since) -> {
+                            boolean noOpenTxns =
+                                    membersByMachine.getOrDefault(machine, List.of()).stream()
+                                            .noneMatch(
+                                                    member ->
+                                                            openTxnsByMember.getOrDefault(
+                                                                            member.uid, 0)
+                                                                    > 0);
+                            if (noOpenTxns
+                                    && process.now().minus(since).compareTo(DRAIN_GRACE) > 0) {
+                                drainedMachines.add(machine);
                             }
                         });
             }
-            for (MaintenancePlan.Entry e : planCopy.entries()) {
-                for (int g :
-                        e.stage().announced()
-                                ? planCopy.machines().get(e.machine()).groups()
+            for (MaintenancePlan.Entry entry : planCopy.entries()) {
+                for (int group :
+                        entry.stage().announced()
+                                ? planCopy.machines().get(entry.machine()).groups()
                                 : Set.<Integer>of()) {
-                    String primary = observations.primary(g, proc.now());
+                    String primary = observations.primary(group, process.now());
                     if (primary != null) {
-                        believes.put(g, primary);
+                        primaryByGroup.put(group, primary);
                     }
                 }
             }
-            proc.councilSession.report(
-                    new DriverReport(knows, clear, believes, served, harmed, Map.of()));
+            process.driverSession.report(
+                    new DriverReport(
+                            knownRevision,
+                            drainedMachines,
+                            primaryByGroup,
+                            servedTxnCount,
+                            harmedTxnCount,
+                            Map.of()));
         }
 
-        private void look() {
-            report();
-            Duration now = proc.now();
-            if (epoch == 0 || !view.isCurrent(now)) {
-                conductor = null;
+        private void runControlLoop() {
+            sendReport();
+            Duration now = process.now();
+            if (leasedEpoch == 0 || !availability.isCurrent(now)) {
+                controller = null;
             } else {
-                if (conductor == null || conducts != epoch) {
-                    conductor = new MaintenanceController(rules, fleet.voters.keySet());
-                    conducts = epoch;
+                if (controller == null || controllerEpoch != leasedEpoch) {
+                    controller = new MaintenanceController(settings, fleet.voters.keySet());
+                    controllerEpoch = leasedEpoch;
                 }
-                if (!planCopy.inventoryLines().equals(rules.toLines())) {
-                    proc.councilSession.proposeAsController(
-                            epoch, s -> Command.setMachines(s, epoch, rules.toLines()));
+                if (!planCopy.inventoryLines().equals(settings.toLines())) {
+                    process.driverSession.proposeAsController(
+                            leasedEpoch,
+                            sessionId ->
+                                    Command.setMachines(
+                                            sessionId, leasedEpoch, settings.toLines()));
                 } else {
                     members.values()
                             .forEach(
-                                    m -> {
-                                        if (m.up && !fleet.held.contains("member>" + proc.name)) {
+                                    member -> {
+                                        if (member.up
+                                                && !fleet.heldDirections.contains(
+                                                        "member>" + process.name)) {
                                             observations.recordReport(
-                                                    m.uid, m.primary, Duration.ofMillis(30), now);
+                                                    member.uid,
+                                                    member.primary,
+                                                    Duration.ofMillis(30),
+                                                    now);
                                         } else {
-                                            observations.recordFailure(m.uid, now);
+                                            observations.recordFailure(member.uid, now);
                                         }
                                     });
-                    long mine = epoch;
-                    for (MaintenanceController.Step x :
-                            conductor.nextSteps(planCopy, observations, proc.wallClockMs(), now)) {
-                        Runnable order =
+                    long stepEpoch = leasedEpoch;
+                    for (MaintenanceController.Step step :
+                            controller.nextSteps(
+                                    planCopy, observations, process.wallClockMs(), now)) {
+                        Runnable proposal =
                                 () ->
-                                        proc.councilSession.proposeAsController(
-                                                mine,
-                                                s ->
+                                        process.driverSession.proposeAsController(
+                                                stepEpoch,
+                                                sessionId ->
                                                         Command.maintenanceStep(
-                                                                s,
-                                                                mine,
-                                                                x.machine(),
-                                                                x.target(),
-                                                                x.stageRevision(),
-                                                                x.reason()));
+                                                                sessionId,
+                                                                stepEpoch,
+                                                                step.machine(),
+                                                                step.target(),
+                                                                step.stageRevision(),
+                                                                step.reason()));
                         if (random.nextInt(4) == 0) {
                             // As one that is held up on its way, or wakes up late and does not look
                             // at its lease again.
-                            String session = proc.councilSession.sessionLease().sessionId();
-                            fleet.at(
-                                    fleet.now + random.nextInt(8_000) * 1_000_000L,
+                            String session = process.driverSession.sessionLease().sessionId();
+                            fleet.scheduleAt(
+                                    fleet.nowNanos + random.nextInt(8_000) * 1_000_000L,
                                     () ->
-                                            late(
+                                            proposeLate(
                                                     Command.maintenanceStep(
                                                             session,
-                                                            mine,
-                                                            x.machine(),
-                                                            x.target(),
-                                                            x.stageRevision(),
-                                                            x.reason())));
+                                                            stepEpoch,
+                                                            step.machine(),
+                                                            step.target(),
+                                                            step.stageRevision(),
+                                                            step.reason())));
                         }
-                        order.run();
+                        proposal.run();
                     }
                 }
             }
-            proc.schedule(LOOK, this::look);
+            process.schedule(CONTROL_INTERVAL, this::runControlLoop);
         }
 
         /** One txn to some member that may be sent to; the clock is read in the same turn. */
-        private void send() {
-            int g = random.nextInt(members.size() / 3);
-            Duration now = proc.now();
-            List<Member> fit =
-                    byGroup.get(g).stream()
-                            .filter(m -> m.up)
+        private void sendTxn() {
+            int group = random.nextInt(members.size() / 3);
+            Duration now = process.now();
+            List<SimulatedMember> eligible =
+                    membersByGroup.get(group).stream()
+                            .filter(member -> member.up)
                             .filter(
-                                    m -> {
-                                        MemberAvailability.State s =
-                                                view.state(m.uid, () -> true, now);
-                                        return s == MemberAvailability.State.AS_LISTED
-                                                || s == MemberAvailability.State.COLD;
+                                    member -> {
+                                        MemberAvailability.State state =
+                                                availability.state(member.uid, () -> true, now);
+                                        return state == MemberAvailability.State.AS_LISTED
+                                                || state == MemberAvailability.State.COLD;
                                     })
                             .toList();
-            if (fit.isEmpty()) {
-                harmed++;
-                declined++;
+            if (eligible.isEmpty()) {
+                harmedTxnCount++;
+                declinedTxnCount++;
             } else {
-                Member m = fit.get(random.nextInt(fit.size()));
-                open.merge(m.uid, 1, Integer::sum);
-                fleet.at(fleet.now + 100_000 + random.nextInt(1_000_000), () -> arrives(m));
+                SimulatedMember member = eligible.get(random.nextInt(eligible.size()));
+                openTxnsByMember.merge(member.uid, 1, Integer::sum);
+                fleet.scheduleAt(
+                        fleet.nowNanos + 100_000 + random.nextInt(1_000_000),
+                        () -> txnArrives(member));
             }
-            proc.schedule(Duration.ofMillis(20 + random.nextInt(30)), this::send);
+            process.schedule(Duration.ofMillis(20 + random.nextInt(30)), this::sendTxn);
         }
 
-        private void arrives(Member m) {
-            txns++;
-            m.open++;
-            if (settled.get(m.machine) == MaintenanceStage.OUT) {
-                fleet.breaks(
+        private void txnArrives(SimulatedMember member) {
+            txnCount++;
+            member.openTxnCount++;
+            if (committedStages.get(member.machine) == MaintenanceStage.OUT) {
+                fleet.recordViolation(
                         "a txn of "
-                                + proc.name
+                                + process.name
                                 + " at "
-                                + m.uid
+                                + member.uid
                                 + " on "
-                                + m.machine
+                                + member.machine
                                 + ", out since "
-                                + (fleet.now - outAt.get(m.machine)) / 1_000_000
+                                + (fleet.nowNanos - outSinceNanos.get(member.machine)) / 1_000_000
                                 + " ms");
             }
-            long took = random.nextInt(30) == 0 ? 1500 : 2 + random.nextInt(20);
-            fleet.at(
-                    fleet.now + took * 1_000_000,
+            long durationMs = random.nextInt(30) == 0 ? 1500 : 2 + random.nextInt(20);
+            fleet.scheduleAt(
+                    fleet.nowNanos + durationMs * 1_000_000,
                     () -> {
-                        m.open--;
-                        open.merge(m.uid, -1, Integer::sum);
-                        served++;
+                        member.openTxnCount--;
+                        openTxnsByMember.merge(member.uid, -1, Integer::sum);
+                        servedTxnCount++;
                         observations.recordReport(
-                                m.uid, m.primary, Duration.ofMillis(30), proc.now());
+                                member.uid, member.primary, Duration.ofMillis(30), process.now());
                     });
         }
     }
 
-    private void late(Command op) {
-        fleet.procs.values().stream()
-                .filter(p -> p.alive && p.consensusNode != null && p.consensusNode.isLeader())
+    private void proposeLate(Command command) {
+        fleet.processes.values().stream()
+                .filter(
+                        process ->
+                                process.alive
+                                        && process.consensusNode != null
+                                        && process.consensusNode.isLeader())
                 .findFirst()
-                .ifPresent(p -> p.task(fleet.now, () -> p.consensusNode.proposeForTest(op)));
+                .ifPresent(
+                        process ->
+                                process.runAt(
+                                        fleet.nowNanos,
+                                        () -> process.consensusNode.proposeForTest(command)));
     }
 
     // ---- operators and members ----
@@ -450,95 +512,111 @@
      * Operators ask now and then, members fail and come back, primaries are moved where the plan
      * wants that.
      */
-    void play(int seconds) {
-        for (int s = 3; s < seconds; s++) {
-            fleet.at(fleet.now + s * 1_000_000_000L, this::second);
+    void scheduleOperatorActions(int seconds) {
+        for (int second = 3; second < seconds; second++) {
+            fleet.scheduleAt(fleet.nowNanos + second * 1_000_000_000L, this::runOperatorActions);
         }
     }
 
-    private boolean quiet;
+    private boolean requestsStopped;
 
-    private void second() {
-        if (!quiet && random.nextInt(3) == 0) {
-            String m = "m" + random.nextInt(rules.machines().size());
-            operator(Command.requestMaintenance(m, "test", 0, 0, List.of(), "ask " + asked++));
-            wanted.add(m);
+    private void runOperatorActions() {
+        if (!requestsStopped && random.nextInt(3) == 0) {
+            String machineName = "m" + random.nextInt(settings.machines().size());
+            sendOperatorCommand(
+                    Command.requestMaintenance(
+                            machineName, "test", 0, 0, List.of(), "ask " + operatorCommandCount++));
+            requestedMachines.add(machineName);
         }
-        if (!quiet && random.nextInt(20) == 0) {
-            operator(
+        if (!requestsStopped && random.nextInt(20) == 0) {
+            sendOperatorCommand(
                     Command.operatorCommand(
-                            "hold", MaintenancePlan.ALL_MACHINES, "hold " + asked++));
-            fleet.at(
-                    fleet.now + 3_000_000_000L,
+                            "hold",
+                            MaintenancePlan.ALL_MACHINES,
+                            "hold " + operatorCommandCount++));
+            fleet.scheduleAt(
+                    fleet.nowNanos + 3_000_000_000L,
                     () ->
-                            operator(
+                            sendOperatorCommand(
                                     Command.operatorCommand(
-                                            "go", MaintenancePlan.ALL_MACHINES, "go " + asked++)));
+                                            "go",
+                                            MaintenancePlan.ALL_MACHINES,
+                                            "go " + operatorCommandCount++)));
         }
-        if (!quiet && random.nextInt(12) == 0) {
-            List<Member> all = new ArrayList<>(members.values());
-            Member m = all.get(random.nextInt(all.size()));
-            m.up = false;
-            fleet.at(fleet.now + 4_000_000_000L, () -> m.up = true);
+        if (!requestsStopped && random.nextInt(12) == 0) {
+            List<SimulatedMember> machineByName = new ArrayList<>(members.values());
+            SimulatedMember machineName = machineByName.get(random.nextInt(machineByName.size()));
+            machineName.up = false;
+            fleet.scheduleAt(fleet.nowNanos + 4_000_000_000L, () -> machineName.up = true);
         }
-        serveMachines();
+        serviceMachines();
     }
 
     /**
      * An operator knows of a process that has ended for good, with its state: there is another one
      * of its name now.
      */
-    private void tellGone() {
-        fleet.procs.values().stream()
-                .filter(p -> p.alive && p.consensusNode != null)
+    private void reportLostDrivers() {
+        fleet.processes.values().stream()
+                .filter(process -> process.alive && process.consensusNode != null)
                 .forEach(
-                        p ->
-                                p.consensusNode
+                        process ->
+                                process.consensusNode
                                         .stateMachine()
                                         .plan()
                                         .lostDrivers()
                                         .forEach(
-                                                a -> {
-                                                    if (!fleet.procs
-                                                            .get(a.name())
+                                                driver -> {
+                                                    if (!fleet.processes
+                                                            .get(driver.name())
                                                             .identity
-                                                            .equals(a.identity())) {
-                                                        operator(
+                                                            .equals(driver.identity())) {
+                                                        sendOperatorCommand(
                                                                 Command.operatorCommand(
                                                                         "gone",
-                                                                        a.displayName(),
-                                                                        "gone " + asked++));
+                                                                        driver.displayName(),
+                                                                        "gone "
+                                                                                + operatorCommandCount++));
                                                     }
                                                 }));
     }
 
     /** Everything there is, at once. */
-    void askAll() {
-        quiet = true;
-        rules.machines()
+    void requestAllMachines() {
+        requestsStopped = true;
+        settings.machines()
                 .keySet()
                 .forEach(
-                        m ->
-                                operator(
+                        machine ->
+                                sendOperatorCommand(
                                         Command.requestMaintenance(
-                                                m, "test", 0, 0, List.of(), "ask " + asked++)));
+                                                machine,
+                                                "test",
+                                                0,
+                                                0,
+                                                List.of(),
+                                                "ask " + operatorCommandCount++)));
     }
 
-    int asksSettled() {
-        return settled.size() + in;
+    int committedRequestCount() {
+        return committedStages.size() + returnedCount;
     }
 
-    private void serveMachines() {
-        tellGone();
-        settled.forEach(
-                (m, s) -> {
-                    if (s == MaintenanceStage.OUT && fleet.now - outAt.get(m) > 2_000_000_000L) {
-                        operator(Command.operatorCommand("done", m, "done " + asked++));
+    private void serviceMachines() {
+        reportLostDrivers();
+        committedStages.forEach(
+                (machine, stage) -> {
+                    if (stage == MaintenanceStage.OUT
+                            && fleet.nowNanos - outSinceNanos.get(machine) > 2_000_000_000L) {
+                        sendOperatorCommand(
+                                Command.operatorCommand(
+                                        "done", machine, "done " + operatorCommandCount++));
                     }
-                    if (s == MaintenanceStage.PLANNED) {
-                        for (Member x : byMachine.getOrDefault(m, List.of())) {
+                    if (stage == MaintenanceStage.PLANNED) {
+                        for (SimulatedMember x :
+                                membersByMachine.getOrDefault(machine, List.of())) {
                             if (x.primary) {
-                                byGroup.get(x.group).stream()
+                                membersByGroup.get(x.group).stream()
                                         .filter(y -> y != x && y.up)
                                         .findFirst()
                                         .ifPresent(
@@ -552,40 +630,46 @@
                 });
     }
 
-    private void operator(Command op) {
-        List<Proc> voters =
-                fleet.procs.values().stream()
-                        .filter(p -> p.alive && !p.paused && p.consensusNode != null)
+    private void sendOperatorCommand(Command command) {
+        List<SimulatedProcess> voters =
+                fleet.processes.values().stream()
+                        .filter(
+                                voter ->
+                                        voter.alive && !voter.paused && voter.consensusNode != null)
                         .toList();
         if (!voters.isEmpty()) {
-            Proc p = voters.get(random.nextInt(voters.size()));
-            p.task(
-                    fleet.now,
-                    () -> p.consensusNode.proposeForTest(op.withProposedAt(p.wallClockMs())));
+            SimulatedProcess voter = voters.get(random.nextInt(voters.size()));
+            voter.runAt(
+                    fleet.nowNanos,
+                    () ->
+                            voter.consensusNode.proposeForTest(
+                                    command.withProposedAt(voter.wallClockMs())));
         }
     }
 
     /** Whether everything that was asked for is in again. */
-    boolean atRest() {
-        quiet = true;
-        members.values().forEach(m -> m.up = true);
-        serveMachines();
+    boolean isIdle() {
+        requestsStopped = true;
+        members.values().forEach(member -> member.up = true);
+        serviceMachines();
         if (fleet.random.nextInt(4) == 0) {
-            operator(Command.operatorCommand("go", MaintenancePlan.ALL_MACHINES, "go " + asked++));
+            sendOperatorCommand(
+                    Command.operatorCommand(
+                            "go", MaintenancePlan.ALL_MACHINES, "go " + operatorCommandCount++));
         }
-        return settled.isEmpty();
+        return committedStages.isEmpty();
     }
 
-    void end() {
-        if (!settled.isEmpty()) {
-            String waits =
-                    fleet.procs.values().stream()
+    void checkAllReturned() {
+        if (!committedStages.isEmpty()) {
+            String waitReasons =
+                    fleet.processes.values().stream()
                             .filter(
                                     p ->
                                             p.alive
                                                     && p.consensusNode != null
                                                     && p.consensusNode.stateMachine().revision()
-                                                            == furthest)
+                                                            == highestRevision)
                             .findFirst()
                             .map(p -> p.consensusNode.stateMachine().plan())
                             .map(
@@ -601,7 +685,8 @@
                                                     .toList()
                                                     .toString())
                             .orElse("");
-            fleet.breaks("left on the way at the end: " + settled + " " + waits);
+            fleet.recordViolation(
+                    "left on the way at the end: " + committedStages + " " + waitReasons);
         }
     }
 }
--- a/src/test/java/wingroad/rig/ClientLoad.java
+++ b/src/test/java/wingroad/rig/ClientLoad.java
@@ -34,76 +34,80 @@
     private final List<Thread> threads = new ArrayList<>();
     private volatile boolean closed;
 
-    public ClientLoad(TestCluster rig, List<Integer> groups, long everyMs) {
-        this(rig, groups, everyMs, 1);
+    public ClientLoad(TestCluster cluster, List<Integer> groups, long intervalMs) {
+        this(cluster, groups, intervalMs, 1);
     }
 
     /** The same with so many clients at each driver. */
-    public ClientLoad(TestCluster rig, List<Integer> groups, long everyMs, int clients) {
-        this.cluster = rig;
+    public ClientLoad(
+            TestCluster cluster, List<Integer> groups, long intervalMs, int clientsPerDriver) {
+        this.cluster = cluster;
         this.groups = groups;
-        this.intervalMs = everyMs;
-        for (TestCluster.DriverProcess d : rig.drivers.values()) {
-            for (int i = 0; i < clients; i++) {
-                String name = d.name + "c" + i;
-                Thread t = new Thread(() -> run(d, name), "load " + name);
-                t.setDaemon(true);
-                t.start();
-                threads.add(t);
+        this.intervalMs = intervalMs;
+        for (TestCluster.DriverProcess driver : cluster.drivers.values()) {
+            for (int i = 0; i < clientsPerDriver; i++) {
+                String clientName = driver.name + "c" + i;
+                Thread thread = new Thread(() -> run(driver, clientName), "load " + clientName);
+                thread.setDaemon(true);
+                thread.start();
+                threads.add(thread);
             }
         }
     }
 
-    private void run(TestCluster.DriverProcess d, String client) {
-        Client c = null;
-        int starts = -1;
-        for (int n = 0; !closed; n++) {
-            boolean alone = !excludedDrivers.contains(d.name);
-            int now = d.startCount;
+    private void run(TestCluster.DriverProcess driver, String clientName) {
+        Client connection = null;
+        int connectedStartCount = -1;
+        for (int txnIndex = 0; !closed; txnIndex++) {
+            boolean undisturbed = !excludedDrivers.contains(driver.name);
+            int startCount = driver.startCount;
             try {
                 TimeUnit.MILLISECONDS.sleep(intervalMs);
-                if (!d.isAlive() || d.paused || d.port() == 0) {
-                    c = null;
+                if (!driver.isAlive() || driver.paused || driver.port() == 0) {
+                    connection = null;
                     continue;
                 }
-                if (c == null || starts != now) {
-                    c = new Client(d.port());
-                    starts = now;
-                    c.startup().heard();
+                if (connection == null || connectedStartCount != startCount) {
+                    connection = new Client(driver.port());
+                    connectedStartCount = startCount;
+                    connection.startup().heard();
                 }
-                String id = client + "-" + now + "-" + n;
-                String group = "cluster=" + groups.get(n % groups.size());
-                List<String> heard =
-                        c.ask(
-                                        (n % 5 == 4 ? Fixtures.write(id) : Fixtures.read(id))
+                String id = clientName + "-" + startCount + "-" + txnIndex;
+                String group = "cluster=" + groups.get(txnIndex % groups.size());
+                List<String> responses =
+                        connection
+                                .ask(
+                                        (txnIndex % 5 == 4 ? Fixtures.write(id) : Fixtures.read(id))
                                                 .replace("cluster=7", group))
                                 .heard();
-                if (alone && !excludedDrivers.contains(d.name) && d.startCount == now) {
+                if (undisturbed
+                        && !excludedDrivers.contains(driver.name)
+                        && driver.startCount == startCount) {
                     sent.incrementAndGet();
-                    if (heard.contains("row value")) {
+                    if (responses.contains("row value")) {
                         committed.incrementAndGet();
-                    } else if (heard.contains("end")) {
+                    } else if (responses.contains("end")) {
                         lost.incrementAndGet();
                     } else {
                         if (refused.incrementAndGet() <= 20) {
-                            firstRefusals.add(java.time.Instant.now() + " " + id + " " + heard);
+                            firstRefusals.add(java.time.Instant.now() + " " + id + " " + responses);
                         }
                     }
                 }
-                if (heard.contains("end")) {
-                    c = null;
+                if (responses.contains("end")) {
+                    connection = null;
                 }
             } catch (IOException e) {
-                if (c != null
-                        && alone
-                        && !excludedDrivers.contains(d.name)
-                        && d.startCount == now
-                        && d.isAlive()
+                if (connection != null
+                        && undisturbed
+                        && !excludedDrivers.contains(driver.name)
+                        && driver.startCount == startCount
+                        && driver.isAlive()
                         && !closed) {
                     sent.incrementAndGet();
                     lost.incrementAndGet();
                 }
-                c = null;
+                connection = null;
             } catch (InterruptedException e) {
                 return;
             }
@@ -117,8 +121,8 @@
     @Override
     public void close() throws InterruptedException {
         closed = true;
-        for (Thread t : threads) {
-            t.join(TimeUnit.SECONDS.toMillis(20));
+        for (Thread thread : threads) {
+            thread.join(TimeUnit.SECONDS.toMillis(20));
         }
     }
 }
--- a/src/test/java/wingroad/rig/FaultProxy.java
+++ b/src/test/java/wingroad/rig/FaultProxy.java
@@ -37,7 +37,7 @@
      * on.
      */
     public interface Interceptor {
-        boolean intercept(Link link, Direction way, ByteBuffer bytes, Object connection);
+        boolean intercept(Link link, Direction direction, ByteBuffer bytes, Object connection);
     }
 
     private final Selector selector = Selector.open();
@@ -55,52 +55,52 @@
     public final class Link {
         public final String from;
         public final String to;
-        private final ServerSocketChannel door = ServerSocketChannel.open();
-        private volatile int target;
-        private volatile Interceptor tap;
-        private boolean heldForth;
-        private boolean heldBack;
+        private final ServerSocketChannel serverChannel = ServerSocketChannel.open();
+        private volatile int targetPort;
+        private volatile Interceptor interceptor;
+        private boolean forwardHeld;
+        private boolean backwardHeld;
         private long delayNanos;
-        private final List<RelayedConnection> pairs = new ArrayList<>();
+        private final List<RelayedConnection> connections = new ArrayList<>();
 
         private Link(String from, String to) throws IOException {
             this.from = from;
             this.to = to;
-            door.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-            door.configureBlocking(false);
+            serverChannel.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
+            serverChannel.configureBlocking(false);
         }
 
         public int port() throws IOException {
-            return ((InetSocketAddress) door.getLocalAddress()).getPort();
+            return ((InetSocketAddress) serverChannel.getLocalAddress()).getPort();
         }
 
         /** Where it leads from now on; 0 is nowhere. */
         public void setTargetPort(int port) {
-            target = port;
+            targetPort = port;
         }
 
-        public void setInterceptor(Interceptor t) {
-            tap = t;
+        public void setInterceptor(Interceptor newInterceptor) {
+            interceptor = newInterceptor;
         }
 
-        private boolean held(Direction way) {
-            return way == Direction.FORWARD ? heldForth : heldBack;
+        private boolean isHeld(Direction direction) {
+            return direction == Direction.FORWARD ? forwardHeld : backwardHeld;
         }
     }
 
     /** Makes a link; its target comes later. */
     public Link addLink(String from, String to) throws IOException {
-        Link l = new Link(from, to);
-        links.put(from + ">" + to, l);
-        sync(
+        Link link = new Link(from, to);
+        links.put(from + ">" + to, link);
+        runOnProxyThread(
                 () -> {
                     try {
-                        l.door.register(selector, SelectionKey.OP_ACCEPT, l);
+                        link.serverChannel.register(selector, SelectionKey.OP_ACCEPT, link);
                     } catch (IOException e) {
                         throw new IllegalStateException(e);
                     }
                 });
-        return l;
+        return link;
     }
 
     public Link linkBetween(String from, String to) {
@@ -112,52 +112,55 @@
     }
 
     /** Holds what goes this way, or lets it go on, on what is connected and on what will be. */
-    public void hold(Link l, Direction way, boolean held) {
-        sync(
+    public void hold(Link link, Direction direction, boolean held) {
+        runOnProxyThread(
                 () -> {
-                    if (way == Direction.FORWARD) {
-                        l.heldForth = held;
+                    if (direction == Direction.FORWARD) {
+                        link.forwardHeld = held;
                     } else {
-                        l.heldBack = held;
+                        link.backwardHeld = held;
                     }
-                    for (RelayedConnection p : List.copyOf(l.pairs)) {
-                        p.turn(way).held = held;
-                        p.turn(way).flush();
+                    for (RelayedConnection connection : List.copyOf(link.connections)) {
+                        connection.stream(direction).held = held;
+                        connection.stream(direction).flush();
                     }
                 });
     }
 
     /** All that goes over the link takes this much longer. */
-    public void setDelay(Link l, long ms) {
-        sync(() -> l.delayNanos = ms * 1_000_000);
+    public void setDelay(Link link, long delayMs) {
+        runOnProxyThread(() -> link.delayNanos = delayMs * 1_000_000);
     }
 
     /** Ends what is connected now, in the middle of what is held where something is. */
-    public void disconnect(Link l) {
-        sync(
+    public void disconnect(Link link) {
+        runOnProxyThread(
                 () ->
-                        List.copyOf(l.pairs)
+                        List.copyOf(link.connections)
                                 .forEach(
-                                        p -> {
-                                            for (RelayedStream t : List.of(p.forth, p.back)) {
-                                                t.held = false;
-                                                t.half();
+                                        connection -> {
+                                            for (RelayedStream stream :
+                                                    List.of(
+                                                            connection.forwardStream,
+                                                            connection.backwardStream)) {
+                                                stream.held = false;
+                                                stream.writeHalfOfNextBuffer();
                                             }
-                                            p.end();
+                                            connection.closeBoth();
                                         }));
     }
 
     /** Lets one held connection go on, the one a tap has held. */
     public void release(Object connection) {
-        sync(
+        runOnProxyThread(
                 () -> {
-                    RelayedStream t = (RelayedStream) connection;
-                    t.held = t.pair.link.held(t.way);
-                    t.flush();
+                    RelayedStream stream = (RelayedStream) connection;
+                    stream.held = stream.connection.link.isHeld(stream.direction);
+                    stream.flush();
                 });
     }
 
-    private void sync(Runnable task) {
+    private void runOnProxyThread(Runnable task) {
         CountDownLatch done = new CountDownLatch(1);
         tasks.add(
                 () -> {
@@ -177,34 +180,37 @@
 
     private final class RelayedConnection {
         final Link link;
-        final SocketChannel near;
-        final SocketChannel far;
-        final RelayedStream forth;
-        final RelayedStream back;
+        final SocketChannel clientChannel;
+        final SocketChannel targetChannel;
+        final RelayedStream forwardStream;
+        final RelayedStream backwardStream;
 
-        RelayedConnection(Link link, SocketChannel near) throws IOException {
+        RelayedConnection(Link link, SocketChannel clientChannel) throws IOException {
             this.link = link;
-            this.near = near;
-            far = SocketChannel.open();
-            far.configureBlocking(false);
-            near.configureBlocking(false);
-            forth = new RelayedStream(this, Direction.FORWARD, near, far);
-            back = new RelayedStream(this, Direction.BACKWARD, far, near);
-            link.pairs.add(this);
-            far.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), link.target));
-            far.register(selector, SelectionKey.OP_CONNECT, this);
-            near.register(selector, SelectionKey.OP_READ, this);
+            this.clientChannel = clientChannel;
+            targetChannel = SocketChannel.open();
+            targetChannel.configureBlocking(false);
+            clientChannel.configureBlocking(false);
+            forwardStream =
+                    new RelayedStream(this, Direction.FORWARD, clientChannel, targetChannel);
+            backwardStream =
+                    new RelayedStream(this, Direction.BACKWARD, targetChannel, clientChannel);
+            link.connections.add(this);
+            targetChannel.connect(
+                    new InetSocketAddress(InetAddress.getLoopbackAddress(), link.targetPort));
+            targetChannel.register(selector, SelectionKey.OP_CONNECT, this);
+            clientChannel.register(selector, SelectionKey.OP_READ, this);
         }
 
-        RelayedStream turn(Direction way) {
-            return way == Direction.FORWARD ? forth : back;
+        RelayedStream stream(Direction direction) {
+            return direction == Direction.FORWARD ? forwardStream : backwardStream;
         }
 
-        void end() {
-            link.pairs.remove(this);
-            for (SocketChannel c : List.of(near, far)) {
+        void closeBoth() {
+            link.connections.remove(this);
+            for (SocketChannel channel : List.of(clientChannel, targetChannel)) {
                 try {
-                    c.close();
+                    channel.close();
                 } catch (IOException e) {
                     // it is gone
                 }
@@ -212,113 +218,123 @@
         }
 
         /** Reads what both sides may give now, and watches for what each needs. */
-        void interests() {
-            interest(near, forth, back);
-            interest(far, back, forth);
+        void updateInterests() {
+            updateInterest(clientChannel, forwardStream, backwardStream);
+            updateInterest(targetChannel, backwardStream, forwardStream);
         }
 
-        private void interest(SocketChannel c, RelayedStream reads, RelayedStream writes) {
-            SelectionKey k = c.keyFor(selector);
-            if (k != null && k.isValid() && c.isConnected()) {
-                k.interestOps(
-                        (reads.ended || reads.waiting > MAX_BUFFERED_BYTES
+        private void updateInterest(
+                SocketChannel channel, RelayedStream inbound, RelayedStream outbound) {
+            SelectionKey key = channel.keyFor(selector);
+            if (key != null && key.isValid() && channel.isConnected()) {
+                key.interestOps(
+                        (inbound.sourceEnded || inbound.bufferedBytes > MAX_BUFFERED_BYTES
                                         ? 0
                                         : SelectionKey.OP_READ)
-                                | (writes.blocked ? SelectionKey.OP_WRITE : 0));
+                                | (outbound.writeBlocked ? SelectionKey.OP_WRITE : 0));
             }
         }
     }
 
     /** One direction of a connection. */
     private final class RelayedStream {
-        final RelayedConnection pair;
-        final Direction way;
-        final SocketChannel in;
-        final SocketChannel out;
-        final ArrayDeque<ByteBuffer> queue = new ArrayDeque<>();
-        final ArrayDeque<Long> due = new ArrayDeque<>();
-        long waiting;
+        final RelayedConnection connection;
+        final Direction direction;
+        final SocketChannel source;
+        final SocketChannel destination;
+        final ArrayDeque<ByteBuffer> buffers = new ArrayDeque<>();
+        final ArrayDeque<Long> sendTimesNanos = new ArrayDeque<>();
+        long bufferedBytes;
         boolean held;
-        boolean ended;
-        boolean blocked;
+        boolean sourceEnded;
+        boolean writeBlocked;
 
         /** Whoever it goes to is gone, while the other way still holds something. */
-        boolean dead;
-
-        RelayedStream(RelayedConnection pair, Direction way, SocketChannel in, SocketChannel out) {
-            this.pair = pair;
-            this.way = way;
-            this.in = in;
-            this.out = out;
-            held = pair.link.held(way);
+        boolean destinationFailed;
+
+        RelayedStream(
+                RelayedConnection connection,
+                Direction direction,
+                SocketChannel source,
+                SocketChannel destination) {
+            this.connection = connection;
+            this.direction = direction;
+            this.source = source;
+            this.destination = destination;
+            held = connection.link.isHeld(direction);
         }
 
         void read() {
-            ByteBuffer b = ByteBuffer.allocate(READ_BUFFER_BYTES);
-            int n;
+            ByteBuffer buffer = ByteBuffer.allocate(READ_BUFFER_BYTES);
+            int readCount;
             try {
-                n = in.read(b);
+                readCount = source.read(buffer);
             } catch (IOException e) {
-                n = -1;
+                readCount = -1;
             }
-            if (n < 0) {
-                ended = true;
-            } else if (n > 0 && !dead) {
-                b.flip();
-                Interceptor tap = pair.link.tap;
-                if (tap != null && tap.intercept(pair.link, way, b.duplicate(), this)) {
+            if (readCount < 0) {
+                sourceEnded = true;
+            } else if (readCount > 0 && !destinationFailed) {
+                buffer.flip();
+                Interceptor interceptor = connection.link.interceptor;
+                if (interceptor != null
+                        && interceptor.intercept(
+                                connection.link, direction, buffer.duplicate(), this)) {
                     held = true;
                 }
-                queue.add(b);
-                due.add(System.nanoTime() + pair.link.delayNanos);
-                waiting += n;
+                buffers.add(buffer);
+                sendTimesNanos.add(System.nanoTime() + connection.link.delayNanos);
+                bufferedBytes += readCount;
             }
             flush();
         }
 
         void flush() {
-            blocked = false;
+            writeBlocked = false;
             try {
                 while (!held
-                        && out.isConnected()
-                        && !queue.isEmpty()
-                        && due.peek() <= System.nanoTime()) {
-                    ByteBuffer b = queue.peek();
-                    waiting -= out.write(b);
-                    if (b.hasRemaining()) {
-                        blocked = true;
+                        && destination.isConnected()
+                        && !buffers.isEmpty()
+                        && sendTimesNanos.peek() <= System.nanoTime()) {
+                    ByteBuffer buffer = buffers.peek();
+                    bufferedBytes -= destination.write(buffer);
+                    if (buffer.hasRemaining()) {
+                        writeBlocked = true;
                         break;
                     }
-                    queue.poll();
-                    due.poll();
+                    buffers.poll();
+                    sendTimesNanos.poll();
                 }
-                if (ended && queue.isEmpty() && !held && out.isConnected()) {
+                if (sourceEnded && buffers.isEmpty() && !held && destination.isConnected()) {
                     // The other side's own end comes behind all that it had sent; half-open
                     // connections are not needed here.
-                    pair.end();
+                    connection.closeBoth();
                     return;
                 }
             } catch (IOException e) {
-                if (pair.turn(way == Direction.FORWARD ? Direction.BACKWARD : Direction.FORWARD)
-                        .queue
+                if (connection.stream(
+                                direction == Direction.FORWARD
+                                        ? Direction.BACKWARD
+                                        : Direction.FORWARD)
+                        .buffers
                         .isEmpty()) {
-                    pair.end();
+                    connection.closeBoth();
                     return;
                 }
-                dead = true;
-                queue.clear();
-                due.clear();
-                waiting = 0;
+                destinationFailed = true;
+                buffers.clear();
+                sendTimesNanos.clear();
+                bufferedBytes = 0;
             }
-            pair.interests();
+            connection.updateInterests();
         }
 
         /** Passes on half of what waits. */
-        void half() {
+        void writeHalfOfNextBuffer() {
             try {
-                ByteBuffer b = queue.peek();
-                if (b != null && out.isConnected()) {
-                    out.write(b.slice(b.position(), b.remaining() / 2));
+                ByteBuffer buffer = buffers.peek();
+                if (buffer != null && destination.isConnected()) {
+                    destination.write(buffer.slice(buffer.position(), buffer.remaining() / 2));
                 }
             } catch (IOException e) {
                 // it ends anyhow
@@ -330,20 +346,20 @@
         while (!closed) {
             try {
                 selector.select(5);
-                for (Runnable t = tasks.poll(); t != null; t = tasks.poll()) {
-                    t.run();
+                for (Runnable task = tasks.poll(); task != null; task = tasks.poll()) {
+                    task.run();
                 }
-                for (SelectionKey k : selector.selectedKeys()) {
-                    if (k.isValid()) {
-                        ready(k);
+                for (SelectionKey key : selector.selectedKeys()) {
+                    if (key.isValid()) {
+                        handleReadyKey(key);
                     }
                 }
                 selector.selectedKeys().clear();
-                for (Link l : links()) {
-                    if (l.delayNanos > 0 || !l.pairs.isEmpty()) {
-                        for (RelayedConnection p : List.copyOf(l.pairs)) {
-                            late(p.forth);
-                            late(p.back);
+                for (Link link : links()) {
+                    if (link.delayNanos > 0 || !link.connections.isEmpty()) {
+                        for (RelayedConnection connection : List.copyOf(link.connections)) {
+                            flushIfDue(connection.forwardStream);
+                            flushIfDue(connection.backwardStream);
                         }
                     }
                 }
@@ -353,33 +369,33 @@
         }
     }
 
-    private static void late(RelayedStream t) {
-        if (!t.queue.isEmpty() && !t.held && !t.blocked) {
-            t.flush();
+    private static void flushIfDue(RelayedStream stream) {
+        if (!stream.buffers.isEmpty() && !stream.held && !stream.writeBlocked) {
+            stream.flush();
         }
     }
 
     private List<Link> links() {
-        List<Link> all = new ArrayList<>();
-        for (SelectionKey k : selector.keys()) {
-            if (k.attachment() instanceof Link l) {
-                all.add(l);
+        List<Link> registered = new ArrayList<>();
+        for (SelectionKey key : selector.keys()) {
+            if (key.attachment() instanceof Link link) {
+                registered.add(link);
             }
         }
-        return all;
+        return registered;
     }
 
-    private void ready(SelectionKey k) {
-        if (k.attachment() instanceof Link l) {
+    private void handleReadyKey(SelectionKey key) {
+        if (key.attachment() instanceof Link link) {
             try {
-                SocketChannel near = l.door.accept();
-                if (near != null) {
-                    near.setOption(StandardSocketOptions.TCP_NODELAY, true);
-                    if (l.target == 0) {
-                        near.setOption(StandardSocketOptions.SO_LINGER, 0);
-                        near.close();
+                SocketChannel clientChannel = link.serverChannel.accept();
+                if (clientChannel != null) {
+                    clientChannel.setOption(StandardSocketOptions.TCP_NODELAY, true);
+                    if (link.targetPort == 0) {
+                        clientChannel.setOption(StandardSocketOptions.SO_LINGER, 0);
+                        clientChannel.close();
                     } else {
-                        new RelayedConnection(l, near);
+                        new RelayedConnection(link, clientChannel);
                     }
                 }
             } catch (IOException e) {
@@ -387,22 +403,28 @@
             }
             return;
         }
-        RelayedConnection p = (RelayedConnection) k.attachment();
+        RelayedConnection connection = (RelayedConnection) key.attachment();
         try {
-            if (k.isConnectable()) {
-                p.far.finishConnect();
-                p.far.setOption(StandardSocketOptions.TCP_NODELAY, true);
-                p.forth.flush();
+            if (key.isConnectable()) {
+                connection.targetChannel.finishConnect();
+                connection.targetChannel.setOption(StandardSocketOptions.TCP_NODELAY, true);
+                connection.forwardStream.flush();
                 return;
             }
-            if (k.isReadable()) {
-                (k.channel() == p.near ? p.forth : p.back).read();
+            if (key.isReadable()) {
+                (key.channel() == connection.clientChannel
+                                ? connection.forwardStream
+                                : connection.backwardStream)
+                        .read();
             }
-            if (k.isValid() && k.isWritable()) {
-                (k.channel() == p.near ? p.back : p.forth).flush();
+            if (key.isValid() && key.isWritable()) {
+                (key.channel() == connection.clientChannel
+                                ? connection.backwardStream
+                                : connection.forwardStream)
+                        .flush();
             }
         } catch (IOException e) {
-            p.end();
+            connection.closeBoth();
         }
     }
 
@@ -410,8 +432,8 @@
     public void close() throws IOException {
         closed = true;
         selector.wakeup();
-        for (Link l : links.values()) {
-            l.door.close();
+        for (Link link : links.values()) {
+            link.serverChannel.close();
         }
     }
 }
--- a/src/test/java/wingroad/rig/FencedMember.java
+++ b/src/test/java/wingroad/rig/FencedMember.java
@@ -69,33 +69,38 @@
         return member.port();
     }
 
-    private void handleStatement(String sql, Session s) throws IOException {
+    private void handleStatement(String sql, Session session) throws IOException {
         member.queries.clear();
-        Matcher m = CHORE_STATEMENT.matcher(sql);
-        if (!m.matches()) {
-            handleTxn(sql, s);
+        Matcher matcher = CHORE_STATEMENT.matcher(sql);
+        if (!matcher.matches()) {
+            handleTxn(sql, session);
             return;
         }
-        if (recordExecution(m.group(1), Long.parseLong(m.group(4)), Long.parseLong(m.group(3)))) {
-            s.row("1", member.primary);
+        if (recordExecution(
+                matcher.group(1),
+                Long.parseLong(matcher.group(4)),
+                Long.parseLong(matcher.group(3)))) {
+            session.row("1", member.primary);
         } else {
             // raise_exception, as the fence's function does
-            s.error("P0001", member.primary);
+            session.error("P0001", member.primary);
         }
     }
 
-    private void handleTxn(String sql, Session s) throws IOException {
-        Matcher id = TXN_ID.matcher(sql);
+    private void handleTxn(String sql, Session session) throws IOException {
+        Matcher idMatcher = TXN_ID.matcher(sql);
         ReceivedTxn txn =
                 new ReceivedTxn(
-                        System.currentTimeMillis(), id.find() ? id.group(1) : "", new AtomicLong());
+                        System.currentTimeMillis(),
+                        idMatcher.find() ? idMatcher.group(1) : "",
+                        new AtomicLong());
         synchronized (this) {
             txns.add(txn);
             recordColdLoad(txn.receivedAtMs);
             notifyAll();
         }
         try {
-            executeTxn(sql, s);
+            executeTxn(sql, session);
         } finally {
             txn.answeredAtMs.set(System.currentTimeMillis());
         }
@@ -104,52 +109,53 @@
     /**
      * What a cold member has got in the span in which it falls, as a part of what it bears then.
      */
-    private void recordColdLoad(long now) {
-        if (startupCapacity == null || now - startedAtMs >= startupCapacity.warmUpMs) {
+    private void recordColdLoad(long nowMs) {
+        if (startupCapacity == null || nowMs - startedAtMs >= startupCapacity.warmUpMs) {
             return;
         }
-        long from = now - startupCapacity.overloadWindowMs;
-        int got = 0;
-        for (int i = txns.size() - 1; i >= 0 && txns.get(i).receivedAtMs > from; i--) {
-            got++;
+        long windowStartMs = nowMs - startupCapacity.overloadWindowMs;
+        int txnsInWindow = 0;
+        for (int i = txns.size() - 1; i >= 0 && txns.get(i).receivedAtMs > windowStartMs; i--) {
+            txnsInWindow++;
         }
-        double warm =
+        double warmShare =
                 startupCapacity.initialShare
                         + (1 - startupCapacity.initialShare)
-                                * (now - startedAtMs)
+                                * (nowMs - startedAtMs)
                                 / startupCapacity.warmUpMs;
         peakColdLoad =
                 Math.max(
                         peakColdLoad,
-                        got
+                        txnsInWindow
                                 / (startupCapacity.warmTxnsPerSecond
                                         * startupCapacity.overloadWindowMs
                                         / 1000.0
                                         * startupCapacity.overloadFactor
-                                        * warm));
+                                        * warmShare));
     }
 
-    private void executeTxn(String sql, Session s) throws IOException {
-        boolean placed = concurrencyPermits == null;
+    private void executeTxn(String sql, Session session) throws IOException {
+        boolean permitted = concurrencyPermits == null;
         try {
-            placed = placed || concurrencyPermits.tryAcquire(WAIT_TIMEOUT_S, TimeUnit.SECONDS);
+            permitted =
+                    permitted || concurrencyPermits.tryAcquire(WAIT_TIMEOUT_S, TimeUnit.SECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
         try {
-            answerTxn(sql, s);
+            answerTxn(sql, session);
         } finally {
-            if (concurrencyPermits != null && placed) {
+            if (concurrencyPermits != null && permitted) {
                 concurrencyPermits.release();
             }
         }
     }
 
-    private void answerTxn(String sql, Session s) throws IOException {
+    private void answerTxn(String sql, Session session) throws IOException {
         if (sql.contains("id=slow")) {
-            CountDownLatch until = slowReadsReleased;
+            CountDownLatch released = slowReadsReleased;
             try {
-                until.await(WAIT_TIMEOUT_S, TimeUnit.SECONDS);
+                released.await(WAIT_TIMEOUT_S, TimeUnit.SECONDS);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
@@ -163,9 +169,9 @@
         boolean write = sql.contains("INSERT");
         if (write && !member.primary) {
             // read_only_sql_transaction
-            s.error("25006", false);
+            session.error("25006", false);
         } else {
-            s.row("value", member.primary);
+            session.row("value", member.primary);
         }
     }
 
@@ -185,10 +191,10 @@
             long overloadWindowMs) {}
 
     /** It has started now and is cold; it works on so many txns at a time. */
-    public synchronized void simulateStart(StartupCapacity what, int atATime) {
-        startupCapacity = what;
+    public synchronized void simulateStart(StartupCapacity capacity, int maxConcurrentTxns) {
+        startupCapacity = capacity;
         startedAtMs = System.currentTimeMillis();
-        concurrencyPermits = new Semaphore(atATime);
+        concurrencyPermits = new Semaphore(maxConcurrentTxns);
     }
 
     /** How near it came to falling: 1 is the rule's limit. */
@@ -197,8 +203,8 @@
     }
 
     /** From now on it is the group's primary, or a replica. */
-    public void setPrimary(boolean is) {
-        member.primary = is;
+    public void setPrimary(boolean primary) {
+        member.primary = primary;
     }
 
     public boolean primary() {
@@ -227,34 +233,35 @@
 
     /** Waits until so many clients' txns have come. */
     public synchronized void awaitTxns(int count) throws InterruptedException {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(WAIT_TIMEOUT_S);
+        long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(WAIT_TIMEOUT_S);
         while (txns.size() < count) {
-            long left = end - System.nanoTime();
-            if (left <= 0) {
+            long remainingNanos = deadlineNanos - System.nanoTime();
+            if (remainingNanos <= 0) {
                 throw new AssertionError("only " + txns.size() + " txns came to " + uid);
             }
-            wait(Math.max(1, left / 1_000_000));
+            wait(Math.max(1, remainingNanos / 1_000_000));
         }
     }
 
     /** Waits for the next client's txn whose id begins so. */
-    public synchronized void awaitTxn(String id) throws InterruptedException {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(WAIT_TIMEOUT_S);
-        while (txns.stream().noneMatch(t -> t.id().startsWith(id))) {
-            long left = end - System.nanoTime();
-            if (left <= 0) {
-                throw new AssertionError("no txn " + id + " came to " + uid);
+    public synchronized void awaitTxn(String idPrefix) throws InterruptedException {
+        long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(WAIT_TIMEOUT_S);
+        while (txns.stream().noneMatch(txn -> txn.id().startsWith(idPrefix))) {
+            long remainingNanos = deadlineNanos - System.nanoTime();
+            if (remainingNanos <= 0) {
+                throw new AssertionError("no txn " + idPrefix + " came to " + uid);
             }
-            wait(Math.max(1, left / 1_000_000));
+            wait(Math.max(1, remainingNanos / 1_000_000));
         }
     }
 
     private synchronized boolean recordExecution(String chore, long epoch, long turn) {
-        boolean late = epoch < highestEpochs.getOrDefault(chore, 0L);
-        boolean accepted = !late || !fenced;
+        boolean stale = epoch < highestEpochs.getOrDefault(chore, 0L);
+        boolean accepted = !stale || !fenced;
         highestEpochs.merge(chore, epoch, Math::max);
         executions.add(
-                new ChoreExecution(System.currentTimeMillis(), chore, epoch, turn, accepted, late));
+                new ChoreExecution(
+                        System.currentTimeMillis(), chore, epoch, turn, accepted, stale));
         if (accepted && !executedTurns.add(chore + " " + turn)) {
             repeatedTurns++;
         }
@@ -273,18 +280,18 @@
 
     /** The first entry from this index on that is as wanted. */
     public synchronized ChoreExecution awaitExecution(
-            int from, java.util.function.Predicate<ChoreExecution> wanted)
+            int fromIndex, java.util.function.Predicate<ChoreExecution> condition)
             throws InterruptedException {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(WAIT_TIMEOUT_S);
-        for (int i = from; ; i++) {
+        long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(WAIT_TIMEOUT_S);
+        for (int i = fromIndex; ; i++) {
             while (i >= executions.size()) {
-                long left = end - System.nanoTime();
-                if (left <= 0) {
+                long remainingNanos = deadlineNanos - System.nanoTime();
+                if (remainingNanos <= 0) {
                     throw new AssertionError("never came to " + uid + ": " + executions);
                 }
-                wait(Math.max(1, left / 1_000_000));
+                wait(Math.max(1, remainingNanos / 1_000_000));
             }
-            if (wanted.test(executions.get(i))) {
+            if (condition.test(executions.get(i))) {
                 return executions.get(i);
             }
         }
--- a/src/test/java/wingroad/rig/Peer.java
+++ b/src/test/java/wingroad/rig/Peer.java
@@ -44,8 +44,8 @@
         }
 
         /** Whether nobody comes for so long: only for what must not happen. */
-        public boolean noConnectionWithin(int ms) throws IOException {
-            serverSocket.setSoTimeout(ms);
+        public boolean noConnectionWithin(int timeoutMs) throws IOException {
+            serverSocket.setSoTimeout(timeoutMs);
             try {
                 serverSocket.accept().close();
                 return false;
@@ -68,14 +68,16 @@
     }
 
     /** What comes up to and with these bytes. */
-    public String readUntil(String end) throws IOException {
-        ByteArrayOutputStream all = new ByteArrayOutputStream();
-        while (!all.toString(StandardCharsets.ISO_8859_1).endsWith(end)) {
-            int b = socket.getInputStream().read();
-            assertThat(b).as("after " + all.toString(StandardCharsets.ISO_8859_1)).isNotNegative();
-            all.write(b);
+    public String readUntil(String terminator) throws IOException {
+        ByteArrayOutputStream received = new ByteArrayOutputStream();
+        while (!received.toString(StandardCharsets.ISO_8859_1).endsWith(terminator)) {
+            int nextByte = socket.getInputStream().read();
+            assertThat(nextByte)
+                    .as("after " + received.toString(StandardCharsets.ISO_8859_1))
+                    .isNotNegative();
+            received.write(nextByte);
         }
-        return all.toString(StandardCharsets.ISO_8859_1);
+        return received.toString(StandardCharsets.ISO_8859_1);
     }
 
     public byte[] read(int count) throws IOException {
@@ -85,8 +87,8 @@
     }
 
     public Peer send(byte[]... parts) throws IOException {
-        for (byte[] p : parts) {
-            socket.getOutputStream().write(p);
+        for (byte[] part : parts) {
+            socket.getOutputStream().write(part);
         }
         return this;
     }
@@ -122,17 +124,17 @@
 
     /** What comes until the other side has ended or broken the connection. */
     public String readUntilClosed() throws IOException {
-        ByteArrayOutputStream all = new ByteArrayOutputStream();
+        ByteArrayOutputStream received = new ByteArrayOutputStream();
         try {
-            for (int b = socket.getInputStream().read();
-                    b >= 0;
-                    b = socket.getInputStream().read()) {
-                all.write(b);
+            for (int nextByte = socket.getInputStream().read();
+                    nextByte >= 0;
+                    nextByte = socket.getInputStream().read()) {
+                received.write(nextByte);
             }
         } catch (SocketException reset) {
             // that is an end as well
         }
-        return all.toString(StandardCharsets.ISO_8859_1);
+        return received.toString(StandardCharsets.ISO_8859_1);
     }
 
     @Override
--- a/src/test/java/wingroad/rig/RigTest.java
+++ b/src/test/java/wingroad/rig/RigTest.java
@@ -13,31 +13,32 @@
 
 /** What the rig owes the processes that it starts. */
 class RigTest {
-    @TempDir Path dir;
+    @TempDir Path directory;
 
     /**
      * Guards against a driver that starts while a test asks for its file, finds it empty and runs
      * without a fleet.
      */
     @Test
-    void anOperatorsFileIsNeverWrittenWhereAProcessMayReadIt() throws Exception {
-        try (TestCluster rig =
-                new TestCluster(dir, 1, 1, "    lease-ms 3000\n", Fixtures.SETTINGS)) {
-            Path file = rig.driver("d1").operatorFile();
-            String first = Files.readString(file);
-            Object was = key(file);
-            assertThat(key(rig.driver("d1").operatorFile())).isEqualTo(was);
+    void operatorFileIsReplacedAtomically() throws Exception {
+        try (TestCluster cluster =
+                new TestCluster(directory, 1, 1, "    lease-ms 3000\n", Fixtures.SETTINGS)) {
+            Path file = cluster.driver("d1").operatorFile();
+            String originalContent = Files.readString(file);
+            Object originalKey = fileKey(file);
+            assertThat(fileKey(cluster.driver("d1").operatorFile())).isEqualTo(originalKey);
             // An open one goes on with what it had: another file takes its name.
-            try (var open = Files.newBufferedReader(file)) {
-                rig.driver("d1").fleetSettings = "    lease-ms 4000\n";
-                assertThat(key(rig.driver("d1").operatorFile())).isNotEqualTo(was);
-                assertThat(String.join("\n", open.lines().toList()) + "\n").isEqualTo(first);
+            try (var reader = Files.newBufferedReader(file)) {
+                cluster.driver("d1").fleetSettings = "    lease-ms 4000\n";
+                assertThat(fileKey(cluster.driver("d1").operatorFile())).isNotEqualTo(originalKey);
+                assertThat(String.join("\n", reader.lines().toList()) + "\n")
+                        .isEqualTo(originalContent);
             }
             assertThat(Files.readString(file)).contains("lease-ms 4000");
         }
     }
 
-    private static Object key(Path file) throws Exception {
+    private static Object fileKey(Path file) throws Exception {
         return Files.readAttributes(file, BasicFileAttributes.class).fileKey();
     }
 }
--- a/src/test/java/wingroad/rig/SlowDisk.java
+++ b/src/test/java/wingroad/rig/SlowDisk.java
@@ -18,16 +18,16 @@
     private volatile long lockHoldMs;
     private final Thread thread = new Thread(this::run, "slow disk");
 
-    public SlowDisk(Path file) throws SQLException {
-        connection = DriverManager.getConnection("jdbc:sqlite:" + file);
-        try (Statement s = connection.createStatement()) {
-            s.execute("PRAGMA busy_timeout=20000");
+    public SlowDisk(Path databaseFile) throws SQLException {
+        connection = DriverManager.getConnection("jdbc:sqlite:" + databaseFile);
+        try (Statement statement = connection.createStatement()) {
+            statement.execute("PRAGMA busy_timeout=20000");
         }
     }
 
     /** From now on a write waits up to so long. */
-    public void delayWrites(long ms) {
-        lockHoldMs = ms;
+    public void delayWrites(long holdMs) {
+        lockHoldMs = holdMs;
         thread.setDaemon(true);
         thread.start();
     }
@@ -38,18 +38,18 @@
     }
 
     private void run() {
-        try (Statement s = connection.createStatement()) {
+        try (Statement statement = connection.createStatement()) {
             while (closing.getCount() > 0) {
-                long hold = lockHoldMs;
-                s.execute("BEGIN IMMEDIATE");
-                if (hold == Long.MAX_VALUE) {
+                long holdMs = lockHoldMs;
+                statement.execute("BEGIN IMMEDIATE");
+                if (holdMs == Long.MAX_VALUE) {
                     closing.await();
                 } else {
-                    closing.await(hold, TimeUnit.MILLISECONDS);
+                    closing.await(holdMs, TimeUnit.MILLISECONDS);
                 }
-                s.execute("ROLLBACK");
+                statement.execute("ROLLBACK");
                 // The lock is not fair: whoever waits for it looks at it again only now and then.
-                closing.await(hold == Long.MAX_VALUE ? 0 : 120, TimeUnit.MILLISECONDS);
+                closing.await(holdMs == Long.MAX_VALUE ? 0 : 120, TimeUnit.MILLISECONDS);
             }
         } catch (SQLException | InterruptedException e) {
             // With the database that it slows.
--- a/src/test/java/wingroad/rig/TestCluster.java
+++ b/src/test/java/wingroad/rig/TestCluster.java
@@ -36,7 +36,7 @@
     private final List<String> voters = new ArrayList<>();
 
     /** Those that may be let in as voters: no file names them, and all reach them by one link. */
-    private final List<String> spare = new ArrayList<>();
+    private final List<String> spareVoters = new ArrayList<>();
 
     /** Members that no driver knows from its start. */
     public final List<String> membersUnknownAtStart = new ArrayList<>();
@@ -48,32 +48,37 @@
      * @param defaultFleetSettings what stands in each operator's file beside names, addresses and
      *     state, or null for drivers without a fleet
      */
-    public TestCluster(Path dir, int count, int voting, String fleet, String settings)
+    public TestCluster(
+            Path directory,
+            int driverCount,
+            int voterCount,
+            String defaultFleetSettings,
+            String driverSettings)
             throws IOException {
-        this.directory = dir;
-        this.defaultFleetSettings = fleet;
-        this.driverSettings = settings;
-        for (int i = 1; i <= count; i++) {
+        this.directory = directory;
+        this.defaultFleetSettings = defaultFleetSettings;
+        this.driverSettings = driverSettings;
+        for (int i = 1; i <= driverCount; i++) {
             String name = "d" + i;
-            if (i <= voting) {
+            if (i <= voterCount) {
                 voters.add(name);
             }
             drivers.put(name, new DriverProcess(name));
         }
-        for (DriverProcess d : drivers.values()) {
-            for (String v : voters) {
-                proxy.addLink(d.name, v);
+        for (DriverProcess driver : drivers.values()) {
+            for (String voter : voters) {
+                proxy.addLink(driver.name, voter);
             }
         }
     }
 
     /** A member is out of reach for all, or can be reached again. */
-    public void setReachable(FencedMember m, boolean can) throws IOException {
-        for (DriverProcess d : drivers.values()) {
-            FaultProxy.Link l = proxy.linkBetween(d.name, m.uid);
-            l.setTargetPort(can ? m.port() : 0);
-            if (!can) {
-                proxy.disconnect(l);
+    public void setReachable(FencedMember member, boolean reachable) throws IOException {
+        for (DriverProcess driver : drivers.values()) {
+            FaultProxy.Link link = proxy.linkBetween(driver.name, member.uid);
+            link.setTargetPort(reachable ? member.port() : 0);
+            if (!reachable) {
+                proxy.disconnect(link);
             }
         }
     }
@@ -83,25 +88,26 @@
      * drivers' own, as known at the start.
      */
     public void publishMembers(Map<String, String> states) throws IOException {
-        StringBuilder all = new StringBuilder();
-        for (FencedMember m : members.values()) {
-            String state = states.getOrDefault(m.uid, "ready");
+        StringBuilder entries = new StringBuilder();
+        for (FencedMember member : members.values()) {
+            String state = states.getOrDefault(member.uid, "ready");
             if (!state.equals("gone")) {
-                all.append(all.length() == 0 ? "" : ",").append(discoveryEntry("d1", m, state));
+                entries.append(entries.length() == 0 ? "" : ",")
+                        .append(discoveryEntry("d1", member, state));
             }
         }
-        discovery.tell(all.toString());
+        discovery.tell(entries.toString());
     }
 
     /** Adds a member; all drivers know it from their start. */
     public FencedMember addMember(String uid, int group, boolean primary, boolean fenced)
             throws IOException {
-        FencedMember m = new FencedMember(uid, group, primary, fenced);
-        members.put(uid, m);
-        for (DriverProcess d : drivers.values()) {
-            proxy.addLink(d.name, uid).setTargetPort(m.port());
+        FencedMember member = new FencedMember(uid, group, primary, fenced);
+        members.put(uid, member);
+        for (DriverProcess driver : drivers.values()) {
+            proxy.addLink(driver.name, uid).setTargetPort(member.port());
         }
-        return m;
+        return member;
     }
 
     /** One line of a process's log. */
@@ -158,15 +164,16 @@
         }
 
         public void start() throws IOException {
-            StringBuilder known = new StringBuilder();
-            for (FencedMember m : members.values()) {
-                if (membersUnknownAtStart.contains(m.uid)) {
+            StringBuilder listedMembers = new StringBuilder();
+            for (FencedMember member : members.values()) {
+                if (membersUnknownAtStart.contains(member.uid)) {
                     continue;
                 }
-                known.append(known.length() == 0 ? "" : ",")
-                        .append(discoveryEntry(name, m, "ready"));
+                listedMembers
+                        .append(listedMembers.length() == 0 ? "" : ",")
+                        .append(discoveryEntry(name, member, "ready"));
             }
-            Path config =
+            Path configFile =
                     Files.writeString(
                             homeDirectory.resolve("config.json"),
                             "{\"name\":\""
@@ -177,7 +184,7 @@
                                     + Integer.toHexString(name.hashCode())
                                     + "\",\"limits\":{\"cores\":1.0,\"memory_mb\":192,"
                                     + "\"sockets\":1024},\"known\":{\"rev\":0,\"all\":true,\"targets\":["
-                                    + known
+                                    + listedMembers
                                     + "]},\"settings\":"
                                     + driverSettings
                                     + "}");
@@ -208,35 +215,35 @@
                                         + "; exec "
                                         + String.join(" ", command));
             }
-            ProcessBuilder b = new ProcessBuilder(command).redirectErrorStream(true);
-            b.environment().put("LB_CONFIG", config.toString());
+            ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true);
+            builder.environment().put("LB_CONFIG", configFile.toString());
             synchronized (log) {
                 log.clear();
             }
             paused = false;
             startCount++;
-            process = b.start();
-            Process mine = process;
-            Thread reader = new Thread(() -> readLog(mine), "log of " + name);
+            process = builder.start();
+            Process startedProcess = process;
+            Thread reader = new Thread(() -> readLog(startedProcess), "log of " + name);
             reader.setDaemon(true);
             reader.start();
         }
 
         /** Its operator's file: voters by this driver's own links. */
         public Path operatorFile() throws IOException {
-            StringBuilder f =
+            StringBuilder content =
                     new StringBuilder("fleet \"rig\" {\n    driver \"" + fleetName + "\"\n");
-            for (String v : voters) {
-                f.append("    voter \"")
-                        .append(v)
+            for (String voter : voters) {
+                content.append("    voter \"")
+                        .append(voter)
                         .append("\" \"127.0.0.1:")
-                        .append(proxy.linkBetween(name, v).port())
+                        .append(proxy.linkBetween(name, voter).port())
                         .append("\"\n");
             }
-            if (voters.contains(name) || spare.contains(name)) {
-                f.append("    listen \"127.0.0.1:0\"\n");
+            if (voters.contains(name) || spareVoters.contains(name)) {
+                content.append("    listen \"127.0.0.1:0\"\n");
             }
-            f.append("    state \"")
+            content.append("    state \"")
                     .append(stateDirectory())
                     .append("\"\n")
                     .append(fleetSettings)
@@ -244,23 +251,24 @@
             Path file = homeDirectory.resolve("operator.kdl");
             // Asked for by tests while processes start: one that reads it meanwhile must not find
             // it cut off.
-            if (!Files.exists(file) || !Files.readString(file).contentEquals(f)) {
-                Path next =
-                        Files.writeString(homeDirectory.resolve("operator.kdl.next"), f.toString());
-                Files.move(next, file, StandardCopyOption.ATOMIC_MOVE);
+            if (!Files.exists(file) || !Files.readString(file).contentEquals(content)) {
+                Path replacement =
+                        Files.writeString(
+                                homeDirectory.resolve("operator.kdl.next"), content.toString());
+                Files.move(replacement, file, StandardCopyOption.ATOMIC_MOVE);
             }
             return file;
         }
 
-        private void readLog(Process from) {
-            try (BufferedReader in = from.inputReader(StandardCharsets.UTF_8);
+        private void readLog(Process source) {
+            try (BufferedReader reader = source.inputReader(StandardCharsets.UTF_8);
                     PrintStream file =
                             new PrintStream(
                                     new FileOutputStream(
                                             homeDirectory.resolve("log").toFile(), true),
                                     true,
                                     StandardCharsets.UTF_8)) {
-                for (String line = in.readLine(); line != null; line = in.readLine()) {
+                for (String line = reader.readLine(); line != null; line = reader.readLine()) {
                     file.println(line);
                     if (line.contains(" serves ")) {
                         port =
@@ -268,12 +276,12 @@
                                         line.replaceAll(".* serves [^ ]*:([0-9]+),.*", "$1"));
                     }
                     if (line.contains("listens at ")) {
-                        int at =
+                        int listenPort =
                                 Integer.parseInt(
                                         line.replaceAll(".*listens at [^ ]*:([0-9]+).*", "$1"));
-                        for (FaultProxy.Link l : proxy.allLinks()) {
-                            if (l.to.equals(name)) {
-                                l.setTargetPort(at);
+                        for (FaultProxy.Link link : proxy.allLinks()) {
+                            if (link.to.equals(name)) {
+                                link.setTargetPort(listenPort);
                             }
                         }
                     }
@@ -297,10 +305,10 @@
         }
 
         /** When the first line with these words came, in Unix milliseconds; 0 where none did. */
-        public long firstLogTimeMs(String words) {
+        public long firstLogTimeMs(String text) {
             synchronized (log) {
                 return log.stream()
-                        .filter(l -> l.text.contains(words))
+                        .filter(line -> line.text.contains(text))
                         .mapToLong(LogLine::loggedAtMs)
                         .findFirst()
                         .orElse(0);
@@ -308,31 +316,32 @@
         }
 
         /** Waits for a line; what came before counts too, from this index on. */
-        public String awaitLog(int from, Predicate<String> line) throws InterruptedException {
-            long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(WAIT_TIMEOUT_S);
+        public String awaitLog(int fromLine, Predicate<String> condition)
+                throws InterruptedException {
+            long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(WAIT_TIMEOUT_S);
             synchronized (log) {
-                int at = from;
+                int lineIndex = fromLine;
                 while (true) {
-                    for (; at < log.size(); at++) {
-                        if (line.test(log.get(at).text)) {
-                            return log.get(at).text;
+                    for (; lineIndex < log.size(); lineIndex++) {
+                        if (condition.test(log.get(lineIndex).text)) {
+                            return log.get(lineIndex).text;
                         }
                     }
-                    long left = end - System.nanoTime();
-                    if (left <= 0 || !isAlive() && at == log.size()) {
+                    long remainingNanos = deadlineNanos - System.nanoTime();
+                    if (remainingNanos <= 0 || !isAlive() && lineIndex == log.size()) {
                         throw new AssertionError(
                                 name
                                         + " never said it; its log:\n"
                                         + String.join(
                                                 "\n", log.stream().map(LogLine::text).toList()));
                     }
-                    log.wait(Math.max(1, Math.min(200, left / 1_000_000)));
+                    log.wait(Math.max(1, Math.min(200, remainingNanos / 1_000_000)));
                 }
             }
         }
 
-        public String awaitLog(String words) throws InterruptedException {
-            return awaitLog(0, l -> l.contains(words));
+        public String awaitLog(String text) throws InterruptedException {
+            return awaitLog(0, line -> line.contains(text));
         }
 
         public int logLineCount() {
@@ -341,9 +350,9 @@
             }
         }
 
-        private void sendSignal(String which) throws IOException {
+        private void sendSignal(String signalName) throws IOException {
             try {
-                new ProcessBuilder("kill", "-" + which, Long.toString(process.pid()))
+                new ProcessBuilder("kill", "-" + signalName, Long.toString(process.pid()))
                         .start()
                         .waitFor();
             } catch (InterruptedException e) {
@@ -380,12 +389,12 @@
 
         /** Only while it does not run. */
         public void deleteState() throws IOException {
-            try (Stream<Path> all =
+            try (Stream<Path> paths =
                     Files.exists(stateDirectory())
                             ? Files.walk(stateDirectory())
                             : Stream.empty()) {
-                for (Path p : all.sorted(Comparator.reverseOrder()).toList()) {
-                    Files.delete(p);
+                for (Path path : paths.sorted(Comparator.reverseOrder()).toList()) {
+                    Files.delete(path);
                 }
             }
         }
@@ -395,9 +404,10 @@
      * A member's entry in discovery's list, by one driver's link: discovery tells all the same
      * address.
      */
-    public String discoveryEntry(String driver, FencedMember m, String state) throws IOException {
-        return Fixtures.entry(m.uid, proxy.linkBetween(driver, m.uid).port(), state)
-                .replace("\"pod_group\":7", "\"pod_group\":" + m.group);
+    public String discoveryEntry(String driver, FencedMember member, String state)
+            throws IOException {
+        return Fixtures.entry(member.uid, proxy.linkBetween(driver, member.uid).port(), state)
+                .replace("\"pod_group\":7", "\"pod_group\":" + member.group);
     }
 
     public DriverProcess driver(String name) {
@@ -409,21 +419,21 @@
      * reach it.
      */
     public String addSpareVoter(String name) throws IOException {
-        spare.add(name);
+        spareVoters.add(name);
         return "127.0.0.1:" + proxy.addLink("all", name).port();
     }
 
     /** What each process has said since its last start. */
     public String allLogs() {
-        StringBuilder all = new StringBuilder();
+        StringBuilder text = new StringBuilder();
         drivers.values()
                 .forEach(
-                        d ->
-                                all.append(d.name)
+                        driver ->
+                                text.append(driver.name)
                                         .append(":\n")
-                                        .append(String.join("\n", d.log()))
+                                        .append(String.join("\n", driver.log()))
                                         .append('\n'));
-        return all.toString();
+        return text.toString();
     }
 
     public List<String> voters() {
@@ -431,38 +441,39 @@
     }
 
     public void startAll() throws IOException {
-        for (DriverProcess d : drivers.values()) {
-            d.start();
+        for (DriverProcess driver : drivers.values()) {
+            driver.start();
         }
     }
 
     /** Cuts a driver off from the voters and the voters from it, or heals that. */
     public void partitionFromVoters(String driver, boolean cut) {
-        for (FaultProxy.Link l : proxy.allLinks()) {
-            if (!l.from.equals(l.to)
-                    && (l.from.equals(driver) && voters.contains(l.to) || l.to.equals(driver))) {
-                proxy.hold(l, FaultProxy.Direction.FORWARD, cut);
-                proxy.hold(l, FaultProxy.Direction.BACKWARD, cut);
+        for (FaultProxy.Link link : proxy.allLinks()) {
+            if (!link.from.equals(link.to)
+                    && (link.from.equals(driver) && voters.contains(link.to)
+                            || link.to.equals(driver))) {
+                proxy.hold(link, FaultProxy.Direction.FORWARD, cut);
+                proxy.hold(link, FaultProxy.Direction.BACKWARD, cut);
             }
         }
     }
 
     /** Holds one way only: what the driver sends to the voters, or what they send to it. */
-    public void partitionOneWay(String driver, boolean sends, boolean cut) {
-        for (FaultProxy.Link l : proxy.allLinks()) {
-            if (l.from.equals(l.to)) {
+    public void partitionOneWay(String driver, boolean outbound, boolean cut) {
+        for (FaultProxy.Link link : proxy.allLinks()) {
+            if (link.from.equals(link.to)) {
                 // A process's way to itself crosses no network.
                 continue;
             }
-            if (l.from.equals(driver) && voters.contains(l.to)) {
+            if (link.from.equals(driver) && voters.contains(link.to)) {
                 proxy.hold(
-                        l,
-                        sends ? FaultProxy.Direction.FORWARD : FaultProxy.Direction.BACKWARD,
+                        link,
+                        outbound ? FaultProxy.Direction.FORWARD : FaultProxy.Direction.BACKWARD,
                         cut);
-            } else if (l.to.equals(driver)) {
+            } else if (link.to.equals(driver)) {
                 proxy.hold(
-                        l,
-                        sends ? FaultProxy.Direction.BACKWARD : FaultProxy.Direction.FORWARD,
+                        link,
+                        outbound ? FaultProxy.Direction.BACKWARD : FaultProxy.Direction.FORWARD,
                         cut);
             }
         }
@@ -470,13 +481,13 @@
 
     @Override
     public void close() throws IOException {
-        for (DriverProcess d : drivers.values()) {
-            if (d.isAlive()) {
-                d.process.destroyForcibly();
+        for (DriverProcess driver : drivers.values()) {
+            if (driver.isAlive()) {
+                driver.process.destroyForcibly();
             }
         }
-        for (FencedMember m : members.values()) {
-            m.close();
+        for (FencedMember member : members.values()) {
+            member.close();
         }
         discovery.close();
         proxy.close();
