--- a/src/test/java/wingroad/fleet/ConsensusStoreTest.java
+++ b/src/test/java/wingroad/fleet/ConsensusStoreTest.java
@@ -13,7 +13,7 @@
 import java.nio.file.Path;
 import java.util.List;
 
-/** A voter's state: what it survives, and when it is not trusted. */
+/** Tests which part of a voter's state survives a kill and when a state is rejected. */
 class ConsensusStoreTest {
     private static ConsensusStore storeWithEntries(RowStore rows, int term, long entryCount)
             throws IOException {
@@ -78,13 +78,13 @@
         ConsensusStore store = new ConsensusStore(rows.afterKill(), () -> "i2");
         assertThat(store.isOlderThan(new ConsensusStore.ConfirmedPosition(3, 3, 4))).isFalse();
         assertThat(store.isOlderThan(new ConsensusStore.ConfirmedPosition(4, 3, 4)))
-                .as("a later term")
+                .as("the confirmed term is later")
                 .isTrue();
         assertThat(store.isOlderThan(new ConsensusStore.ConfirmedPosition(3, 3, 5)))
-                .as("a later entry")
+                .as("a confirmed entry is missing")
                 .isTrue();
         assertThat(store.isOlderThan(new ConsensusStore.ConfirmedPosition(3, 2, 9)))
-                .as("entries that a later leader cut")
+                .as("missing entries were truncated by a later leader")
                 .isFalse();
     }
 
--- a/src/test/java/wingroad/fleet/FleetIT.java
+++ b/src/test/java/wingroad/fleet/FleetIT.java
@@ -29,7 +29,7 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 
-/** Several real processes of the packaged program, with faults between them. */
+/** Fleets of several real processes of the packaged program, with faults injected between them. */
 @Execution(ExecutionMode.CONCURRENT)
 class FleetIT {
     private static final String FLEET_SETTINGS =
@@ -59,7 +59,7 @@
         cluster.close();
     }
 
-    /** Who ran a chore under this epoch, by the logs. */
+    /** Returns the driver whose log says that it ran the chore's turn under this epoch. */
     private TestCluster.DriverProcess driverThatRan(FencedMember.ChoreExecution execution)
             throws InterruptedException {
         String logText =
@@ -79,10 +79,10 @@
             Thread.onSpinWait();
             TimeUnit.MILLISECONDS.sleep(5);
         }
-        throw new AssertionError("nobody says: " + logText);
+        throw new AssertionError("no driver logged: " + logText);
     }
 
-    /** The next entry of the chore under a higher epoch. */
+    /** Waits for the chore's next execution under a higher epoch. */
     private FencedMember.ChoreExecution awaitNextOwnerExecution(
             FencedMember.ChoreExecution previous) throws InterruptedException {
         return member.awaitExecution(
@@ -98,11 +98,15 @@
     }
 
     private void assertNoStaleOrRepeatedTurn() {
-        assertThat(member.repeatedTurns()).as("turns run twice").isZero();
+        assertThat(member.repeatedTurns()).as("turns run more than once").isZero();
         assertThat(member.executions())
                 .noneMatch(candidate -> candidate.staleEpoch() && candidate.accepted());
     }
 
+    /**
+     * A driver that is stopped as planned hands its chores over before it exits, and the history
+     * says that it left.
+     */
     @Test
     void plannedStopHandsChoreOver() throws Exception {
         startCluster(4, 3);
@@ -123,6 +127,10 @@
         assertNoStaleOrRepeatedTurn();
     }
 
+    /**
+     * An owner is paused after its statement was sent but before it arrived; a successor acts
+     * meanwhile. The member must reject the statement when it is delivered late.
+     */
     @Test
     void statementOfResumedFormerOwnerIsRejected() throws Exception {
         startCluster(4, 3);
@@ -159,6 +167,10 @@
         assertNoStaleOrRepeatedTurn();
     }
 
+    /**
+     * An owner without a link to the voters suspends its duties when its lease expires and still
+     * serves clients.
+     */
     @Test
     void partitionedOwnerStopsItsDutiesButServesClients() throws Exception {
         startCluster(5, 3);
@@ -178,6 +190,7 @@
         assertNoStaleOrRepeatedTurn();
     }
 
+    /** The voters receive the owner's messages but it receives none of theirs. */
     @Test
     void ownerThatOnlyReceivesNothingLosesItsDuties() throws Exception {
         startCluster(4, 3);
@@ -186,8 +199,8 @@
         int fromLine = owner.logLineCount();
         cluster.partitionOneWay(owner.name, false, true);
         owner.awaitLog(fromLine, line -> line.contains("has expired; its duties are suspended"));
-        // Guards against a session that is renewed by an owner that does not hear of it: its duties
-        // stood still meanwhile.
+        // Guards against a session that the owner's heartbeats keep alive although the owner
+        // cannot receive the renewals: its duties would stand still.
         assertThat(driverThatRan(awaitNextOwnerExecution(execution))).isNotSameAs(owner);
         cluster.partitionOneWay(owner.name, false, false);
         owner.awaitLog(fromLine, line -> line.contains("lease of") && line.contains("is valid"));
@@ -195,6 +208,10 @@
         assertNoStaleOrRepeatedTurn();
     }
 
+    /**
+     * All processes are killed and started again in another order; epochs and turns must not
+     * repeat.
+     */
     @Test
     void restartOfAllContinuesUnderHigherEpochs() throws Exception {
         startCluster(4, 3);
@@ -215,6 +232,10 @@
         assertNoStaleOrRepeatedTurn();
     }
 
+    /**
+     * A voter that lost its state must not vote under its old identity; it is added again as a new
+     * one.
+     */
     @Test
     void voterWithoutStateRejoinsAsNewMember() throws Exception {
         startCluster(4, 3);
@@ -238,7 +259,7 @@
         byte[] corruptContent =
                 "no database at all, but long enough to be taken for one by whoever reads it"
                         .getBytes(StandardCharsets.UTF_8);
-        // What stands in its write-ahead log would mend it.
+        // SQLite would repair the file from its write-ahead log.
         Files.deleteIfExists(driver.stateDirectory().resolve("council.db-wal"));
         Files.write(driver.stateDirectory().resolve("council.db"), corruptContent);
         driver.start();
@@ -249,6 +270,7 @@
         assertNoStaleOrRepeatedTurn();
     }
 
+    /** Two of three voters are killed. */
     @Test
     void withoutQuorumNoDutyIsGrantedButClientsAreServed() throws Exception {
         startCluster(4, 3);
@@ -264,7 +286,7 @@
             assertThat(client.ask(Fixtures.write("w")).heard()).containsExactly("row value");
         }
         assertThat(member.executionCount())
-                .as("chores begun without a majority")
+                .as("chores started without a majority")
                 .isEqualTo(executionsBefore);
         cluster.driver("d2").start();
         member.awaitExecution(
@@ -292,7 +314,7 @@
                 cluster.driver(String.valueOf(dutyStatus("list").get("owner")));
         List<TestCluster.DriverProcess> followers = awaitListFollowers(3);
         while (followers.contains(owner)) {
-            // It has become the owner just now, and the one before it does not go by it yet.
+            // The list's owner changed just now, and its predecessor does not follow it yet.
             followers = awaitListFollowers(3);
         }
         int requestsBefore = cluster.discovery.asked.size();
@@ -301,11 +323,11 @@
         for (TestCluster.DriverProcess driver : cluster.drivers.values()) {
             driver.awaitLog(0, line -> line.contains("list 2 "));
         }
-        // The owner's next watch, and perhaps one that was being given up.
+        // The owner's next long poll, and perhaps one by a driver that is giving up polling.
         assertThat(cluster.discovery.asked.size() - requestsBefore).isLessThan(4);
         Map<TestCluster.DriverProcess, Integer> logPositions = new java.util.HashMap<>();
         followers.forEach(driver -> logPositions.put(driver, driver.logLineCount()));
-        // Without a council there is no other owner, however soon: each has to notice the silence
+        // Without the voters there is no other owner soon: each driver has to notice the silence
         // by itself.
         for (TestCluster.DriverProcess driver : followers) {
             cluster.partitionFromVoters(driver.name, true);
@@ -328,8 +350,8 @@
     }
 
     /**
-     * Guards against an owner that does not know of a list that came before its fleet's part had
-     * begun: nobody went by it.
+     * Guards against an owner that drops a list received before its fleet components started, so
+     * that no driver follows it.
      */
     @Test
     void listReceivedBeforeFleetStartIsSharedByOwner() throws Exception {
@@ -347,8 +369,8 @@
     }
 
     /**
-     * Waits until all have a session and no duty has to move any more, as some do while the first
-     * sessions come.
+     * Waits until all drivers have a session and all duties are balanced; some duties still move
+     * while the first sessions open.
      */
     private void awaitBalancedDuties(int dutyCount) throws Exception {
         for (TestCluster.DriverProcess driver : cluster.drivers.values()) {
@@ -359,7 +381,7 @@
             Map<Object, Integer> dutiesByOwner = new java.util.HashMap<>();
             duties.forEach(
                     duty -> dutiesByOwner.merge(((Map<?, ?>) duty).get("owner"), 1, Integer::sum));
-            // One more than an even share is let be.
+            // The balancer accepts one duty more than an even share.
             if (duties.size() == dutyCount
                     && !dutiesByOwner.containsKey("")
                     && dutiesByOwner.values().stream().allMatch(ownedCount -> ownedCount <= 2)
@@ -369,10 +391,10 @@
             }
             TimeUnit.MILLISECONDS.sleep(50);
         }
-        throw new AssertionError("the duties are never shared out: " + fleetStatus());
+        throw new AssertionError("the duties were not balanced in time: " + fleetStatus());
     }
 
-    /** Waits until so many drivers that live go by the owner of the list. */
+    /** Waits until that many running drivers follow the owner of the list. */
     private List<TestCluster.DriverProcess> awaitListFollowers(int count)
             throws InterruptedException {
         for (int i = 0; i < 400; i++) {
@@ -395,7 +417,7 @@
             }
             TimeUnit.MILLISECONDS.sleep(50);
         }
-        throw new AssertionError("never " + count + " that go by the owner");
+        throw new AssertionError("never " + count + " drivers that follow the owner");
     }
 
     @Test
@@ -415,20 +437,21 @@
         }
         cluster.driver("d3").awaitLog("has been removed from the consensus group");
         assertThat(cluster.driver("d3").awaitLog("state set aside")).isNotNull();
-        // The new one counts: with d1 away d2 and d4 are a majority of three.
+        // The new voter counts: without d1, d2 and d4 are a majority of three.
         cluster.driver("d1").kill();
         int executionsBefore = member.executionCount();
         member.awaitExecution(executionsBefore + 6, candidate -> candidate.accepted());
         assertNoStaleOrRepeatedTurn();
     }
 
+    /** A voter that cannot persist its state must stop voting. */
     @Test
     void voterWithFullDiskStopsVotingButServesClients() throws Exception {
         cluster = new TestCluster(directory, 4, 3, FLEET_SETTINGS, Fixtures.SETTINGS);
         member = cluster.addMember("m1", 7, true, true);
         TestCluster.DriverProcess voterWithFullDisk = cluster.driver("d2");
-        // Room for the database's own library, which is unpacked into a file, and for some seconds
-        // of its log.
+        // Enough for the native library of the database, which is unpacked into a file, and for
+        // some seconds of its log.
         voterWithFullDisk.maxFileSizeKb = 1500;
         cluster.startAll();
         awaitFirstExecution("a");
@@ -442,6 +465,7 @@
         assertNoStaleOrRepeatedTurn();
     }
 
+    /** Links of changing drivers are cut in one or both directions and restored. */
     @Test
     void flappingLinksNeitherLoseNorDuplicateDuties() throws Exception {
         startCluster(4, 3);
@@ -456,7 +480,7 @@
             } else {
                 cluster.partitionOneWay(name, i % 3 == 1, true);
             }
-            // Each cut lasts as long as it takes until somebody's next chore has come.
+            // Each cut lasts until the next chore statement of any driver arrives.
             member.awaitExecution(member.executionCount(), FencedMember.ChoreExecution::accepted);
             cluster.partitionFromVoters(name, false);
         }
@@ -476,11 +500,12 @@
         awaitFirstExecution("a");
         TestCluster.DriverProcess leader =
                 cluster.driver(String.valueOf(fleetStatus().get("leader")));
-        try (SlowDisk disk = new SlowDisk(leader.stateDirectory().resolve("council.db"))) {
+        try (@SuppressWarnings("try")
+                SlowDisk disk = new SlowDisk(leader.stateDirectory().resolve("council.db"))) {
             disk.delayWrites(300);
             int executionsBefore = member.executionCount();
             member.awaitExecution(executionsBefore + 8, FencedMember.ChoreExecution::accepted);
-            // A write that does not come to an end within the store's patience is a broken disk.
+            // A write that does not finish within the store's timeout counts as a disk failure.
             disk.blockWrites();
             leader.awaitLog("cannot write its state and no longer votes");
             try (Client client = new Client(leader.port())) {
@@ -513,6 +538,7 @@
         assertNoStaleOrRepeatedTurn();
     }
 
+    /** Two processes run under one driver name by mistake. */
     @Test
     void secondProcessWithSameNameIsRefused() throws Exception {
         cluster = new TestCluster(directory, 5, 3, FLEET_SETTINGS, Fixtures.SETTINGS);
@@ -524,17 +550,21 @@
         cluster.driver("d5").fleetName = "d4";
         cluster.driver("d5").start();
         cluster.driver("d5").awaitLog("no session: another driver is known by the name 'd4'");
-        // Once the first is gone and its lease has run out, the name is free.
+        // Once the first process has ended and its lease has expired, the name is free.
         cluster.driver("d4").kill();
         cluster.driver("d5").awaitLog("lease of d4/");
         assertNoStaleOrRepeatedTurn();
     }
 
+    /**
+     * With one voter down and another without its state there is no majority that remembers the
+     * log; nothing may be committed until the first is back.
+     */
     @Test
     void voterWithoutStateIsNotAdmittedWhileAnotherIsDown() throws Exception {
         startCluster(4, 3);
         FencedMember.ChoreExecution execution = awaitFirstExecution("a");
-        // A lease can run out only where there has been one.
+        // A lease must have been granted before its expiry can be awaited.
         cluster.driver("d1").awaitLog("lease of d1/");
         cluster.driver("d4").awaitLog("lease of d4/");
         cluster.driver("d2").kill();
@@ -557,6 +587,7 @@
         assertNoStaleOrRepeatedTurn();
     }
 
+    /** All drivers are restarted one after the other, as a release does. */
     @Test
     void rollingRestartRepeatsNoTurn() throws Exception {
         startCluster(4, 3);
@@ -578,6 +609,10 @@
         assertNoStaleOrRepeatedTurn();
     }
 
+    /**
+     * The connection is cut in the middle of a chore's statement. The outcome is unknown to the
+     * owner, so the turn must not be sent again.
+     */
     @Test
     void interruptedStatementIsNotRepeated() throws Exception {
         startCluster(4, 3);
@@ -586,7 +621,7 @@
         FaultProxy.Link link = cluster.proxy.linkBetween(owner.name, "m1");
         BlockingQueue<Object> heldConnections = new LinkedBlockingQueue<>();
         link.setInterceptor(
-                (line, direction, bytes, connection) ->
+                (tapped, direction, bytes, connection) ->
                         direction == FaultProxy.Direction.FORWARD
                                 && asText(bytes).contains("fenced_a")
                                 && heldConnections.isEmpty()
@@ -662,7 +697,7 @@
                 return wingroad.protocol.Json.object(duty, "a duty");
             }
         }
-        throw new AssertionError("no " + name + " in " + status);
+        throw new AssertionError("no duty " + name + " in " + status);
     }
 
     private Map<String, Object> fleetStatus() throws IOException {
@@ -677,7 +712,9 @@
         throw lastFailure;
     }
 
-    /** Waits until the council has these voters and this one's place is settled. */
+    /**
+     * Waits until the consensus group has these voters and the new voter's membership is committed.
+     */
     private void awaitVoterSet(List<String> voters, String newcomer) throws Exception {
         for (TestCluster.DriverProcess driver : cluster.drivers.values()) {
             if (!driver.name.equals(newcomer)) {
@@ -697,7 +734,7 @@
                 }
             }
         }
-        throw new AssertionError("not let in: " + fleetStatus());
+        throw new AssertionError("the voters did not become as expected: " + fleetStatus());
     }
 
     private static String asText(ByteBuffer bytes) {
--- a/src/test/java/wingroad/fleet/MemoryRowStore.java
+++ b/src/test/java/wingroad/fleet/MemoryRowStore.java
@@ -8,7 +8,7 @@
 import java.util.SortedMap;
 import java.util.TreeMap;
 
-/** RowStore of a process that may be killed: what was not flushed is lost. */
+/** In-memory row store that simulates a kill: rows that were not flushed are lost. */
 final class MemoryRowStore implements RowStore {
     private Map<Table, TreeMap<Long, byte[]>> durable = emptyTables();
     private Map<Table, TreeMap<Long, byte[]>> current = emptyTables();
@@ -31,7 +31,7 @@
         return tables;
     }
 
-    /** The state as the next process finds it. */
+    /** Returns the store as the next process finds it. */
     MemoryRowStore afterKill() {
         MemoryRowStore next = new MemoryRowStore();
         next.durable = copy(durable);
@@ -82,6 +82,6 @@
 
     @Override
     public void close() {
-        // nothing is open
+        // There is nothing to release.
     }
 }
--- a/src/test/java/wingroad/fleet/SimFleet.java
+++ b/src/test/java/wingroad/fleet/SimFleet.java
@@ -26,11 +26,12 @@
 import java.util.function.Function;
 
 /**
- * A fleet in virtual time: the program's own code on played clocks, links and disks, with faults
- * drawn from a seed, and a checker of what each process might do and what the receiver accepted.
+ * Deterministic simulation of a fleet in virtual time. It runs the program's own code on simulated
+ * clocks, links and disks, injects faults drawn from a seed, and checks which process may act under
+ * a duty and which effects the receiver accepts.
  */
 final class SimFleet {
-    /** Wrongs that are put in to see whether the checker finds them. */
+    /** Bugs that can be injected to test whether the checker detects them. */
     enum InjectedBug {
         NONE,
         NO_FENCE,
@@ -61,14 +62,14 @@
     final Map<String, String> voters = new TreeMap<>();
     final FencedReceiver receiver = new FencedReceiver();
 
-    /** Work on machines, or null. */
+    /** Simulated maintenance of machines, or null. */
     SimWork maintenance;
 
     private final List<FleetConfig.Chore> chores = new ArrayList<>();
     private final PriorityQueue<Event> events = new PriorityQueue<>();
     private final List<SimulatedConnection> connections = new ArrayList<>();
 
-    /** Directions that are held, "from>to". */
+    /** Held directions, as "from>to". */
     final Set<String> heldDirections = new HashSet<>();
 
     private final Map<String, String> voteByVoterAndTerm = new HashMap<>();
@@ -112,7 +113,7 @@
         events.add(new Event(Math.max(atNanos, nowNanos), nextEventSequence++, task));
     }
 
-    /** Plays on for so many milliseconds. */
+    /** Runs the simulation for that many milliseconds of virtual time. */
     void advance(long durationMs) {
         long endNanos = nowNanos + durationMs * 1_000_000;
         while (!events.isEmpty() && events.peek().atNanos <= endNanos) {
@@ -132,7 +133,7 @@
         logLine("!", violation);
     }
 
-    /** The process whose state folder this was goes on. */
+    /** A driver process. It outlives restarts, as its state folder does. */
     final class SimulatedProcess implements ExecutionContext {
         final String name;
         MemoryRowStore rowStore = new MemoryRowStore();
@@ -142,7 +143,7 @@
         boolean paused;
         private int incarnation;
 
-        /** How fast its clock runs, within the bound. */
+        /** Speed of its clock relative to virtual time, within the drift bound. */
         final double clockRate = 1 + (random.nextDouble() * 2 - 1) * MAX_CLOCK_DRIFT;
 
         private final long clockOffsetNanos = random.nextInt(1_000_000_000);
@@ -226,8 +227,8 @@
         }
 
         /**
-         * As the program's own: a voter whose state could not be written reads it again, once that
-         * works.
+         * Like the program itself, a voter whose state could not be written reloads it once the
+         * disk accepts writes.
          */
         private void reloadStateAfterWriteFailure() {
             if (consensusNode.phase() == ConsensusNode.Phase.BROKEN && !rowStore.diskFull) {
@@ -258,7 +259,7 @@
             }
         }
 
-        /** As a voter that does not write its vote down. */
+        /** Removes the vote from the persisted term, as if the voter had not written it. */
         private void forgetVote() {
             byte[] row = rowStore.readAll(RowStore.Table.META).get(3L);
             if (row != null) {
@@ -289,6 +290,7 @@
             }
         }
 
+        /** Discards the persisted state; the process gets a new identity. */
         void loseState() {
             rowStore = new MemoryRowStore();
             identity = Long.toHexString(random.nextLong());
@@ -348,7 +350,10 @@
             logLine(name, text);
         }
 
-        /** The clock is read, and then anything may happen before the effect is out. */
+        /**
+         * Checks the lease and sends the effect. Any delay may fall between the check and the
+         * sending.
+         */
         private void executeChore(
                 FleetConfig.Chore chore,
                 long epoch,
@@ -386,7 +391,7 @@
                                     }
                                 });
                     };
-            // A pause that begins here stands between the check and the effect.
+            // A pause that begins here falls between the lease check and the effect.
             runAt(nowNanos, transmit);
         }
 
@@ -406,7 +411,10 @@
         }
     }
 
-    /** A lease counted from when the answer came: wrong. */
+    /**
+     * Incorrect lease that counts from the arrival of the response instead of the sending of the
+     * request.
+     */
     private static final class LeaseFromResponseTime extends SessionLease {
         LeaseFromResponseTime(Lease lease, String sessionId) {
             super(lease, sessionId);
@@ -418,7 +426,7 @@
         }
     }
 
-    /** What effects come to: a fence, and a ledger of what was accepted. */
+    /** Receiver of effects, with a fence and a record of the accepted ones. */
     final class FencedReceiver {
         private final EpochFence fence = new EpochFence();
         private final Map<String, Long> highestEpochs = new HashMap<>();
@@ -475,7 +483,7 @@
         return process.initiatorChannel;
     }
 
-    /** One connection; each direction in order, held while it is cut. */
+    /** One connection. Each direction delivers in order and holds messages while it is cut. */
     private final class SimulatedConnection {
         final SimulatedProcess from;
         final String to;
@@ -526,7 +534,8 @@
                 open = false;
                 connections.remove(this);
                 if (remaining != null) {
-                    // The end of a process is told like all else, or not at all while it is cut.
+                    // The reset that follows the end of a process travels like a message, and is
+                    // lost while the direction is cut.
                     String direction = process.name + ">" + remaining.process.name;
                     if (!heldDirections.contains(direction)) {
                         remaining.process.runAt(
@@ -617,7 +626,8 @@
         }
 
         void closeByRemote(String reason) {
-            // A process that was started again hears nothing of its predecessor's connections.
+            // A restarted process must not receive events of its previous incarnation's
+            // connections.
             if (!closed && process.incarnation == incarnation) {
                 closed = true;
                 connection.open = false;
@@ -640,7 +650,7 @@
         }
     }
 
-    /** No endpoint may vote for two in one term. */
+    /** Checks that no endpoint votes for two candidates in one term. */
     private void checkVotes(Map<String, Object> message, String to) {
         if (MessageCodec.stringOrEmpty(message, "k").equals("raft")) {
             Object raftMessage = MessageCodec.decodeMessage(asMap(message.get("m")));
@@ -676,8 +686,8 @@
     }
 
     /**
-     * A voter votes, and its candidate is gone before anybody hears of the term; the voter starts
-     * again and is asked for the same term by the leader of before.
+     * A voter grants its vote, and the candidate is killed before any other voter learns of the
+     * term. The voter restarts and is asked for the same term by the former leader.
      */
     void runVoteAndRestart() {
         processes.values().forEach(SimulatedProcess::start);
@@ -722,7 +732,7 @@
     }
 
     /**
-     * All directions are open again; of what was held, some connections break and the others
+     * Releases all directions. Of the connections with held messages some break and the others
      * deliver late.
      */
     void healLinks() {
@@ -746,7 +756,7 @@
         }
     }
 
-    /** At any time at most one process may act under a duty, by its own clock. */
+    /** Checks that at most one process may act under a duty, by its own clock. */
     void checkLeases() {
         for (FleetConfig.Chore chore : chores) {
             String holder = null;
@@ -774,7 +784,7 @@
         }
     }
 
-    /** Who owns each duty by the word of a voter that takes part and is the furthest. */
+    /** Returns the owner of each duty by the state of the most advanced running voter. */
     Map<String, String> dutyOwners() {
         Map<String, String> ownerByDuty = new TreeMap<>();
         ConsensusNode mostAdvanced = null;
@@ -797,8 +807,8 @@
     }
 
     /**
-     * A short history: a start, faults for a while, an end without faults in which all must be well
-     * again.
+     * Runs one history: start, a period of random faults, and a period without faults after which
+     * all duties must have owners.
      */
     void runHistory(int faultSeconds) {
         processes
@@ -862,7 +872,7 @@
         SimulatedProcess process = randomProcess();
         switch (random.nextInt(13)) {
             case 12 -> {
-                // Its disk is full for a while.
+                // The disk is full for a while.
                 if (process.consensusNode != null && process.alive) {
                     process.rowStore.diskFull = true;
                     MemoryRowStore fullDisk = process.rowStore;
@@ -905,8 +915,8 @@
             case 7 -> holdDirection(process.name, "member");
             case 8 -> holdDirection("member", process.name);
             case 9 -> {
-                // Voters lose their state one at a time, and only while the rest are there: more is
-                // more than it bears.
+                // Voters lose their state one at a time, and only while all others are members:
+                // the protocol does not tolerate more.
                 if (process.consensusNode != null
                         && downVoterCount() == 0
                         && process.alive
@@ -927,8 +937,8 @@
     }
 
     private boolean allVotersIn() {
-        // One that has been let in and is not settled yet does not count: its loss and another
-        // one's are two.
+        // A voter that has been added but whose membership is not committed yet does not count:
+        // its loss and another one's would be two.
         boolean settled =
                 processes.values().stream()
                         .anyMatch(
--- a/src/test/java/wingroad/fleet/SimFleetTest.java
+++ b/src/test/java/wingroad/fleet/SimFleetTest.java
@@ -41,7 +41,7 @@
                                 })
                         .toList();
         assertThat(violations).isEmpty();
-        assertThat(staleEffects.get()).as("late effects that came to the fence").isPositive();
+        assertThat(staleEffects.get()).as("stale effects that reached the fence").isPositive();
     }
 
     @Test
@@ -64,7 +64,8 @@
 
     @Test
     void checkerDetectsVoterThatForgetsItsVote() {
-        // Who asks first after the restart is drawn: not in each of them is it the same term again.
+        // Which candidate asks first after the restart is random: not every seed repeats the same
+        // term.
         List<String> violations = new ArrayList<>();
         for (int seed = 0; seed < 10; seed++) {
             violations.addAll(runVoteAndRestart(seed, InjectedBug.VOTE_FORGOTTEN));
@@ -74,9 +75,9 @@
     }
 
     /**
-     * Guards against the engine (0.7) losing its way: a voter that polled for an election and then
-     * heard its old leader again in the same term takes no notice when that leader falls silent
-     * later. Where its log is the newest, nobody else can lead.
+     * Guards against a fault of the consensus engine (0.7): a voter that started a pre-vote and
+     * then heard its old leader again in the same term ignores a later loss of that leader. If its
+     * log is the most recent, no other voter can be elected.
      */
     @Test
     void voterStartsElectionAfterUnsuccessfulPreVote() {
@@ -97,7 +98,7 @@
             fleet.healLinks();
             fleet.advance(3000);
             assertThat(leader.consensusNode.isLeader())
-                    .as("seed " + seed + ": it leads on")
+                    .as("seed " + seed + ": the leader keeps leading")
                     .isTrue();
             fleet.holdDirection(leader.name, followers.get(1).name);
             fleet.advance(700);
@@ -109,14 +110,16 @@
                 newLeaderElected =
                         followers.stream().anyMatch(process -> process.consensusNode.isLeader());
             }
-            assertThat(newLeaderElected).as("seed " + seed + ": another leads").isTrue();
+            assertThat(newLeaderElected)
+                    .as("seed " + seed + ": another leader is elected")
+                    .isTrue();
             assertThat(fleet.violations).isEmpty();
         }
     }
 
     /**
-     * Guards against a planned stop whose word is lost with its voter: the duties would wait for
-     * beats, or for the lease.
+     * Guards against a planned stop whose message is lost with its paused voter: the duties would
+     * wait for heartbeats to fail or for the lease to expire.
      */
     @Test
     void plannedStopCompletesThoughItsVoterIsPaused() {
--- a/src/test/java/wingroad/fleet/SimWork.java
+++ b/src/test/java/wingroad/fleet/SimWork.java
@@ -26,9 +26,9 @@
 import java.util.TreeSet;
 
 /**
- * Work on machines in virtual time: the program's plan, view and conductor on the played fleet,
- * played members with a ledger, operators that ask at random times, and a checker that knows the
- * truth.
+ * Simulation of machine maintenance in virtual time: the program's maintenance plan, member
+ * availability and controller on a simulated fleet, simulated members that count their open txns,
+ * operators that send requests at random times, and a checker that knows the actual state.
  */
 final class SimWork {
     private static final Duration EXPIRY = Duration.ofSeconds(2);
@@ -42,7 +42,7 @@
     private final Map<Integer, List<SimulatedMember>> membersByGroup = new HashMap<>();
     private final Map<String, List<SimulatedMember>> membersByMachine = new HashMap<>();
 
-    /** What is settled, by the furthest register: machine to stage; and how far that is. */
+    /** Committed stage of each machine in the most advanced state machine. */
     private Map<String, MaintenanceStage> committedStages = Map.of();
 
     private long highestRevision = -1;
@@ -73,7 +73,8 @@
     }
 
     /**
-     * Machines in three zones; each holds a member of some groups, the first ones a driver as well.
+     * Creates machines in three zones. Each holds members of some groups; the first ones host a
+     * driver as well.
      */
     SimWork(SimFleet fleet, int machineCount, int groupCount, int maxConcurrentMachines) {
         this.fleet = fleet;
@@ -85,7 +86,7 @@
         }
         int machineOffset = 0;
         for (int group = 0; group < groupCount; group++) {
-            // Three members of a group on machines of three zones.
+            // The three members of a group are on machines of three zones.
             for (int zone = 0; zone < 3; zone++) {
                 int machineIndex = (machineOffset / 3 * 3 + zone) % machineCount;
                 String uid = "g" + group + "z" + zone;
@@ -124,13 +125,13 @@
                         DRAIN_GRACE);
     }
 
-    // ---- what is settled ----
+    // ---- committed state ----
 
     DutyStateMachine newStateMachine(long firstRevision) {
         return new CheckedStateMachine(firstRevision);
     }
 
-    /** The program's register, with the checker beside it, or with a wrong put in. */
+    /** The program's state machine with the checker attached, or with an injected bug. */
     private final class CheckedStateMachine extends DutyStateMachine {
         CheckedStateMachine(long firstRevision) {
             super(
@@ -413,8 +414,8 @@
                                                                 step.stageRevision(),
                                                                 step.reason()));
                         if (random.nextInt(4) == 0) {
-                            // As one that is held up on its way, or wakes up late and does not look
-                            // at its lease again.
+                            // Proposes the step again later, like a controller whose message is
+                            // delayed or that resumes without checking its lease.
                             String session = process.driverSession.sessionLease().sessionId();
                             fleet.scheduleAt(
                                     fleet.nowNanos + random.nextInt(8_000) * 1_000_000L,
@@ -435,7 +436,7 @@
             process.schedule(CONTROL_INTERVAL, this::runControlLoop);
         }
 
-        /** One txn to some member that may be sent to; the clock is read in the same turn. */
+        /** Sends one txn to a random eligible member; the clock is read in the same task. */
         private void sendTxn() {
             int group = random.nextInt(members.size() / 3);
             Duration now = process.now();
@@ -509,8 +510,8 @@
     // ---- operators and members ----
 
     /**
-     * Operators ask now and then, members fail and come back, primaries are moved where the plan
-     * wants that.
+     * Schedules random operator requests and member failures; primaries are moved when the plan
+     * needs it.
      */
     void scheduleOperatorActions(int seconds) {
         for (int second = 3; second < seconds; second++) {
@@ -553,8 +554,8 @@
     }
 
     /**
-     * An operator knows of a process that has ended for good, with its state: there is another one
-     * of its name now.
+     * Reports drivers as gone whose process has ended for good with its state: another process has
+     * their name now.
      */
     private void reportLostDrivers() {
         fleet.processes.values().stream()
@@ -581,7 +582,7 @@
                                                 }));
     }
 
-    /** Everything there is, at once. */
+    /** Requests maintenance of all machines at once. */
     void requestAllMachines() {
         requestsStopped = true;
         settings.machines()
@@ -647,7 +648,10 @@
         }
     }
 
-    /** Whether everything that was asked for is in again. */
+    /**
+     * Returns whether all requested machines are back in service; ends new requests and member
+     * failures.
+     */
     boolean isIdle() {
         requestsStopped = true;
         members.values().forEach(member -> member.up = true);
--- a/src/test/java/wingroad/fleet/SimWorkTest.java
+++ b/src/test/java/wingroad/fleet/SimWorkTest.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.stream.IntStream;
 
-/** Short histories of work on machines in virtual time. */
+/** Short histories of machine maintenance in virtual time. */
 class SimWorkTest {
     @Test
     void randomHistoriesViolateNoInvariant() {
@@ -31,7 +31,7 @@
                                 })
                         .toList();
         assertThat(violations).isEmpty();
-        assertThat(outCount.get()).as("machines that were out").isGreaterThan(60);
+        assertThat(outCount.get()).as("machines taken out of service").isGreaterThan(60);
     }
 
     @ParameterizedTest
--- a/src/test/java/wingroad/rig/ClientLoad.java
+++ b/src/test/java/wingroad/rig/ClientLoad.java
@@ -12,20 +12,22 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Clients of all drivers that live: a txn after the other, every fifth a write. What is broken off
- * while its driver is left alone counts as lost.
+ * Client load on all running drivers: each client sends one txn after the other, every fifth a
+ * write. A txn whose connection ends counts as lost, unless its driver is being disturbed by the
+ * test.
  */
+@SuppressWarnings("try")
 public final class ClientLoad implements AutoCloseable {
     public final AtomicLong sent = new AtomicLong();
     public final AtomicLong committed = new AtomicLong();
     public final AtomicLong refused = new AtomicLong();
     public final AtomicLong lost = new AtomicLong();
 
-    /** What was heard by the first that were refused, and when. */
+    /** Time, txn id and responses of the first refused txns. */
     public final java.util.Queue<String> firstRefusals =
             new java.util.concurrent.ConcurrentLinkedQueue<>();
 
-    /** Drivers that are not left alone: what fails there is not counted. */
+    /** Names of drivers that the test disturbs; their txns are not counted. */
     public final Set<String> excludedDrivers = ConcurrentHashMap.newKeySet();
 
     private final TestCluster cluster;
@@ -34,11 +36,17 @@
     private final List<Thread> threads = new ArrayList<>();
     private volatile boolean closed;
 
+    /**
+     * Starts one client at each driver.
+     *
+     * @param groups groups that the txns address in turn
+     * @param intervalMs pause before each txn
+     */
     public ClientLoad(TestCluster cluster, List<Integer> groups, long intervalMs) {
         this(cluster, groups, intervalMs, 1);
     }
 
-    /** The same with so many clients at each driver. */
+    /** Starts that many clients at each driver. */
     public ClientLoad(
             TestCluster cluster, List<Integer> groups, long intervalMs, int clientsPerDriver) {
         this.cluster = cluster;
@@ -114,6 +122,7 @@
         }
     }
 
+    /** Returns the committed share of the counted txns, 1 if there are none. */
     public double committedShare() {
         return sent.get() == 0 ? 1 : (double) committed.get() / sent.get();
     }
--- a/src/test/java/wingroad/rig/FaultProxy.java
+++ b/src/test/java/wingroad/rig/FaultProxy.java
@@ -18,32 +18,34 @@
 import java.util.concurrent.CountDownLatch;
 
 /**
- * Every link of the rig: a port for each, and one thread that passes on what comes, or holds it,
- * slows it, breaks it off in mid-message. What is held is not lost: it comes late, also where its
- * sender has gone meanwhile.
+ * TCP proxies for all links of a test cluster. Each link has a port of its own; one thread forwards
+ * the data and can hold it, delay it or cut connections in the middle of a message. Held data is
+ * not lost: it is delivered late, even if its sender has closed the connection meanwhile.
  */
 public final class FaultProxy implements AutoCloseable {
     private static final int READ_BUFFER_BYTES = 16 * 1024;
     private static final int MAX_BUFFERED_BYTES = 1 << 20;
 
-    /** Which way bytes go: from whoever connected, or back. */
+    /** Direction of data: from the side that connected, or back to it. */
     public enum Direction {
         FORWARD,
         BACKWARD
     }
 
-    /**
-     * Sees what goes by, on the relays' thread; true holds this connection's way from these bytes
-     * on.
-     */
+    /** Inspects forwarded data on the proxy's thread. */
     public interface Interceptor {
+        /**
+         * Returns true to hold this direction of the connection from these bytes on.
+         *
+         * @param connection handle for {@link #release}
+         */
         boolean intercept(Link link, Direction direction, ByteBuffer bytes, Object connection);
     }
 
     private final Selector selector = Selector.open();
     private final ConcurrentLinkedQueue<Runnable> tasks = new ConcurrentLinkedQueue<>();
     private final Map<String, Link> links = new LinkedHashMap<>();
-    private final Thread thread = new Thread(this::run, "relays");
+    private final Thread thread = new Thread(this::run, "fault-proxy");
     private volatile boolean closed;
 
     public FaultProxy() throws IOException {
@@ -51,7 +53,7 @@
         thread.start();
     }
 
-    /** One link: whoever connects to its port reaches its target. */
+    /** One link: connections to its port are forwarded to its target port. */
     public final class Link {
         public final String from;
         public final String to;
@@ -74,7 +76,7 @@
             return ((InetSocketAddress) serverChannel.getLocalAddress()).getPort();
         }
 
-        /** Where it leads from now on; 0 is nowhere. */
+        /** Sets the port to which new connections are forwarded; 0 resets them. */
         public void setTargetPort(int port) {
             targetPort = port;
         }
@@ -88,7 +90,7 @@
         }
     }
 
-    /** Makes a link; its target comes later. */
+    /** Adds a link without a target. */
     public Link addLink(String from, String to) throws IOException {
         Link link = new Link(from, to);
         links.put(from + ">" + to, link);
@@ -103,6 +105,7 @@
         return link;
     }
 
+    /** Returns the link, or null if there is none. */
     public Link linkBetween(String from, String to) {
         return links.get(from + ">" + to);
     }
@@ -111,7 +114,7 @@
         return List.copyOf(links.values());
     }
 
-    /** Holds what goes this way, or lets it go on, on what is connected and on what will be. */
+    /** Holds or releases one direction of all connections of the link, present and future. */
     public void hold(Link link, Direction direction, boolean held) {
         runOnProxyThread(
                 () -> {
@@ -127,12 +130,15 @@
                 });
     }
 
-    /** All that goes over the link takes this much longer. */
+    /** Delays all data on the link. */
     public void setDelay(Link link, long delayMs) {
         runOnProxyThread(() -> link.delayNanos = delayMs * 1_000_000);
     }
 
-    /** Ends what is connected now, in the middle of what is held where something is. */
+    /**
+     * Closes all connections of the link; if data is queued, only half of its first buffer is
+     * delivered.
+     */
     public void disconnect(Link link) {
         runOnProxyThread(
                 () ->
@@ -150,7 +156,7 @@
                                         }));
     }
 
-    /** Lets one held connection go on, the one a tap has held. */
+    /** Releases one connection that an interceptor has held. */
     public void release(Object connection) {
         runOnProxyThread(
                 () -> {
@@ -212,12 +218,12 @@
                 try {
                     channel.close();
                 } catch (IOException e) {
-                    // it is gone
+                    // The channel is already closed.
                 }
             }
         }
 
-        /** Reads what both sides may give now, and watches for what each needs. */
+        /** Updates the selector's interest in both channels. */
         void updateInterests() {
             updateInterest(clientChannel, forwardStream, backwardStream);
             updateInterest(targetChannel, backwardStream, forwardStream);
@@ -249,7 +255,7 @@
         boolean sourceEnded;
         boolean writeBlocked;
 
-        /** Whoever it goes to is gone, while the other way still holds something. */
+        /** Whether writing has failed while the other direction still holds data. */
         boolean destinationFailed;
 
         RelayedStream(
@@ -306,8 +312,8 @@
                     sendTimesNanos.poll();
                 }
                 if (sourceEnded && buffers.isEmpty() && !held && destination.isConnected()) {
-                    // The other side's own end comes behind all that it had sent; half-open
-                    // connections are not needed here.
+                    // The end of the stream follows all data that was sent before it. Half-open
+                    // connections are not supported.
                     connection.closeBoth();
                     return;
                 }
@@ -329,7 +335,7 @@
             connection.updateInterests();
         }
 
-        /** Passes on half of what waits. */
+        /** Writes half of the first queued buffer. */
         void writeHalfOfNextBuffer() {
             try {
                 ByteBuffer buffer = buffers.peek();
@@ -337,7 +343,7 @@
                     destination.write(buffer.slice(buffer.position(), buffer.remaining() / 2));
                 }
             } catch (IOException e) {
-                // it ends anyhow
+                // The connection is closed in any case.
             }
         }
     }
@@ -399,7 +405,7 @@
                     }
                 }
             } catch (IOException e) {
-                // whoever came has gone, or the target is not there
+                // The client has closed its connection, or the target refuses connections.
             }
             return;
         }
--- a/src/test/java/wingroad/rig/FencedMember.java
+++ b/src/test/java/wingroad/rig/FencedMember.java
@@ -18,8 +18,8 @@
 import java.util.regex.Pattern;
 
 /**
- * A stand-in member with the fence that docs/operators/fleet.md has as SQL, and a ledger of what
- * came. A chore's statement is {@code SELECT fenced_NAME({epoch})}.
+ * Stub member with the epoch fence that docs/operators/fleet.md gives as SQL. It records every txn
+ * and chore statement that it receives. A chore's statement is {@code SELECT fenced_NAME({epoch})}.
  */
 public final class FencedMember implements AutoCloseable {
     private static final Pattern CHORE_STATEMENT =
@@ -30,10 +30,21 @@
 
     private static final Pattern TXN_ID = Pattern.compile("/\\* id=([^,]*),");
 
-    /** One client's txn that came; {@code end} is when it was answered, 0 while it is not. */
+    /**
+     * A client's txn that the member received.
+     *
+     * @param receivedAtMs Unix milliseconds
+     * @param answeredAtMs Unix milliseconds of the answer, 0 while there is none
+     */
     public record ReceivedTxn(long receivedAtMs, String id, AtomicLong answeredAtMs) {}
 
-    /** One chore's statement that came. */
+    /**
+     * A chore's statement that the member received.
+     *
+     * @param receivedAtMs Unix milliseconds
+     * @param accepted whether the statement took effect
+     * @param staleEpoch whether a higher epoch of the chore had been seen before
+     */
     public record ChoreExecution(
             long receivedAtMs,
             String chore,
@@ -82,7 +93,7 @@
                 Long.parseLong(matcher.group(3)))) {
             session.row("1", member.primary);
         } else {
-            // raise_exception, as the fence's function does
+            // raise_exception, the error that the SQL function of the fence raises
             session.error("P0001", member.primary);
         }
     }
@@ -107,7 +118,8 @@
     }
 
     /**
-     * What a cold member has got in the span in which it falls, as a part of what it bears then.
+     * Records the load of the last overload window relative to what the member can bear at its
+     * current warm-up.
      */
     private void recordColdLoad(long nowMs) {
         if (startupCapacity == null || nowMs - startedAtMs >= startupCapacity.warmUpMs) {
@@ -176,12 +188,13 @@
     }
 
     /**
-     * What it bears after a start.
+     * How much load a member bears while it warms up after a start.
      *
-     * @param perSecond txns a second that it serves when warm
-     * @param coldMs how long it is cold
-     * @param share its part of that at the start
-     * @param multiple so many times what it can do then makes it fall, within the span
+     * @param warmTxnsPerSecond txns a second that it serves when warm
+     * @param warmUpMs duration of the warm-up
+     * @param initialShare share of the warm throughput that it serves right after the start
+     * @param overloadFactor multiple of its current throughput that overloads it
+     * @param overloadWindowMs time window over which load is compared with that limit
      */
     public record StartupCapacity(
             double warmTxnsPerSecond,
@@ -190,19 +203,19 @@
             double overloadFactor,
             long overloadWindowMs) {}
 
-    /** It has started now and is cold; it works on so many txns at a time. */
+    /** Starts the warm-up now and limits how many txns run at a time. */
     public synchronized void simulateStart(StartupCapacity capacity, int maxConcurrentTxns) {
         startupCapacity = capacity;
         startedAtMs = System.currentTimeMillis();
         concurrencyPermits = new Semaphore(maxConcurrentTxns);
     }
 
-    /** How near it came to falling: 1 is the rule's limit. */
+    /** Returns the highest load during warm-up relative to the overload limit, which is 1. */
     public synchronized double peakColdLoad() {
         return peakColdLoad;
     }
 
-    /** From now on it is the group's primary, or a replica. */
+    /** Makes the member the primary of its group, or a replica. */
     public void setPrimary(boolean primary) {
         member.primary = primary;
     }
@@ -211,45 +224,45 @@
         return member.primary;
     }
 
-    /** How long each client's txn takes. */
+    /** Sets how long each client's txn takes. */
     public void setAnswerDelayMs(long ms) {
         answerDelayMs = ms;
     }
 
-    /** How far behind the log it says that it is. */
+    /** Sets the replication lag that the member reports. */
     public void setReplicationLagMs(long ms) {
         member.behindMs = ms;
     }
 
-    /** Lets the slow reads go that are here. */
+    /** Answers the reads whose id begins with "slow", which wait until then. */
     public void releaseSlowReads() {
         slowReadsReleased.countDown();
     }
 
-    /** Clients' txns that came, by the member's own clock. */
+    /** Returns the clients' txns received so far, timed by the member's clock. */
     public synchronized List<ReceivedTxn> txns() {
         return List.copyOf(txns);
     }
 
-    /** Waits until so many clients' txns have come. */
+    /** Waits until the member has received at least that many clients' txns. */
     public synchronized void awaitTxns(int count) throws InterruptedException {
         long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(WAIT_TIMEOUT_S);
         while (txns.size() < count) {
             long remainingNanos = deadlineNanos - System.nanoTime();
             if (remainingNanos <= 0) {
-                throw new AssertionError("only " + txns.size() + " txns came to " + uid);
+                throw new AssertionError(uid + " received only " + txns.size() + " txns");
             }
             wait(Math.max(1, remainingNanos / 1_000_000));
         }
     }
 
-    /** Waits for the next client's txn whose id begins so. */
+    /** Waits until a client's txn has come whose id has the prefix. */
     public synchronized void awaitTxn(String idPrefix) throws InterruptedException {
         long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(WAIT_TIMEOUT_S);
         while (txns.stream().noneMatch(txn -> txn.id().startsWith(idPrefix))) {
             long remainingNanos = deadlineNanos - System.nanoTime();
             if (remainingNanos <= 0) {
-                throw new AssertionError("no txn " + idPrefix + " came to " + uid);
+                throw new AssertionError(uid + " received no txn " + idPrefix);
             }
             wait(Math.max(1, remainingNanos / 1_000_000));
         }
@@ -269,16 +282,17 @@
         return accepted;
     }
 
+    /** Returns the chores' statements in the order in which they came. */
     public synchronized List<ChoreExecution> executions() {
         return List.copyOf(executions);
     }
 
-    /** Turns that ran more than once. */
+    /** Returns how often a turn was accepted that had run before. */
     public synchronized int repeatedTurns() {
         return repeatedTurns;
     }
 
-    /** The first entry from this index on that is as wanted. */
+    /** Waits for the first chore execution at or after the index that meets the condition. */
     public synchronized ChoreExecution awaitExecution(
             int fromIndex, java.util.function.Predicate<ChoreExecution> condition)
             throws InterruptedException {
@@ -287,7 +301,8 @@
             while (i >= executions.size()) {
                 long remainingNanos = deadlineNanos - System.nanoTime();
                 if (remainingNanos <= 0) {
-                    throw new AssertionError("never came to " + uid + ": " + executions);
+                    throw new AssertionError(
+                            uid + " received no such chore statement: " + executions);
                 }
                 wait(Math.max(1, remainingNanos / 1_000_000));
             }
--- a/src/test/java/wingroad/rig/Peer.java
+++ b/src/test/java/wingroad/rig/Peer.java
@@ -12,8 +12,8 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * The far end of one connection, driven by the test's own thread: it reads, writes, trickles, ends
- * its side and resets when the test says so, and at no other time. What is waited for is bounded.
+ * The remote end of one connection, driven by the test's own thread: it reads, writes, half-closes
+ * and resets only when the test says so. All waits are bounded.
  */
 public final class Peer implements AutoCloseable {
     private static final int SOCKET_TIMEOUT_MS = 20_000;
@@ -26,7 +26,9 @@
         socket.setSoTimeout(SOCKET_TIMEOUT_MS);
     }
 
-    /** A port on which connections are taken one by one, when the test asks for the next. */
+    /**
+     * Listening port whose connections are accepted one by one, when the test asks for the next.
+     */
     public static final class Listener implements AutoCloseable {
         private final ServerSocket serverSocket =
                 new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
@@ -43,7 +45,9 @@
             return new Peer(serverSocket.accept());
         }
 
-        /** Whether nobody comes for so long: only for what must not happen. */
+        /**
+         * Returns whether no connection arrives within the time; for tests of what must not happen.
+         */
         public boolean noConnectionWithin(int timeoutMs) throws IOException {
             serverSocket.setSoTimeout(timeoutMs);
             try {
@@ -62,12 +66,12 @@
         }
     }
 
-    /** Opens a connection from here, as a client does. */
+    /** Connects to a local port, as a client does. */
     public static Peer connect(int port) throws IOException {
         return new Peer(new Socket(InetAddress.getLoopbackAddress(), port));
     }
 
-    /** What comes up to and with these bytes. */
+    /** Reads up to and including the terminator. */
     public String readUntil(String terminator) throws IOException {
         ByteArrayOutputStream received = new ByteArrayOutputStream();
         while (!received.toString(StandardCharsets.ISO_8859_1).endsWith(terminator)) {
@@ -97,7 +101,7 @@
         return send(text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    /** One byte at a time, each in a packet of its own. */
+    /** Sends one byte at a time, each in a packet of its own. */
     public Peer sendByteByByte(byte[] bytes) throws IOException {
         for (byte b : bytes) {
             socket.getOutputStream().write(b);
@@ -105,24 +109,24 @@
         return this;
     }
 
-    /** Ends its own side only: what comes is still read. */
+    /** Half-closes the connection: input is still read. */
     public Peer shutdownOutput() throws IOException {
         socket.shutdownOutput();
         return this;
     }
 
-    /** The connection breaks: a reset goes out, and what was not read there may be lost. */
+    /** Resets the connection; data that the other side has not read yet may be lost. */
     public void reset() throws IOException {
         socket.setSoLinger(true, 0);
         socket.close();
     }
 
-    /** All that comes until the other side ends; it must not break. */
+    /** Reads until the other side closes; a reset fails the test. */
     public byte[] readToEnd() throws IOException {
         return socket.getInputStream().readAllBytes();
     }
 
-    /** What comes until the other side has ended or broken the connection. */
+    /** Reads until the other side closes or resets the connection. */
     public String readUntilClosed() throws IOException {
         ByteArrayOutputStream received = new ByteArrayOutputStream();
         try {
@@ -132,7 +136,7 @@
                 received.write(nextByte);
             }
         } catch (SocketException reset) {
-            // that is an end as well
+            // A reset also ends the connection.
         }
         return received.toString(StandardCharsets.ISO_8859_1);
     }
--- a/src/test/java/wingroad/rig/RigTest.java
+++ b/src/test/java/wingroad/rig/RigTest.java
@@ -11,13 +11,13 @@
 import java.nio.file.Path;
 import java.nio.file.attribute.BasicFileAttributes;
 
-/** What the rig owes the processes that it starts. */
+/** Checks what the cluster guarantees to the processes that it starts. */
 class RigTest {
     @TempDir Path directory;
 
     /**
-     * Guards against a driver that starts while a test asks for its file, finds it empty and runs
-     * without a fleet.
+     * Guards against a driver that reads its operator's file while a test is rewriting it, finds it
+     * empty and runs without a fleet.
      */
     @Test
     void operatorFileIsReplacedAtomically() throws Exception {
@@ -27,7 +27,7 @@
             String originalContent = Files.readString(file);
             Object originalKey = fileKey(file);
             assertThat(fileKey(cluster.driver("d1").operatorFile())).isEqualTo(originalKey);
-            // An open one goes on with what it had: another file takes its name.
+            // An open reader keeps the old content: a new file takes the name.
             try (var reader = Files.newBufferedReader(file)) {
                 cluster.driver("d1").fleetSettings = "    lease-ms 4000\n";
                 assertThat(fileKey(cluster.driver("d1").operatorFile())).isNotEqualTo(originalKey);
--- a/src/test/java/wingroad/rig/SlowDisk.java
+++ b/src/test/java/wingroad/rig/SlowDisk.java
@@ -9,9 +9,10 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Makes a voter's disk slow or hang: it holds the write lock of the voter's database from outside,
- * so that the voter's writes wait as they do for a disk that is busy.
+ * Simulates a slow or hung disk of a voter: it holds the write lock of the voter's database from
+ * outside, so that the voter's writes wait.
  */
+@SuppressWarnings("try")
 public final class SlowDisk implements AutoCloseable {
     private final Connection connection;
     private final CountDownLatch closing = new CountDownLatch(1);
@@ -25,14 +26,14 @@
         }
     }
 
-    /** From now on a write waits up to so long. */
+    /** Delays each write by up to the given time. */
     public void delayWrites(long holdMs) {
         lockHoldMs = holdMs;
         thread.setDaemon(true);
         thread.start();
     }
 
-    /** From now on no write comes to an end. */
+    /** Blocks all writes until close. */
     public void blockWrites() {
         lockHoldMs = Long.MAX_VALUE;
     }
@@ -48,11 +49,12 @@
                     closing.await(holdMs, TimeUnit.MILLISECONDS);
                 }
                 statement.execute("ROLLBACK");
-                // The lock is not fair: whoever waits for it looks at it again only now and then.
+                // SQLite's lock is not fair: a waiting writer polls for it, so it needs a pause to
+                // obtain the lock.
                 closing.await(holdMs == Long.MAX_VALUE ? 0 : 120, TimeUnit.MILLISECONDS);
             }
         } catch (SQLException | InterruptedException e) {
-            // With the database that it slows.
+            // The thread ends if the database fails or closes.
         }
     }
 
--- a/src/test/java/wingroad/rig/TestCluster.java
+++ b/src/test/java/wingroad/rig/TestCluster.java
@@ -22,8 +22,9 @@
 
 /**
  * Several real processes of the program on loopback, each with its own operator's file, state
- * folder and log. Every link between two of them, and to members and discovery, is one of the
- * relays'. Nothing waits for time: all waits are on lines of logs or on what members saw.
+ * folder and log. Every link between two of them, to members and to discovery passes through a
+ * {@link FaultProxy}. Tests never wait for a fixed time but for log lines or for statements that
+ * members received.
  */
 public final class TestCluster implements AutoCloseable {
     private static final long WAIT_TIMEOUT_S = Integer.getInteger("rig.patience", 40);
@@ -35,18 +36,24 @@
     private final Path directory;
     private final List<String> voters = new ArrayList<>();
 
-    /** Those that may be let in as voters: no file names them, and all reach them by one link. */
+    /**
+     * Drivers that may be added as voters: no operator's file names them, and all others reach them
+     * over one shared link.
+     */
     private final List<String> spareVoters = new ArrayList<>();
 
-    /** Members that no driver knows from its start. */
+    /** Members that are left out of the drivers' initial configuration. */
     public final List<String> membersUnknownAtStart = new ArrayList<>();
 
     private final String defaultFleetSettings;
     private final String driverSettings;
 
     /**
-     * @param defaultFleetSettings what stands in each operator's file beside names, addresses and
+     * @param driverCount processes, named d1, d2 and so on
+     * @param voterCount how many of them, from the first on, are voters
+     * @param defaultFleetSettings content of each operator's file besides names, addresses and
      *     state, or null for drivers without a fleet
+     * @param driverSettings the settings in each driver's configuration, as JSON
      */
     public TestCluster(
             Path directory,
@@ -72,7 +79,7 @@
         }
     }
 
-    /** A member is out of reach for all, or can be reached again. */
+    /** Makes a member reachable or unreachable for all drivers. */
     public void setReachable(FencedMember member, boolean reachable) throws IOException {
         for (DriverProcess driver : drivers.values()) {
             FaultProxy.Link link = proxy.linkBetween(driver.name, member.uid);
@@ -84,8 +91,8 @@
     }
 
     /**
-     * What discovery tells: all members, those in the map under their own state. Links are the
-     * drivers' own, as known at the start.
+     * Publishes all members in discovery, each in the given state or as ready; members in state
+     * "gone" are left out. The addresses are those of the first driver's links.
      */
     public void publishMembers(Map<String, String> states) throws IOException {
         StringBuilder entries = new StringBuilder();
@@ -99,7 +106,10 @@
         discovery.tell(entries.toString());
     }
 
-    /** Adds a member; all drivers know it from their start. */
+    /**
+     * Adds a member, with a link from each driver. Drivers started later know it from their
+     * configuration, unless it is in {@link #membersUnknownAtStart}.
+     */
     public FencedMember addMember(String uid, int group, boolean primary, boolean fenced)
             throws IOException {
         FencedMember member = new FencedMember(uid, group, primary, fenced);
@@ -110,10 +120,14 @@
         return member;
     }
 
-    /** One line of a process's log. */
+    /**
+     * One line of a process's log.
+     *
+     * @param loggedAtMs Unix milliseconds at which the test read it
+     */
     public record LogLine(long loggedAtMs, String text) {}
 
-    /** One process and what it left. */
+    /** One driver process with its files and log. */
     public final class DriverProcess {
         public final String name;
         private final Path homeDirectory;
@@ -122,12 +136,12 @@
         private int port;
         public boolean paused;
 
-        /** The name that it gives itself in the fleet. */
+        /** Name under which the process takes part in the fleet. */
         public String fleetName;
 
         /**
-         * How large a file of its may grow, in KB; 0 for any size: what is beyond is like a full
-         * disk.
+         * Largest size of a file that the process may write, in KB, or 0 for no limit; writes
+         * beyond it fail as on a full disk.
          */
         public int maxFileSizeKb;
 
@@ -141,8 +155,7 @@
         }
 
         /**
-         * Takes it away from the fleet's file that all share: what stands there for this driver
-         * alone, or null.
+         * Fleet settings of this driver's operator file, or null; at first those of the cluster.
          */
         public String fleetSettings = defaultFleetSettings;
 
@@ -158,7 +171,7 @@
             return process.pid();
         }
 
-        /** The port at which it serves clients. */
+        /** Returns the port at which the driver serves clients. */
         public int port() {
             return port;
         }
@@ -229,7 +242,7 @@
             reader.start();
         }
 
-        /** Its operator's file: voters by this driver's own links. */
+        /** Writes the operator's file, with the voters' addresses on this driver's own links. */
         public Path operatorFile() throws IOException {
             StringBuilder content =
                     new StringBuilder("fleet \"rig\" {\n    driver \"" + fleetName + "\"\n");
@@ -249,8 +262,8 @@
                     .append(fleetSettings)
                     .append("}\n");
             Path file = homeDirectory.resolve("operator.kdl");
-            // Asked for by tests while processes start: one that reads it meanwhile must not find
-            // it cut off.
+            // Tests call this while processes start. The file is replaced atomically, so that a
+            // process never reads a truncated one.
             if (!Files.exists(file) || !Files.readString(file).contentEquals(content)) {
                 Path replacement =
                         Files.writeString(
@@ -291,7 +304,7 @@
                     }
                 }
             } catch (IOException ended) {
-                // with its process
+                // The process has ended.
             }
             synchronized (log) {
                 log.notifyAll();
@@ -304,7 +317,10 @@
             }
         }
 
-        /** When the first line with these words came, in Unix milliseconds; 0 where none did. */
+        /**
+         * Returns when the first line with the text was logged, in Unix milliseconds, or 0 if there
+         * is none.
+         */
         public long firstLogTimeMs(String text) {
             synchronized (log) {
                 return log.stream()
@@ -315,7 +331,10 @@
             }
         }
 
-        /** Waits for a line; what came before counts too, from this index on. */
+        /**
+         * Waits for a line that meets the condition, at or after the index; lines logged before the
+         * call count too.
+         */
         public String awaitLog(int fromLine, Predicate<String> condition)
                 throws InterruptedException {
             long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(WAIT_TIMEOUT_S);
@@ -331,7 +350,7 @@
                     if (remainingNanos <= 0 || !isAlive() && lineIndex == log.size()) {
                         throw new AssertionError(
                                 name
-                                        + " never said it; its log:\n"
+                                        + " did not log the expected line; its log:\n"
                                         + String.join(
                                                 "\n", log.stream().map(LogLine::text).toList()));
                     }
@@ -340,6 +359,7 @@
             }
         }
 
+        /** Waits for a line that contains the text, from the start of the log on. */
         public String awaitLog(String text) throws InterruptedException {
             return awaitLog(0, line -> line.contains(text));
         }
@@ -360,34 +380,36 @@
             }
         }
 
+        /** Sends SIGSTOP. */
         public void pause() throws IOException {
             paused = true;
             sendSignal("STOP");
         }
 
+        /** Sends SIGCONT. */
         public void resume() throws IOException {
             sendSignal("CONT");
             paused = false;
         }
 
-        /** SIGKILL; what it had not written is lost. */
+        /** Sends SIGKILL and waits for the exit; unwritten state is lost. */
         public void kill() throws InterruptedException {
             process.destroyForcibly().waitFor();
             paused = false;
         }
 
-        /** SIGTERM; returns at once. */
+        /** Sends SIGTERM and returns at once. */
         public void terminate() throws IOException {
             sendSignal("TERM");
         }
 
         public void awaitExit() throws InterruptedException {
             if (!process.waitFor(WAIT_TIMEOUT_S, TimeUnit.SECONDS)) {
-                throw new AssertionError(name + " did not end");
+                throw new AssertionError(name + " did not exit in time");
             }
         }
 
-        /** Only while it does not run. */
+        /** Deletes the state folder; the process must not be running. */
         public void deleteState() throws IOException {
             try (Stream<Path> paths =
                     Files.exists(stateDirectory())
@@ -401,8 +423,8 @@
     }
 
     /**
-     * A member's entry in discovery's list, by one driver's link: discovery tells all the same
-     * address.
+     * Returns a member's entry in discovery's list, with the address of one driver's link:
+     * discovery gives all drivers the same addresses.
      */
     public String discoveryEntry(String driver, FencedMember member, String state)
             throws IOException {
@@ -415,15 +437,15 @@
     }
 
     /**
-     * This driver listens, though no file names it as a voter; returns the address at which all
-     * reach it.
+     * Lets a driver listen as a future voter although no operator's file names it; returns the
+     * address at which all others reach it.
      */
     public String addSpareVoter(String name) throws IOException {
         spareVoters.add(name);
         return "127.0.0.1:" + proxy.addLink("all", name).port();
     }
 
-    /** What each process has said since its last start. */
+    /** Returns the logs of all processes since their last start. */
     public String allLogs() {
         StringBuilder text = new StringBuilder();
         drivers.values()
@@ -446,7 +468,7 @@
         }
     }
 
-    /** Cuts a driver off from the voters and the voters from it, or heals that. */
+    /** Cuts or restores all links between a driver and the voters. */
     public void partitionFromVoters(String driver, boolean cut) {
         for (FaultProxy.Link link : proxy.allLinks()) {
             if (!link.from.equals(link.to)
@@ -458,11 +480,14 @@
         }
     }
 
-    /** Holds one way only: what the driver sends to the voters, or what they send to it. */
+    /**
+     * Cuts or restores one direction only: from the driver to the voters if outbound, else from
+     * them to it.
+     */
     public void partitionOneWay(String driver, boolean outbound, boolean cut) {
         for (FaultProxy.Link link : proxy.allLinks()) {
             if (link.from.equals(link.to)) {
-                // A process's way to itself crosses no network.
+                // A process's link to itself crosses no network.
                 continue;
             }
             if (link.from.equals(driver) && voters.contains(link.to)) {
