--- a/src/bench/java/wingroad/fleet/OwnerBench.java
+++ b/src/bench/java/wingroad/fleet/OwnerBench.java
@@ -1,13 +1,5 @@
 package wingroad.fleet;
 
-import wingroad.Fixtures;
-import wingroad.Fixtures.Client;
-import wingroad.operator.OperatorFile;
-import wingroad.protocol.Json;
-import wingroad.rig.FaultProxy;
-import wingroad.rig.FencedMember;
-import wingroad.rig.TestCluster;
-
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.file.Files;
@@ -26,22 +18,32 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicLong;
+import wingroad.Fixtures;
+import wingroad.Fixtures.Client;
+import wingroad.operator.OperatorFile;
+import wingroad.protocol.Json;
+import wingroad.rig.FaultProxy;
+import wingroad.rig.FencedMember;
+import wingroad.rig.TestCluster;
 
 /**
- * Twenty and more real processes with faults: the same load and faults without a fleet and with
- * one, where half of the chores go to a member without a fence (the baseline of a lease by time
- * alone). The last line is one JSON object.
+ * Runs 20 or more real processes under faults, with the same load and faults without a fleet and
+ * with one. Half of the chores go to a member without a fence, as the baseline that relies on lease
+ * times alone. The last line of the output is one JSON object.
  */
 public final class OwnerBench {
     private static final int LEASE_MS = 3000;
     private static final int DUTY_COUNT = 20;
+
+    /** Hand-overs that take longer are printed. */
     private static final int SLOW_HANDOVER_MS = 300;
+
     private static final java.util.regex.Pattern CHORE_STATEMENT =
             java.util.regex.Pattern.compile("id=chore-([^,]*)-([0-9]+)-[0-9]+,");
 
     /**
-     * In each of these spans the voters are left alone for the last part, and owners are stopped as
-     * planned in it.
+     * Length of a fault cycle. In the last part of each cycle the voters are left undisturbed, and
+     * duty owners are stopped as planned.
      */
     private static final long FAULT_CYCLE_MS = 12_000;
 
@@ -57,7 +59,10 @@
     private FencedMember unfencedMember;
     private final ScheduledExecutorService scheduler = Executors.newScheduledThreadPool(4);
     private final Map<String, AtomicInteger> faultCounts = new ConcurrentHashMap<>();
+
+    /** Active disturbances, as "DRIVER process" or "DRIVER links". */
     private final Set<String> disturbed = ConcurrentHashMap.newKeySet();
+
     private final AtomicLong sentTxns = new AtomicLong();
     private final AtomicLong committedTxns = new AtomicLong();
     private final AtomicLong lostTxns = new AtomicLong();
@@ -78,7 +83,9 @@
         this.withFleet = withFleet;
     }
 
-    /** {@code SECONDS [SEED [DRIVERS]]} */
+    /**
+     * Arguments: {@code SECONDS [SEED [DRIVERS]]}. A fourth argument skips the run without a fleet.
+     */
     public static void main(String[] args) throws Exception {
         int durationSeconds = args.length > 0 ? Integer.parseInt(args[0]) : 100;
         long seed = args.length > 1 ? Long.parseLong(args[1]) : 1;
@@ -111,19 +118,22 @@
         withFleet.put("served_ratio_during_faults", ratio);
         StringBuilder json = new StringBuilder("{");
         withFleet.forEach(
-                (k, voter) ->
+                (key, value) ->
                         json.append(json.length() > 1 ? "," : "")
                                 .append('"')
-                                .append(k)
+                                .append(key)
                                 .append("\":")
-                                .append(voter));
+                                .append(value));
         System.out.println(json.append('}'));
         System.exit(0);
     }
 
     /**
-     * Forty changes of the list, 0.6 s apart, at drivers without faults; how often discovery was
-     * asked meanwhile.
+     * Publishes 40 changes of the member list, 0.6 s apart, without faults.
+     *
+     * @param sharingEnabled whether one driver polls discovery for all
+     * @param delaysMs receives the delay of each change at each driver in milliseconds
+     * @return how many requests discovery received meanwhile
      */
     private static long measureListPropagation(
             int driverCount, boolean sharingEnabled, List<Long> delaysMs) throws Exception {
@@ -254,7 +264,7 @@
             injectFault();
             TimeUnit.MILLISECONDS.sleep(300 + random.nextInt(250));
         }
-        // All wounds heal by themselves; what is left open is closed here.
+        // All faults end by themselves; wait for those that are still active.
         for (int i = 0; i < 200 && !disturbed.isEmpty(); i++) {
             TimeUnit.MILLISECONDS.sleep(200);
         }
@@ -363,7 +373,7 @@
                     }
                 }
             } catch (IOException e) {
-                // Only what was broken off while its process was left alone counts as lost.
+                // A txn counts as lost only if its process was not disturbed meanwhile.
                 if (client != null
                         && connectedGeneration == processGenerations.get(driver.name).get()
                         && !disturbed.contains(driver.name + " process")
@@ -421,7 +431,7 @@
                     try {
                         step.run();
                     } catch (Exception e) {
-                        System.out.println("rig: " + e);
+                        System.out.println("cluster: " + e);
                     }
                 },
                 delayMs,
@@ -460,7 +470,7 @@
         injectFault(driver, kind, durationMs);
     }
 
-    /** Those that own something and are left alone now. */
+    /** Returns the duty owners that are not disturbed now. */
     private List<TestCluster.DriverProcess> undisturbedOwners() {
         return dutiesByName().values().stream()
                 .map(duty -> cluster.driver(MessageCodec.stringOrEmpty(duty, "owner")))
@@ -558,8 +568,8 @@
     }
 
     /**
-     * Holds the owner's next statement on its way and stops the owner; both are let go once a
-     * successor's effect has come, or after some leases.
+     * Holds the owner's next statement in transit and pauses the owner. Both continue once a
+     * successor's effect has arrived, or after some lease periods.
      */
     private void pauseDuringEffect(TestCluster.DriverProcess driver, long durationMs) {
         disturbed.add(driver.name + " links");
@@ -595,7 +605,8 @@
         runAfter(
                 durationMs,
                 () -> {
-                    // One that owns nothing sends nothing: then it is stopped as it is.
+                    // A driver without duties sends no statement; it is paused at any point
+                    // instead.
                     if (triggered.compareAndSet(0, 2)) {
                         pauseProcess(driver, durationMs);
                     }
@@ -630,7 +641,7 @@
         runAfter(300, () -> markProcessRestored(driver));
     }
 
-    // ---- the council, by status ----
+    // ---- consensus group status ----
 
     private FleetConfig fleetConfig() throws IOException {
         return OperatorFile.read(cluster.driver("d1").operatorFile()).file().fleet();
@@ -654,7 +665,7 @@
                                     ? status
                                     : mostAdvanced;
                 } catch (IOException | RuntimeException e) {
-                    // the next one knows
+                    // Ask the next voter.
                 }
                 if (mostAdvanced != null) {
                     break;
@@ -678,14 +689,14 @@
         if (latestStatus.get("duties") instanceof List<?> dutyList) {
             dutyList.forEach(
                     value -> {
-                        Map<String, Object> driver = Json.object(value, "a duty");
-                        dutyByName.put(MessageCodec.stringOrEmpty(driver, "name"), driver);
+                        Map<String, Object> duty = Json.object(value, "a duty");
+                        dutyByName.put(MessageCodec.stringOrEmpty(duty, "name"), duty);
                     });
         }
         return dutyByName;
     }
 
-    /** Measures how long it takes from now until this driver's duties are another session's. */
+    /** Measures the time from now until the duties of this driver belong to another session. */
     private void measureOwnedDuties(TestCluster.DriverProcess driver, List<Long> transferTimesMs) {
         long startedAtMs = System.currentTimeMillis();
         dutiesByName()
@@ -708,13 +719,13 @@
                 () -> {
                     Map<String, Object> duty = dutiesByName().get(name);
                     if (duty != null && MessageCodec.longOrZero(duty, "epoch") > epoch) {
-                        // By the history: the first grant behind the old one, even where it has
-                        // moved on since.
+                        // The history tells the first grant after the old one, even if the duty
+                        // has moved on since.
                         for (Object line : (List<?>) duty.get("history")) {
                             String[] words = line.toString().split(" ");
                             if (line.toString().contains(" has it, epoch ")
                                     && Long.parseLong(words[words.length - 1]) > epoch) {
-                                // Given away before the fault: not this fault's.
+                                // A grant before the fault was not caused by it.
                                 if (Long.parseLong(words[0]) >= startedAtMs) {
                                     synchronized (transferTimesMs) {
                                         transferTimesMs.add(Long.parseLong(words[0]) - startedAtMs);
@@ -749,7 +760,7 @@
                 });
     }
 
-    /** What voters said of their council since then. */
+    /** Returns the voters' log lines on the fleet, from 4 s before that time on. */
     private List<String> voterLogSince(long sinceMs) {
         List<String> logLines = new ArrayList<>();
         for (String voter : cluster.voters()) {
@@ -783,7 +794,10 @@
         return unownedCount;
     }
 
-    /** Messages between voters that grant a vote: no voter may grant two in one term. */
+    /**
+     * Reads messages between voters and records every granted vote: no voter may grant two in one
+     * term.
+     */
     private boolean checkVotes(
             Map<Object, ByteBuffer> partialMessages,
             Object connection,
--- a/src/bench/java/wingroad/fleet/OwnerSim.java
+++ b/src/bench/java/wingroad/fleet/OwnerSim.java
@@ -1,18 +1,22 @@
 package wingroad.fleet;
 
-import wingroad.fleet.SimFleet.InjectedBug;
-
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
+import wingroad.fleet.SimFleet.InjectedBug;
 
 /**
- * Short histories of fleets in virtual time by the thousand; one seed with its lines for a look.
+ * Runs short fleet histories in virtual time, thousands of them at once, or one seed with its log.
  */
 public final class OwnerSim {
     private OwnerSim() {}
 
-    /** {@code SEED} shows one; {@code FROM COUNT} plays many on all cores and prints what broke. */
+    /**
+     * Arguments: {@code SEED} prints one history; {@code FROM COUNT} runs many on all cores and
+     * prints the violations; {@code wrong MOST} searches up to that seed for a history that detects
+     * each injected bug; {@code big} runs a large fleet; {@code work ...} passes the rest to {@link
+     * WorkSim}.
+     */
     public static void main(String[] args) {
         if (args[0].equals("big")) {
             System.out.println(runLargeFleet(250, 100));
@@ -82,7 +86,7 @@
                         + (System.nanoTime() - startedNanos) / 1_000_000_000);
     }
 
-    /** Many drivers without faults, then a tenth of them killed at once. */
+    /** Runs many drivers without faults, then kills a tenth of them at once. */
     static String runLargeFleet(int driverCount, int dutyCount) {
         SimFleet fleet =
                 new SimFleet(
@@ -117,7 +121,7 @@
         }
         return String.format(
                 "drivers %d, duties %d, dead %d: bytes_per_driver_s %.0f, cpu of all in one process"
-                    + " %.3f of a core, takeover_all_ms %d (lease %d), broken %d",
+                        + " %.3f of a core, takeover_all_ms %d (lease %d), broken %d",
                 driverCount,
                 dutyCount,
                 killed.size(),
--- a/src/bench/java/wingroad/fleet/WorkSim.java
+++ b/src/bench/java/wingroad/fleet/WorkSim.java
@@ -1,21 +1,21 @@
 package wingroad.fleet;
 
-import wingroad.fleet.SimFleet.InjectedBug;
-
 import java.util.ArrayList;
 import java.util.List;
 import java.util.stream.LongStream;
+import wingroad.fleet.SimFleet.InjectedBug;
 
 /**
- * Short histories of work on machines in virtual time by the thousand; one seed with its lines for
- * a look.
+ * Runs short maintenance histories in virtual time, thousands of them at once, or one seed with its
+ * log.
  */
 final class WorkSim {
     private WorkSim() {}
 
     /**
-     * {@code SEED} shows one; {@code FROM COUNT} plays many on all cores and prints what broke;
-     * {@code wrong MOST} looks for each wrong; {@code runLargeFleet} has many drivers and machines.
+     * Arguments: {@code SEED} prints one history; {@code FROM COUNT} runs many on all cores and
+     * prints the violations; {@code wrong MOST} searches up to that seed for a history that detects
+     * each injected bug; {@code big} runs many drivers and machines.
      */
     static void main(String[] args) {
         if (args[0].equals("big")) {
@@ -129,8 +129,8 @@
     }
 
     /**
-     * Many drivers and machines without faults: all machines are asked for at once; what it takes
-     * until two hundred are out.
+     * Runs many drivers and machines without faults, requests maintenance of all machines at once
+     * and measures the time until 200 are out of service.
      */
     private static String runLargeFleet(
             int driverCount, int machineCount, int maxConcurrentMachines) {
@@ -143,26 +143,27 @@
         fleet.advance(5_000);
         idleMessagesPerSecond = (fleet.sentMessageCount - idleMessagesPerSecond) / 5;
         long startedNanos = System.nanoTime();
-        long firstSeed = fleet.nowNanos;
+        long requestedAtNanos = fleet.nowNanos;
         long messagesBefore = fleet.sentMessageCount;
         fleet.maintenance.requestAllMachines();
         while (fleet.maintenance.committedRequestCount() < machineCount
-                && fleet.nowNanos - firstSeed < 60_000_000_000L) {
+                && fleet.nowNanos - requestedAtNanos < 60_000_000_000L) {
             fleet.advance(20);
         }
-        long planMs = (fleet.nowNanos - firstSeed) / 1_000_000;
+        long planMs = (fleet.nowNanos - requestedAtNanos) / 1_000_000;
         fleet.maintenance.scheduleOperatorActions(600);
         int controlRounds = 0;
-        while (fleet.maintenance.outCount < 200 && fleet.nowNanos - firstSeed < 300_000_000_000L) {
+        while (fleet.maintenance.outCount < 200
+                && fleet.nowNanos - requestedAtNanos < 300_000_000_000L) {
             fleet.advance(250);
             controlRounds++;
         }
-        double elapsedSeconds = (fleet.nowNanos - firstSeed) / 1e9;
+        double elapsedSeconds = (fleet.nowNanos - requestedAtNanos) / 1e9;
         return String.format(
                 java.util.Locale.ROOT,
                 "drivers %d, machines %d, at once %d: plan_ms %d (all asks settled), out %d after"
-                    + " %.1f s, rounds %d (looks of the conductor), messages_per_machine %.0f (of"
-                    + " %.0f a second, %d at rest), broken %d, played in %d s",
+                        + " %.1f s, rounds %d (looks of the conductor), messages_per_machine %.0f (of"
+                        + " %.0f a second, %d at rest), broken %d, played in %d s",
                 driverCount,
                 machineCount,
                 maxConcurrentMachines,
--- a/src/test/java/wingroad/fleet/SimFleet.java
+++ b/src/test/java/wingroad/fleet/SimFleet.java
@@ -2,11 +2,6 @@
 
 import io.microraft.model.message.VoteRequest;
 import io.microraft.model.message.VoteResponse;
-
-import wingroad.duty.EpochFence;
-import wingroad.duty.Lease;
-import wingroad.duty.SessionLease;
-
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.nio.file.Path;
@@ -24,6 +19,9 @@
 import java.util.TreeMap;
 import java.util.function.BiConsumer;
 import java.util.function.Function;
+import wingroad.duty.EpochFence;
+import wingroad.duty.Lease;
+import wingroad.duty.SessionLease;
 
 /**
  * Deterministic simulation of a fleet in virtual time. It runs the program's own code on simulated
@@ -42,7 +40,10 @@
         ORDER_WITHOUT_EPOCH
     }
 
+    /** Lease time of a session. */
     static final Duration LEASE_DURATION = Duration.ofSeconds(4);
+
+    /** Largest deviation of a clock's speed from real time, as a share. */
     static final double MAX_CLOCK_DRIFT = 0.05;
 
     private record Event(long atNanos, long sequence, Runnable task) implements Comparable<Event> {
@@ -443,7 +444,7 @@
             acceptedCount++;
             if (epoch < highestEpochs.getOrDefault(duty, 0L)) {
                 recordViolation(
-                        "late effect accepted: "
+                        "stale effect accepted: "
                                 + duty
                                 + " epoch "
                                 + epoch
@@ -456,7 +457,7 @@
             String previousDriver = driverByTurn.put(duty + "#" + turn, driver);
             if (previousDriver != null) {
                 recordViolation(
-                        "turn run twice: "
+                        "turn run more than once: "
                                 + duty
                                 + " turn "
                                 + turn
@@ -674,7 +675,7 @@
         String previousCandidate = voteByVoterAndTerm.putIfAbsent(voter + " " + term, candidate);
         if (previousCandidate != null && !previousCandidate.equals(candidate)) {
             recordViolation(
-                    "two votes of "
+                    "two votes by "
                             + voter
                             + " in term "
                             + term
@@ -768,7 +769,7 @@
                             && lease.mayAct(chore.duty(), dutyState.epoch(), process.now())) {
                         if (holder != null) {
                             recordViolation(
-                                    "two may act: "
+                                    "two drivers may act: "
                                             + chore.duty()
                                             + ": "
                                             + holder
--- a/src/test/java/wingroad/fleet/SimFleetTest.java
+++ b/src/test/java/wingroad/fleet/SimFleetTest.java
@@ -2,15 +2,13 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import org.junit.jupiter.api.Test;
-
-import wingroad.fleet.SimFleet.InjectedBug;
-
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.stream.IntStream;
+import org.junit.jupiter.api.Test;
+import wingroad.fleet.SimFleet.InjectedBug;
 
 /** Short histories of a fleet in virtual time. */
 class SimFleetTest {
@@ -50,7 +48,7 @@
         for (int seed = 0; seed < 10 && violations.isEmpty(); seed++) {
             violations.addAll(runHistory(seed, InjectedBug.NO_FENCE).violations);
         }
-        assertThat(violations).anyMatch(violation -> violation.contains("late effect accepted"));
+        assertThat(violations).anyMatch(violation -> violation.contains("stale effect accepted"));
     }
 
     @Test
@@ -59,7 +57,7 @@
         for (int seed = 0; seed < 10 && violations.isEmpty(); seed++) {
             violations.addAll(runHistory(seed, InjectedBug.LEASE_FROM_ANSWER).violations);
         }
-        assertThat(violations).anyMatch(violation -> violation.contains("two may act"));
+        assertThat(violations).anyMatch(violation -> violation.contains("two drivers may act"));
     }
 
     @Test
--- a/src/test/java/wingroad/fleet/SimWork.java
+++ b/src/test/java/wingroad/fleet/SimWork.java
@@ -1,5 +1,15 @@
 package wingroad.fleet;
 
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Random;
+import java.util.Set;
+import java.util.TreeMap;
+import java.util.TreeSet;
 import wingroad.duty.Command;
 import wingroad.duty.DutyStateMachine;
 import wingroad.fleet.SimFleet.InjectedBug;
@@ -14,25 +24,21 @@
 import wingroad.work.MemberObservations;
 import wingroad.work.PlanCopy;
 
-import java.time.Duration;
-import java.util.ArrayList;
-import java.util.HashMap;
-import java.util.HashSet;
-import java.util.List;
-import java.util.Map;
-import java.util.Random;
-import java.util.Set;
-import java.util.TreeMap;
-import java.util.TreeSet;
-
 /**
  * Simulation of machine maintenance in virtual time: the program's maintenance plan, member
  * availability and controller on a simulated fleet, simulated members that count their open txns,
  * operators that send requests at random times, and a checker that knows the actual state.
  */
 final class SimWork {
+    /** Expiry of txns: how long one may stay open at a member. */
     private static final Duration EXPIRY = Duration.ofSeconds(2);
+
+    /**
+     * How long a driver waits after it has stopped sending before it reports a machine as drained.
+     */
     private static final Duration DRAIN_GRACE = Duration.ofSeconds(1);
+
+    /** Interval between reports and controller rounds of a driver. */
     private static final Duration CONTROL_INTERVAL = Duration.ofMillis(250);
 
     final MaintenanceSettings settings;
@@ -156,7 +162,7 @@
             String result = super.apply(command);
             if (fromController && !currentEpoch && result.isEmpty()) {
                 fleet.recordViolation(
-                        "a late order was taken: "
+                        "a stale controller step was accepted: "
                                 + command.subject()
                                 + " to "
                                 + command.argument()
@@ -212,7 +218,7 @@
                                         member ->
                                                 fleet.recordViolation(
                                                         machine
-                                                                + " was told to be out with "
+                                                                + " was committed as out with "
                                                                 + member.openTxnCount
                                                                 + " txns at "
                                                                 + member.uid));
@@ -230,11 +236,12 @@
         for (String first : unavailable) {
             for (String second : unavailable) {
                 if (first.compareTo(second) < 0) {
-                    Machine member = settings.machines().get(first);
-                    Machine y = settings.machines().get(second);
-                    if (!member.zone().equals(y.zone())
-                            || member.groups().stream().anyMatch(y.groups()::contains)) {
-                        fleet.recordViolation("away together: " + first + " and " + second);
+                    Machine firstMachine = settings.machines().get(first);
+                    Machine secondMachine = settings.machines().get(second);
+                    if (!firstMachine.zone().equals(secondMachine.zone())
+                            || firstMachine.groups().stream()
+                                    .anyMatch(secondMachine.groups()::contains)) {
+                        fleet.recordViolation("unavailable together: " + first + " and " + second);
                     }
                 }
             }
@@ -306,9 +313,9 @@
                 wasCurrent = current;
                 fleet.logLine(
                         process.name,
-                        "view "
+                        "plan view "
                                 + (current ? "current" : "ended")
-                                + " at "
+                                + " at revision "
                                 + availability.revision());
             }
             if (current) {
@@ -317,7 +324,7 @@
                 availability.drainingEntries().forEach(e -> drainingMachines.add(e.machine()));
                 drainingSince.keySet().retainAll(drainingMachines);
                 drainingMachines.forEach(
-                        member -> drainingSince.putIfAbsent(member, process.now()));
+                        machine -> drainingSince.putIfAbsent(machine, process.now()));
             }
             sendReport();
         }
@@ -614,16 +621,16 @@
                                         "done", machine, "done " + operatorCommandCount++));
                     }
                     if (stage == MaintenanceStage.PLANNED) {
-                        for (SimulatedMember x :
+                        for (SimulatedMember member :
                                 membersByMachine.getOrDefault(machine, List.of())) {
-                            if (x.primary) {
-                                membersByGroup.get(x.group).stream()
-                                        .filter(y -> y != x && y.up)
+                            if (member.primary) {
+                                membersByGroup.get(member.group).stream()
+                                        .filter(successor -> successor != member && successor.up)
                                         .findFirst()
                                         .ifPresent(
-                                                y -> {
-                                                    x.primary = false;
-                                                    y.primary = true;
+                                                successor -> {
+                                                    member.primary = false;
+                                                    successor.primary = true;
                                                 });
                             }
                         }
@@ -669,28 +676,31 @@
             String waitReasons =
                     fleet.processes.values().stream()
                             .filter(
-                                    p ->
-                                            p.alive
-                                                    && p.consensusNode != null
-                                                    && p.consensusNode.stateMachine().revision()
+                                    process ->
+                                            process.alive
+                                                    && process.consensusNode != null
+                                                    && process.consensusNode
+                                                                    .stateMachine()
+                                                                    .revision()
                                                             == highestRevision)
                             .findFirst()
-                            .map(p -> p.consensusNode.stateMachine().plan())
+                            .map(process -> process.consensusNode.stateMachine().plan())
                             .map(
-                                    p ->
-                                            p.entries().stream()
+                                    plan ->
+                                            plan.entries().stream()
                                                     .map(
-                                                            e ->
-                                                                    e.machine()
+                                                            entry ->
+                                                                    entry.machine()
                                                                             + " "
-                                                                            + e.stage()
+                                                                            + entry.stage()
                                                                             + " waits "
-                                                                            + p.waitReason(e))
+                                                                            + plan.waitReason(
+                                                                                    entry))
                                                     .toList()
                                                     .toString())
                             .orElse("");
             fleet.recordViolation(
-                    "left on the way at the end: " + committedStages + " " + waitReasons);
+                    "maintenance not finished at the end: " + committedStages + " " + waitReasons);
         }
     }
 }
--- a/src/test/java/wingroad/fleet/SimWorkTest.java
+++ b/src/test/java/wingroad/fleet/SimWorkTest.java
@@ -2,16 +2,14 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import org.junit.jupiter.api.Test;
-import org.junit.jupiter.params.ParameterizedTest;
-import org.junit.jupiter.params.provider.CsvSource;
-
-import wingroad.fleet.SimFleet.InjectedBug;
-
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.stream.IntStream;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+import wingroad.fleet.SimFleet.InjectedBug;
 
 /** Short histories of machine maintenance in virtual time. */
 class SimWorkTest {
@@ -37,8 +35,8 @@
     @ParameterizedTest
     @CsvSource({
         "NO_LEASE_ON_VIEW, a txn of",
-        "OUT_BY_MAJORITY, was told to be out with",
-        "ORDER_WITHOUT_EPOCH, a late order was taken",
+        "OUT_BY_MAJORITY, was committed as out with",
+        "ORDER_WITHOUT_EPOCH, a stale controller step was accepted",
     })
     void checkerDetectsInjectedBug(InjectedBug injectedBug, String expectedViolation) {
         List<String> violations = new ArrayList<>();
--- a/src/test/java/wingroad/rig/ClientLoad.java
+++ b/src/test/java/wingroad/rig/ClientLoad.java
@@ -1,8 +1,5 @@
 package wingroad.rig;
 
-import wingroad.Fixtures;
-import wingroad.Fixtures.Client;
-
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
@@ -10,6 +7,8 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
+import wingroad.Fixtures;
+import wingroad.Fixtures.Client;
 
 /**
  * Client load on all running drivers: each client sends one txn after the other, every fifth a
--- a/src/test/java/wingroad/rig/FencedMember.java
+++ b/src/test/java/wingroad/rig/FencedMember.java
@@ -1,8 +1,5 @@
 package wingroad.rig;
 
-import wingroad.Fixtures.Session;
-import wingroad.Fixtures.StandInMember;
-
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -16,6 +13,8 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
+import wingroad.Fixtures.Session;
+import wingroad.Fixtures.StandInMember;
 
 /**
  * Stub member with the epoch fence that docs/operators/fleet.md gives as SQL. It records every txn
@@ -250,7 +249,7 @@
         while (txns.size() < count) {
             long remainingNanos = deadlineNanos - System.nanoTime();
             if (remainingNanos <= 0) {
-                throw new AssertionError(uid + " received only " + txns.size() + " txns");
+                throw new AssertionError("only " + txns.size() + " txns were received by " + uid);
             }
             wait(Math.max(1, remainingNanos / 1_000_000));
         }
@@ -262,7 +261,7 @@
         while (txns.stream().noneMatch(txn -> txn.id().startsWith(idPrefix))) {
             long remainingNanos = deadlineNanos - System.nanoTime();
             if (remainingNanos <= 0) {
-                throw new AssertionError(uid + " received no txn " + idPrefix);
+                throw new AssertionError("no txn " + idPrefix + " was received by " + uid);
             }
             wait(Math.max(1, remainingNanos / 1_000_000));
         }
