--- a/src/bench/java/wingroad/fleet/OwnerBench.java
+++ b/src/bench/java/wingroad/fleet/OwnerBench.java
@@ -1,5 +1,13 @@
 package wingroad.fleet;
 
+import wingroad.Fixtures;
+import wingroad.Fixtures.TestClient;
+import wingroad.operator.OperatorFile;
+import wingroad.protocol.Json;
+import wingroad.rig.FaultProxy;
+import wingroad.rig.FencedMember;
+import wingroad.rig.TestCluster;
+
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.file.Files;
@@ -18,13 +26,6 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicLong;
-import wingroad.Fixtures;
-import wingroad.Fixtures.Client;
-import wingroad.operator.OperatorFile;
-import wingroad.protocol.Json;
-import wingroad.rig.FaultProxy;
-import wingroad.rig.FencedMember;
-import wingroad.rig.TestCluster;
 
 /**
  * Runs 20 or more real processes under faults, with the same load and faults without a fleet and
@@ -148,11 +149,11 @@
                         driverCount,
                         5,
                         fleetSettings,
-                        Fixtures.SETTINGS)) {
+                        Fixtures.SETTINGS_JSON)) {
             FencedMember primary = cluster.addMember("m1", 7, true, true);
             FencedMember replica = cluster.addMember("m2", 7, false, true);
             cluster.startAll();
-            cluster.discovery.tell(
+            cluster.discovery.publish(
                     cluster.discoveryEntry("d1", primary, "ready")
                             + ","
                             + cluster.discoveryEntry("d1", replica, "ready"));
@@ -172,10 +173,10 @@
                                                                 > 0)
                                         .count();
             }
-            int requestsBefore = cluster.discovery.asked.size();
+            int requestsBefore = cluster.discovery.requestedVersions.size();
             for (int revision = 2; revision < 42; revision++) {
                 long publishedAtMs = System.currentTimeMillis();
-                cluster.discovery.tell(
+                cluster.discovery.publish(
                         cluster.discoveryEntry("d1", primary, "ready")
                                 + ","
                                 + cluster.discoveryEntry(
@@ -186,7 +187,7 @@
                     delaysMs.add(receivedAtMs == 0 ? 600 : receivedAtMs - publishedAtMs);
                 }
             }
-            return cluster.discovery.asked.size() - requestsBefore;
+            return cluster.discovery.requestedVersions.size() - requestsBefore;
         }
     }
 
@@ -219,7 +220,7 @@
                         driverCount,
                         5,
                         withFleet ? fleetSettings.toString() : null,
-                        Fixtures.SETTINGS);
+                        Fixtures.SETTINGS_JSON);
         fencedMember = cluster.addMember("m1", 7, true, true);
         unfencedMember = cluster.addMember("m2", 8, true, false);
         for (String initiator : cluster.voters()) {
@@ -342,7 +343,7 @@
 
     private void runClient(TestCluster.DriverProcess driver) {
         int txnIndex = 0;
-        Client client = null;
+        TestClient client = null;
         int connectedGeneration = -1;
         while (!finished) {
             try {
@@ -355,14 +356,17 @@
                     if (client != null) {
                         client.close();
                     }
-                    client = new Client(driver.port());
+                    client = new TestClient(driver.port());
                     connectedGeneration = currentGeneration;
-                    client.startup().heard();
+                    client.sendStartup().readResponses();
                 }
                 String id = driver.name + "-" + currentGeneration + "-" + txnIndex++;
                 List<String> responses =
-                        client.ask(txnIndex % 5 == 0 ? Fixtures.write(id) : Fixtures.read(id))
-                                .heard();
+                        client.query(
+                                        txnIndex % 5 == 0
+                                                ? Fixtures.writeStatement(id)
+                                                : Fixtures.readStatement(id))
+                                .readResponses();
                 if (processGenerations.get(driver.name).get() == currentGeneration) {
                     sentTxns.incrementAndGet();
                     if (responses.contains("row value")) {
--- a/src/main/java/wingroad/protocol/Statement.java
+++ b/src/main/java/wingroad/protocol/Statement.java
@@ -7,8 +7,12 @@
 import java.util.regex.Pattern;
 
 /**
- * A client's statement: the comment that tells what it is, and the text that members get. {@code
- * after} is the position that a read must see, in Unix milliseconds, or null.
+ * A client's statement: the parameters in its leading comment, and the text for members.
+ *
+ * @param timeLeftMs the time left for the txn, in milliseconds
+ * @param afterPositionMs the position that a read must see, in Unix milliseconds, or null
+ * @param timeLeftStart index in the text of the first byte of the time left
+ * @param timeLeftEnd index in the text after the last byte of the time left
  */
 public record Statement(
         String id,
@@ -23,12 +27,21 @@
         int timeLeftStart,
         int timeLeftEnd) {
 
-    /** A statement, or why there is none. */
+    /** A parsed statement, or the reason why it was rejected; the other one is null. */
     public record Parsed(Statement statement, String error) {}
 
-    /** A comment's names beyond this are not looked for. */
+    /** {@link #commentValue} ignores the comment beyond this length. */
     private static final int MAX_SEARCHED_COMMENT_BYTES = 2048;
 
+    private static final int MAX_ID_CHARS = 64;
+    private static final int MAX_KEY_CHARS = 256;
+
+    /** A value has at most 64 KiB, each byte written as two hex digits. */
+    private static final int MAX_VALUE_HEX_CHARS = 2 * 64 * 1024;
+
+    private static final long FNV_OFFSET_BASIS = 0xcbf29ce484222325L;
+    private static final long FNV_PRIME = 0x100000001b3L;
+
     private static final int MAX_TIME_LEFT_MS = 24 * 3600 * 1000;
     private static final Pattern READ_STATEMENT =
             Pattern.compile(" SELECT v FROM records WHERE k = '([^'\\\\]{1,256})'");
@@ -36,10 +49,11 @@
     private static final String WRITE_SUFFIX = "') RETURNING v";
 
     /**
-     * Reads a query's text. Whatever is not of the one agreed form is turned away, with the reason.
+     * Parses a query's text. Everything but the two supported statements is rejected with a reason.
      */
     public static Parsed parse(byte[] text) {
-        // One byte, one char: positions in the text are positions in the bytes.
+        // ISO 8859-1 maps each byte to one char, so positions in the string are positions in the
+        // bytes.
         String query = new String(text, StandardCharsets.ISO_8859_1);
         int commentEnd = query.indexOf("*/");
         if (!query.startsWith("/*") || commentEnd < 0 || query.indexOf('\0') >= 0) {
@@ -72,7 +86,7 @@
         Long group = parseUnsigned(parameters.get("cluster"));
         String retryFlag = parameters.get("r");
         Double afterPositionMs = null;
-        if (id == null || id.isEmpty() || id.length() > 64) {
+        if (id == null || id.isEmpty() || id.length() > MAX_ID_CHARS) {
             return invalid("the comment has no id");
         }
         if (txnType == null) {
@@ -120,7 +134,7 @@
                 null);
     }
 
-    /** The value that the comment gives to a name, or null. */
+    /** The value of a parameter in the leading comment, or null if it is absent or empty. */
     public String commentValue(String name) {
         String comment =
                 new String(
@@ -139,7 +153,7 @@
         return null;
     }
 
-    /** The key of a write whose text is whole and of the agreed form, or null. */
+    /** Extracts the key of a complete write statement; returns null for any other text. */
     private static String parseWriteKey(String query, int bodyStart) {
         if (!query.startsWith(WRITE_PREFIX, bodyStart) || !query.endsWith(WRITE_SUFFIX)) {
             return null;
@@ -149,7 +163,7 @@
         String separator = "', '\\x";
         int valueEnd = query.length() - WRITE_SUFFIX.length();
         if (keyEnd <= keyStart
-                || keyEnd - keyStart > 256
+                || keyEnd - keyStart > MAX_KEY_CHARS
                 || !query.startsWith(separator, keyEnd)
                 || query.lastIndexOf('\\', keyEnd) >= keyStart) {
             return null;
@@ -157,7 +171,7 @@
         int valueStart = keyEnd + separator.length();
         if (valueStart > valueEnd
                 || (valueEnd - valueStart) % 2 != 0
-                || valueEnd - valueStart > 2 * 64 * 1024) {
+                || valueEnd - valueStart > MAX_VALUE_HEX_CHARS) {
             return null;
         }
         for (int i = valueStart; i < valueEnd; i++) {
@@ -168,7 +182,7 @@
         return query.substring(keyStart, keyEnd);
     }
 
-    /** The text for a member: as it came, but for the time that is left. */
+    /** Returns the text for a member, in which the time left is replaced. */
     public byte[] withTimeLeft(long timeLeftMs) {
         byte[] digits = Long.toString(timeLeftMs).getBytes(StandardCharsets.ISO_8859_1);
         byte[] rewritten = new byte[timeLeftStart + digits.length + text.length - timeLeftEnd];
@@ -183,11 +197,11 @@
         return rewritten;
     }
 
-    /** A number that stands for the quoted key, never negative. */
+    /** A non-negative hash (FNV-1a, with the sign bit cleared) of the key. */
     public long keyHash() {
-        long hash = 0xcbf29ce484222325L;
+        long hash = FNV_OFFSET_BASIS;
         for (int i = 0; i < key.length(); i++) {
-            hash = (hash ^ key.charAt(i)) * 0x100000001b3L;
+            hash = (hash ^ key.charAt(i)) * FNV_PRIME;
         }
         return hash & Long.MAX_VALUE;
     }
--- a/src/test/java/wingroad/fleet/FleetIT.java
+++ b/src/test/java/wingroad/fleet/FleetIT.java
@@ -3,30 +3,32 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import java.io.IOException;
-import java.nio.ByteBuffer;
-import java.nio.charset.StandardCharsets;
-import java.nio.file.Files;
-import java.nio.file.Path;
-import java.util.List;
-import java.util.Map;
-import java.util.concurrent.BlockingQueue;
-import java.util.concurrent.LinkedBlockingQueue;
-import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.CleanupMode;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.api.parallel.Execution;
 import org.junit.jupiter.api.parallel.ExecutionMode;
+
 import wingroad.Fixtures;
-import wingroad.Fixtures.Client;
+import wingroad.Fixtures.TestClient;
 import wingroad.operator.OperatorFile;
 import wingroad.rig.FaultProxy;
 import wingroad.rig.FencedMember;
 import wingroad.rig.SlowDisk;
 import wingroad.rig.TestCluster;
 
+import java.io.IOException;
+import java.nio.ByteBuffer;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.List;
+import java.util.Map;
+import java.util.concurrent.BlockingQueue;
+import java.util.concurrent.LinkedBlockingQueue;
+import java.util.concurrent.TimeUnit;
+
 /** Fleets of several real processes of the packaged program, with faults injected between them. */
 @Execution(ExecutionMode.CONCURRENT)
 class FleetIT {
@@ -47,7 +49,7 @@
     private void startCluster(int driverCount, int voterCount) throws Exception {
         cluster =
                 new TestCluster(
-                        directory, driverCount, voterCount, FLEET_SETTINGS, Fixtures.SETTINGS);
+                        directory, driverCount, voterCount, FLEET_SETTINGS, Fixtures.SETTINGS_JSON);
         member = cluster.addMember("m1", 7, true, true);
         cluster.startAll();
     }
@@ -179,9 +181,10 @@
         owner.awaitLog(fromLine, line -> line.contains("has expired; its duties are suspended"));
         FencedMember.ChoreExecution nextExecution = awaitNextOwnerExecution(execution);
         assertThat(driverThatRan(nextExecution)).isNotSameAs(owner);
-        try (Client client = new Client(owner.port())) {
-            client.startup().heard();
-            assertThat(client.ask(Fixtures.read("served")).heard()).containsExactly("row value");
+        try (TestClient client = new TestClient(owner.port())) {
+            client.sendStartup().readResponses();
+            assertThat(client.query(Fixtures.readStatement("served")).readResponses())
+                    .containsExactly("row value");
         }
         cluster.partitionFromVoters(owner.name, false);
         owner.awaitLog(fromLine, line -> line.contains("lease of") && line.contains("is valid"));
@@ -279,9 +282,10 @@
         cluster.driver("d2").kill();
         remaining.awaitLog("has expired; its duties are suspended");
         int executionsBefore = member.executionCount();
-        try (Client client = new Client(remaining.port())) {
-            client.startup().heard();
-            assertThat(client.ask(Fixtures.write("w")).heard()).containsExactly("row value");
+        try (TestClient client = new TestClient(remaining.port())) {
+            client.sendStartup().readResponses();
+            assertThat(client.query(Fixtures.writeStatement("w")).readResponses())
+                    .containsExactly("row value");
         }
         assertThat(member.executionCount())
                 .as("chores started without a majority")
@@ -301,12 +305,13 @@
                         4,
                         3,
                         FLEET_SETTINGS + "    list check=600\n",
-                        Fixtures.SETTINGS);
+                        Fixtures.SETTINGS_JSON);
         member = cluster.addMember("m1", 7, true, true);
         FencedMember replica = cluster.addMember("m2", 7, false, true);
         cluster.startAll();
         String primaryEntry = cluster.discoveryEntry("d1", member, "ready");
-        cluster.discovery.tell(primaryEntry + "," + cluster.discoveryEntry("d1", replica, "ready"));
+        cluster.discovery.publish(
+                primaryEntry + "," + cluster.discoveryEntry("d1", replica, "ready"));
         awaitBalancedDuties(3);
         TestCluster.DriverProcess owner =
                 cluster.driver(String.valueOf(dutyStatus("list").get("owner")));
@@ -315,14 +320,14 @@
             // The list's owner changed just now, and its predecessor does not follow it yet.
             followers = awaitListFollowers(3);
         }
-        int requestsBefore = cluster.discovery.asked.size();
-        cluster.discovery.tell(
+        int requestsBefore = cluster.discovery.requestedVersions.size();
+        cluster.discovery.publish(
                 primaryEntry + "," + cluster.discoveryEntry("d1", replica, "draining"));
         for (TestCluster.DriverProcess driver : cluster.drivers.values()) {
             driver.awaitLog(0, line -> line.contains("list 2 "));
         }
         // The owner's next long poll, and perhaps one by a driver that is giving up polling.
-        assertThat(cluster.discovery.asked.size() - requestsBefore).isLessThan(4);
+        assertThat(cluster.discovery.requestedVersions.size() - requestsBefore).isLessThan(4);
         Map<TestCluster.DriverProcess, Integer> logPositions = new java.util.HashMap<>();
         followers.forEach(driver -> logPositions.put(driver, driver.logLineCount()));
         // Without the voters there is no other owner soon: each driver has to notice the silence
@@ -336,7 +341,7 @@
                     logPositions.get(driver),
                     line -> line.contains("list: watches discovery itself"));
         }
-        cluster.discovery.tell(primaryEntry);
+        cluster.discovery.publish(primaryEntry);
         for (TestCluster.DriverProcess driver : followers) {
             driver.awaitLog(0, line -> line.contains("list 3 "));
         }
@@ -359,9 +364,9 @@
                         4,
                         3,
                         FLEET_SETTINGS + "    list check=600\n",
-                        Fixtures.SETTINGS);
+                        Fixtures.SETTINGS_JSON);
         member = cluster.addMember("m1", 7, true, true);
-        cluster.discovery.tell(cluster.discoveryEntry("d1", member, "ready"));
+        cluster.discovery.publish(cluster.discoveryEntry("d1", member, "ready"));
         cluster.startAll();
         awaitListFollowers(3);
     }
@@ -420,7 +425,7 @@
 
     @Test
     void votersAreAddedAndRemovedOneAtATime() throws Exception {
-        cluster = new TestCluster(directory, 4, 3, FLEET_SETTINGS, Fixtures.SETTINGS);
+        cluster = new TestCluster(directory, 4, 3, FLEET_SETTINGS, Fixtures.SETTINGS_JSON);
         member = cluster.addMember("m1", 7, true, true);
         String newVoterAddress = cluster.addSpareVoter("d4");
         cluster.startAll();
@@ -445,7 +450,7 @@
     /** A voter that cannot persist its state must stop voting. */
     @Test
     void voterWithFullDiskStopsVotingButServesClients() throws Exception {
-        cluster = new TestCluster(directory, 4, 3, FLEET_SETTINGS, Fixtures.SETTINGS);
+        cluster = new TestCluster(directory, 4, 3, FLEET_SETTINGS, Fixtures.SETTINGS_JSON);
         member = cluster.addMember("m1", 7, true, true);
         TestCluster.DriverProcess voterWithFullDisk = cluster.driver("d2");
         // Enough for the native library of the database, which is unpacked into a file, and for
@@ -454,9 +459,10 @@
         cluster.startAll();
         awaitFirstExecution("a");
         voterWithFullDisk.awaitLog("cannot write its state and no longer votes");
-        try (Client client = new Client(voterWithFullDisk.port())) {
-            client.startup().heard();
-            assertThat(client.ask(Fixtures.read("served")).heard()).containsExactly("row value");
+        try (TestClient client = new TestClient(voterWithFullDisk.port())) {
+            client.sendStartup().readResponses();
+            assertThat(client.query(Fixtures.readStatement("served")).readResponses())
+                    .containsExactly("row value");
         }
         int executionsBefore = member.executionCount();
         member.awaitExecution(executionsBefore + 6, FencedMember.ChoreExecution::accepted);
@@ -506,9 +512,9 @@
             // A write that does not finish within the store's timeout counts as a disk failure.
             disk.blockWrites();
             leader.awaitLog("cannot write its state and no longer votes");
-            try (Client client = new Client(leader.port())) {
-                client.startup().heard();
-                assertThat(client.ask(Fixtures.read("served")).heard())
+            try (TestClient client = new TestClient(leader.port())) {
+                client.sendStartup().readResponses();
+                assertThat(client.query(Fixtures.readStatement("served")).readResponses())
                         .containsExactly("row value");
             }
             member.awaitExecution(
@@ -521,15 +527,16 @@
 
     @Test
     void unusableStateDirectoryOnlyKeepsDriverOutOfFleet() throws Exception {
-        cluster = new TestCluster(directory, 4, 3, FLEET_SETTINGS, Fixtures.SETTINGS);
+        cluster = new TestCluster(directory, 4, 3, FLEET_SETTINGS, Fixtures.SETTINGS_JSON);
         member = cluster.addMember("m1", 7, true, true);
         TestCluster.DriverProcess driverWithoutState = cluster.driver("d4");
         Files.writeString(driverWithoutState.stateDirectory(), "a file");
         cluster.startAll();
         driverWithoutState.awaitLog("start failed, retrying");
-        try (Client client = new Client(driverWithoutState.port())) {
-            client.startup().heard();
-            assertThat(client.ask(Fixtures.read("served")).heard()).containsExactly("row value");
+        try (TestClient client = new TestClient(driverWithoutState.port())) {
+            client.sendStartup().readResponses();
+            assertThat(client.query(Fixtures.readStatement("served")).readResponses())
+                    .containsExactly("row value");
         }
         Files.delete(driverWithoutState.stateDirectory());
         driverWithoutState.awaitLog("lease of d4/");
@@ -539,7 +546,7 @@
     /** Two processes run under one driver name by mistake. */
     @Test
     void secondProcessWithSameNameIsRefused() throws Exception {
-        cluster = new TestCluster(directory, 5, 3, FLEET_SETTINGS, Fixtures.SETTINGS);
+        cluster = new TestCluster(directory, 5, 3, FLEET_SETTINGS, Fixtures.SETTINGS_JSON);
         member = cluster.addMember("m1", 7, true, true);
         for (String name : List.of("d1", "d2", "d3", "d4")) {
             cluster.driver(name).start();
--- a/src/test/java/wingroad/rig/ClientLoad.java
+++ b/src/test/java/wingroad/rig/ClientLoad.java
@@ -1,5 +1,8 @@
 package wingroad.rig;
 
+import wingroad.Fixtures;
+import wingroad.Fixtures.TestClient;
+
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
@@ -7,8 +10,6 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
-import wingroad.Fixtures;
-import wingroad.Fixtures.Client;
 
 /**
  * Client load on all running drivers: each client sends one txn after the other, every fifth a
@@ -63,7 +64,7 @@
     }
 
     private void run(TestCluster.DriverProcess driver, String clientName) {
-        Client connection = null;
+        TestClient connection = null;
         int connectedStartCount = -1;
         for (int txnIndex = 0; !closed; txnIndex++) {
             boolean undisturbed = !excludedDrivers.contains(driver.name);
@@ -75,18 +76,20 @@
                     continue;
                 }
                 if (connection == null || connectedStartCount != startCount) {
-                    connection = new Client(driver.port());
+                    connection = new TestClient(driver.port());
                     connectedStartCount = startCount;
-                    connection.startup().heard();
+                    connection.sendStartup().readResponses();
                 }
                 String id = clientName + "-" + startCount + "-" + txnIndex;
                 String group = "cluster=" + groups.get(txnIndex % groups.size());
                 List<String> responses =
                         connection
-                                .ask(
-                                        (txnIndex % 5 == 4 ? Fixtures.write(id) : Fixtures.read(id))
+                                .query(
+                                        (txnIndex % 5 == 4
+                                                        ? Fixtures.writeStatement(id)
+                                                        : Fixtures.readStatement(id))
                                                 .replace("cluster=7", group))
-                                .heard();
+                                .readResponses();
                 if (undisturbed
                         && !excludedDrivers.contains(driver.name)
                         && driver.startCount == startCount) {
--- a/src/test/java/wingroad/rig/FencedMember.java
+++ b/src/test/java/wingroad/rig/FencedMember.java
@@ -1,5 +1,8 @@
 package wingroad.rig;
 
+import wingroad.Fixtures.FakeMember;
+import wingroad.Fixtures.FakeMemberSession;
+
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -13,8 +16,6 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import wingroad.Fixtures.Session;
-import wingroad.Fixtures.StandInMember;
 
 /**
  * Stub member with the epoch fence that docs/operators/fleet.md gives as SQL. It records every txn
@@ -55,7 +56,7 @@
     public final String uid;
     public final int group;
     private final boolean fenced;
-    private final StandInMember member;
+    private final FakeMember member;
     private final Map<String, Long> highestEpochs = new HashMap<>();
     private final List<ChoreExecution> executions = new ArrayList<>();
     private final Set<String> executedTurns = new HashSet<>();
@@ -72,14 +73,14 @@
         this.uid = uid;
         this.group = group;
         this.fenced = fenced;
-        member = new StandInMember(primary, this::handleStatement);
+        member = new FakeMember(primary, this::handleStatement);
     }
 
     public int port() {
         return member.port();
     }
 
-    private void handleStatement(String sql, Session session) throws IOException {
+    private void handleStatement(String sql, FakeMemberSession session) throws IOException {
         member.queries.clear();
         Matcher matcher = CHORE_STATEMENT.matcher(sql);
         if (!matcher.matches()) {
@@ -90,14 +91,14 @@
                 matcher.group(1),
                 Long.parseLong(matcher.group(4)),
                 Long.parseLong(matcher.group(3)))) {
-            session.row("1", member.primary);
+            session.sendRow("1", member.primary);
         } else {
             // raise_exception, the error that the SQL function of the fence raises
-            session.error("P0001", member.primary);
+            session.sendError("P0001", member.primary);
         }
     }
 
-    private void handleTxn(String sql, Session session) throws IOException {
+    private void handleTxn(String sql, FakeMemberSession session) throws IOException {
         Matcher idMatcher = TXN_ID.matcher(sql);
         ReceivedTxn txn =
                 new ReceivedTxn(
@@ -145,7 +146,7 @@
                                         * warmShare));
     }
 
-    private void executeTxn(String sql, Session session) throws IOException {
+    private void executeTxn(String sql, FakeMemberSession session) throws IOException {
         boolean permitted = concurrencyPermits == null;
         try {
             permitted =
@@ -162,7 +163,7 @@
         }
     }
 
-    private void answerTxn(String sql, Session session) throws IOException {
+    private void answerTxn(String sql, FakeMemberSession session) throws IOException {
         if (sql.contains("id=slow")) {
             CountDownLatch released = slowReadsReleased;
             try {
@@ -180,9 +181,9 @@
         boolean write = sql.contains("INSERT");
         if (write && !member.primary) {
             // read_only_sql_transaction
-            session.error("25006", false);
+            session.sendError("25006", false);
         } else {
-            session.row("value", member.primary);
+            session.sendRow("value", member.primary);
         }
     }
 
@@ -230,7 +231,7 @@
 
     /** Sets the replication lag that the member reports. */
     public void setReplicationLagMs(long ms) {
-        member.behindMs = ms;
+        member.replicationLagMs = ms;
     }
 
     /** Answers the reads whose id begins with "slow", which wait until then. */
--- a/src/test/java/wingroad/rig/TestCluster.java
+++ b/src/test/java/wingroad/rig/TestCluster.java
@@ -1,5 +1,8 @@
 package wingroad.rig;
 
+import wingroad.Fixtures;
+import wingroad.Fixtures.FakeDiscovery;
+
 import java.io.BufferedReader;
 import java.io.FileOutputStream;
 import java.io.IOException;
@@ -16,8 +19,6 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Predicate;
 import java.util.stream.Stream;
-import wingroad.Fixtures;
-import wingroad.Fixtures.StandInDiscovery;
 
 /**
  * Several real processes of the program on loopback, each with its own operator's file, state
@@ -31,7 +32,7 @@
     public final FaultProxy proxy = new FaultProxy();
     public final Map<String, DriverProcess> drivers = new LinkedHashMap<>();
     public final Map<String, FencedMember> members = new LinkedHashMap<>();
-    public final StandInDiscovery discovery = new StandInDiscovery();
+    public final FakeDiscovery discovery = new FakeDiscovery();
     private final Path directory;
     private final List<String> voters = new ArrayList<>();
 
@@ -102,7 +103,7 @@
                         .append(discoveryEntry("d1", member, state));
             }
         }
-        discovery.tell(entries.toString());
+        discovery.publish(entries.toString());
     }
 
     /**
@@ -427,7 +428,7 @@
      */
     public String discoveryEntry(String driver, FencedMember member, String state)
             throws IOException {
-        return Fixtures.entry(member.uid, proxy.linkBetween(driver, member.uid).port(), state)
+        return Fixtures.listEntry(member.uid, proxy.linkBetween(driver, member.uid).port(), state)
                 .replace("\"pod_group\":7", "\"pod_group\":" + member.group);
     }
 
