--- a/src/bench/java/wingroad/fleet/OwnerBench.java
+++ b/src/bench/java/wingroad/fleet/OwnerBench.java
@@ -1,13 +1,5 @@
 package wingroad.fleet;
 
-import wingroad.Fixtures;
-import wingroad.Fixtures.TestClient;
-import wingroad.operator.OperatorFile;
-import wingroad.protocol.Json;
-import wingroad.rig.FaultProxy;
-import wingroad.rig.FencedMember;
-import wingroad.rig.TestCluster;
-
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.file.Files;
@@ -26,6 +18,13 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicLong;
+import wingroad.Fixtures;
+import wingroad.Fixtures.TestClient;
+import wingroad.operator.OperatorFile;
+import wingroad.protocol.Json;
+import wingroad.rig.FaultProxy;
+import wingroad.rig.FencedMember;
+import wingroad.rig.TestCluster;
 
 /**
  * Runs 20 or more real processes under faults, with the same load and faults without a fleet and
@@ -478,7 +477,7 @@
     private List<TestCluster.DriverProcess> undisturbedOwners() {
         return dutiesByName().values().stream()
                 .map(duty -> cluster.driver(MessageCodec.stringOrEmpty(duty, "owner")))
-                .filter(duty -> duty != null && isUndisturbed(duty))
+                .filter(owner -> owner != null && isUndisturbed(owner))
                 .toList();
     }
 
--- a/src/test/java/wingroad/fleet/SimFleet.java
+++ b/src/test/java/wingroad/fleet/SimFleet.java
@@ -479,9 +479,9 @@
 
     private MessageTransport.Channel openConnection(
             SimulatedProcess from, String address, MessageTransport.ChannelHandler handler) {
-        SimulatedConnection process = new SimulatedConnection(from, address, handler);
-        connections.add(process);
-        return process.initiatorChannel;
+        SimulatedConnection connection = new SimulatedConnection(from, address, handler);
+        connections.add(connection);
+        return connection.initiatorChannel;
     }
 
     /** One connection. Each direction delivers in order and holds messages while it is cut. */
@@ -738,20 +738,20 @@
      */
     void healLinks() {
         heldDirections.clear();
-        for (SimulatedConnection process : List.copyOf(connections)) {
+        for (SimulatedConnection connection : List.copyOf(connections)) {
             boolean holdsMessages =
-                    !process.initiatorChannel.heldDeliveries.isEmpty()
-                            || process.acceptorChannel != null
-                                    && !process.acceptorChannel.heldDeliveries.isEmpty();
-            if (holdsMessages && random.nextBoolean() && process.acceptorChannel != null) {
-                SimulatedProcess initiator = process.initiatorChannel.process;
-                SimulatedProcess acceptor = process.acceptorChannel.process;
-                initiator.runAt(nowNanos, () -> process.initiatorChannel.closeByRemote("reset"));
-                acceptor.runAt(nowNanos, () -> process.acceptorChannel.closeByRemote("reset"));
+                    !connection.initiatorChannel.heldDeliveries.isEmpty()
+                            || connection.acceptorChannel != null
+                                    && !connection.acceptorChannel.heldDeliveries.isEmpty();
+            if (holdsMessages && random.nextBoolean() && connection.acceptorChannel != null) {
+                SimulatedProcess initiator = connection.initiatorChannel.process;
+                SimulatedProcess acceptor = connection.acceptorChannel.process;
+                initiator.runAt(nowNanos, () -> connection.initiatorChannel.closeByRemote("reset"));
+                acceptor.runAt(nowNanos, () -> connection.acceptorChannel.closeByRemote("reset"));
             } else {
-                process.initiatorChannel.releaseHeld();
-                if (process.acceptorChannel != null) {
-                    process.acceptorChannel.releaseHeld();
+                connection.initiatorChannel.releaseHeld();
+                if (connection.acceptorChannel != null) {
+                    connection.acceptorChannel.releaseHeld();
                 }
             }
         }
@@ -940,7 +940,7 @@
     private boolean allVotersIn() {
         // A voter that has been added but whose membership is not committed yet does not count:
         // its loss and another one's would be two.
-        boolean settled =
+        boolean leaderKnowsAllVoters =
                 processes.values().stream()
                         .anyMatch(
                                 process ->
@@ -953,7 +953,7 @@
                                                                                 .get("voters"))
                                                                 .size()
                                                         == voters.size());
-        return settled
+        return leaderKnowsAllVoters
                 && voters.keySet().stream()
                         .allMatch(
                                 voter ->
--- a/src/test/java/wingroad/rig/ClientLoad.java
+++ b/src/test/java/wingroad/rig/ClientLoad.java
@@ -1,8 +1,5 @@
 package wingroad.rig;
 
-import wingroad.Fixtures;
-import wingroad.Fixtures.TestClient;
-
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
@@ -10,6 +7,8 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
+import wingroad.Fixtures;
+import wingroad.Fixtures.TestClient;
 
 /**
  * Client load on all running drivers: each client sends one txn after the other, every fifth a
@@ -64,7 +63,7 @@
     }
 
     private void run(TestCluster.DriverProcess driver, String clientName) {
-        TestClient connection = null;
+        TestClient client = null;
         int connectedStartCount = -1;
         for (int txnIndex = 0; !closed; txnIndex++) {
             boolean undisturbed = !excludedDrivers.contains(driver.name);
@@ -72,19 +71,18 @@
             try {
                 TimeUnit.MILLISECONDS.sleep(intervalMs);
                 if (!driver.isAlive() || driver.paused || driver.port() == 0) {
-                    connection = null;
+                    client = null;
                     continue;
                 }
-                if (connection == null || connectedStartCount != startCount) {
-                    connection = new TestClient(driver.port());
+                if (client == null || connectedStartCount != startCount) {
+                    client = new TestClient(driver.port());
                     connectedStartCount = startCount;
-                    connection.sendStartup().readResponses();
+                    client.sendStartup().readResponses();
                 }
                 String id = clientName + "-" + startCount + "-" + txnIndex;
                 String group = "cluster=" + groups.get(txnIndex % groups.size());
                 List<String> responses =
-                        connection
-                                .query(
+                        client.query(
                                         (txnIndex % 5 == 4
                                                         ? Fixtures.writeStatement(id)
                                                         : Fixtures.readStatement(id))
@@ -105,10 +103,10 @@
                     }
                 }
                 if (responses.contains("end")) {
-                    connection = null;
+                    client = null;
                 }
             } catch (IOException e) {
-                if (connection != null
+                if (client != null
                         && undisturbed
                         && !excludedDrivers.contains(driver.name)
                         && driver.startCount == startCount
@@ -117,7 +115,7 @@
                     sent.incrementAndGet();
                     lost.incrementAndGet();
                 }
-                connection = null;
+                client = null;
             } catch (InterruptedException e) {
                 return;
             }
