--- a/src/test/java/wingroad/rig/Peer.java
+++ b/src/test/java/wingroad/rig/Peer.java
@@ -12,8 +12,8 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * The far end of one connection, driven by the test's own thread: it reads, writes, trickles, ends
- * its side and resets when the test says so, and at no other time. What is waited for is bounded.
+ * The remote end of one connection, driven by the test's own thread: it reads, writes, half-closes
+ * and resets only when the test says so. All waits are bounded.
  */
 public final class Peer implements AutoCloseable {
     private static final int SOCKET_TIMEOUT_MS = 20_000;
@@ -26,7 +26,9 @@
         socket.setSoTimeout(SOCKET_TIMEOUT_MS);
     }
 
-    /** A port on which connections are taken one by one, when the test asks for the next. */
+    /**
+     * Listening port whose connections are accepted one by one, when the test asks for the next.
+     */
     public static final class Listener implements AutoCloseable {
         private final ServerSocket serverSocket =
                 new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
@@ -43,9 +45,11 @@
             return new Peer(serverSocket.accept());
         }
 
-        /** Whether nobody comes for so long: only for what must not happen. */
-        public boolean noConnectionWithin(int ms) throws IOException {
-            serverSocket.setSoTimeout(ms);
+        /**
+         * Returns whether no connection arrives within the time; for tests of what must not happen.
+         */
+        public boolean noConnectionWithin(int timeoutMs) throws IOException {
+            serverSocket.setSoTimeout(timeoutMs);
             try {
                 serverSocket.accept().close();
                 return false;
@@ -62,20 +66,22 @@
         }
     }
 
-    /** Opens a connection from here, as a client does. */
+    /** Connects to a local port, as a client does. */
     public static Peer connect(int port) throws IOException {
         return new Peer(new Socket(InetAddress.getLoopbackAddress(), port));
     }
 
-    /** What comes up to and with these bytes. */
-    public String readUntil(String end) throws IOException {
-        ByteArrayOutputStream all = new ByteArrayOutputStream();
-        while (!all.toString(StandardCharsets.ISO_8859_1).endsWith(end)) {
-            int b = socket.getInputStream().read();
-            assertThat(b).as("after " + all.toString(StandardCharsets.ISO_8859_1)).isNotNegative();
-            all.write(b);
+    /** Reads up to and including the terminator. */
+    public String readUntil(String terminator) throws IOException {
+        ByteArrayOutputStream received = new ByteArrayOutputStream();
+        while (!received.toString(StandardCharsets.ISO_8859_1).endsWith(terminator)) {
+            int nextByte = socket.getInputStream().read();
+            assertThat(nextByte)
+                    .as("after " + received.toString(StandardCharsets.ISO_8859_1))
+                    .isNotNegative();
+            received.write(nextByte);
         }
-        return all.toString(StandardCharsets.ISO_8859_1);
+        return received.toString(StandardCharsets.ISO_8859_1);
     }
 
     public byte[] read(int count) throws IOException {
@@ -85,8 +91,8 @@
     }
 
     public Peer send(byte[]... parts) throws IOException {
-        for (byte[] p : parts) {
-            socket.getOutputStream().write(p);
+        for (byte[] part : parts) {
+            socket.getOutputStream().write(part);
         }
         return this;
     }
@@ -95,7 +101,7 @@
         return send(text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    /** One byte at a time, each in a packet of its own. */
+    /** Sends one byte at a time, each in a packet of its own. */
     public Peer sendByteByByte(byte[] bytes) throws IOException {
         for (byte b : bytes) {
             socket.getOutputStream().write(b);
@@ -103,36 +109,36 @@
         return this;
     }
 
-    /** Ends its own side only: what comes is still read. */
+    /** Half-closes the connection: input is still read. */
     public Peer shutdownOutput() throws IOException {
         socket.shutdownOutput();
         return this;
     }
 
-    /** The connection breaks: a reset goes out, and what was not read there may be lost. */
+    /** Resets the connection; data that the other side has not read yet may be lost. */
     public void reset() throws IOException {
         socket.setSoLinger(true, 0);
         socket.close();
     }
 
-    /** All that comes until the other side ends; it must not break. */
+    /** Reads until the other side closes; a reset fails the test. */
     public byte[] readToEnd() throws IOException {
         return socket.getInputStream().readAllBytes();
     }
 
-    /** What comes until the other side has ended or broken the connection. */
+    /** Reads until the other side closes or resets the connection. */
     public String readUntilClosed() throws IOException {
-        ByteArrayOutputStream all = new ByteArrayOutputStream();
+        ByteArrayOutputStream received = new ByteArrayOutputStream();
         try {
-            for (int b = socket.getInputStream().read();
-                    b >= 0;
-                    b = socket.getInputStream().read()) {
-                all.write(b);
+            for (int nextByte = socket.getInputStream().read();
+                    nextByte >= 0;
+                    nextByte = socket.getInputStream().read()) {
+                received.write(nextByte);
             }
         } catch (SocketException reset) {
-            // that is an end as well
+            // A reset also ends the connection.
         }
-        return all.toString(StandardCharsets.ISO_8859_1);
+        return received.toString(StandardCharsets.ISO_8859_1);
     }
 
     @Override
