--- a/src/main/java/wingroad/cli/FleetCommand.java
+++ b/src/main/java/wingroad/cli/FleetCommand.java
@@ -30,7 +30,7 @@
         mixinStandardHelpOptions = true,
         description =
                 "Shows the status of a running fleet, its drivers and the owners of duties; hands"
-                    + " duties over. See docs/operators/fleet.md.",
+                        + " duties over. See docs/operators/fleet.md.",
         subcommands = {
             FleetCommand.Status.class,
             FleetCommand.Watch.class,
@@ -143,7 +143,7 @@
             mixinStandardHelpOptions = true,
             description =
                     "Shows drivers, voters, the leader and the owners of duties. Exit status 3: no"
-                        + " voter answers.")
+                            + " voter answers.")
     static final class Status extends VoterCommand {
         @Override
         int execute(FleetConfig config) throws IOException {
@@ -239,7 +239,7 @@
             mixinStandardHelpOptions = true,
             description =
                     "Hands a duty over to another driver; returns once the request is committed."
-                        + " Exit status 1: refused.")
+                            + " Exit status 1: refused.")
     static final class HandOver extends VoterCommand {
         @Parameters(
                 paramLabel = "DUTY",
@@ -274,7 +274,7 @@
             mixinStandardHelpOptions = true,
             description =
                     "Adds or removes one voter; 'status' shows when the change has taken effect."
-                        + " Exit status 1: refused.")
+                            + " Exit status 1: refused.")
     static final class Voters extends VoterCommand {
         /** The change to the set of voters. */
         enum Change {
--- a/src/main/java/wingroad/cli/WorkCommand.java
+++ b/src/main/java/wingroad/cli/WorkCommand.java
@@ -23,7 +23,7 @@
         mixinStandardHelpOptions = true,
         description =
                 "Takes machines out of service for maintenance and back, in an order that the"
-                    + " drivers agree on. See docs/operators/work.md.",
+                        + " drivers agree on. See docs/operators/work.md.",
         subcommands = {
             WorkCommand.Ask.class,
             WorkCommand.Plan.class,
@@ -57,7 +57,7 @@
                 names = "--id",
                 description =
                         "The request id: a repeated request with the same id is applied once;"
-                            + " default: a new id.")
+                                + " default: a new id.")
         String id;
 
         @Option(
@@ -118,7 +118,7 @@
             mixinStandardHelpOptions = true,
             description =
                     "Requests machines for maintenance; returns once the request is committed. Exit"
-                        + " status 1: one was refused, with the reason.")
+                            + " status 1: one was refused, with the reason.")
     static final class Ask extends ChangeCommand {
         @Parameters(
                 paramLabel = "MACHINE",
@@ -132,7 +132,7 @@
                 defaultValue = "0s",
                 description =
                         "How long the work takes, such as 20m; a machine that is out for longer is"
-                            + " reported.")
+                                + " reported.")
         String duration;
 
         @Option(names = "--why", defaultValue = "", description = "The reason, shown to operators.")
@@ -222,7 +222,7 @@
             mixinStandardHelpOptions = true,
             description =
                     "Reports that the work is done and the machine runs again, so that it returns"
-                        + " to service.")
+                            + " to service.")
     static final class Done extends MachinesCommand {
         @Override
         String operatorCommand() {
@@ -257,7 +257,7 @@
             mixinStandardHelpOptions = true,
             description =
                     "Confirms that drivers without a session have stopped, so that the plan no"
-                        + " longer waits for them.")
+                            + " longer waits for them.")
     static final class Gone extends MachinesCommand {
         @Override
         String operatorCommand() {
@@ -305,7 +305,7 @@
             mixinStandardHelpOptions = true,
             description =
                     "Starts no more maintenance and returns draining machines to service at once;"
-                        + " machines that are out stay out.")
+                            + " machines that are out stay out.")
     static final class Hold extends MachinesOrAllCommand {
         @Override
         String operatorCommand() {
--- a/src/main/java/wingroad/driver/ClientConnection.java
+++ b/src/main/java/wingroad/driver/ClientConnection.java
@@ -1,13 +1,14 @@
 package wingroad.driver;
 
-import java.nio.ByteBuffer;
-import java.time.Duration;
 import wingroad.door.ClientContext;
 import wingroad.protocol.ClientMessageDecoder;
 import wingroad.protocol.ClientMessageEncoder;
 import wingroad.protocol.Statement;
 import wingroad.transport.Connection;
 
+import java.nio.ByteBuffer;
+import java.time.Duration;
+
 /**
  * One client's connection. Its commands are processed one after the other, each once the previous
  * one is answered. Its use of memory and time is bounded; {@link #checkTimeouts} enforces the time
--- a/src/main/java/wingroad/driver/Driver.java
+++ b/src/main/java/wingroad/driver/Driver.java
@@ -2,6 +2,18 @@
 
 import static wingroad.state.Durations.min;
 
+import sun.misc.Signal;
+
+import wingroad.door.FairQueues;
+import wingroad.fleet.FleetConfig;
+import wingroad.operator.OperatorFile;
+import wingroad.protocol.MemberList;
+import wingroad.routing.Router;
+import wingroad.routing.TxnRouter;
+import wingroad.state.TxnType;
+import wingroad.terms.RouterSettings;
+import wingroad.transport.EventLoop;
+
 import java.io.IOException;
 import java.io.PrintStream;
 import java.net.InetSocketAddress;
@@ -17,16 +29,6 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.concurrent.atomic.AtomicReference;
-import sun.misc.Signal;
-import wingroad.door.FairQueues;
-import wingroad.fleet.FleetConfig;
-import wingroad.operator.OperatorFile;
-import wingroad.protocol.MemberList;
-import wingroad.routing.Router;
-import wingroad.routing.TxnRouter;
-import wingroad.state.TxnType;
-import wingroad.terms.RouterSettings;
-import wingroad.transport.EventLoop;
 
 /**
  * The server process: starts its parts, reloads its configuration on SIGHUP, and shuts down
--- a/src/test/java/wingroad/ci/KnownRedTest.java
+++ b/src/test/java/wingroad/ci/KnownRedTest.java
@@ -25,12 +25,12 @@
     void report() throws Exception {
         report(
                 "<testcase name=\"breaks\" classname=\"a.LinkTest\" time=\"0.1\">\n"
-                    + "    <failure message=\"x\" type=\"y\"><![CDATA[at]]></failure>\n"
-                    + "  </testcase>\n"
-                    + "  <testcase name=\"holds\" classname=\"a.LinkTest\" time=\"0.1\"/>\n"
-                    + "  <testcase name=\"later\" classname=\"a.LinkTest\" time=\"0\">\n"
-                    + "    <skipped/>\n"
-                    + "  </testcase>\n");
+                        + "    <failure message=\"x\" type=\"y\"><![CDATA[at]]></failure>\n"
+                        + "  </testcase>\n"
+                        + "  <testcase name=\"holds\" classname=\"a.LinkTest\" time=\"0.1\"/>\n"
+                        + "  <testcase name=\"later\" classname=\"a.LinkTest\" time=\"0\">\n"
+                        + "    <skipped/>\n"
+                        + "  </testcase>\n");
     }
 
     private void report(String cases) throws Exception {
@@ -77,9 +77,9 @@
                         new Result(
                                 1,
                                 "known red: LinkTest#breaks is red\n"
-                                    + "known red: no such test has run: LinkTest#gone\n"
-                                    + "known red: LinkTest#breaks, a reset is missed, issue 7\n"
-                                    + "known red: LinkTest#gone, moved, issue 8\n"));
+                                        + "known red: no such test has run: LinkTest#gone\n"
+                                        + "known red: LinkTest#breaks, a reset is missed, issue 7\n"
+                                        + "known red: LinkTest#gone, moved, issue 8\n"));
         assertThat(runScript("inkTest#breaks, a part of a name, issue 8\n", true).status())
                 .isEqualTo(1);
     }
@@ -107,9 +107,9 @@
         assertThat(runScript(KNOWN, true).status()).isEqualTo(1);
         report(
                 "<testcase name=\"\" classname=\"a.LinkTest\">\n"
-                    + "<error message=\"x\"/>\n"
-                    + "</testcase>\n"
-                    + "<testcase name=\"breaks\" classname=\"a.LinkTest\"/>\n");
+                        + "<error message=\"x\"/>\n"
+                        + "</testcase>\n"
+                        + "<testcase name=\"breaks\" classname=\"a.LinkTest\"/>\n");
         assertThat(runScript(KNOWN, true).status()).isEqualTo(1);
         Files.delete(dir.resolve("TEST-a.xml"));
         assertThat(runScript(KNOWN, true).status()).isEqualTo(1);
@@ -119,10 +119,10 @@
     void oneFailedInvocationCountsForTheTest() throws Exception {
         report(
                 "<testcase name=\"breaks(boolean)[1]\" classname=\"a.LinkTest\" time=\"0.1\">\n"
-                    + "<failure/>\n"
-                    + "</testcase>\n"
-                    + "<testcase name=\"breaks(boolean)[2]\" classname=\"a.LinkTest\""
-                    + " time=\"0.1\"/>\n");
+                        + "<failure/>\n"
+                        + "</testcase>\n"
+                        + "<testcase name=\"breaks(boolean)[2]\" classname=\"a.LinkTest\""
+                        + " time=\"0.1\"/>\n");
         assertThat(runScript(KNOWN, true).status()).isZero();
     }
 }
--- a/src/test/java/wingroad/driver/ClientFrontendTest.java
+++ b/src/test/java/wingroad/driver/ClientFrontendTest.java
@@ -1,11 +1,22 @@
 package wingroad.driver;
 
 import static org.assertj.core.api.Assertions.assertThat;
+
 import static wingroad.Fixtures.cString;
 import static wingroad.Fixtures.message;
 import static wingroad.Fixtures.readStatement;
 import static wingroad.Fixtures.writeStatement;
 
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+
+import wingroad.Fixtures;
+import wingroad.rig.Peer;
+import wingroad.routing.TxnRouter;
+import wingroad.state.Member.Role;
+import wingroad.state.Submission.Outcome;
+import wingroad.transport.EventLoop;
+
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -18,14 +29,6 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
-import org.junit.jupiter.api.BeforeEach;
-import org.junit.jupiter.api.Test;
-import wingroad.Fixtures;
-import wingroad.rig.Peer;
-import wingroad.routing.TxnRouter;
-import wingroad.state.Member.Role;
-import wingroad.state.Submission.Outcome;
-import wingroad.transport.EventLoop;
 
 /**
  * Clients that send, disconnect and are disconnected at moments that the test chooses. The test
--- a/src/test/java/wingroad/driver/DiscoveryClientTest.java
+++ b/src/test/java/wingroad/driver/DiscoveryClientTest.java
@@ -1,8 +1,18 @@
 package wingroad.driver;
 
 import static org.assertj.core.api.Assertions.assertThat;
+
 import static wingroad.Fixtures.listEntry;
 
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
+
+import wingroad.protocol.MemberList;
+import wingroad.rig.Peer;
+import wingroad.transport.EventLoop;
+
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -11,13 +21,6 @@
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
-import org.junit.jupiter.api.AfterEach;
-import org.junit.jupiter.api.Test;
-import org.junit.jupiter.params.ParameterizedTest;
-import org.junit.jupiter.params.provider.ValueSource;
-import wingroad.protocol.MemberList;
-import wingroad.rig.Peer;
-import wingroad.transport.EventLoop;
 
 /**
  * Discovery's watch and fetch against an agent played by the test, which responds, closes, resets
--- a/src/test/java/wingroad/driver/DriverIT.java
+++ b/src/test/java/wingroad/driver/DriverIT.java
@@ -1,6 +1,7 @@
 package wingroad.driver;
 
 import static org.assertj.core.api.Assertions.assertThat;
+
 import static wingroad.Fixtures.ROW_DESCRIPTION;
 import static wingroad.Fixtures.cString;
 import static wingroad.Fixtures.listEntry;
@@ -8,6 +9,17 @@
 import static wingroad.Fixtures.readStatement;
 import static wingroad.Fixtures.writeStatement;
 
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+import org.junit.jupiter.api.parallel.Isolated;
+
+import wingroad.Fixtures;
+import wingroad.Fixtures.FakeDiscovery;
+import wingroad.Fixtures.FakeMember;
+import wingroad.Fixtures.TestClient;
+import wingroad.rig.Peer;
+
 import java.io.BufferedReader;
 import java.io.FileOutputStream;
 import java.io.IOException;
@@ -26,15 +38,6 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.Semaphore;
 import java.util.concurrent.TimeUnit;
-import org.junit.jupiter.api.AfterEach;
-import org.junit.jupiter.api.Test;
-import org.junit.jupiter.api.io.TempDir;
-import org.junit.jupiter.api.parallel.Isolated;
-import wingroad.Fixtures;
-import wingroad.Fixtures.FakeDiscovery;
-import wingroad.Fixtures.FakeMember;
-import wingroad.Fixtures.TestClient;
-import wingroad.rig.Peer;
 
 /**
  * Runs the packaged driver as a process of its own, started as deploy/balancer.toml does, and talks
--- a/src/test/java/wingroad/driver/MemberPoolsTest.java
+++ b/src/test/java/wingroad/driver/MemberPoolsTest.java
@@ -1,6 +1,7 @@
 package wingroad.driver;
 
 import static org.assertj.core.api.Assertions.assertThat;
+
 import static wingroad.Fixtures.READY_FOR_QUERY;
 import static wingroad.Fixtures.ROW_DESCRIPTION;
 import static wingroad.Fixtures.cString;
@@ -8,6 +9,17 @@
 import static wingroad.Fixtures.listEntry;
 import static wingroad.Fixtures.message;
 
+import org.junit.jupiter.api.Test;
+
+import wingroad.Fixtures;
+import wingroad.Fixtures.FakeMember;
+import wingroad.Fixtures.QueryHandler;
+import wingroad.protocol.MemberList;
+import wingroad.protocol.Statement;
+import wingroad.rig.Peer;
+import wingroad.state.Submission.Outcome;
+import wingroad.transport.EventLoop;
+
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.ServerSocket;
@@ -21,15 +33,6 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
-import org.junit.jupiter.api.Test;
-import wingroad.Fixtures;
-import wingroad.Fixtures.FakeMember;
-import wingroad.Fixtures.QueryHandler;
-import wingroad.protocol.MemberList;
-import wingroad.protocol.Statement;
-import wingroad.rig.Peer;
-import wingroad.state.Submission.Outcome;
-import wingroad.transport.EventLoop;
 
 /**
  * Verifies the outcome of a submission for each way in which a member can respond or fail, and
