--- a/src/test/java/wingroad/fleet/FleetIT.java
+++ b/src/test/java/wingroad/fleet/FleetIT.java
@@ -496,7 +496,9 @@
         assertNoStaleOrRepeatedTurn();
     }
 
-    /** With a slow disk the leader keeps leading or is replaced; with a hung disk it stops voting. */
+    /**
+     * With a slow disk the leader keeps leading or is replaced; with a hung disk it stops voting.
+     */
     @Test
     @SuppressWarnings("try")
     void slowLeaderDiskIsToleratedAndHungDiskStopsVoting() throws Exception {
