--- a/src/test/java/wingroad/driver/MemberPoolsTest.java
+++ b/src/test/java/wingroad/driver/MemberPoolsTest.java
@@ -1,7 +1,6 @@
 package wingroad.driver;
 
 import static org.assertj.core.api.Assertions.assertThat;
-
 import static wingroad.Fixtures.READY_FOR_QUERY;
 import static wingroad.Fixtures.ROW_DESCRIPTION;
 import static wingroad.Fixtures.cString;
@@ -9,87 +8,107 @@
 import static wingroad.Fixtures.listEntry;
 import static wingroad.Fixtures.message;
 
-import org.junit.jupiter.api.Test;
-
-import wingroad.Fixtures.FakeMember;
-import wingroad.Fixtures.QueryHandler;
-import wingroad.protocol.MemberList;
-import wingroad.protocol.Statement;
-import wingroad.rig.Peer;
-import wingroad.state.Submission.Outcome;
-import wingroad.transport.EventLoop;
-
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.ServerSocket;
+import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
+import java.util.Arrays;
 import java.util.Map;
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
+import org.junit.jupiter.api.Test;
+import wingroad.Fixtures;
+import wingroad.Fixtures.FakeMember;
+import wingroad.Fixtures.QueryHandler;
+import wingroad.protocol.MemberList;
+import wingroad.protocol.Statement;
+import wingroad.rig.Peer;
+import wingroad.state.Submission.Outcome;
+import wingroad.transport.EventLoop;
 
-/** How each way in which a member can answer, or not answer, ends a submission. */
+/**
+ * Verifies the outcome of a submission for each way in which a member can respond or fail, and
+ * which connections are reused afterwards.
+ */
 class MemberPoolsTest {
-    private static final Duration CONNECT = Duration.ofSeconds(5);
-    private static final Duration LONG = Duration.ofSeconds(15);
+    /** Limits each wait for the driver or a member. */
+    private static final long WAIT_TIMEOUT_SECONDS = 20;
 
-    private final BlockingQueue<Ended> ends = new LinkedBlockingQueue<>();
-    private final EventLoop loop = loop(900);
+    private static final int CHANNEL_LIMIT = 900;
+    private static final int MEMORY_LIMIT_BYTES = 1 << 24;
+    private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(5);
+
+    /** Until when a member may respond, long enough that no request with it times out. */
+    private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(15);
+
+    /** The id that the pools assign to the first member that is listed. */
+    private static final long MOVING_MEMBER_ID = 1;
+
+    private final BlockingQueue<CompletedRequest> completedRequests = new LinkedBlockingQueue<>();
+    private final EventLoop loop = createEventLoop(CHANNEL_LIMIT);
     private final Clock clock = new Clock();
-    private MemberPools members = members(CONNECT);
-    private int submissions;
-    private volatile boolean mayGo = true;
+    private MemberPools pools = createPools(CONNECT_TIMEOUT);
+    private int submissionCount;
+    private volatile boolean mayDispatch = true;
 
-    /** Runs once, in the turn of the loop in which the next submission ends. */
-    private volatile Runnable atItsEnd;
+    /** Runs once, in the event loop task in which the next submission ends. */
+    private volatile Runnable onNextCompletion;
 
-    private record Ended(Outcome end, TxnDispatcher.MemberStatus status, byte[] row) {}
+    /**
+     * The outcome of a submission or of a probe.
+     *
+     * @param row the messages for the client, or null if there are none
+     */
+    private record CompletedRequest(
+            Outcome outcome, TxnDispatcher.MemberStatus status, byte[] row) {}
 
-    private static EventLoop loop(int most) {
+    private static EventLoop createEventLoop(int channelLimit) {
         try {
             return new EventLoop(
-                    most,
-                    1 << 24,
-                    bug -> {
-                        throw new AssertionError(bug);
+                    channelLimit,
+                    MEMORY_LIMIT_BYTES,
+                    failure -> {
+                        throw new AssertionError(failure);
                     });
         } catch (IOException e) {
             throw new AssertionError(e);
         }
     }
 
-    private MemberPools members(Duration connectTime) {
-        return members(connectTime, Duration.ofSeconds(30));
+    private MemberPools createPools(Duration connectTimeout) {
+        return createPools(connectTimeout, Duration.ofSeconds(30));
     }
 
-    private MemberPools members(Duration connectTime, Duration idleTime) {
+    private MemberPools createPools(Duration connectTimeout, Duration idleTimeout) {
         return new MemberPools(
                 loop,
                 clock,
                 new Counters(),
-                Map.of("connect-time-out", connectTime, "idle-time", idleTime),
+                Map.of("connect-time-out", connectTimeout, "idle-time", idleTimeout),
                 new MemberTransportListener() {
                     @Override
                     public void roleProbeEnded(
                             long member, boolean answered, TxnDispatcher.MemberReport report) {
-                        // nobody plans work here
+                        // no maintenance work in these tests
                     }
 
                     @Override
                     public void submissionEnded(
-                            TxnDispatcher.MemberRequest e,
-                            Outcome end,
-                            Duration took,
+                            TxnDispatcher.MemberRequest request,
+                            Outcome outcome,
+                            Duration elapsed,
                             TxnDispatcher.MemberStatus status,
                             byte[] row) {
-                        ends.add(new Ended(end, status, row));
-                        Runnable then = atItsEnd;
-                        atItsEnd = null;
-                        if (then != null) {
-                            then.run();
+                        completedRequests.add(new CompletedRequest(outcome, status, row));
+                        Runnable callback = onNextCompletion;
+                        onNextCompletion = null;
+                        if (callback != null) {
+                            callback.run();
                         }
                     }
 
@@ -97,10 +116,10 @@
                     public void probeEnded(
                             long member,
                             boolean answered,
-                            Duration took,
+                            Duration elapsed,
                             TxnDispatcher.MemberReport report) {
-                        ends.add(
-                                new Ended(
+                        completedRequests.add(
+                                new CompletedRequest(
                                         answered ? Outcome.COMMITTED : Outcome.ERROR,
                                         new TxnDispatcher.MemberStatus(
                                                 report.role(), report.position(), report),
@@ -108,8 +127,8 @@
                     }
 
                     @Override
-                    public boolean mayDispatch(TxnDispatcher.MemberRequest e) {
-                        return mayGo;
+                    public boolean mayDispatch(TxnDispatcher.MemberRequest request) {
+                        return mayDispatch;
                     }
 
                     @Override
@@ -119,17 +138,17 @@
                 });
     }
 
-    private Ended next() throws InterruptedException {
-        Ended e = ends.poll(20, TimeUnit.SECONDS);
-        assertThat(e).as("an end").isNotNull();
-        return e;
+    private CompletedRequest awaitCompletion() throws InterruptedException {
+        CompletedRequest completed = completedRequests.poll(WAIT_TIMEOUT_SECONDS, TimeUnit.SECONDS);
+        assertThat(completed).as("outcome of a request").isNotNull();
+        return completed;
     }
 
-    private void dispatch(int port, Duration wait) {
+    private void dispatch(int port, Duration timeout) {
         loop.execute(
                 () -> {
-                    long id =
-                            members.updateMember(
+                    long memberId =
+                            pools.updateMember(
                                     MemberList.parse(
                                                     ("{\"rev\":1,\"all\":true,\"targets\":["
                                                                     + listEntry(
@@ -141,76 +160,89 @@
                                             .list()
                                             .entries()
                                             .get(0));
-                    Statement s =
+                    Statement statement =
                             Statement.parse(
-                                            wingroad.Fixtures.readStatement("r" + submissions)
+                                            Fixtures.readStatement("r" + submissionCount)
                                                     .getBytes(StandardCharsets.UTF_8))
                                     .statement();
-                    members.dispatch(
+                    pools.dispatch(
                             new TxnDispatcher.MemberRequest(
-                                    "t", submissions++, id, s, clock.now().plus(wait)));
+                                    "t",
+                                    submissionCount++,
+                                    memberId,
+                                    statement,
+                                    clock.now().plus(timeout)));
                 });
     }
 
-    /** How one submission ends at a member that does this with it. */
-    private Ended end(QueryHandler script) throws Exception {
-        try (FakeMember m = new FakeMember(false, script)) {
-            dispatch(m.port(), LONG);
-            return next();
+    /** Sends one submission to a member with this script; returns how it ended. */
+    private CompletedRequest dispatchTo(QueryHandler script) throws Exception {
+        try (FakeMember member = new FakeMember(false, script)) {
+            dispatch(member.port(), REQUEST_TIMEOUT);
+            return awaitCompletion();
         }
     }
 
     @Test
-    void aRowIsCommittedWithItsRoleAndPosition() throws Exception {
-        Ended e = end((sql, s) -> s.sendRow("val", true));
-        assertThat(e.end()).isEqualTo(Outcome.COMMITTED);
-        assertThat(e.status().role().name()).isEqualTo("PRIMARY");
-        assertThat(e.status().position()).isBetween(clock.now().minusSeconds(20), clock.now());
-        assertThat(e.row()).startsWith(message('T', ROW_DESCRIPTION));
+    void rowIsCommittedWithRoleAndPosition() throws Exception {
+        CompletedRequest completed = dispatchTo((sql, session) -> session.sendRow("val", true));
+        assertThat(completed.outcome()).isEqualTo(Outcome.COMMITTED);
+        assertThat(completed.status().role().name()).isEqualTo("PRIMARY");
+        assertThat(completed.status().position())
+                .isBetween(clock.now().minusSeconds(20), clock.now());
+        assertThat(completed.row()).startsWith(message('T', ROW_DESCRIPTION));
     }
 
     @Test
-    void eachErrorCodeHasItsEnd() throws Exception {
-        assertThat(end((sql, s) -> s.sendError("25006", false)).end()).isEqualTo(Outcome.MISSED);
-        assertThat(end((sql, s) -> s.sendError("72000", false)).end()).isEqualTo(Outcome.MISSED);
-        assertThat(end((sql, s) -> s.sendError("53300", false)).end()).isEqualTo(Outcome.FULL);
-        assertThat(end((sql, s) -> s.sendError("XX000", false)).end()).isEqualTo(Outcome.ERROR);
-        assertThat(end((sql, s) -> s.sendError("08P01", false)).end()).isEqualTo(Outcome.ERROR);
+    void eachErrorCodeHasItsOutcome() throws Exception {
+        assertThat(dispatchTo((sql, session) -> session.sendError("25006", false)).outcome())
+                .isEqualTo(Outcome.MISSED);
+        assertThat(dispatchTo((sql, session) -> session.sendError("72000", false)).outcome())
+                .isEqualTo(Outcome.MISSED);
+        assertThat(dispatchTo((sql, session) -> session.sendError("53300", false)).outcome())
+                .isEqualTo(Outcome.FULL);
+        assertThat(dispatchTo((sql, session) -> session.sendError("XX000", false)).outcome())
+                .isEqualTo(Outcome.ERROR);
+        assertThat(dispatchTo((sql, session) -> session.sendError("08P01", false)).outcome())
+                .isEqualTo(Outcome.ERROR);
     }
 
     @Test
-    void aConnectionThatBreaksAfterTheLastByteMayHaveRun() throws Exception {
-        assertThat(end((sql, s) -> s.closeSocket()).end()).isEqualTo(Outcome.RESET);
+    void connectionLostAfterSendingIsReset() throws Exception {
+        assertThat(dispatchTo((sql, session) -> session.closeSocket()).outcome())
+                .isEqualTo(Outcome.RESET);
         assertThat(
-                        end((sql, s) -> {
-                                    s.send(
-                                            message('T', ROW_DESCRIPTION),
-                                            new byte[] {'D', 0, 0, 0, 50, 0});
-                                    s.closeSocket();
-                                })
-                                .end())
+                        dispatchTo(
+                                        (sql, session) -> {
+                                            session.send(
+                                                    message('T', ROW_DESCRIPTION),
+                                                    new byte[] {'D', 0, 0, 0, 50, 0});
+                                            session.closeSocket();
+                                        })
+                                .outcome())
                 .isEqualTo(Outcome.RESET);
     }
 
     @Test
-    void anAnswerThatMakesNoSenseMayHaveRunAndEndsItsConnection() throws Exception {
-        for (byte[] bad :
+    void invalidResponseIsReportedAsError() throws Exception {
+        for (byte[] invalidResponse :
                 new byte[][] {
                     READY_FOR_QUERY,
                     message('?'),
                     {'D', 127, 0, 0, 0},
                     message('D', dataRowBody("x"))
                 }) {
-            assertThat(end((sql, s) -> s.send(bad)).end()).isEqualTo(Outcome.ERROR);
+            assertThat(dispatchTo((sql, session) -> session.send(invalidResponse)).outcome())
+                    .isEqualTo(Outcome.ERROR);
         }
     }
 
     @Test
-    void whatMakesNoSenseIsToldBeforeItIsWhole() throws Exception {
-        byte[] begun = message('T', ROW_DESCRIPTION);
-        // A value of 3 GB, a row longer than its value, a text that does not end, noise: none is
-        // waited for.
-        for (byte[] bad :
+    void invalidResponseIsDetectedBeforeItIsComplete() throws Exception {
+        byte[] rowDescription = message('T', ROW_DESCRIPTION);
+        // A value of 3 GB, a row longer than its value, an unterminated text, unknown bytes: the
+        // rest of none of them may be awaited.
+        for (byte[] invalidRest :
                 new byte[][] {
                     {'D', (byte) 0xb2, (byte) 0xd0, 0x5e, 0},
                     {'D', 0, 0, 0, 99, 0, 1, 0, 0, 0, 5},
@@ -222,250 +254,271 @@
                     message('D', new byte[] {0, 1, -1, -1, -1, -1})
                 }) {
             assertThat(
-                            end((sql, s) -> {
-                                        s.send(begun, bad);
-                                        s.awaitPeerClose();
-                                    })
-                                    .end())
+                            dispatchTo(
+                                            (sql, session) -> {
+                                                session.send(rowDescription, invalidRest);
+                                                session.awaitPeerClose();
+                                            })
+                                    .outcome())
                     .isEqualTo(Outcome.ERROR);
         }
     }
 
     @Test
-    void whatComesBehindAnAnswerIsNeverTakenForTheNextOne() throws Exception {
-        byte[] copy =
-                wingroad.Fixtures.concat(
+    void unexpectedBytesAfterResponseAreNotTakenForTheNextOne() throws Exception {
+        byte[] completeResponse =
+                Fixtures.concat(
                         message('T', ROW_DESCRIPTION),
                         message('D', dataRowBody("old")),
                         message('C', cString("SELECT 1")),
                         READY_FOR_QUERY);
-        for (byte[] more :
+        for (byte[] unexpectedBytes :
                 new byte[][] {
-                    copy, message('S', cString("part"), cString("master")), {'T', 0, 0}, {17}
+                    completeResponse,
+                    message('S', cString("part"), cString("master")),
+                    {'T', 0, 0},
+                    {17}
                 }) {
-            // In one piece: what comes in another one may come after the rest, and can't be told
-            // from an answer then.
-            try (FakeMember m =
-                    new FakeMember(false, (sql, s) -> s.sendRow("first", false, more))) {
-                dispatch(m.port(), LONG);
-                assertThat(next().end()).isEqualTo(Outcome.COMMITTED);
-                dispatch(m.port(), LONG);
-                Ended second = next();
-                if (second.end() == Outcome.MOOT) {
-                    // Nothing of it had been sent.
-                    dispatch(m.port(), LONG);
-                    second = next();
+            // Sent in one write with the response. Bytes of a later write may arrive after the
+            // reuse delay, and can't be told from the next response then.
+            try (FakeMember member =
+                    new FakeMember(
+                            false,
+                            (sql, session) -> session.sendRow("first", false, unexpectedBytes))) {
+                dispatch(member.port(), REQUEST_TIMEOUT);
+                assertThat(awaitCompletion().outcome()).isEqualTo(Outcome.COMMITTED);
+                dispatch(member.port(), REQUEST_TIMEOUT);
+                CompletedRequest second = awaitCompletion();
+                if (second.outcome() == Outcome.MOOT) {
+                    // The request had not been sent yet.
+                    dispatch(member.port(), REQUEST_TIMEOUT);
+                    second = awaitCompletion();
                 }
-                assertThat(second.end()).isEqualTo(Outcome.COMMITTED);
+                assertThat(second.outcome()).isEqualTo(Outcome.COMMITTED);
                 assertThat(new String(second.row(), StandardCharsets.ISO_8859_1)).contains("first");
-                assertThat(m.connections).hasValue(2);
+                assertThat(member.connections).hasValue(2);
             }
         }
     }
 
     @Test
-    void aLargeRowComesThroughWhole() throws Exception {
-        String large = "z".repeat(1_000_000);
-        Ended e = end((sql, s) -> s.sendRow(large, false));
-        assertThat(e.end()).isEqualTo(Outcome.COMMITTED);
-        assertThat(e.row()).hasSizeGreaterThan(1_000_000);
-        // Asked on the loop's own thread, behind the task that the answer came with: that one gives
-        // its buffer back at its end.
-        CompletableFuture<Long> held = new CompletableFuture<>();
-        loop.execute(() -> held.complete(loop.bufferedBytes()));
-        assertThat(held.get(20, TimeUnit.SECONDS)).isLessThanOrEqualTo(1024);
+    void largeRowIsReadCompletelyAndItsBufferReleased() throws Exception {
+        String largeValue = "z".repeat(1_000_000);
+        CompletedRequest completed =
+                dispatchTo((sql, session) -> session.sendRow(largeValue, false));
+        assertThat(completed.outcome()).isEqualTo(Outcome.COMMITTED);
+        assertThat(completed.row()).hasSizeGreaterThan(1_000_000);
+        // Read by a later task of the event loop: the task that received the response releases its
+        // buffer at its end.
+        CompletableFuture<Long> bufferedBytes = new CompletableFuture<>();
+        loop.execute(() -> bufferedBytes.complete(loop.bufferedBytes()));
+        assertThat(bufferedBytes.get(WAIT_TIMEOUT_SECONDS, TimeUnit.SECONDS))
+                .isLessThanOrEqualTo(1024);
     }
 
     @Test
-    void oneThatIsNoLongerThoughtOfIsLetGoWithItsConnections() throws Exception {
-        try (FakeMember m = new FakeMember(false, (sql, s) -> s.sendRow("x", false))) {
-            dispatch(m.port(), LONG);
-            assertThat(next().end()).isEqualTo(Outcome.COMMITTED);
-            BlockingQueue<Integer> left = new LinkedBlockingQueue<>();
+    void unknownMemberIsRemovedWithItsConnections() throws Exception {
+        try (FakeMember member =
+                new FakeMember(false, (sql, session) -> session.sendRow("x", false))) {
+            dispatch(member.port(), REQUEST_TIMEOUT);
+            assertThat(awaitCompletion().outcome()).isEqualTo(Outcome.COMMITTED);
+            BlockingQueue<Integer> connectionCounts = new LinkedBlockingQueue<>();
             loop.execute(
                     () -> {
-                        members.removeUnknown(id -> false);
-                        left.add(members.connectionCount());
+                        pools.removeUnknown(id -> false);
+                        connectionCounts.add(pools.connectionCount());
                     });
-            assertThat(left.poll(20, TimeUnit.SECONDS)).isZero();
-            dispatch(m.port(), LONG);
-            assertThat(next().end()).isEqualTo(Outcome.COMMITTED);
-            assertThat(m.connections).hasValue(2);
+            assertThat(connectionCounts.poll(WAIT_TIMEOUT_SECONDS, TimeUnit.SECONDS)).isZero();
+            dispatch(member.port(), REQUEST_TIMEOUT);
+            assertThat(awaitCompletion().outcome()).isEqualTo(Outcome.COMMITTED);
+            assertThat(member.connections).hasValue(2);
         }
     }
 
     @Test
-    void figuresThatCannotBeTrueCountAsAbsent() throws Exception {
-        for (String absurd :
+    void impossiblePositionsAreIgnored() throws Exception {
+        for (String invalidPosition :
                 new String[] {
                     "999999999999999999",
                     "-5",
                     "1e99",
                     Long.toString(System.currentTimeMillis() + 60_000)
                 }) {
-            Ended e =
-                    end(
-                            (sql, s) ->
-                                    s.send(
+            CompletedRequest completed =
+                    dispatchTo(
+                            (sql, session) ->
+                                    session.send(
                                             message('T', ROW_DESCRIPTION),
                                             message('D', dataRowBody("x")),
                                             message('C', cString("SELECT 1")),
-                                            wingroad.Fixtures.parameterStatus(
-                                                    "caught_up_to", absurd),
-                                            wingroad.Fixtures.parameterStatus(
-                                                    "gauges", "x0=" + absurd + ",x1=1"),
+                                            Fixtures.parameterStatus(
+                                                    "caught_up_to", invalidPosition),
+                                            Fixtures.parameterStatus(
+                                                    "gauges", "x0=" + invalidPosition + ",x1=1"),
                                             READY_FOR_QUERY));
-            assertThat(e.end()).isEqualTo(Outcome.COMMITTED);
-            assertThat(e.status().position()).isNull();
-            assertThat(e.status().report().position()).isNull();
+            assertThat(completed.outcome()).isEqualTo(Outcome.COMMITTED);
+            assertThat(completed.status().position()).isNull();
+            assertThat(completed.status().report().position()).isNull();
         }
     }
 
     @Test
-    void aWholeAnswerCountsWhereOnlyReadyIsMissing() throws Exception {
+    void completeResponseIsCommittedWithoutReadyForQuery() throws Exception {
         assertThat(
-                        end((sql, s) -> {
-                                    s.send(
-                                            message('T', ROW_DESCRIPTION),
-                                            message('D', dataRowBody("x")),
-                                            message('C', cString("SELECT 1")));
-                                    s.closeSocket();
-                                })
-                                .end())
+                        dispatchTo(
+                                        (sql, session) -> {
+                                            session.send(
+                                                    message('T', ROW_DESCRIPTION),
+                                                    message('D', dataRowBody("x")),
+                                                    message('C', cString("SELECT 1")));
+                                            session.closeSocket();
+                                        })
+                                .outcome())
                 .isEqualTo(Outcome.COMMITTED);
     }
 
     @Test
-    void whereNothingCouldBeWrittenNothingRan() throws Exception {
-        try (FakeMember m = new FakeMember(false, (sql, s) -> s.sendRow("x", false))) {
-            m.startupResponse =
+    void rejectedConnectionsNeverRunTheStatement() throws Exception {
+        try (FakeMember member =
+                new FakeMember(false, (sql, session) -> session.sendRow("x", false))) {
+            member.startupResponse =
                     new byte[] {'E', 0, 0, 0, 14, 'C', '5', '7', 'P', '0', '3', 0, 0, 0, 0};
-            dispatch(m.port(), LONG);
-            assertThat(next().end()).isEqualTo(Outcome.UNREACHABLE);
-            m.startupResponse = message('E', cString("SFATAL"), cString("C53300"), new byte[1]);
-            dispatch(m.port(), LONG);
-            assertThat(next().end()).isEqualTo(Outcome.FULL);
-            assertThat(m.queries).isEmpty();
+            dispatch(member.port(), REQUEST_TIMEOUT);
+            assertThat(awaitCompletion().outcome()).isEqualTo(Outcome.UNREACHABLE);
+            member.startupResponse =
+                    message('E', cString("SFATAL"), cString("C53300"), new byte[1]);
+            dispatch(member.port(), REQUEST_TIMEOUT);
+            assertThat(awaitCompletion().outcome()).isEqualTo(Outcome.FULL);
+            assertThat(member.queries).isEmpty();
         }
-        int nobody;
-        try (ServerSocket s = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            nobody = s.getLocalPort();
+        int closedPort;
+        try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+            closedPort = socket.getLocalPort();
         }
-        dispatch(nobody, LONG);
-        assertThat(next().end()).isEqualTo(Outcome.UNREACHABLE);
+        dispatch(closedPort, REQUEST_TIMEOUT);
+        assertThat(awaitCompletion().outcome()).isEqualTo(Outcome.UNREACHABLE);
     }
 
     @Test
-    void aMemberThatNeverLetsInIsUnreachableAndNothingIsSent() throws Exception {
-        members = members(Duration.ofMillis(50));
-        try (ServerSocket silent = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
-            dispatch(silent.getLocalPort(), LONG);
-            assertThat(next().end()).isEqualTo(Outcome.UNREACHABLE);
+    void memberThatNeverCompletesStartupIsUnreachable() throws Exception {
+        pools = createPools(Duration.ofMillis(50));
+        try (ServerSocket silentMember = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
+            dispatch(silentMember.getLocalPort(), REQUEST_TIMEOUT);
+            assertThat(awaitCompletion().outcome()).isEqualTo(Outcome.UNREACHABLE);
         }
     }
 
     @Test
-    void silenceTimesOutAndClosesItsConnection() throws Exception {
-        BlockingQueue<String> closed = new LinkedBlockingQueue<>();
-        try (FakeMember m =
+    void silentMemberTimesOutAndItsConnectionIsClosed() throws Exception {
+        BlockingQueue<String> statementsOfClosedConnections = new LinkedBlockingQueue<>();
+        try (FakeMember member =
                 new FakeMember(
                         false,
-                        (sql, s) -> {
-                            s.awaitPeerClose();
-                            closed.add(sql);
+                        (sql, session) -> {
+                            session.awaitPeerClose();
+                            statementsOfClosedConnections.add(sql);
                         })) {
-            dispatch(m.port(), Duration.ofMillis(100));
-            assertThat(next().end()).isEqualTo(Outcome.TIMED_OUT);
-            assertThat(closed.poll(20, TimeUnit.SECONDS)).contains("id=r0");
+            dispatch(member.port(), Duration.ofMillis(100));
+            assertThat(awaitCompletion().outcome()).isEqualTo(Outcome.TIMED_OUT);
+            assertThat(statementsOfClosedConnections.poll(WAIT_TIMEOUT_SECONDS, TimeUnit.SECONDS))
+                    .contains("id=r0");
         }
     }
 
     @Test
-    void oneThatIsCalledOffClosesItsConnection() throws Exception {
-        BlockingQueue<String> closed = new LinkedBlockingQueue<>();
-        try (FakeMember m =
+    void cancelledSubmissionClosesItsConnection() throws Exception {
+        BlockingQueue<String> statementsOfClosedConnections = new LinkedBlockingQueue<>();
+        try (FakeMember member =
                 new FakeMember(
                         false,
-                        (sql, s) -> {
-                            s.awaitPeerClose();
-                            closed.add(sql);
+                        (sql, session) -> {
+                            session.awaitPeerClose();
+                            statementsOfClosedConnections.add(sql);
                         })) {
-            dispatch(m.port(), LONG);
-            m.awaitQuery();
-            loop.execute(() -> members.cancel("t", 0));
-            assertThat(next().end()).isEqualTo(Outcome.CANCELLED);
-            assertThat(closed.poll(20, TimeUnit.SECONDS)).contains("id=r0");
+            dispatch(member.port(), REQUEST_TIMEOUT);
+            member.awaitQuery();
+            loop.execute(() -> pools.cancel("t", 0));
+            assertThat(awaitCompletion().outcome()).isEqualTo(Outcome.CANCELLED);
+            assertThat(statementsOfClosedConnections.poll(WAIT_TIMEOUT_SECONDS, TimeUnit.SECONDS))
+                    .contains("id=r0");
         }
     }
 
     @Test
-    void connectionsAreUsedAgainButNotAfterDoubt() throws Exception {
-        try (FakeMember m = new FakeMember(false, (sql, s) -> s.sendRow("x", false))) {
+    void connectionsAreReusedExceptAfterReset() throws Exception {
+        try (FakeMember member =
+                new FakeMember(false, (sql, session) -> session.sendRow("x", false))) {
             for (int i = 0; i < 3; i++) {
-                dispatch(m.port(), LONG);
-                assertThat(next().end()).isEqualTo(Outcome.COMMITTED);
+                dispatch(member.port(), REQUEST_TIMEOUT);
+                assertThat(awaitCompletion().outcome()).isEqualTo(Outcome.COMMITTED);
             }
-            assertThat(m.connections).hasValue(1);
-            m.queryHandler((sql, s) -> s.closeSocket());
-            dispatch(m.port(), LONG);
-            assertThat(next().end()).isEqualTo(Outcome.RESET);
-            m.queryHandler((sql, s) -> s.sendError("25006", false));
-            dispatch(m.port(), LONG);
-            assertThat(next().end()).isEqualTo(Outcome.MISSED);
-            assertThat(m.connections).hasValue(2);
-            assertThat(m.queries).hasSize(5);
+            assertThat(member.connections).hasValue(1);
+            member.queryHandler((sql, session) -> session.closeSocket());
+            dispatch(member.port(), REQUEST_TIMEOUT);
+            assertThat(awaitCompletion().outcome()).isEqualTo(Outcome.RESET);
+            member.queryHandler((sql, session) -> session.sendError("25006", false));
+            dispatch(member.port(), REQUEST_TIMEOUT);
+            assertThat(awaitCompletion().outcome()).isEqualTo(Outcome.MISSED);
+            assertThat(member.connections).hasValue(2);
+            assertThat(member.queries).hasSize(5);
         }
     }
 
     @Test
-    void whatIsNoLongerToGoWhenItsConnectionIsUpIsNeverSent() throws Exception {
-        mayGo = false;
-        try (FakeMember m = new FakeMember(false, (sql, s) -> s.sendRow("x", false))) {
-            dispatch(m.port(), LONG);
-            assertThat(next().end()).isEqualTo(Outcome.MOOT);
-            mayGo = true;
-            dispatch(m.port(), LONG);
-            assertThat(next().end()).isEqualTo(Outcome.COMMITTED);
-            assertThat(m.connections).hasValue(1);
-            assertThat(m.queries).hasSize(1).first().asString().contains("id=r1");
+    void obsoleteRequestIsNotSentOnceItsConnectionIsOpen() throws Exception {
+        mayDispatch = false;
+        try (FakeMember member =
+                new FakeMember(false, (sql, session) -> session.sendRow("x", false))) {
+            dispatch(member.port(), REQUEST_TIMEOUT);
+            assertThat(awaitCompletion().outcome()).isEqualTo(Outcome.MOOT);
+            mayDispatch = true;
+            dispatch(member.port(), REQUEST_TIMEOUT);
+            assertThat(awaitCompletion().outcome()).isEqualTo(Outcome.COMMITTED);
+            assertThat(member.connections).hasValue(1);
+            assertThat(member.queries).hasSize(1).first().asString().contains("id=r1");
         }
     }
 
     @Test
-    void theTimeLeftIsWhatTheMemberIsTold() throws Exception {
-        try (FakeMember m = new FakeMember(false, (sql, s) -> s.sendRow("x", false))) {
-            dispatch(m.port(), Duration.ofMillis(900));
-            String sql = m.awaitQuery();
+    void memberReceivesRemainingTime() throws Exception {
+        try (FakeMember member =
+                new FakeMember(false, (sql, session) -> session.sendRow("x", false))) {
+            dispatch(member.port(), Duration.ofMillis(900));
+            String sql = member.awaitQuery();
             assertThat(Integer.parseInt(sql.replaceAll(".*d=([0-9]+).*", "$1"))).isBetween(1, 900);
             assertThat(sql.replaceAll("d=[0-9]+", "d=3000"))
-                    .isEqualTo(wingroad.Fixtures.readStatement("r0"));
+                    .isEqualTo(Fixtures.readStatement("r0"));
         }
     }
 
-    /** Guards against idle connections that keep other drivers out of a member that takes few. */
+    /**
+     * Guards against idle connections that keep other drivers from connecting to a member with a
+     * low connection limit.
+     */
     @Test
-    void releasedConnectionsAreClosedAndTheNextSubmissionOpensOne() throws Exception {
-        try (FakeMember m = new FakeMember(false, (sql, s) -> s.sendRow("val", false))) {
-            dispatch(m.port(), LONG);
-            assertThat(next().end()).isEqualTo(Outcome.COMMITTED);
-            CompletableFuture<Integer> left = new CompletableFuture<>();
+    void closedIdleConnectionIsReopenedByNextSubmission() throws Exception {
+        try (FakeMember member =
+                new FakeMember(false, (sql, session) -> session.sendRow("val", false))) {
+            dispatch(member.port(), REQUEST_TIMEOUT);
+            assertThat(awaitCompletion().outcome()).isEqualTo(Outcome.COMMITTED);
+            CompletableFuture<Integer> connectionCount = new CompletableFuture<>();
             loop.execute(
                     () -> {
-                        members.closeIdleConnections(1);
-                        left.complete(members.connectionCount());
+                        pools.closeIdleConnections(1);
+                        connectionCount.complete(pools.connectionCount());
                     });
-            assertThat(left.get(20, TimeUnit.SECONDS)).isZero();
-            dispatch(m.port(), LONG);
-            assertThat(next().end()).isEqualTo(Outcome.COMMITTED);
-            assertThat(m.connections.get()).isEqualTo(2);
+            assertThat(connectionCount.get(WAIT_TIMEOUT_SECONDS, TimeUnit.SECONDS)).isZero();
+            dispatch(member.port(), REQUEST_TIMEOUT);
+            assertThat(awaitCompletion().outcome()).isEqualTo(Outcome.COMMITTED);
+            assertThat(member.connections.get()).isEqualTo(2);
         }
     }
 
-    /** A list names the member at this port. */
-    private void listed(int port) {
+    /** Applies a list entry that gives the moving member this port. */
+    private void updateMovingMember(int port) {
         loop.execute(
                 () ->
-                        members.updateMember(
+                        pools.updateMember(
                                 MemberList.parse(
                                                 ("{\"rev\":1,\"all\":true,\"targets\":["
                                                                 + listEntry(
@@ -477,256 +530,270 @@
                                         .get(0)));
     }
 
-    private void carryToTheOne() {
+    private void dispatchToMovingMember() {
         loop.execute(
                 () ->
-                        members.dispatch(
+                        pools.dispatch(
                                 new TxnDispatcher.MemberRequest(
                                         "t",
-                                        submissions,
-                                        1,
+                                        submissionCount,
+                                        MOVING_MEMBER_ID,
                                         Statement.parse(
-                                                        wingroad.Fixtures.readStatement(
-                                                                        "r" + submissions++)
+                                                        Fixtures.readStatement(
+                                                                        "r" + submissionCount++)
                                                                 .getBytes(StandardCharsets.UTF_8))
                                                 .statement(),
-                                        clock.now().plus(LONG))));
+                                        clock.now().plus(REQUEST_TIMEOUT))));
     }
 
     /**
-     * Guards against a connection that was at work while its member moved, and would be used for
-     * all that follows.
+     * A member moves to another address while one of its connections is busy. Guards against that
+     * connection being reused for all later requests.
      */
     @Test
-    void aConnectionAtWorkWhileItsMemberMovesAnswersAndIsNotUsedAgain() throws Exception {
-        try (Peer.Listener old = new Peer.Listener();
-                FakeMember moved = new FakeMember(false, (sql, s) -> s.sendRow("new", false))) {
-            listed(old.port());
-            carryToTheOne();
-            Peer at = old.accept();
-            at.read(startupLength(at) - 4);
-            at.send(message('R', new byte[4]), READY_FOR_QUERY);
-            at.readUntil("'\0");
-            listed(moved.port());
-            at.send(
+    void busyConnectionIsNotReusedAfterItsMemberMoves() throws Exception {
+        try (Peer.Listener oldAddress = new Peer.Listener();
+                FakeMember movedMember =
+                        new FakeMember(false, (sql, session) -> session.sendRow("new", false))) {
+            updateMovingMember(oldAddress.port());
+            dispatchToMovingMember();
+            Peer connection = oldAddress.accept();
+            connection.read(startupLength(connection) - 4);
+            connection.send(message('R', new byte[4]), READY_FOR_QUERY);
+            connection.readUntil("'\0");
+            updateMovingMember(movedMember.port());
+            connection.send(
                     message('T', ROW_DESCRIPTION),
                     message('D', dataRowBody("old")),
                     message('C', cString("SELECT 1")),
                     READY_FOR_QUERY);
-            assertThat(new String(next().row(), StandardCharsets.ISO_8859_1)).contains("old");
-            at.readUntilClosed();
-            carryToTheOne();
-            assertThat(new String(next().row(), StandardCharsets.ISO_8859_1)).contains("new");
+            assertThat(new String(awaitCompletion().row(), StandardCharsets.ISO_8859_1))
+                    .contains("old");
+            connection.readUntilClosed();
+            dispatchToMovingMember();
+            assertThat(new String(awaitCompletion().row(), StandardCharsets.ISO_8859_1))
+                    .contains("new");
         }
     }
 
-    private static int startupLength(Peer at) throws IOException {
-        return java.nio.ByteBuffer.wrap(at.read(4)).getInt();
+    /**
+     * Reads the length of a startup message, which includes the four bytes of the length itself.
+     */
+    private static int startupLength(Peer connection) throws IOException {
+        return ByteBuffer.wrap(connection.read(4)).getInt();
     }
 
     /**
-     * The connection comes up at last where the member no longer is: nothing is sent there, and
-     * nothing is held against it.
+     * A connection opens or fails at the old address after its member has moved: nothing may be
+     * sent there, and a failure may not count against the member.
      */
     @Test
-    void aConnectionThatOpensWhileItsMemberMovesSendsNothing() throws Exception {
-        try (Peer.Listener old = new Peer.Listener()) {
-            for (boolean comesUp : new boolean[] {true, false}) {
-                listed(old.port());
-                carryToTheOne();
-                Peer at = old.accept();
-                at.read(startupLength(at) - 4);
-                listed(1);
-                if (comesUp) {
-                    at.send(message('R', new byte[4]), READY_FOR_QUERY);
+    void openingConnectionSendsNothingAfterItsMemberMoves() throws Exception {
+        try (Peer.Listener oldAddress = new Peer.Listener()) {
+            for (boolean connects : new boolean[] {true, false}) {
+                updateMovingMember(oldAddress.port());
+                dispatchToMovingMember();
+                Peer connection = oldAddress.accept();
+                connection.read(startupLength(connection) - 4);
+                updateMovingMember(1);
+                if (connects) {
+                    connection.send(message('R', new byte[4]), READY_FOR_QUERY);
                 } else {
-                    at.reset();
+                    connection.reset();
                 }
-                assertThat(next().end()).isEqualTo(Outcome.MOOT);
-                if (comesUp) {
-                    assertThat(at.readUntilClosed()).doesNotContain("Q");
+                assertThat(awaitCompletion().outcome()).isEqualTo(Outcome.MOOT);
+                if (connects) {
+                    assertThat(connection.readUntilClosed()).doesNotContain("Q");
                 }
             }
         }
     }
 
     /**
-     * Guards against resting connections to what has gone, or is no longer thought of, while a txn
-     * was there.
+     * A member is removed while one of its connections is busy. Guards against that connection
+     * staying open and idle after its response.
      */
     @Test
-    void aConnectionAtWorkWhileItsMemberIsForgottenEndsWithItsAnswer() throws Exception {
-        try (Peer.Listener old = new Peer.Listener()) {
-            listed(old.port());
-            carryToTheOne();
-            Peer at = old.accept();
-            at.read(startupLength(at) - 4);
-            at.send(message('R', new byte[4]), READY_FOR_QUERY);
-            at.readUntil("'\0");
-            loop.execute(() -> members.removeUnknown(id -> false));
-            at.send(
+    void busyConnectionOfRemovedMemberIsClosedAfterItsResponse() throws Exception {
+        try (Peer.Listener listener = new Peer.Listener()) {
+            updateMovingMember(listener.port());
+            dispatchToMovingMember();
+            Peer connection = listener.accept();
+            connection.read(startupLength(connection) - 4);
+            connection.send(message('R', new byte[4]), READY_FOR_QUERY);
+            connection.readUntil("'\0");
+            loop.execute(() -> pools.removeUnknown(id -> false));
+            connection.send(
                     message('T', ROW_DESCRIPTION),
                     message('D', dataRowBody("x")),
                     message('C', cString("SELECT 1")),
                     READY_FOR_QUERY);
-            assertThat(next().end()).isEqualTo(Outcome.COMMITTED);
-            at.readUntilClosed();
+            assertThat(awaitCompletion().outcome()).isEqualTo(Outcome.COMMITTED);
+            connection.readUntilClosed();
         }
     }
 
-    /** Its end is told a task later; in between the connection comes up. */
+    /**
+     * A request is cancelled while its connection opens. Its outcome is reported by a later task of
+     * the event loop, and the connection becomes ready in between.
+     */
     @Test
-    void whatIsCalledOffAsItsConnectionComesUpIsNotSent() throws Exception {
+    void requestCancelledWhileItsConnectionOpensIsNotSent() throws Exception {
         try (Peer.Listener member = new Peer.Listener()) {
-            listed(member.port());
-            carryToTheOne();
-            Peer at = member.accept();
-            at.read(startupLength(at) - 4);
-            CountDownLatch standing = new CountDownLatch(1);
-            CountDownLatch goes = new CountDownLatch(1);
+            updateMovingMember(member.port());
+            dispatchToMovingMember();
+            Peer connection = member.accept();
+            connection.read(startupLength(connection) - 4);
+            CountDownLatch loopBlocked = new CountDownLatch(1);
+            CountDownLatch loopReleased = new CountDownLatch(1);
             loop.execute(
                     () -> {
-                        standing.countDown();
+                        loopBlocked.countDown();
                         try {
-                            goes.await();
-                        } catch (InterruptedException e) {
+                            loopReleased.await();
+                        } catch (InterruptedException interrupted) {
                             Thread.currentThread().interrupt();
                         }
-                        members.cancel("t", 0);
+                        pools.cancel("t", 0);
                     });
-            standing.await();
-            at.send(message('R', new byte[4]), READY_FOR_QUERY);
-            goes.countDown();
-            assertThat(next().end()).isEqualTo(Outcome.MOOT);
-            loop.execute(() -> members.removeUnknown(id -> false));
-            assertThat(at.readUntilClosed()).doesNotContain("Q");
+            loopBlocked.await();
+            connection.send(message('R', new byte[4]), READY_FOR_QUERY);
+            loopReleased.countDown();
+            assertThat(awaitCompletion().outcome()).isEqualTo(Outcome.MOOT);
+            loop.execute(() -> pools.removeUnknown(id -> false));
+            assertThat(connection.readUntilClosed()).doesNotContain("Q");
         }
     }
 
-    /** An answer broken off at each of its bytes may have run; once its end is there, it counts. */
+    /**
+     * The connection is closed after each part of a response: the statement may have run, and is
+     * committed once the response is complete but for ReadyForQuery.
+     */
     @Test
-    void anAnswerBrokenOffAtAnyByteHasOneEnd() throws Exception {
-        byte[] answer =
-                wingroad.Fixtures.concat(
+    void responseTruncatedAtAnyByteHasOneOutcome() throws Exception {
+        byte[] response =
+                Fixtures.concat(
                         message('T', ROW_DESCRIPTION),
                         message('D', dataRowBody("x")),
                         message('C', cString("SELECT 1")),
                         READY_FOR_QUERY);
-        int whole = answer.length - READY_FOR_QUERY.length;
-        for (int bytes = 0; bytes <= answer.length; bytes += 5) {
-            byte[] part = java.util.Arrays.copyOf(answer, bytes);
+        int committedLength = response.length - READY_FOR_QUERY.length;
+        for (int sentLength = 0; sentLength <= response.length; sentLength += 5) {
+            byte[] sentPart = Arrays.copyOf(response, sentLength);
             assertThat(
-                            end((sql, s) -> {
-                                        s.send(part);
-                                        s.closeSocket();
-                                    })
-                                    .end())
-                    .as(bytes + " bytes")
-                    .isEqualTo(bytes >= whole ? Outcome.COMMITTED : Outcome.RESET);
+                            dispatchTo(
+                                            (sql, session) -> {
+                                                session.send(sentPart);
+                                                session.closeSocket();
+                                            })
+                                    .outcome())
+                    .as(sentLength + " bytes")
+                    .isEqualTo(sentLength >= committedLength ? Outcome.COMMITTED : Outcome.RESET);
         }
-        assertThat(ends).isEmpty();
+        assertThat(completedRequests).isEmpty();
     }
 
     /**
-     * Half a line comes unasked on a resting connection: it is in doubt, and the next txn gets one
-     * of its own.
+     * Part of an unexpected message arrives on an idle connection: the connection can't be trusted
+     * any more, and the next txn gets a new one.
      */
     @Test
-    void halfALineUnaskedEndsARestingConnection() throws Exception {
+    void unexpectedBytesCloseIdleConnection() throws Exception {
         try (Peer.Listener member = new Peer.Listener()) {
-            listed(member.port());
-            carryToTheOne();
-            Peer at = member.accept();
-            at.read(startupLength(at) - 4);
-            at.send(message('R', new byte[4]), READY_FOR_QUERY);
-            at.readUntil("'\0");
-            at.send(
+            updateMovingMember(member.port());
+            dispatchToMovingMember();
+            Peer connection = member.accept();
+            connection.read(startupLength(connection) - 4);
+            connection.send(message('R', new byte[4]), READY_FOR_QUERY);
+            connection.readUntil("'\0");
+            connection.send(
                     message('T', ROW_DESCRIPTION),
                     message('D', dataRowBody("x")),
                     message('C', cString("SELECT 1")),
                     READY_FOR_QUERY);
-            assertThat(next().end()).isEqualTo(Outcome.COMMITTED);
-            at.send(new byte[] {'S', 0, 0});
-            at.readUntilClosed();
-            carryToTheOne();
-            Peer second = member.accept();
-            second.read(startupLength(second) - 4);
-            second.send(message('R', new byte[4]), READY_FOR_QUERY);
-            second.readUntil("'\0");
-            second.reset();
-            assertThat(next().end()).isEqualTo(Outcome.RESET);
+            assertThat(awaitCompletion().outcome()).isEqualTo(Outcome.COMMITTED);
+            connection.send(new byte[] {'S', 0, 0});
+            connection.readUntilClosed();
+            dispatchToMovingMember();
+            Peer secondConnection = member.accept();
+            secondConnection.read(startupLength(secondConnection) - 4);
+            secondConnection.send(message('R', new byte[4]), READY_FOR_QUERY);
+            secondConnection.readUntil("'\0");
+            secondConnection.reset();
+            assertThat(awaitCompletion().outcome()).isEqualTo(Outcome.RESET);
         }
     }
 
-    /** Lets the connection in and waits for its first statement. */
-    private static Peer letIn(Peer at) throws IOException {
-        at.read(startupLength(at) - 4);
-        at.send(message('R', new byte[4]), READY_FOR_QUERY);
-        at.readUntil("'\0");
-        return at;
+    /** Completes the startup of a connection and waits for its first statement. */
+    private static Peer acceptStartup(Peer connection) throws IOException {
+        connection.read(startupLength(connection) - 4);
+        connection.send(message('R', new byte[4]), READY_FOR_QUERY);
+        connection.readUntil("'\0");
+        return connection;
     }
 
-    private static void answer(Peer at) throws IOException {
-        at.send(
+    private static void sendResponse(Peer connection) throws IOException {
+        connection.send(
                 message('T', ROW_DESCRIPTION),
                 message('D', dataRowBody("x")),
                 message('C', cString("SELECT 1")),
                 READY_FOR_QUERY);
     }
 
-    /** The client leaves while its txn waits for a connection that rests behind its last answer. */
+    /** A client disconnects while its txn waits for a connection in its reuse delay. */
     @Test
-    void oneWhoseClientLeavesWhileItsConnectionRestsIsNotSent() throws Exception {
+    void requestOfDisconnectedClientIsNotSentAfterReuseDelay() throws Exception {
         try (Peer.Listener member = new Peer.Listener()) {
-            listed(member.port());
-            carryToTheOne();
-            Peer at = letIn(member.accept());
-            // In the turn of its answer: its rest has begun, and can't be over.
-            atItsEnd =
+            updateMovingMember(member.port());
+            dispatchToMovingMember();
+            Peer connection = acceptStartup(member.accept());
+            // Runs in the task that handles the response: the reuse delay has begun and can't be
+            // over.
+            onNextCompletion =
                     () -> {
-                        mayGo = false;
-                        members.dispatch(requestToTheOne());
+                        mayDispatch = false;
+                        pools.dispatch(requestToMovingMember());
                     };
-            answer(at);
-            assertThat(next().end()).isEqualTo(Outcome.COMMITTED);
-            assertThat(next().end()).isEqualTo(Outcome.MOOT);
-            mayGo = true;
-            carryToTheOne();
-            assertThat(at.readUntil("'\0"))
-                    .contains("id=r" + (submissions - 1))
-                    .doesNotContain("id=r" + (submissions - 2));
-            answer(at);
-            assertThat(next().end()).isEqualTo(Outcome.COMMITTED);
+            sendResponse(connection);
+            assertThat(awaitCompletion().outcome()).isEqualTo(Outcome.COMMITTED);
+            assertThat(awaitCompletion().outcome()).isEqualTo(Outcome.MOOT);
+            mayDispatch = true;
+            dispatchToMovingMember();
+            assertThat(connection.readUntil("'\0"))
+                    .contains("id=r" + (submissionCount - 1))
+                    .doesNotContain("id=r" + (submissionCount - 2));
+            sendResponse(connection);
+            assertThat(awaitCompletion().outcome()).isEqualTo(Outcome.COMMITTED);
         }
     }
 
-    private TxnDispatcher.MemberRequest requestToTheOne() {
+    private TxnDispatcher.MemberRequest requestToMovingMember() {
         return new TxnDispatcher.MemberRequest(
                 "t",
-                submissions,
-                1,
+                submissionCount,
+                MOVING_MEMBER_ID,
                 Statement.parse(
-                                wingroad.Fixtures.readStatement("r" + submissions++)
+                                Fixtures.readStatement("r" + submissionCount++)
                                         .getBytes(StandardCharsets.UTF_8))
                         .statement(),
-                clock.now().plus(LONG));
+                clock.now().plus(REQUEST_TIMEOUT));
     }
 
     /**
-     * Gone and back under the same address: what was connected before is not used again, a new
-     * connection is.
+     * A member is removed from the list and listed again under the same address: its old connection
+     * must be closed, and a new one opened.
      */
     @Test
-    void oneThatIsGoneAndBackAtItsAddressGetsANewConnection() throws Exception {
+    void memberThatIsRemovedAndListedAgainGetsNewConnection() throws Exception {
         try (Peer.Listener member = new Peer.Listener()) {
-            listed(member.port());
-            carryToTheOne();
-            Peer before = letIn(member.accept());
-            answer(before);
-            assertThat(next().end()).isEqualTo(Outcome.COMMITTED);
+            updateMovingMember(member.port());
+            dispatchToMovingMember();
+            Peer oldConnection = acceptStartup(member.accept());
+            sendResponse(oldConnection);
+            assertThat(awaitCompletion().outcome()).isEqualTo(Outcome.COMMITTED);
             loop.execute(
                     () ->
-                            members.updateMember(
+                            pools.updateMember(
                                     MemberList.parse(
                                                     ("{\"rev\":2,\"all\":false,\"targets\":["
                                                                     + listEntry(
@@ -738,75 +805,76 @@
                                             .list()
                                             .entries()
                                             .get(0)));
-            before.readUntilClosed();
-            listed(member.port());
-            carryToTheOne();
-            answer(letIn(member.accept()));
-            assertThat(next().end()).isEqualTo(Outcome.COMMITTED);
+            oldConnection.readUntilClosed();
+            updateMovingMember(member.port());
+            dispatchToMovingMember();
+            sendResponse(acceptStartup(member.accept()));
+            assertThat(awaitCompletion().outcome()).isEqualTo(Outcome.COMMITTED);
         }
     }
 
     /**
-     * The member closes in the moment in which a statement goes out: it may have run, and has one
-     * end.
+     * The member closes the connection just as a statement is sent: the statement may have run, and
+     * exactly one outcome is reported.
      */
     @Test
-    void oneThatClosesInTheMomentOfUseHasOneEnd() throws Exception {
+    void connectionClosedWhileSendingHasOneOutcome() throws Exception {
         for (boolean resets : new boolean[] {true, false}) {
             try (Peer.Listener member = new Peer.Listener()) {
-                listed(member.port());
-                carryToTheOne();
-                Peer at = letIn(member.accept());
-                answer(at);
-                assertThat(next().end()).isEqualTo(Outcome.COMMITTED);
-                carryToTheOne();
-                at.readUntil("'\0");
+                updateMovingMember(member.port());
+                dispatchToMovingMember();
+                Peer connection = acceptStartup(member.accept());
+                sendResponse(connection);
+                assertThat(awaitCompletion().outcome()).isEqualTo(Outcome.COMMITTED);
+                dispatchToMovingMember();
+                connection.readUntil("'\0");
                 if (resets) {
-                    at.reset();
+                    connection.reset();
                 } else {
-                    at.close();
+                    connection.close();
                 }
-                assertThat(next().end()).isEqualTo(Outcome.RESET);
-                assertThat(ends).isEmpty();
+                assertThat(awaitCompletion().outcome()).isEqualTo(Outcome.RESET);
+                assertThat(completedRequests).isEmpty();
             }
         }
     }
 
     /**
-     * Guards the thread against notices without end, up to the txn's expiry: bounded in bytes as
-     * well.
+     * Guards against a member that sends notices without end, which would keep the event loop busy
+     * until the txn's expiry. The bytes of a response are limited as well.
      */
     @Test
-    void anAnswerWithoutEndIsBrokenOff() throws Exception {
+    void endlessResponseIsAborted() throws Exception {
         try (Peer.Listener member = new Peer.Listener()) {
-            listed(member.port());
-            carryToTheOne();
-            Peer at = letIn(member.accept());
-            at.send(message('T', ROW_DESCRIPTION));
+            updateMovingMember(member.port());
+            dispatchToMovingMember();
+            Peer connection = acceptStartup(member.accept());
+            connection.send(message('T', ROW_DESCRIPTION));
             byte[] notice = message('N', new byte[1000]);
             try {
                 while (true) {
-                    at.send(notice);
+                    connection.send(notice);
                 }
-            } catch (IOException brokenOff) {
-                assertThat(next().end()).isEqualTo(Outcome.ERROR);
+            } catch (IOException connectionClosed) {
+                assertThat(awaitCompletion().outcome()).isEqualTo(Outcome.ERROR);
             }
         }
     }
 
     /**
-     * Guards against connections that are closed behind each answer, where members keep idle ones
-     * for a short time only.
+     * Guards against connections being closed after each response where members keep idle ones for
+     * a short time only.
      */
     @Test
-    void aConnectionIsUsedAgainWhereTheIdleTimeIsShorterThanTheConnectingTime() throws Exception {
-        members = members(Duration.ofSeconds(10), Duration.ofSeconds(8));
-        try (FakeMember m = new FakeMember(false, (sql, s) -> s.sendRow("x", false))) {
+    void connectionIsReusedIfIdleTimeoutIsShorterThanConnectTimeout() throws Exception {
+        pools = createPools(Duration.ofSeconds(10), Duration.ofSeconds(8));
+        try (FakeMember member =
+                new FakeMember(false, (sql, session) -> session.sendRow("x", false))) {
             for (int i = 0; i < 3; i++) {
-                dispatch(m.port(), LONG);
-                assertThat(next().end()).isEqualTo(Outcome.COMMITTED);
+                dispatch(member.port(), REQUEST_TIMEOUT);
+                assertThat(awaitCompletion().outcome()).isEqualTo(Outcome.COMMITTED);
             }
-            assertThat(m.connections.get()).isEqualTo(1);
+            assertThat(member.connections.get()).isEqualTo(1);
         }
     }
 }
