--- a/src/bench/java/wingroad/fleet/OwnerBench.java
+++ b/src/bench/java/wingroad/fleet/OwnerBench.java
@@ -1,5 +1,13 @@
 package wingroad.fleet;
 
+import wingroad.Fixtures;
+import wingroad.Fixtures.TestClient;
+import wingroad.operator.OperatorFile;
+import wingroad.protocol.Json;
+import wingroad.rig.FaultProxy;
+import wingroad.rig.FencedMember;
+import wingroad.rig.TestCluster;
+
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.file.Files;
@@ -18,13 +26,6 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicLong;
-import wingroad.Fixtures;
-import wingroad.Fixtures.TestClient;
-import wingroad.operator.OperatorFile;
-import wingroad.protocol.Json;
-import wingroad.rig.FaultProxy;
-import wingroad.rig.FencedMember;
-import wingroad.rig.TestCluster;
 
 /**
  * Runs 20 or more real processes under faults, with the same load and faults without a fleet and
--- a/src/bench/java/wingroad/fleet/OwnerSim.java
+++ b/src/bench/java/wingroad/fleet/OwnerSim.java
@@ -1,9 +1,10 @@
 package wingroad.fleet;
 
+import wingroad.fleet.SimFleet.InjectedBug;
+
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
-import wingroad.fleet.SimFleet.InjectedBug;
 
 /**
  * Runs short fleet histories in virtual time, thousands of them at once, or one seed with its log.
--- a/src/bench/java/wingroad/fleet/WorkSim.java
+++ b/src/bench/java/wingroad/fleet/WorkSim.java
@@ -1,9 +1,10 @@
 package wingroad.fleet;
 
+import wingroad.fleet.SimFleet.InjectedBug;
+
 import java.util.ArrayList;
 import java.util.List;
 import java.util.stream.LongStream;
-import wingroad.fleet.SimFleet.InjectedBug;
 
 /**
  * Runs short maintenance histories in virtual time, thousands of them at once, or one seed with its
@@ -162,8 +163,8 @@
         return String.format(
                 java.util.Locale.ROOT,
                 "drivers %d, machines %d, at once %d: plan_ms %d (all asks settled), out %d after"
-                        + " %.1f s, rounds %d (looks of the conductor), messages_per_machine %.0f (of"
-                        + " %.0f a second, %d at rest), broken %d, played in %d s",
+                    + " %.1f s, rounds %d (looks of the conductor), messages_per_machine %.0f (of"
+                    + " %.0f a second, %d at rest), broken %d, played in %d s",
                 driverCount,
                 machineCount,
                 maxConcurrentMachines,
--- a/src/main/java/wingroad/fleet/Cbor.java
+++ b/src/main/java/wingroad/fleet/Cbor.java
@@ -5,12 +5,14 @@
 import com.fasterxml.jackson.core.StreamReadConstraints;
 import com.fasterxml.jackson.dataformat.cbor.CBORFactory;
 import com.fasterxml.jackson.dataformat.cbor.CBORFactoryBuilder;
+
+import wingroad.protocol.Json;
+
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.util.List;
 import java.util.Map;
-import wingroad.protocol.Json;
 
 /**
  * Encodes and decodes plain values as CBOR (RFC 8949): maps with string keys, lists, strings,
--- a/src/main/java/wingroad/fleet/ConsensusNode.java
+++ b/src/main/java/wingroad/fleet/ConsensusNode.java
@@ -16,6 +16,15 @@
 import io.microraft.report.RaftGroupMembers;
 import io.microraft.statemachine.StateMachine;
 import io.microraft.transport.Transport;
+
+import wingroad.duty.Command;
+import wingroad.duty.DutyStateMachine;
+import wingroad.duty.SessionExpiryMonitor;
+import wingroad.fleet.MessageCodec.Endpoint;
+import wingroad.fleet.MessageTransport.Channel;
+import wingroad.protocol.Json;
+import wingroad.work.LostDriverMonitor;
+
 import java.io.IOException;
 import java.time.Clock;
 import java.time.Duration;
@@ -33,13 +42,6 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import java.util.function.LongFunction;
-import wingroad.duty.Command;
-import wingroad.duty.DutyStateMachine;
-import wingroad.duty.SessionExpiryMonitor;
-import wingroad.fleet.MessageCodec.Endpoint;
-import wingroad.fleet.MessageTransport.Channel;
-import wingroad.protocol.Json;
-import wingroad.work.LostDriverMonitor;
 
 /**
  * One voter of the consensus group: runs the Raft engine over its {@link ConsensusStore}, applies
--- a/src/main/java/wingroad/fleet/ConsensusStore.java
+++ b/src/main/java/wingroad/fleet/ConsensusStore.java
@@ -9,6 +9,10 @@
 import io.microraft.model.persistence.RaftTermPersistentState;
 import io.microraft.persistence.RaftStore;
 import io.microraft.persistence.RestoredRaftState;
+
+import wingroad.fleet.MessageCodec.Endpoint;
+import wingroad.protocol.Json;
+
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
@@ -18,8 +22,6 @@
 import java.util.TreeMap;
 import java.util.function.Supplier;
 import java.util.zip.CRC32C;
-import wingroad.fleet.MessageCodec.Endpoint;
-import wingroad.protocol.Json;
 
 /**
  * A voter's durable state: its identity, its consensus group, the engine's term, log and snapshot,
--- a/src/main/java/wingroad/fleet/DriverSession.java
+++ b/src/main/java/wingroad/fleet/DriverSession.java
@@ -1,5 +1,13 @@
 package wingroad.fleet;
 
+import wingroad.duty.Command;
+import wingroad.duty.EpochFence;
+import wingroad.duty.SessionLease;
+import wingroad.fleet.MessageTransport.Channel;
+import wingroad.protocol.Json;
+import wingroad.work.DriverReport;
+import wingroad.work.MaintenanceSettings;
+
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -8,13 +16,6 @@
 import java.util.Map;
 import java.util.function.Function;
 import java.util.function.Supplier;
-import wingroad.duty.Command;
-import wingroad.duty.EpochFence;
-import wingroad.duty.SessionLease;
-import wingroad.fleet.MessageTransport.Channel;
-import wingroad.protocol.Json;
-import wingroad.work.DriverReport;
-import wingroad.work.MaintenanceSettings;
 
 /**
  * A driver's session with the consensus group, by way of one voter; switches to another voter when
--- a/src/main/java/wingroad/fleet/FleetClient.java
+++ b/src/main/java/wingroad/fleet/FleetClient.java
@@ -1,12 +1,13 @@
 package wingroad.fleet;
 
+import wingroad.duty.Command;
+import wingroad.protocol.Json;
+
 import java.io.DataInputStream;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.net.Socket;
 import java.util.Map;
-import wingroad.duty.Command;
-import wingroad.protocol.Json;
 
 /** Client for the command line: sends requests to one voter over a blocking socket. */
 public final class FleetClient implements AutoCloseable {
--- a/src/main/java/wingroad/fleet/FleetNode.java
+++ b/src/main/java/wingroad/fleet/FleetNode.java
@@ -1,5 +1,12 @@
 package wingroad.fleet;
 
+import wingroad.duty.Command;
+import wingroad.duty.SessionLease;
+import wingroad.transport.EventLoop;
+import wingroad.transport.Listener;
+import wingroad.work.DriverReport;
+import wingroad.work.MaintenanceController;
+
 import java.io.IOException;
 import java.security.SecureRandom;
 import java.time.Duration;
@@ -7,12 +14,6 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import wingroad.duty.Command;
-import wingroad.duty.SessionLease;
-import wingroad.transport.EventLoop;
-import wingroad.transport.Listener;
-import wingroad.work.DriverReport;
-import wingroad.work.MaintenanceController;
 
 /**
  * This driver's participation in a fleet, on a thread of its own: the consensus node if it is a
--- a/src/main/java/wingroad/fleet/MessageCodec.java
+++ b/src/main/java/wingroad/fleet/MessageCodec.java
@@ -19,6 +19,10 @@
 import io.microraft.model.message.TriggerLeaderElectionRequest;
 import io.microraft.model.message.VoteRequest;
 import io.microraft.model.message.VoteResponse;
+
+import wingroad.duty.Command;
+import wingroad.protocol.Json;
+
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.HashMap;
@@ -27,8 +31,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import wingroad.duty.Command;
-import wingroad.protocol.Json;
 
 /**
  * Converts the consensus engine's models and the duty state machine's commands to plain values and
--- a/src/main/java/wingroad/fleet/TcpMessageTransport.java
+++ b/src/main/java/wingroad/fleet/TcpMessageTransport.java
@@ -1,14 +1,15 @@
 package wingroad.fleet;
 
+import wingroad.protocol.Json;
+import wingroad.transport.Connection;
+import wingroad.transport.EventLoop;
+import wingroad.transport.Listener;
+
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
 import java.util.Map;
 import java.util.function.Supplier;
-import wingroad.protocol.Json;
-import wingroad.transport.Connection;
-import wingroad.transport.EventLoop;
-import wingroad.transport.Listener;
 
 /** Messages over TCP: each as its length in four bytes, followed by its CBOR encoding. */
 final class TcpMessageTransport implements MessageTransport {
--- a/src/test/java/wingroad/fleet/ConsensusStoreTest.java
+++ b/src/test/java/wingroad/fleet/ConsensusStoreTest.java
@@ -3,14 +3,16 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import java.io.IOException;
-import java.nio.file.Path;
-import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
+
 import wingroad.duty.Command;
 import wingroad.fleet.MessageCodec.Endpoint;
 
+import java.io.IOException;
+import java.nio.file.Path;
+import java.util.List;
+
 /** Tests which part of a voter's state survives a kill and when a state is rejected. */
 class ConsensusStoreTest {
     private static ConsensusStore storeWithEntries(RowStore rows, int term, long entryCount)
--- a/src/test/java/wingroad/fleet/FleetIT.java
+++ b/src/test/java/wingroad/fleet/FleetIT.java
@@ -3,22 +3,13 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import java.io.IOException;
-import java.nio.ByteBuffer;
-import java.nio.charset.StandardCharsets;
-import java.nio.file.Files;
-import java.nio.file.Path;
-import java.util.List;
-import java.util.Map;
-import java.util.concurrent.BlockingQueue;
-import java.util.concurrent.LinkedBlockingQueue;
-import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.CleanupMode;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.api.parallel.Execution;
 import org.junit.jupiter.api.parallel.ExecutionMode;
+
 import wingroad.Fixtures;
 import wingroad.Fixtures.TestClient;
 import wingroad.operator.OperatorFile;
@@ -27,6 +18,17 @@
 import wingroad.rig.SlowDisk;
 import wingroad.rig.TestCluster;
 
+import java.io.IOException;
+import java.nio.ByteBuffer;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.List;
+import java.util.Map;
+import java.util.concurrent.BlockingQueue;
+import java.util.concurrent.LinkedBlockingQueue;
+import java.util.concurrent.TimeUnit;
+
 /** Fleets of several real processes of the packaged program, with faults injected between them. */
 @Execution(ExecutionMode.CONCURRENT)
 class FleetIT {
--- a/src/test/java/wingroad/fleet/SimFleet.java
+++ b/src/test/java/wingroad/fleet/SimFleet.java
@@ -2,6 +2,11 @@
 
 import io.microraft.model.message.VoteRequest;
 import io.microraft.model.message.VoteResponse;
+
+import wingroad.duty.EpochFence;
+import wingroad.duty.Lease;
+import wingroad.duty.SessionLease;
+
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.nio.file.Path;
@@ -19,9 +24,6 @@
 import java.util.TreeMap;
 import java.util.function.BiConsumer;
 import java.util.function.Function;
-import wingroad.duty.EpochFence;
-import wingroad.duty.Lease;
-import wingroad.duty.SessionLease;
 
 /**
  * Deterministic simulation of a fleet in virtual time. It runs the program's own code on simulated
--- a/src/test/java/wingroad/fleet/SimFleetTest.java
+++ b/src/test/java/wingroad/fleet/SimFleetTest.java
@@ -2,13 +2,15 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
+import org.junit.jupiter.api.Test;
+
+import wingroad.fleet.SimFleet.InjectedBug;
+
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.stream.IntStream;
-import org.junit.jupiter.api.Test;
-import wingroad.fleet.SimFleet.InjectedBug;
 
 /** Short histories of a fleet in virtual time. */
 class SimFleetTest {
--- a/src/test/java/wingroad/fleet/SimWork.java
+++ b/src/test/java/wingroad/fleet/SimWork.java
@@ -1,15 +1,5 @@
 package wingroad.fleet;
 
-import java.time.Duration;
-import java.util.ArrayList;
-import java.util.HashMap;
-import java.util.HashSet;
-import java.util.List;
-import java.util.Map;
-import java.util.Random;
-import java.util.Set;
-import java.util.TreeMap;
-import java.util.TreeSet;
 import wingroad.duty.Command;
 import wingroad.duty.DutyStateMachine;
 import wingroad.fleet.SimFleet.InjectedBug;
@@ -24,6 +14,17 @@
 import wingroad.work.MemberObservations;
 import wingroad.work.PlanCopy;
 
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Random;
+import java.util.Set;
+import java.util.TreeMap;
+import java.util.TreeSet;
+
 /**
  * Simulation of machine maintenance in virtual time: the program's maintenance plan, member
  * availability and controller on a simulated fleet, simulated members that count their open txns,
--- a/src/test/java/wingroad/fleet/SimWorkTest.java
+++ b/src/test/java/wingroad/fleet/SimWorkTest.java
@@ -2,15 +2,17 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import java.util.ArrayList;
-import java.util.List;
-import java.util.concurrent.atomic.AtomicInteger;
-import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+
 import wingroad.fleet.SimFleet.InjectedBug;
 
+import java.util.ArrayList;
+import java.util.List;
+import java.util.concurrent.atomic.AtomicInteger;
+import java.util.stream.IntStream;
+
 /** Short histories of machine maintenance in virtual time. */
 class SimWorkTest {
     @Test
--- a/src/test/java/wingroad/rig/ClientLoad.java
+++ b/src/test/java/wingroad/rig/ClientLoad.java
@@ -1,5 +1,8 @@
 package wingroad.rig;
 
+import wingroad.Fixtures;
+import wingroad.Fixtures.TestClient;
+
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
@@ -7,8 +10,6 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
-import wingroad.Fixtures;
-import wingroad.Fixtures.TestClient;
 
 /**
  * Client load on all running drivers: each client sends one txn after the other, every fifth a
--- a/src/test/java/wingroad/rig/FencedMember.java
+++ b/src/test/java/wingroad/rig/FencedMember.java
@@ -1,5 +1,8 @@
 package wingroad.rig;
 
+import wingroad.Fixtures.FakeMember;
+import wingroad.Fixtures.FakeMemberSession;
+
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -13,8 +16,6 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import wingroad.Fixtures.FakeMember;
-import wingroad.Fixtures.FakeMemberSession;
 
 /**
  * Stub member with the epoch fence that docs/operators/fleet.md gives as SQL. It records every txn
--- a/src/test/java/wingroad/rig/RigTest.java
+++ b/src/test/java/wingroad/rig/RigTest.java
@@ -2,13 +2,15 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import java.nio.file.Files;
-import java.nio.file.Path;
-import java.nio.file.attribute.BasicFileAttributes;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
+
 import wingroad.Fixtures;
 
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.nio.file.attribute.BasicFileAttributes;
+
 /** Checks what the cluster guarantees to the processes that it starts. */
 class RigTest {
     @TempDir Path directory;
--- a/src/test/java/wingroad/rig/TestCluster.java
+++ b/src/test/java/wingroad/rig/TestCluster.java
@@ -1,5 +1,8 @@
 package wingroad.rig;
 
+import wingroad.Fixtures;
+import wingroad.Fixtures.FakeDiscovery;
+
 import java.io.BufferedReader;
 import java.io.FileOutputStream;
 import java.io.IOException;
@@ -16,8 +19,6 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Predicate;
 import java.util.stream.Stream;
-import wingroad.Fixtures;
-import wingroad.Fixtures.FakeDiscovery;
 
 /**
  * Several real processes of the program on loopback, each with its own operator's file, state
