--- a/src/test/java/wingroad/rig/ClientLoad.java
+++ b/src/test/java/wingroad/rig/ClientLoad.java
@@ -12,20 +12,22 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Clients of all drivers that live: a txn after the other, every fifth a write. What is broken off
- * while its driver is left alone counts as lost.
+ * Client load on all running drivers: each client sends one txn after the other, every fifth a
+ * write. A txn whose connection ends counts as lost, unless its driver is being disturbed by the
+ * test.
  */
+@SuppressWarnings("try")
 public final class ClientLoad implements AutoCloseable {
     public final AtomicLong sent = new AtomicLong();
     public final AtomicLong committed = new AtomicLong();
     public final AtomicLong refused = new AtomicLong();
     public final AtomicLong lost = new AtomicLong();
 
-    /** What was heard by the first that were refused, and when. */
+    /** Time, txn id and responses of the first refused txns. */
     public final java.util.Queue<String> firstRefusals =
             new java.util.concurrent.ConcurrentLinkedQueue<>();
 
-    /** Drivers that are not left alone: what fails there is not counted. */
+    /** Names of drivers that the test disturbs; their txns are not counted. */
     public final Set<String> excludedDrivers = ConcurrentHashMap.newKeySet();
 
     private final TestCluster cluster;
@@ -34,84 +36,94 @@
     private final List<Thread> threads = new ArrayList<>();
     private volatile boolean closed;
 
-    public ClientLoad(TestCluster rig, List<Integer> groups, long everyMs) {
-        this(rig, groups, everyMs, 1);
+    /**
+     * Starts one client at each driver.
+     *
+     * @param groups groups that the txns address in turn
+     * @param intervalMs pause before each txn
+     */
+    public ClientLoad(TestCluster cluster, List<Integer> groups, long intervalMs) {
+        this(cluster, groups, intervalMs, 1);
     }
 
-    /** The same with so many clients at each driver. */
-    public ClientLoad(TestCluster rig, List<Integer> groups, long everyMs, int clients) {
-        this.cluster = rig;
+    /** Starts that many clients at each driver. */
+    public ClientLoad(
+            TestCluster cluster, List<Integer> groups, long intervalMs, int clientsPerDriver) {
+        this.cluster = cluster;
         this.groups = groups;
-        this.intervalMs = everyMs;
-        for (TestCluster.DriverProcess d : rig.drivers.values()) {
-            for (int i = 0; i < clients; i++) {
-                String name = d.name + "c" + i;
-                Thread t = new Thread(() -> run(d, name), "load " + name);
-                t.setDaemon(true);
-                t.start();
-                threads.add(t);
+        this.intervalMs = intervalMs;
+        for (TestCluster.DriverProcess driver : cluster.drivers.values()) {
+            for (int i = 0; i < clientsPerDriver; i++) {
+                String clientName = driver.name + "c" + i;
+                Thread thread = new Thread(() -> run(driver, clientName), "load " + clientName);
+                thread.setDaemon(true);
+                thread.start();
+                threads.add(thread);
             }
         }
     }
 
-    private void run(TestCluster.DriverProcess d, String client) {
-        TestClient c = null;
-        int starts = -1;
-        for (int n = 0; !closed; n++) {
-            boolean alone = !excludedDrivers.contains(d.name);
-            int now = d.startCount;
+    private void run(TestCluster.DriverProcess driver, String clientName) {
+        TestClient client = null;
+        int connectedStartCount = -1;
+        for (int txnIndex = 0; !closed; txnIndex++) {
+            boolean undisturbed = !excludedDrivers.contains(driver.name);
+            int startCount = driver.startCount;
             try {
                 TimeUnit.MILLISECONDS.sleep(intervalMs);
-                if (!d.isAlive() || d.paused || d.port() == 0) {
-                    c = null;
+                if (!driver.isAlive() || driver.paused || driver.port() == 0) {
+                    client = null;
                     continue;
                 }
-                if (c == null || starts != now) {
-                    c = new TestClient(d.port());
-                    starts = now;
-                    c.sendStartup().readResponses();
+                if (client == null || connectedStartCount != startCount) {
+                    client = new TestClient(driver.port());
+                    connectedStartCount = startCount;
+                    client.sendStartup().readResponses();
                 }
-                String id = client + "-" + now + "-" + n;
-                String group = "cluster=" + groups.get(n % groups.size());
-                List<String> heard =
-                        c.query(
-                                        (n % 5 == 4
+                String id = clientName + "-" + startCount + "-" + txnIndex;
+                String group = "cluster=" + groups.get(txnIndex % groups.size());
+                List<String> responses =
+                        client.query(
+                                        (txnIndex % 5 == 4
                                                         ? Fixtures.writeStatement(id)
                                                         : Fixtures.readStatement(id))
                                                 .replace("cluster=7", group))
                                 .readResponses();
-                if (alone && !excludedDrivers.contains(d.name) && d.startCount == now) {
+                if (undisturbed
+                        && !excludedDrivers.contains(driver.name)
+                        && driver.startCount == startCount) {
                     sent.incrementAndGet();
-                    if (heard.contains("row value")) {
+                    if (responses.contains("row value")) {
                         committed.incrementAndGet();
-                    } else if (heard.contains("end")) {
+                    } else if (responses.contains("end")) {
                         lost.incrementAndGet();
                     } else {
                         if (refused.incrementAndGet() <= 20) {
-                            firstRefusals.add(java.time.Instant.now() + " " + id + " " + heard);
+                            firstRefusals.add(java.time.Instant.now() + " " + id + " " + responses);
                         }
                     }
                 }
-                if (heard.contains("end")) {
-                    c = null;
+                if (responses.contains("end")) {
+                    client = null;
                 }
             } catch (IOException e) {
-                if (c != null
-                        && alone
-                        && !excludedDrivers.contains(d.name)
-                        && d.startCount == now
-                        && d.isAlive()
+                if (client != null
+                        && undisturbed
+                        && !excludedDrivers.contains(driver.name)
+                        && driver.startCount == startCount
+                        && driver.isAlive()
                         && !closed) {
                     sent.incrementAndGet();
                     lost.incrementAndGet();
                 }
-                c = null;
+                client = null;
             } catch (InterruptedException e) {
                 return;
             }
         }
     }
 
+    /** Returns the committed share of the counted txns, 1 if there are none. */
     public double committedShare() {
         return sent.get() == 0 ? 1 : (double) committed.get() / sent.get();
     }
@@ -119,8 +131,8 @@
     @Override
     public void close() throws InterruptedException {
         closed = true;
-        for (Thread t : threads) {
-            t.join(TimeUnit.SECONDS.toMillis(20));
+        for (Thread thread : threads) {
+            thread.join(TimeUnit.SECONDS.toMillis(20));
         }
     }
 }
--- a/src/test/java/wingroad/rig/FencedMember.java
+++ b/src/test/java/wingroad/rig/FencedMember.java
@@ -18,8 +18,8 @@
 import java.util.regex.Pattern;
 
 /**
- * A stand-in member with the fence that docs/operators/fleet.md has as SQL, and a ledger of what
- * came. A chore's statement is {@code SELECT fenced_NAME({epoch})}.
+ * Stub member with the epoch fence that docs/operators/fleet.md gives as SQL. It records every txn
+ * and chore statement that it receives. A chore's statement is {@code SELECT fenced_NAME({epoch})}.
  */
 public final class FencedMember implements AutoCloseable {
     private static final Pattern CHORE_STATEMENT =
@@ -30,10 +30,21 @@
 
     private static final Pattern TXN_ID = Pattern.compile("/\\* id=([^,]*),");
 
-    /** One client's txn that came; {@code end} is when it was answered, 0 while it is not. */
+    /**
+     * A client's txn that the member received.
+     *
+     * @param receivedAtMs Unix milliseconds
+     * @param answeredAtMs Unix milliseconds of the answer, 0 while there is none
+     */
     public record ReceivedTxn(long receivedAtMs, String id, AtomicLong answeredAtMs) {}
 
-    /** One chore's statement that came. */
+    /**
+     * A chore's statement that the member received.
+     *
+     * @param receivedAtMs Unix milliseconds
+     * @param accepted whether the statement took effect
+     * @param staleEpoch whether a higher epoch of the chore had been seen before
+     */
     public record ChoreExecution(
             long receivedAtMs,
             String chore,
@@ -69,87 +80,94 @@
         return member.port();
     }
 
-    private void handleStatement(String sql, FakeMemberSession s) throws IOException {
+    private void handleStatement(String sql, FakeMemberSession session) throws IOException {
         member.queries.clear();
-        Matcher m = CHORE_STATEMENT.matcher(sql);
-        if (!m.matches()) {
-            handleTxn(sql, s);
+        Matcher matcher = CHORE_STATEMENT.matcher(sql);
+        if (!matcher.matches()) {
+            handleTxn(sql, session);
             return;
         }
-        if (recordExecution(m.group(1), Long.parseLong(m.group(4)), Long.parseLong(m.group(3)))) {
-            s.sendRow("1", member.primary);
+        if (recordExecution(
+                matcher.group(1),
+                Long.parseLong(matcher.group(4)),
+                Long.parseLong(matcher.group(3)))) {
+            session.sendRow("1", member.primary);
         } else {
-            // raise_exception, as the fence's function does
-            s.sendError("P0001", member.primary);
+            // raise_exception, the error that the SQL function of the fence raises
+            session.sendError("P0001", member.primary);
         }
     }
 
-    private void handleTxn(String sql, FakeMemberSession s) throws IOException {
-        Matcher id = TXN_ID.matcher(sql);
+    private void handleTxn(String sql, FakeMemberSession session) throws IOException {
+        Matcher idMatcher = TXN_ID.matcher(sql);
         ReceivedTxn txn =
                 new ReceivedTxn(
-                        System.currentTimeMillis(), id.find() ? id.group(1) : "", new AtomicLong());
+                        System.currentTimeMillis(),
+                        idMatcher.find() ? idMatcher.group(1) : "",
+                        new AtomicLong());
         synchronized (this) {
             txns.add(txn);
             recordColdLoad(txn.receivedAtMs);
             notifyAll();
         }
         try {
-            executeTxn(sql, s);
+            executeTxn(sql, session);
         } finally {
             txn.answeredAtMs.set(System.currentTimeMillis());
         }
     }
 
     /**
-     * What a cold member has got in the span in which it falls, as a part of what it bears then.
+     * Records the load of the last overload window relative to what the member can bear at its
+     * current warm-up.
      */
-    private void recordColdLoad(long now) {
-        if (startupCapacity == null || now - startedAtMs >= startupCapacity.warmUpMs) {
+    private void recordColdLoad(long nowMs) {
+        if (startupCapacity == null || nowMs - startedAtMs >= startupCapacity.warmUpMs) {
             return;
         }
-        long from = now - startupCapacity.overloadWindowMs;
-        int got = 0;
-        for (int i = txns.size() - 1; i >= 0 && txns.get(i).receivedAtMs > from; i--) {
-            got++;
+        long windowStartMs = nowMs - startupCapacity.overloadWindowMs;
+        int txnsInWindow = 0;
+        for (int i = txns.size() - 1; i >= 0 && txns.get(i).receivedAtMs > windowStartMs; i--) {
+            txnsInWindow++;
         }
-        double warm =
+        double warmShare =
                 startupCapacity.initialShare
                         + (1 - startupCapacity.initialShare)
-                                * (now - startedAtMs)
+                                * (nowMs - startedAtMs)
                                 / startupCapacity.warmUpMs;
         peakColdLoad =
                 Math.max(
                         peakColdLoad,
-                        got
+                        txnsInWindow
                                 / (startupCapacity.warmTxnsPerSecond
                                         * startupCapacity.overloadWindowMs
                                         / 1000.0
                                         * startupCapacity.overloadFactor
-                                        * warm));
+                                        * warmShare));
     }
 
-    private void executeTxn(String sql, FakeMemberSession s) throws IOException {
-        boolean placed = concurrencyPermits == null;
+    private void executeTxn(String sql, FakeMemberSession session) throws IOException {
+        boolean permitted = concurrencyPermits == null;
         try {
-            placed = placed || concurrencyPermits.tryAcquire(WAIT_TIMEOUT_S, TimeUnit.SECONDS);
+            permitted =
+                    permitted || concurrencyPermits.tryAcquire(WAIT_TIMEOUT_S, TimeUnit.SECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
         try {
-            answerTxn(sql, s);
+            answerTxn(sql, session);
         } finally {
-            if (concurrencyPermits != null && placed) {
+            if (concurrencyPermits != null && permitted) {
                 concurrencyPermits.release();
             }
         }
     }
 
-    private void answerTxn(String sql, FakeMemberSession s) throws IOException {
+    private void answerTxn(String sql, FakeMemberSession session) throws IOException {
         if (sql.contains("id=slow")) {
-            CountDownLatch until = slowReadsReleased;
+            CountDownLatch released = slowReadsReleased;
             try {
-                until.await(WAIT_TIMEOUT_S, TimeUnit.SECONDS);
+                released.await(WAIT_TIMEOUT_S, TimeUnit.SECONDS);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
@@ -163,19 +181,20 @@
         boolean write = sql.contains("INSERT");
         if (write && !member.primary) {
             // read_only_sql_transaction
-            s.sendError("25006", false);
+            session.sendError("25006", false);
         } else {
-            s.sendRow("value", member.primary);
+            session.sendRow("value", member.primary);
         }
     }
 
     /**
-     * What it bears after a start.
+     * How much load a member bears while it warms up after a start.
      *
-     * @param perSecond txns a second that it serves when warm
-     * @param coldMs how long it is cold
-     * @param share its part of that at the start
-     * @param multiple so many times what it can do then makes it fall, within the span
+     * @param warmTxnsPerSecond txns a second that it serves when warm
+     * @param warmUpMs duration of the warm-up
+     * @param initialShare share of the warm throughput that it serves right after the start
+     * @param overloadFactor multiple of its current throughput that overloads it
+     * @param overloadWindowMs time window over which load is compared with that limit
      */
     public record StartupCapacity(
             double warmTxnsPerSecond,
@@ -184,77 +203,78 @@
             double overloadFactor,
             long overloadWindowMs) {}
 
-    /** It has started now and is cold; it works on so many txns at a time. */
-    public synchronized void simulateStart(StartupCapacity what, int atATime) {
-        startupCapacity = what;
+    /** Starts the warm-up now and limits how many txns run at a time. */
+    public synchronized void simulateStart(StartupCapacity capacity, int maxConcurrentTxns) {
+        startupCapacity = capacity;
         startedAtMs = System.currentTimeMillis();
-        concurrencyPermits = new Semaphore(atATime);
+        concurrencyPermits = new Semaphore(maxConcurrentTxns);
     }
 
-    /** How near it came to falling: 1 is the rule's limit. */
+    /** Returns the highest load during warm-up relative to the overload limit, which is 1. */
     public synchronized double peakColdLoad() {
         return peakColdLoad;
     }
 
-    /** From now on it is the group's primary, or a replica. */
-    public void setPrimary(boolean is) {
-        member.primary = is;
+    /** Makes the member the primary of its group, or a replica. */
+    public void setPrimary(boolean primary) {
+        member.primary = primary;
     }
 
     public boolean primary() {
         return member.primary;
     }
 
-    /** How long each client's txn takes. */
+    /** Sets how long each client's txn takes. */
     public void setAnswerDelayMs(long ms) {
         answerDelayMs = ms;
     }
 
-    /** How far behind the log it says that it is. */
+    /** Sets the replication lag that the member reports. */
     public void setReplicationLagMs(long ms) {
         member.replicationLagMs = ms;
     }
 
-    /** Lets the slow reads go that are here. */
+    /** Answers the reads whose id begins with "slow", which wait until then. */
     public void releaseSlowReads() {
         slowReadsReleased.countDown();
     }
 
-    /** Clients' txns that came, by the member's own clock. */
+    /** Returns the clients' txns received so far, timed by the member's clock. */
     public synchronized List<ReceivedTxn> txns() {
         return List.copyOf(txns);
     }
 
-    /** Waits until so many clients' txns have come. */
+    /** Waits until the member has received at least that many clients' txns. */
     public synchronized void awaitTxns(int count) throws InterruptedException {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(WAIT_TIMEOUT_S);
+        long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(WAIT_TIMEOUT_S);
         while (txns.size() < count) {
-            long left = end - System.nanoTime();
-            if (left <= 0) {
-                throw new AssertionError("only " + txns.size() + " txns came to " + uid);
+            long remainingNanos = deadlineNanos - System.nanoTime();
+            if (remainingNanos <= 0) {
+                throw new AssertionError("only " + txns.size() + " txns were received by " + uid);
             }
-            wait(Math.max(1, left / 1_000_000));
+            wait(Math.max(1, remainingNanos / 1_000_000));
         }
     }
 
-    /** Waits for the next client's txn whose id begins so. */
-    public synchronized void awaitTxn(String id) throws InterruptedException {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(WAIT_TIMEOUT_S);
-        while (txns.stream().noneMatch(t -> t.id().startsWith(id))) {
-            long left = end - System.nanoTime();
-            if (left <= 0) {
-                throw new AssertionError("no txn " + id + " came to " + uid);
+    /** Waits until a client's txn has come whose id has the prefix. */
+    public synchronized void awaitTxn(String idPrefix) throws InterruptedException {
+        long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(WAIT_TIMEOUT_S);
+        while (txns.stream().noneMatch(txn -> txn.id().startsWith(idPrefix))) {
+            long remainingNanos = deadlineNanos - System.nanoTime();
+            if (remainingNanos <= 0) {
+                throw new AssertionError("no txn " + idPrefix + " was received by " + uid);
             }
-            wait(Math.max(1, left / 1_000_000));
+            wait(Math.max(1, remainingNanos / 1_000_000));
         }
     }
 
     private synchronized boolean recordExecution(String chore, long epoch, long turn) {
-        boolean late = epoch < highestEpochs.getOrDefault(chore, 0L);
-        boolean accepted = !late || !fenced;
+        boolean stale = epoch < highestEpochs.getOrDefault(chore, 0L);
+        boolean accepted = !stale || !fenced;
         highestEpochs.merge(chore, epoch, Math::max);
         executions.add(
-                new ChoreExecution(System.currentTimeMillis(), chore, epoch, turn, accepted, late));
+                new ChoreExecution(
+                        System.currentTimeMillis(), chore, epoch, turn, accepted, stale));
         if (accepted && !executedTurns.add(chore + " " + turn)) {
             repeatedTurns++;
         }
@@ -262,29 +282,31 @@
         return accepted;
     }
 
+    /** Returns the chores' statements in the order in which they came. */
     public synchronized List<ChoreExecution> executions() {
         return List.copyOf(executions);
     }
 
-    /** Turns that ran more than once. */
+    /** Returns how often a turn was accepted that had run before. */
     public synchronized int repeatedTurns() {
         return repeatedTurns;
     }
 
-    /** The first entry from this index on that is as wanted. */
+    /** Waits for the first chore execution at or after the index that meets the condition. */
     public synchronized ChoreExecution awaitExecution(
-            int from, java.util.function.Predicate<ChoreExecution> wanted)
+            int fromIndex, java.util.function.Predicate<ChoreExecution> condition)
             throws InterruptedException {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(WAIT_TIMEOUT_S);
-        for (int i = from; ; i++) {
+        long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(WAIT_TIMEOUT_S);
+        for (int i = fromIndex; ; i++) {
             while (i >= executions.size()) {
-                long left = end - System.nanoTime();
-                if (left <= 0) {
-                    throw new AssertionError("never came to " + uid + ": " + executions);
+                long remainingNanos = deadlineNanos - System.nanoTime();
+                if (remainingNanos <= 0) {
+                    throw new AssertionError(
+                            uid + " received no such chore statement: " + executions);
                 }
-                wait(Math.max(1, left / 1_000_000));
+                wait(Math.max(1, remainingNanos / 1_000_000));
             }
-            if (wanted.test(executions.get(i))) {
+            if (condition.test(executions.get(i))) {
                 return executions.get(i);
             }
         }
--- a/src/test/java/wingroad/rig/SlowDisk.java
+++ b/src/test/java/wingroad/rig/SlowDisk.java
@@ -9,50 +9,52 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Makes a voter's disk slow or hang: it holds the write lock of the voter's database from outside,
- * so that the voter's writes wait as they do for a disk that is busy.
+ * Simulates a slow or hung disk of a voter: it holds the write lock of the voter's database from
+ * outside, so that the voter's writes wait.
  */
+@SuppressWarnings("try")
 public final class SlowDisk implements AutoCloseable {
     private final Connection connection;
     private final CountDownLatch closing = new CountDownLatch(1);
     private volatile long lockHoldMs;
     private final Thread thread = new Thread(this::run, "slow disk");
 
-    public SlowDisk(Path file) throws SQLException {
-        connection = DriverManager.getConnection("jdbc:sqlite:" + file);
-        try (Statement s = connection.createStatement()) {
-            s.execute("PRAGMA busy_timeout=20000");
+    public SlowDisk(Path databaseFile) throws SQLException {
+        connection = DriverManager.getConnection("jdbc:sqlite:" + databaseFile);
+        try (Statement statement = connection.createStatement()) {
+            statement.execute("PRAGMA busy_timeout=20000");
         }
     }
 
-    /** From now on a write waits up to so long. */
-    public void delayWrites(long ms) {
-        lockHoldMs = ms;
+    /** Delays each write by up to the given time. */
+    public void delayWrites(long holdMs) {
+        lockHoldMs = holdMs;
         thread.setDaemon(true);
         thread.start();
     }
 
-    /** From now on no write comes to an end. */
+    /** Blocks all writes until close. */
     public void blockWrites() {
         lockHoldMs = Long.MAX_VALUE;
     }
 
     private void run() {
-        try (Statement s = connection.createStatement()) {
+        try (Statement statement = connection.createStatement()) {
             while (closing.getCount() > 0) {
-                long hold = lockHoldMs;
-                s.execute("BEGIN IMMEDIATE");
-                if (hold == Long.MAX_VALUE) {
+                long holdMs = lockHoldMs;
+                statement.execute("BEGIN IMMEDIATE");
+                if (holdMs == Long.MAX_VALUE) {
                     closing.await();
                 } else {
-                    closing.await(hold, TimeUnit.MILLISECONDS);
+                    closing.await(holdMs, TimeUnit.MILLISECONDS);
                 }
-                s.execute("ROLLBACK");
-                // The lock is not fair: whoever waits for it looks at it again only now and then.
-                closing.await(hold == Long.MAX_VALUE ? 0 : 120, TimeUnit.MILLISECONDS);
+                statement.execute("ROLLBACK");
+                // SQLite's lock is not fair: a waiting writer polls for it, so it needs a pause to
+                // obtain the lock.
+                closing.await(holdMs == Long.MAX_VALUE ? 0 : 120, TimeUnit.MILLISECONDS);
             }
         } catch (SQLException | InterruptedException e) {
-            // With the database that it slows.
+            // The thread ends if the database fails or closes.
         }
     }
 
