--- a/src/main/java/wingroad/cli/WingroadCommand.java
+++ b/src/main/java/wingroad/cli/WingroadCommand.java
@@ -96,7 +96,7 @@
             mixinStandardHelpOptions = true,
             description =
                     "Reads an operator's file and prints all problems in it. Exit status 0: it is"
-                        + " valid; 2: it is not.")
+                            + " valid; 2: it is not.")
     static final class Check implements Callable<Integer> {
         @Parameters(paramLabel = "FILE", description = "The file.")
         Path file;
@@ -123,7 +123,7 @@
             mixinStandardHelpOptions = true,
             description =
                     "Reads a configuration as a start would and prints a summary. Exit status 0: it"
-                        + " is valid; 2: it is not.")
+                            + " is valid; 2: it is not.")
     static final class CheckConfig implements Callable<Integer> {
         @Parameters(paramLabel = "FILE", description = "The configuration.")
         Path file;
@@ -139,7 +139,7 @@
             mixinStandardHelpOptions = true,
             description =
                     "Serves the simulator's protocol on standard input and output until the input"
-                        + " ends.")
+                            + " ends.")
     static final class Simhost implements Callable<Integer> {
         @Override
         public Integer call() throws IOException {
@@ -152,7 +152,7 @@
             mixinStandardHelpOptions = true,
             description =
                     "Runs the warm-up that each start begins with, to record an archive of the"
-                        + " classes that serving loads.")
+                            + " classes that serving loads.")
     static final class Rehearse implements Callable<Integer> {
         @Override
         public Integer call() {
--- a/src/main/java/wingroad/driver/ChoreExecutor.java
+++ b/src/main/java/wingroad/driver/ChoreExecutor.java
@@ -1,10 +1,5 @@
 package wingroad.driver;
 
-import java.nio.charset.StandardCharsets;
-import java.time.Duration;
-import java.util.HashMap;
-import java.util.Map;
-import java.util.function.Consumer;
 import wingroad.fleet.ChoreRunner;
 import wingroad.fleet.FleetConfig;
 import wingroad.fleet.FleetConfig.Chore;
@@ -12,6 +7,12 @@
 import wingroad.state.TxnType;
 import wingroad.transport.EventLoop;
 
+import java.nio.charset.StandardCharsets;
+import java.time.Duration;
+import java.util.HashMap;
+import java.util.Map;
+import java.util.function.Consumer;
+
 /**
  * Runs the statements of chores as txns. They have a txn type of their own, which is once-only and
  * has less value than any client's type, and expire at the end of the lease. So a statement is
--- a/src/main/java/wingroad/driver/ClientFrontend.java
+++ b/src/main/java/wingroad/driver/ClientFrontend.java
@@ -2,6 +2,13 @@
 
 import static wingroad.state.Durations.min;
 
+import wingroad.door.ClientContext;
+import wingroad.door.FairQueueSettings;
+import wingroad.protocol.ClientMessageDecoder;
+import wingroad.protocol.Statement;
+import wingroad.transport.EventLoop;
+import wingroad.transport.Listener;
+
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.time.Duration;
@@ -12,12 +19,6 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.IntPredicate;
-import wingroad.door.ClientContext;
-import wingroad.door.FairQueueSettings;
-import wingroad.protocol.ClientMessageDecoder;
-import wingroad.protocol.Statement;
-import wingroad.transport.EventLoop;
-import wingroad.transport.Listener;
 
 /**
  * Accepts client connections, bounds their number, and hands their txns to the dispatcher with the
--- a/src/main/java/wingroad/driver/Configuration.java
+++ b/src/main/java/wingroad/driver/Configuration.java
@@ -1,5 +1,9 @@
 package wingroad.driver;
 
+import wingroad.protocol.Json;
+import wingroad.protocol.MemberList;
+import wingroad.terms.SettingsValidator;
+
 import java.io.IOException;
 import java.io.InputStream;
 import java.net.InetSocketAddress;
@@ -8,9 +12,6 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import wingroad.protocol.Json;
-import wingroad.protocol.MemberList;
-import wingroad.terms.SettingsValidator;
 
 /**
  * A driver's configuration.
--- a/src/main/java/wingroad/driver/DiscoveryClient.java
+++ b/src/main/java/wingroad/driver/DiscoveryClient.java
@@ -1,14 +1,15 @@
 package wingroad.driver;
 
+import wingroad.protocol.HttpResponseDecoder;
+import wingroad.protocol.MemberList;
+import wingroad.transport.Connection;
+import wingroad.transport.EventLoop;
+
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
 import java.time.Duration;
 import java.util.function.Consumer;
-import wingroad.protocol.HttpResponseDecoder;
-import wingroad.protocol.MemberList;
-import wingroad.transport.Connection;
-import wingroad.transport.EventLoop;
 
 /**
  * Requests the member list from discovery over HTTP: changes by a long poll that is repeated (the
--- a/src/main/java/wingroad/driver/FleetAgent.java
+++ b/src/main/java/wingroad/driver/FleetAgent.java
@@ -1,13 +1,14 @@
 package wingroad.driver;
 
-import java.io.IOException;
-import java.util.function.Consumer;
 import wingroad.fleet.FleetConfig;
 import wingroad.fleet.FleetNode;
 import wingroad.protocol.MemberList;
 import wingroad.terms.RouterSettings;
 import wingroad.transport.EventLoop;
 
+import java.io.IOException;
+import java.util.function.Consumer;
+
 /**
  * Connects the driver to its fleet: owns the parts that carry out the driver's duties on the event
  * loop's thread. A driver without a fleet does not load this class.
--- a/src/main/java/wingroad/driver/MaintenanceAgent.java
+++ b/src/main/java/wingroad/driver/MaintenanceAgent.java
@@ -1,16 +1,5 @@
 package wingroad.driver;
 
-import java.time.Duration;
-import java.util.ArrayList;
-import java.util.Collection;
-import java.util.LinkedHashMap;
-import java.util.List;
-import java.util.Map;
-import java.util.Objects;
-import java.util.Set;
-import java.util.TreeMap;
-import java.util.TreeSet;
-import java.util.function.Consumer;
 import wingroad.fleet.FleetConfig;
 import wingroad.fleet.FleetNode;
 import wingroad.fleet.MaintenancePlanListener;
@@ -29,6 +18,18 @@
 import wingroad.work.MemberObservations;
 import wingroad.work.PlanCopy;
 
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Objects;
+import java.util.Set;
+import java.util.TreeMap;
+import java.util.TreeSet;
+import java.util.function.Consumer;
+
 /**
  * Applies the plan of maintenance work at this driver: combines discovery's member lists with the
  * plan into the lists that the router is given, reports which draining machines have no txns of
--- a/src/main/java/wingroad/driver/MemberConnection.java
+++ b/src/main/java/wingroad/driver/MemberConnection.java
@@ -1,9 +1,5 @@
 package wingroad.driver;
 
-import java.io.IOException;
-import java.net.InetSocketAddress;
-import java.nio.ByteBuffer;
-import java.time.Duration;
 import wingroad.driver.TxnDispatcher.MemberRequest;
 import wingroad.protocol.MemberMessageEncoder;
 import wingroad.protocol.MemberResponseDecoder;
@@ -11,6 +7,11 @@
 import wingroad.transport.Connection;
 import wingroad.transport.EventLoop;
 
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.nio.ByteBuffer;
+import java.time.Duration;
+
 /**
  * One connection to a member. It carries one request at a time, and is closed whenever the state of
  * its stream is in doubt.
--- a/src/main/java/wingroad/driver/MemberListRelay.java
+++ b/src/main/java/wingroad/driver/MemberListRelay.java
@@ -1,10 +1,5 @@
 package wingroad.driver;
 
-import java.time.Duration;
-import java.util.ArrayList;
-import java.util.List;
-import java.util.Map;
-import java.util.function.Consumer;
 import wingroad.duty.RelayHealth;
 import wingroad.fleet.FleetConfig;
 import wingroad.fleet.FleetNode;
@@ -13,6 +8,12 @@
 import wingroad.protocol.MemberList.Entry;
 import wingroad.transport.EventLoop;
 
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.function.Consumer;
+
 /**
  * Distributes member lists within the fleet, so that only one driver, the owner of the list duty,
  * watches discovery. Publishes the lists that this driver finds, applies those that the owner
--- a/src/main/java/wingroad/driver/MemberPools.java
+++ b/src/main/java/wingroad/driver/MemberPools.java
@@ -2,6 +2,11 @@
 
 import static wingroad.state.Durations.max;
 
+import wingroad.driver.TxnDispatcher.MemberRequest;
+import wingroad.protocol.MemberList;
+import wingroad.state.Submission.Outcome;
+import wingroad.transport.EventLoop;
+
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.time.Duration;
@@ -16,10 +21,6 @@
 import java.util.Set;
 import java.util.function.LongPredicate;
 import java.util.function.Predicate;
-import wingroad.driver.TxnDispatcher.MemberRequest;
-import wingroad.protocol.MemberList;
-import wingroad.state.Submission.Outcome;
-import wingroad.transport.EventLoop;
 
 /**
  * The connection pools to all members, by the id under which discovery lists a member and by the
--- a/src/main/java/wingroad/driver/MemberResponse.java
+++ b/src/main/java/wingroad/driver/MemberResponse.java
@@ -1,7 +1,5 @@
 package wingroad.driver;
 
-import java.time.Duration;
-import java.util.Map;
 import wingroad.driver.TxnDispatcher.MemberReport;
 import wingroad.driver.TxnDispatcher.MemberStatus;
 import wingroad.protocol.Gauges;
@@ -10,6 +8,9 @@
 import wingroad.state.Submission.Outcome;
 import wingroad.terms.RouterSettings;
 
+import java.time.Duration;
+import java.util.Map;
+
 /** A member's response to a request, in the router's terms. */
 final class MemberResponse {
     static final String SQLSTATE_TOO_MANY_CONNECTIONS = "53300";
--- a/src/main/java/wingroad/driver/MemberTransportListener.java
+++ b/src/main/java/wingroad/driver/MemberTransportListener.java
@@ -1,9 +1,10 @@
 package wingroad.driver;
 
-import java.time.Duration;
 import wingroad.driver.TxnDispatcher.MemberRequest;
 import wingroad.state.Submission.Outcome;
 
+import java.time.Duration;
+
 /** Receives the outcome of requests to members; the transport also consults it. */
 interface MemberTransportListener {
     /**
--- a/src/main/java/wingroad/driver/TxnDispatcher.java
+++ b/src/main/java/wingroad/driver/TxnDispatcher.java
@@ -2,11 +2,6 @@
 
 import static wingroad.state.Durations.min;
 
-import java.time.Duration;
-import java.util.HashMap;
-import java.util.Map;
-import java.util.function.BooleanSupplier;
-import java.util.function.Consumer;
 import wingroad.door.AdmissionDecision;
 import wingroad.door.ClientContext;
 import wingroad.door.FairQueues;
@@ -18,6 +13,12 @@
 import wingroad.state.Submission;
 import wingroad.transport.EventLoop;
 
+import java.time.Duration;
+import java.util.HashMap;
+import java.util.Map;
+import java.util.function.BooleanSupplier;
+import java.util.function.Consumer;
+
 /**
  * Connects clients, members and discovery to the router. It reports every event to the router,
  * executes the router's decisions, and makes none of its own. All calls are made on the event
--- a/src/main/java/wingroad/driver/WarmUp.java
+++ b/src/main/java/wingroad/driver/WarmUp.java
@@ -1,11 +1,5 @@
 package wingroad.driver;
 
-import java.io.ByteArrayOutputStream;
-import java.nio.ByteBuffer;
-import java.nio.charset.StandardCharsets;
-import java.time.Duration;
-import java.util.List;
-import java.util.Map;
 import wingroad.protocol.ClientMessageDecoder;
 import wingroad.protocol.ClientMessageEncoder;
 import wingroad.protocol.MemberMessageEncoder;
@@ -15,6 +9,13 @@
 import wingroad.state.Submission.Outcome;
 import wingroad.transport.EventLoop;
 
+import java.io.ByteArrayOutputStream;
+import java.nio.ByteBuffer;
+import java.nio.charset.StandardCharsets;
+import java.time.Duration;
+import java.util.List;
+import java.util.Map;
+
 /**
  * Runs synthetic txns through the parsers, a dispatcher and a router of its own before clients are
  * accepted. Without it the first clients after a start run into code that is still interpreted, and
--- a/src/main/java/wingroad/fleet/ChoreRunner.java
+++ b/src/main/java/wingroad/fleet/ChoreRunner.java
@@ -1,8 +1,9 @@
 package wingroad.fleet;
 
-import java.time.Duration;
 import wingroad.fleet.FleetConfig.Chore;
 
+import java.time.Duration;
+
 /** Runs a chore's statement on the primary of its group. */
 public interface ChoreRunner {
     /**
--- a/src/main/java/wingroad/fleet/ChoreScheduler.java
+++ b/src/main/java/wingroad/fleet/ChoreScheduler.java
@@ -1,13 +1,14 @@
 package wingroad.fleet;
 
-import java.time.Duration;
-import java.util.LinkedHashMap;
-import java.util.Map;
 import wingroad.duty.Command;
 import wingroad.duty.RunSchedule;
 import wingroad.duty.SessionLease;
 import wingroad.fleet.FleetConfig.Chore;
 
+import java.time.Duration;
+import java.util.LinkedHashMap;
+import java.util.Map;
+
 /**
  * Schedules the runs of chores. The number of a run is committed to the log before its statement is
  * sent, so that no other run gets the same number. The statement is sent once, under the duty's
--- a/src/main/java/wingroad/fleet/ConsensusStatus.java
+++ b/src/main/java/wingroad/fleet/ConsensusStatus.java
@@ -1,13 +1,14 @@
 package wingroad.fleet;
 
-import java.time.Duration;
-import java.util.List;
-import java.util.Map;
 import wingroad.duty.DutyStateMachine;
 import wingroad.duty.SessionExpiryMonitor;
 import wingroad.work.MaintenancePlan;
 import wingroad.work.MaintenanceSettings;
 
+import java.time.Duration;
+import java.util.List;
+import java.util.Map;
+
 /** Adds the committed state to a voter's status, as plain values for the command line. */
 final class ConsensusStatus {
     private ConsensusStatus() {}
--- a/src/main/java/wingroad/fleet/FleetConfig.java
+++ b/src/main/java/wingroad/fleet/FleetConfig.java
@@ -1,12 +1,13 @@
 package wingroad.fleet;
 
+import wingroad.duty.Lease;
+import wingroad.work.MaintenanceSettings;
+
 import java.nio.file.Path;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import wingroad.duty.Lease;
-import wingroad.work.MaintenanceSettings;
 
 /**
  * The fleet's configuration from the operator's file.
--- a/src/main/java/wingroad/fleet/SessionUpdates.java
+++ b/src/main/java/wingroad/fleet/SessionUpdates.java
@@ -1,13 +1,14 @@
 package wingroad.fleet;
 
-import java.util.ArrayList;
-import java.util.List;
-import java.util.Map;
 import wingroad.duty.DutyStateMachine;
 import wingroad.fleet.MessageTransport.Channel;
 import wingroad.work.MaintenancePlan;
 import wingroad.work.MaintenanceSettings;
 
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+
 /**
  * Tracks what one driver session has been sent by the voter that it is attached to, so that only
  * changes are sent: the maintenance plan, the changed duties, the last committed heartbeat. A new
