--- a/src/test/java/wingroad/work/WorkIT.java
+++ b/src/test/java/wingroad/work/WorkIT.java
@@ -338,6 +338,14 @@
         load.excludedDrivers.add(formerController.name);
         assertThat(requestMaintenance("B")).isEmpty();
         formerController.awaitLog("work: B planned");
+        // A driver that is lost before it has confirmed the announcement would hold the plan up.
+        awaitStatus(
+                status ->
+                        !isAtStage(status, "B", "asked")
+                                && entry(status, "B")
+                                        .map(entry -> String.valueOf(entry.get("waits")))
+                                        .filter(waits -> waits.contains(formerController.name))
+                                        .isEmpty());
         formerController.pause();
         awaitStage("B", "out");
         assertThat(controllerEpoch()).isGreaterThan(formerEpoch);
@@ -376,7 +384,7 @@
         awaitStage("B", "out");
         long outAtMs = System.currentTimeMillis();
         assertThat(isolatedDriver.log().subList(fromLine, isolatedDriver.logLineCount()))
-                .anyMatch(line -> line.contains("view of the plan has ended"));
+                .anyMatch(line -> line.contains("view of the plan has expired"));
         awaitCommitted(200);
         assertNoTxnsSince(member2, outAtMs);
         try (TestClient client = new TestClient(isolatedDriver.port())) {
@@ -403,7 +411,7 @@
                         ? cluster.driver("d3")
                         : cluster.driver("d2");
         cluster.partitionFromVoters(isolatedDriver.name, true);
-        isolatedDriver.awaitLog("view of the plan has ended");
+        isolatedDriver.awaitLog("view of the plan has expired");
         awaitStatus(status -> isLost(status, isolatedDriver.name));
         assertThat(requestMaintenance("B")).isEmpty();
         awaitStatus(
@@ -475,7 +483,7 @@
                         : cluster.driver("d2");
         load.excludedDrivers.add(isolatedDriver.name);
         cluster.partitionFromVoters(isolatedDriver.name, true);
-        isolatedDriver.awaitLog("view of the plan has ended");
+        isolatedDriver.awaitLog("view of the plan has expired");
         assertThat(requestMaintenance("B")).isEmpty();
         awaitStage("B", "out");
         long outAtMs = System.currentTimeMillis();
